--- /dev/null
+++ b/packages/replica/src/stored-data.test.ts
@@ -0,0 +1,58 @@
+import test from 'ava';
+import { cpSync, mkdtempSync, readdirSync, readFileSync, rmSync } from 'node:fs';
+import { tmpdir } from 'node:os';
+import path from 'node:path';
+import { fileURLToPath } from 'node:url';
+import { encodeRecord, openWriteAheadLog } from '@reedyard/write-ahead-log';
+import { Replica } from './core.js';
+import type { ReplicaRecord, ReplicaVoting } from './messages.js';
+import type { ReplicaState } from './state.js';
+
+/** Data folders as commit 0da2ab4 wrote them, and beside each what that commit read back from it. */
+const fixtures = fileURLToPath(new URL('../test/fixtures/stored-0da2ab4', import.meta.url));
+
+type Expected = {
+  readonly name: string;
+  readonly others: Readonly<Record<string, string>>;
+  readonly seeded: ReplicaVoting | null;
+  /** The records of a snapshot of the state, as they are on disk. */
+  readonly records: readonly string[];
+  readonly summary: Readonly<Record<string, unknown>>;
+};
+
+const summaryOf = (state: ReplicaState): Expected['summary'] => ({
+  disk: state.disk,
+  voting: state.voting,
+  votingEpoch: state.votingEpoch,
+  epoch: state.told?.value.epoch ?? null,
+  seq: state.seq,
+  floor: state.floor,
+  registers: state.cells.size,
+  claims: state.claimsSeen.size,
+  entries: state.facts.length,
+});
+
+for (const name of readdirSync(fixtures).filter((each) => !each.endsWith('.json'))) {
+  test(`data of an earlier version is read, and written byte for byte as before: ${name}`, async (t) => {
+    const expected = JSON.parse(
+      readFileSync(path.join(fixtures, `${name}.json`), 'utf8'),
+    ) as Expected;
+    const folder = mkdtempSync(path.join(tmpdir(), 'reedyard-stored-'));
+    t.teardown(() => rmSync(folder, { recursive: true, force: true }));
+    cpSync(path.join(fixtures, name), folder, { recursive: true });
+    const log = await openWriteAheadLog(folder);
+    const records = log.takeRecords() as readonly ReplicaRecord[];
+    await log.close();
+    const { state } = Replica.open({
+      name: expected.name,
+      others: expected.others,
+      seeded: expected.seeded,
+      records,
+      freshDisk: 'unused',
+      now: 0,
+    });
+    t.deepEqual(summaryOf(state), expected.summary);
+    const written = [...Replica.records(state)].map((record) => encodeRecord(record).toString());
+    t.deepEqual(written, [...expected.records]);
+  });
+}
