--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -4,14 +4,25 @@
 import { Task } from '@reedyard/task-loop';
 import { openScribe } from '@reedyard/logging';
 import { call, serveCalls, speakFrom } from '@reedyard/rpc';
+import { decodeReplicaReply, encodeReplicaRequest, type ReplicaReply } from '@reedyard/replica';
 import type { Settings } from '@reedyard/settings';
 import { apiServer, translatedServer, type Act, type Api, type Reply } from './api.js';
 import { Agent } from './core.js';
 import type { AgentState } from './state.js';
-import type { AgentCall, AgentEffect, AgentEvent, ProxyCall } from './terms.js';
+import type { AgentCall, AgentEffect, AgentEvent, AgentReply, ProxyCall } from './terms.js';
 
 const now = (): number => performance.now();
 
+type CallEffect = Extract<AgentEffect, { kind: 'call' }>;
+
+/** Makes a call; replies of replicas come in the form that their protocol has on the wire. */
+const sendCall = async (effect: CallEffect): Promise<ReplicaReply | AgentReply> => {
+  if (effect.path === '/agent')
+    return (await call(effect.to, effect.path, effect.body)) as AgentReply;
+  const body = encodeReplicaRequest(effect.body);
+  return decodeReplicaReply(await call(effect.to, effect.path, body));
+};
+
 export type AgentSettings = Settings & { readonly agent: NonNullable<Settings['agent']> };
 export type AgentOptions = {
   /**
@@ -37,8 +48,8 @@
   const perform = (effect: AgentEffect, put: (event: AgentEvent) => boolean): void => {
     switch (effect.kind) {
       case 'call':
-        call(effect.to, effect.path, effect.body).then(
-          (body) => put({ kind: 'returned', id: effect.id, body: body as never, now: now() }),
+        sendCall(effect).then(
+          (body) => put({ kind: 'returned', id: effect.id, body, now: now() }),
           () => put({ kind: 'lost', id: effect.id, now: now() }),
         );
         return;
--- /dev/null
+++ b/packages/consensus/src/codec.ts
@@ -0,0 +1,84 @@
+/**
+ * The stored and sent form of proposal numbers, accepted values and registers.
+ *
+ * Replicas keep registers on disk and exchange them with agents and with each other in this form,
+ * which stays as it is: data of earlier versions must stay readable, and versions run side by side.
+ * All other code works with the types of `acceptor.ts`.
+ */
+import type { Accepted, Ballot, Cell, Vote } from './acceptor.js';
+
+/** A proposal number: its counter and its proposer. */
+export type WireProposalNumber = readonly [counter: number, proposerId: string];
+
+/** An accepted value. */
+export type WireAcceptedValue = {
+  readonly ballot: WireProposalNumber;
+  readonly value: unknown;
+  readonly copied?: true;
+};
+
+/** An acceptor's state of one register. */
+export type WireRegister = {
+  readonly promised: WireProposalNumber;
+  readonly accepted: WireAcceptedValue | null;
+};
+
+/** An acceptor's response to either phase. */
+export type WireVote =
+  | { readonly kind: 'yes'; readonly accepted: WireAcceptedValue | null }
+  | { readonly kind: 'no'; readonly promised: WireProposalNumber };
+
+export const encodeProposalNumber = (ballot: Ballot): WireProposalNumber => [ballot[0], ballot[1]];
+
+export const decodeProposalNumber = ([counter, proposerId]: WireProposalNumber): Ballot => [
+  counter,
+  proposerId,
+];
+
+export const encodeAcceptedValue = (accepted: Accepted): WireAcceptedValue => ({
+  ballot: encodeProposalNumber(accepted.ballot),
+  value: accepted.value,
+  ...(accepted.copied === true ? { copied: true } : {}),
+});
+
+export const decodeAcceptedValue = (accepted: WireAcceptedValue): Accepted => ({
+  ballot: decodeProposalNumber(accepted.ballot),
+  value: accepted.value,
+  ...(accepted.copied === true ? { copied: true } : {}),
+});
+
+/** A number that stands in both places is written once: the serializer keeps references. */
+export const encodeRegister = ({ promised, accepted }: Cell): WireRegister => {
+  const encoded = accepted === null ? null : encodeAcceptedValue(accepted);
+  const isSameNumber = accepted !== null && accepted.ballot === promised;
+  return {
+    promised: encoded !== null && isSameNumber ? encoded.ballot : encodeProposalNumber(promised),
+    accepted: encoded,
+  };
+};
+
+/** Keeps a number that stands in both places one object, so that it is written once again. */
+export const decodeRegister = ({ promised, accepted }: WireRegister): Cell => {
+  const decoded = accepted === null ? null : decodeAcceptedValue(accepted);
+  const isSameNumber = accepted !== null && accepted.ballot === promised;
+  return {
+    promised: decoded !== null && isSameNumber ? decoded.ballot : decodeProposalNumber(promised),
+    accepted: decoded,
+  };
+};
+
+export const encodeVote = (vote: Vote): WireVote =>
+  vote.kind === 'yes'
+    ? {
+        kind: 'yes',
+        accepted: vote.accepted === null ? null : encodeAcceptedValue(vote.accepted),
+      }
+    : { kind: 'no', promised: encodeProposalNumber(vote.promised) };
+
+export const decodeVote = (vote: WireVote): Vote =>
+  vote.kind === 'yes'
+    ? {
+        kind: 'yes',
+        accepted: vote.accepted === null ? null : decodeAcceptedValue(vote.accepted),
+      }
+    : { kind: 'no', promised: decodeProposalNumber(vote.promised) };
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,2 +1,3 @@
 export * from './acceptor.js';
 export * from './proposer.js';
+export * from './codec.js';
--- a/packages/replica/src/history.test.ts
+++ b/packages/replica/src/history.test.ts
@@ -6,14 +6,14 @@
 import path from 'node:path';
 import { stringify } from 'devalue';
 import { Sizes } from '@reedyard/constants';
-import { openWriteAheadLog, type WriteAheadLog } from '@reedyard/write-ahead-log';
 import {
   Replica,
   membersKey,
   type ReplicaAsk,
   type ReplicaCall,
-  type ReplicaRecord,
+  type ReplicaLog,
   type ReplicaReply,
+  openReplicaLog,
   type Members,
   type CommittedMembership,
 } from './index.js';
@@ -45,7 +45,12 @@
 const bytesIn = (folder: string): number =>
   readdirSync(folder).reduce((sum, name) => sum + statSync(path.join(folder, name)).size, 0);
 
-type Running = { readonly log: WriteAheadLog; readonly host: ReplicaHost };
+type Running = {
+  readonly log: ReplicaLog;
+  readonly host: ReplicaHost;
+  /** Records that it read at its start. */
+  readonly recordsRead: number;
+};
 
 /** Three replicas that reach each other, with a clock that is set by hand. */
 class Cluster {
@@ -66,12 +71,13 @@
   }
 
   async start(name: Name): Promise<void> {
-    const log = await openWriteAheadLog(this.folder(name));
+    const log = await openReplicaLog(this.folder(name));
+    const records = log.takeRecords();
     this.#lives += 1;
     const opened = Replica.open({
       name,
       others: Object.fromEntries(names.filter((each) => each !== name).map((each) => [each, each])),
-      records: log.records as readonly ReplicaRecord[],
+      records,
       freshDisk: `disk-${name}-${this.#lives}`,
       now: this.now,
     });
@@ -81,7 +87,7 @@
       end: () => undefined,
       log: () => undefined,
     });
-    this.running.set(name, { log, host });
+    this.running.set(name, { log, host, recordsRead: records.length });
     await this.settle();
   }
 
@@ -232,7 +238,7 @@
   await cluster.stop('c');
   const restartBytes = bytesIn(cluster.folder('c'));
   await cluster.start('c');
-  const recordsRead = cluster.running.get('c')?.log.records.length ?? 0;
+  const recordsRead = cluster.running.get('c')?.recordsRead ?? 0;
   t.is(versionHeld(cluster, 'c'), changes);
   // Wiped: it neither votes nor answers before it has read the others.
   await cluster.stop('c');
@@ -314,8 +320,8 @@
   }
   t.true(images.length >= 3, `${images.length} images`);
   for (const image of images) {
-    const log = await openWriteAheadLog(image);
-    const records = log.records as readonly ReplicaRecord[];
+    const log = await openReplicaLog(image);
+    const records = log.takeRecords();
     const { state } = Replica.open({ name: 'c', others: {}, records, freshDisk: 'x', now: 0 });
     const held = state.cells.get('config')?.accepted?.value as { readonly version: number };
     t.is(held.version, Number(image.split('-').at(-1)), image);
--- /dev/null
+++ b/packages/replica/src/protocol/errors.ts
@@ -0,0 +1,8 @@
+/** Errors of the replica's protocol. */
+import { LayerError } from '@reedyard/logging';
+
+/**
+ * A message or record that this version does not know. Its `code` is `unknown-message` or
+ * `unknown-record`.
+ */
+export class ReplicaProtocolError extends LayerError {}
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -1,20 +1,14 @@
 // The replica on a disk that is full, refuses, or hangs.
 import test, { type ExecutionContext } from 'ava';
 import { Limits } from '@reedyard/constants';
-import { openWriteAheadLog, type WriteAheadLog } from '@reedyard/write-ahead-log';
 import {
-  ModelDisk,
   type DiskFault,
   type DiskOperation,
+  ModelDisk,
 } from '@reedyard/write-ahead-log/model-disk';
-import {
-  Replica,
-  type ReplicaCall,
-  type ReplicaRecord,
-  type ReplicaReply,
-  type CommittedMembership,
-} from './index.js';
+import { type CommittedMembership, Replica, type ReplicaCall, type ReplicaReply } from './index.js';
 import { ReplicaHost } from './replica-host.js';
+import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 
 const folder = 'model';
 const diskName = 'disk-a';
@@ -51,9 +45,9 @@
 
   private constructor(
     readonly disk: ModelDisk,
-    log: WriteAheadLog,
+    log: ReplicaLog,
   ) {
-    const records = log.records as readonly ReplicaRecord[];
+    const records = log.takeRecords();
     const opened = Replica.open({ name: 'a', others: {}, records, freshDisk: diskName, now: 0 });
     this.host = new ReplicaHost(opened, log, {
       now: () => this.now,
@@ -64,7 +58,7 @@
   }
 
   static async open(disk: ModelDisk): Promise<Bed> {
-    const bed = new Bed(disk, await openWriteAheadLog(folder, disk.fileSystem));
+    const bed = new Bed(disk, await openReplicaLog(folder, disk.fileSystem));
     await settle();
     return bed;
   }
@@ -95,7 +89,7 @@
 /** A member that votes, on a disk of its own. */
 const votingDisk = async (): Promise<ModelDisk> => {
   const disk = new ModelDisk();
-  const log = await openWriteAheadLog(folder, disk.fileSystem);
+  const log = await openReplicaLog(folder, disk.fileSystem);
   await log.append([
     { kind: 'disk', disk: diskName },
     { kind: 'cell', key: 'members', cell: { promised: members.ballot, accepted: members } },
@@ -108,8 +102,7 @@
 
 /** What another process would read, and take part with, now. */
 const acceptedOnDisk = async (disk: ModelDisk): Promise<unknown> => {
-  const records = (await openWriteAheadLog(folder, disk.copy().fileSystem))
-    .records as readonly ReplicaRecord[];
+  const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
   const { state } = Replica.open({ name: 'a', others: {}, records, freshDisk: 'another', now: 0 });
   return state.cells.get('config')?.accepted?.value;
 };
@@ -205,9 +198,9 @@
   await bed.tick(5_000);
   // The only member has nobody to read: it votes with the call that names it.
   t.is((await bed.pull()).kind, 'pulled');
-  const records = (await openWriteAheadLog(folder, disk.copy().fileSystem)).records;
+  const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
   t.deepEqual(records[0], { kind: 'disk', disk: diskName });
-  t.true(records.some((record) => (record as ReplicaRecord).kind === 'voting'));
+  t.true(records.some((record) => record.kind === 'voting'));
 });
 
 /**
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -23,18 +23,7 @@
   ReplicaReply,
 } from './messages.js';
 import type { ReplicaState } from './state.js';
-
-/** The log as the replica needs it. */
-export type ReplicaLog = {
-  readonly available: () => boolean;
-  readonly failure: () => Error | null;
-  readonly append: (records: readonly ReplicaRecord[]) => Promise<void>;
-  readonly recover: () => Promise<void>;
-  readonly compact: (state: () => Iterable<ReplicaRecord>) => Promise<void>;
-  readonly segmentBytes: () => number;
-  readonly snapshotBytes: () => number;
-  readonly fragmented: () => boolean;
-};
+import type { ReplicaLog } from './storage/replica-log.js';
 
 /** What the host does outside. */
 export type ReplicaShell = {
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -4,12 +4,18 @@
 import { performance } from 'node:perf_hooks';
 import type { Step } from '@reedyard/task-loop';
 import { Beats, Limits } from '@reedyard/constants';
-import { openWriteAheadLog, type WriteAheadLog } from '@reedyard/write-ahead-log';
 import { openScribe, type Scribe } from '@reedyard/logging';
 import { call, serveCalls, speakFrom, type Listening } from '@reedyard/rpc';
 import type { Settings } from '@reedyard/settings';
 import { Replica } from './core.js';
-import type { ReplicaAsk, ReplicaEffect, ReplicaRecord, ReplicaReply } from './messages.js';
+import type { ReplicaEffect } from './messages.js';
+import {
+  decodeReplicaReply,
+  decodeReplicaRequest,
+  encodeReplicaReply,
+  encodeReplicaRequest,
+} from './protocol/codec.js';
+import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 import type { ReplicaState } from './state.js';
 import { ReplicaHost, type ReplicaShell } from './replica-host.js';
 
@@ -22,21 +28,22 @@
 /** The state from what the log holds; a blank disk gets a new name. */
 const openState = (
   settings: ReplicaSettings,
-  log: WriteAheadLog,
+  log: ReplicaLog,
 ): Step<ReplicaState, ReplicaEffect> => {
   const { founders = {}, voting, name, host } = settings;
   const others = Object.fromEntries(Object.entries(founders).filter(([each]) => each !== name));
   const address = `${host}:${settings.replica.port}`;
   const seeded =
     voting === undefined ? null : { address, seeds: voting.seeds, firstStart: voting.firstStart };
-  const records = log.takeRecords() as readonly ReplicaRecord[];
+  const records = log.takeRecords();
   return Replica.open({ name, others, seeded, records, freshDisk: randomUUID(), now: now() });
 };
 
 const shellOf = (scribe: Scribe, end: () => void): ReplicaShell => ({
   now,
   end,
-  call: (address, body) => call(address, callPath, body) as Promise<ReplicaReply>,
+  call: async (address, body) =>
+    decodeReplicaReply(await call(address, callPath, encodeReplicaRequest(body))),
   log: (level, event, fields) => scribe[level](event, fields),
 });
 
@@ -48,7 +55,7 @@
 };
 
 /** Ends the process once its calls and its log are closed, and in time also if the disk hangs. */
-const closeAndExit = (listening: Listening | null, log: WriteAheadLog, scribe: Scribe): void => {
+const closeAndExit = (listening: Listening | null, log: ReplicaLog, scribe: Scribe): void => {
   const exit = (): never => {
     scribe.info('stopped');
     process.exit(0);
@@ -79,7 +86,7 @@
   const scribe = openScribe({ program: 'replica', node: settings.name });
   outliveFailedLogLines();
   speakFrom(settings.host);
-  const log = await openWriteAheadLog(path.join(settings.dataFolder, 'replica'));
+  const log = await openReplicaLog(path.join(settings.dataFolder, 'replica'));
   const opened = openState(settings, log);
   let listening: Listening | null = null;
   let isLeaving = false;
@@ -91,7 +98,9 @@
   const replica = new ReplicaHost(opened, log, shellOf(scribe, leave));
   listening = await serveCalls(
     { host: settings.listen ?? settings.host, port: settings.replica.port },
-    { [callPath]: (body) => replica.ask(body as ReplicaAsk) },
+    {
+      [callPath]: async (body) => encodeReplicaReply(await replica.ask(decodeReplicaRequest(body))),
+    },
   );
   setInterval(() => replica.tick(), Beats.rejoin);
   const { disk, voting } = opened.state;
--- /dev/null
+++ b/packages/replica/src/storage/record-codec.ts
@@ -0,0 +1,85 @@
+/**
+ * Maps a replica's records between their types in this project and their form on disk.
+ *
+ * The stored form stays as it is: a new version must read what earlier ones wrote, and an earlier
+ * one what a new version wrote, since machines are rolled forward and back. A test holds it against
+ * data of an earlier version (`stored-data.test.ts`).
+ */
+import { decodeRegister, encodeRegister, type WireRegister } from '@reedyard/consensus';
+import type { ReplicaRecord } from '../messages.js';
+import { ReplicaProtocolError } from '../protocol/errors.js';
+import type { WireEntry } from '../protocol/wire-format.js';
+import {
+  decodeMembership,
+  encodeMembership,
+  type WireCommittedMembership,
+} from '../protocol/wire-membership.js';
+
+/** A record as it is on disk. */
+export type StoredRecord =
+  | { readonly kind: 'disk'; readonly disk: string }
+  | { readonly kind: 'voting'; readonly epoch?: number }
+  | { readonly kind: 'blanked'; readonly disk: string }
+  | { readonly kind: 'told'; readonly members: WireCommittedMembership }
+  | { readonly kind: 'place'; readonly seq: number }
+  | { readonly kind: 'cell'; readonly key: string; readonly cell: WireRegister }
+  | { readonly kind: 'fact'; readonly seq: number; readonly fact: WireEntry };
+
+export const encodeReplicaRecord = (record: ReplicaRecord): StoredRecord => {
+  switch (record.kind) {
+    case 'disk':
+      return { kind: 'disk', disk: record.disk };
+    case 'voting':
+      return {
+        kind: 'voting',
+        ...(record.epoch === undefined ? {} : { epoch: record.epoch }),
+      };
+    case 'blanked':
+      return { kind: 'blanked', disk: record.disk };
+    case 'told':
+      return { kind: 'told', members: encodeMembership(record.members) };
+    case 'place':
+      return { kind: 'place', seq: record.seq };
+    case 'cell':
+      return { kind: 'cell', key: record.key, cell: encodeRegister(record.cell) };
+    case 'fact':
+      return {
+        kind: 'fact',
+        seq: record.seq,
+        fact: { key: record.fact.key, value: record.fact.value },
+      };
+  }
+};
+
+/** @throws ReplicaProtocolError `unknown-record` where this version does not know the record */
+export const decodeReplicaRecord = (stored: unknown): ReplicaRecord => {
+  const record = stored as StoredRecord;
+  switch (record.kind) {
+    case 'disk':
+      return { kind: 'disk', disk: record.disk };
+    case 'voting':
+      return {
+        kind: 'voting',
+        ...(record.epoch === undefined ? {} : { epoch: record.epoch }),
+      };
+    case 'blanked':
+      return { kind: 'blanked', disk: record.disk };
+    case 'told':
+      return { kind: 'told', members: decodeMembership(record.members) };
+    case 'place':
+      return { kind: 'place', seq: record.seq };
+    case 'cell':
+      return { kind: 'cell', key: record.key, cell: decodeRegister(record.cell) };
+    case 'fact':
+      return {
+        kind: 'fact',
+        seq: record.seq,
+        fact: { key: record.fact.key, value: record.fact.value },
+      };
+    default:
+      throw new ReplicaProtocolError(
+        'unknown-record',
+        `unknown record: ${String((record satisfies never as { readonly kind?: unknown }).kind)}`,
+      );
+  }
+};
--- a/packages/replica/src/stored-data.test.ts
+++ b/packages/replica/src/stored-data.test.ts
@@ -3,10 +3,12 @@
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { encodeRecord, openWriteAheadLog } from '@reedyard/write-ahead-log';
+import { encodeRecord } from '@reedyard/write-ahead-log';
 import { Replica } from './core.js';
-import type { ReplicaRecord, ReplicaVoting } from './messages.js';
+import type { ReplicaVoting } from './messages.js';
 import type { ReplicaState } from './state.js';
+import { encodeReplicaRecord } from './storage/record-codec.js';
+import { openReplicaLog } from './storage/replica-log.js';
 
 /** Data folders as commit 0da2ab4 wrote them, and beside each what that commit read back from it. */
 const fixtures = fileURLToPath(new URL('../test/fixtures/stored-0da2ab4', import.meta.url));
@@ -40,8 +42,8 @@
     const folder = mkdtempSync(path.join(tmpdir(), 'reedyard-stored-'));
     t.teardown(() => rmSync(folder, { recursive: true, force: true }));
     cpSync(path.join(fixtures, name), folder, { recursive: true });
-    const log = await openWriteAheadLog(folder);
-    const records = log.takeRecords() as readonly ReplicaRecord[];
+    const log = await openReplicaLog(folder);
+    const records = log.takeRecords();
     await log.close();
     const { state } = Replica.open({
       name: expected.name,
@@ -52,7 +54,9 @@
       now: 0,
     });
     t.deepEqual(summaryOf(state), expected.summary);
-    const written = [...Replica.records(state)].map((record) => encodeRecord(record).toString());
+    const written = [...Replica.records(state)].map((record) =>
+      encodeRecord(encodeReplicaRecord(record)).toString(),
+    );
     t.deepEqual(written, [...expected.records]);
   });
 }
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -1,37 +1,41 @@
 import { subscribe } from 'node:diagnostics_channel';
-import type { ClientRequest, IncomingMessage } from 'node:http';
 import { mkdtempSync, rmSync } from 'node:fs';
+import type { ClientRequest, IncomingMessage } from 'node:http';
 import os from 'node:os';
 import path from 'node:path';
 import { serialize } from 'node:v8';
 import {
-  Replica,
-  type ReplicaAsk,
-  type ReplicaEffect,
-  type ReplicaEvent,
-  type ReplicaRecord,
-  type ReplicaReply,
-  type ReplicaState,
-} from '@reedyard/replica';
-import { Beats, Hollow, Sizes } from '@reedyard/constants';
-import {
-  Agent,
   type Action,
-  type FeedTold,
+  Agent,
   type AgentCall,
   type AgentEffect,
   type AgentEvent,
+  type AgentReply,
   type AgentState,
-  type ProxyCall,
+  type FeedTold,
   type Measure,
   type NodeRecord,
+  type ProxyCall,
   type Report,
   type Self,
 } from '@reedyard/agent';
-import { Feeds, type HeldFeed } from '@reedyard/proxy';
-import { openWriteAheadLog, type WriteAheadLog } from '@reedyard/write-ahead-log';
+import { Beats, Hollow, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
-import { call, serveCalls, type Listening } from '@reedyard/rpc';
+import { Feeds, type HeldFeed } from '@reedyard/proxy';
+import {
+  decodeReplicaReply,
+  decodeReplicaRequest,
+  encodeReplicaReply,
+  encodeReplicaRequest,
+  openReplicaLog,
+  Replica,
+  type ReplicaEffect,
+  type ReplicaEvent,
+  type ReplicaLog,
+  type ReplicaReply,
+  type ReplicaState,
+} from '@reedyard/replica';
+import { call, type Listening, serveCalls } from '@reedyard/rpc';
 
 /** A hollow fleet that can't be run. */
 export class HollowError extends LayerError {}
@@ -177,7 +181,7 @@
 type ReplicaNode = {
   readonly spec: ReplicaSpec;
   state: ReplicaState;
-  readonly writeAheadLog: WriteAheadLog;
+  readonly log: ReplicaLog;
   beatAt: number;
   next: number;
   compacting: boolean;
@@ -354,11 +358,11 @@
       if (where === 'replica' && replica !== undefined) {
         const id = replica.next;
         replica.next += 1;
-        replica.asking.set(id, resolve);
+        replica.asking.set(id, (reply) => resolve(encodeReplicaReply(reply)));
         this.#reduceReplica(replica, {
           kind: 'asked',
           id,
-          body: body as ReplicaAsk,
+          body: decodeReplicaRequest(body),
           now: this.#now,
         });
       } else if (agent !== undefined) {
@@ -394,12 +398,12 @@
           node.spec.role,
           effect.to,
           effect.path,
-          effect.body,
+          effect.path === '/replica' ? encodeReplicaRequest(effect.body) : effect.body,
           (body) =>
             this.#reduceAgent(node, {
               kind: 'returned',
               id: effect.id,
-              body: body as never,
+              body: effect.path === '/replica' ? decodeReplicaReply(body) : (body as AgentReply),
               now: this.#now,
             }),
           () => this.#reduceAgent(node, { kind: 'lost', id: effect.id, now: this.#now }),
@@ -426,7 +430,8 @@
   }
 
   #reduceReplica(node: ReplicaNode, event: ReplicaEvent): void {
-    const label = event.kind === 'asked' ? `asked.${kindOf(event.body)}` : event.kind;
+    const label =
+      event.kind === 'asked' ? `asked.${kindOf(encodeReplicaRequest(event.body))}` : event.kind;
     const step = this.#timed('replica', label, () => Replica.reduce(node.state, event));
     node.state = step.state;
     for (const effect of step.effects) this.#performReplica(node, effect);
@@ -438,15 +443,14 @@
     };
     switch (effect.kind) {
       case 'append':
-        this.#during(node.writeAheadLog.append(effect.records), () => undefined, failed);
+        this.#during(node.log.append(effect.records), () => undefined, failed);
         if (
-          node.writeAheadLog.segmentBytes() >
-            Math.max(Sizes.segment, node.writeAheadLog.snapshotBytes() / 2) &&
+          node.log.segmentBytes() > Math.max(Sizes.segment, node.log.snapshotBytes() / 2) &&
           !node.compacting
         ) {
           node.compacting = true;
           this.#during(
-            node.writeAheadLog.compact(() => Replica.records(node.state)),
+            node.log.compact(() => Replica.records(node.state)),
             () => {
               node.compacting = false;
             },
@@ -456,7 +460,7 @@
         return;
       case 'tell':
         this.#during(
-          node.writeAheadLog.settled(),
+          node.log.settled(),
           () => {
             node.asking.get(effect.id)?.(effect.body);
             node.asking.delete(effect.id);
@@ -469,12 +473,12 @@
           'replica',
           effect.to,
           '/replica',
-          effect.body,
+          encodeReplicaRequest(effect.body),
           (body) =>
             this.#reduceReplica(node, {
               kind: 'returned',
               id: effect.id,
-              body: body as ReplicaReply,
+              body: decodeReplicaReply(body),
               now: this.#now,
             }),
           () => this.#reduceReplica(node, { kind: 'lost', id: effect.id, now: this.#now }),
@@ -488,18 +492,18 @@
 
   async replicas(specs: readonly ReplicaSpec[]): Promise<void> {
     for (const spec of specs) {
-      const writeAheadLog = await openWriteAheadLog(path.join(this.#folder, spec.name));
+      const log = await openReplicaLog(path.join(this.#folder, spec.name));
       const opened = Replica.open({
         name: spec.name,
         others: spec.others,
-        records: writeAheadLog.records as readonly ReplicaRecord[],
+        records: log.takeRecords(),
         freshDisk: `disk-of-${spec.name}`,
         now: this.#now,
       });
       const node: ReplicaNode = {
         spec,
         state: opened.state,
-        writeAheadLog,
+        log,
         beatAt: this.#now,
         next: 1,
         compacting: false,
@@ -811,9 +815,7 @@
 
   async close(): Promise<void> {
     await this.#listening?.close();
-    await Promise.all(
-      [...this.#replicas.values()].map(({ writeAheadLog }) => writeAheadLog.close()),
-    );
+    await Promise.all([...this.#replicas.values()].map(({ log }) => log.close()));
     rmSync(this.#folder, { recursive: true, force: true });
   }
 }
