--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -227,8 +227,10 @@
   t.deepEqual(answers(asked.effects), []);
   t.deepEqual(
     asked.effects.flatMap((effect) =>
-      effect.kind === 'call' && 'members' in effect.body && effect.body.call.kind === 'post'
-        ? [effect.body.call.facts[0]?.key]
+      effect.kind === 'call' &&
+      'operation' in effect.body &&
+      effect.body.operation.kind === 'append-entries'
+        ? [effect.body.operation.entries[0]?.key]
         : [],
     ),
     ['withdrawn/i', 'withdrawn/i', 'withdrawn/i'],
--- a/packages/agent/src/answered-pulls.fixture.ts
+++ b/packages/agent/src/answered-pulls.fixture.ts
@@ -2,7 +2,7 @@
  * An agent with five founders, whose pulls are answered at once: for tests of what it makes of
  * them.
  */
-import type { ReplicaReply, Members } from '@reedyard/replica';
+import type { ReplicaReply, Membership } from '@reedyard/replica';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
 import type { AgentState, Work } from './state.js';
@@ -31,7 +31,7 @@
 export const withMembers = (
   state: AgentState,
   epoch: number,
-  disks: Members['disks'],
+  disks: Membership['disks'],
 ): AgentState => {
   const work: Work = { state, effects: [] };
   learnRegister(work, 'members', [epoch, 'x'], { epoch, disks });
@@ -39,13 +39,13 @@
 };
 
 export const pulled = (disk: string): ReplicaReply => ({
-  kind: 'pulled',
-  disk,
-  seq: 0,
-  reset: false,
-  more: false,
-  facts: [],
-  ballots: {},
+  kind: 'polled',
+  diskId: disk,
+  sequence: 0,
+  isReset: false,
+  hasMore: false,
+  entries: [],
+  acceptedNumbers: {},
 });
 
 type Step = { readonly state: AgentState; readonly effects: readonly AgentEffect[] };
--- a/packages/agent/src/ballots.test.ts
+++ b/packages/agent/src/ballots.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { Limits } from '@reedyard/constants';
-import { Ballots, type Ballot } from '@reedyard/consensus';
-import type { ReplicaCall, ReplicaReply } from '@reedyard/replica';
+import { Ballots, type ProposalNumber } from '@reedyard/consensus';
+import type { ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
@@ -12,7 +12,7 @@
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
 
 /** A call of the agent to a replica that has not been answered yet. */
-type Call = { readonly id: number; readonly to: string; readonly call: ReplicaCall };
+type Call = { readonly id: number; readonly to: string; readonly call: ReplicaOperation };
 
 /** An agent whose replicas are played by the test. */
 class Bench {
@@ -40,7 +40,7 @@
 
   #take(effect: AgentEffect): void {
     if (effect.kind === 'call' && effect.path === '/replica') {
-      this.calls.push({ id: effect.id, to: effect.to, call: effect.body.call });
+      this.calls.push({ id: effect.id, to: effect.to, call: effect.body.operation });
     }
     if (effect.kind === 'answer') this.answers.set(effect.id, effect);
     if (effect.kind === 'wake') this.wakes.push(this.now + effect.inMs);
@@ -55,27 +55,27 @@
   /** Answers every call of one kind that waits. */
   vote(
     kind: 'prepare' | 'accept',
-    accepted: { readonly ballot: Ballot; readonly value: unknown } | null = null,
+    accepted: { readonly proposalNumber: ProposalNumber; readonly value: unknown } | null = null,
   ): void {
     const due = this.calls.filter(({ call }) => call.kind === kind);
     this.calls = this.calls.filter(({ call }) => call.kind !== kind);
     for (const { id, to } of due) {
       const body: ReplicaReply = {
         kind: 'vote',
-        disk: `disk-${to}`,
+        diskId: `disk-${to}`,
         vote: { kind: 'yes', accepted },
       };
       this.step({ kind: 'returned', id, body, now: this.now });
     }
   }
 
-  refuse(kind: 'prepare' | 'accept', promised: Ballot): void {
+  refuse(kind: 'prepare' | 'accept', promised: ProposalNumber): void {
     const due = this.calls.filter(({ call }) => call.kind === kind);
     this.calls = this.calls.filter(({ call }) => call.kind !== kind);
     for (const { id, to } of due) {
       const body: ReplicaReply = {
         kind: 'vote',
-        disk: `disk-${to}`,
+        diskId: `disk-${to}`,
         vote: { kind: 'no', promised },
       };
       this.step({ kind: 'returned', id, body, now: this.now });
@@ -83,13 +83,14 @@
   }
 
   /** Ballots of the calls of one kind that wait. */
-  ballots(kind: 'prepare' | 'accept'): readonly Ballot[] {
+  ballots(kind: 'prepare' | 'accept'): readonly ProposalNumber[] {
     const all = this.calls.flatMap(({ call }) =>
       call.kind === 'prepare' || call.kind === 'accept' ? [call] : [],
     );
-    const mine = all.filter((call) => call.kind === kind).map((call) => call.ballot);
+    const mine = all.filter((call) => call.kind === kind).map((call) => call.proposalNumber);
     return mine.filter(
-      (ballot, at) => mine.findIndex((each) => Ballots.compare(each, ballot) === 0) === at,
+      (proposalNumber, at) =>
+        mine.findIndex((each) => Ballots.compare(each, proposalNumber) === 0) === at,
     );
   }
 
@@ -127,7 +128,9 @@
   );
   const [first] = bench.calls;
   const accepted =
-    first?.call.kind === 'accept' ? { ballot: first.call.ballot, value: first.call.value } : null;
+    first?.call.kind === 'accept'
+      ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
+      : null;
   bench.vote('accept');
   t.is(bench.statusOf(orders[0] ?? 0), 200);
   t.deepEqual(
@@ -135,7 +138,11 @@
     Array.from({ length: 7 }, () => undefined),
   );
   const [second] = bench.ballots('prepare');
-  t.true(second !== undefined && accepted !== null && Ballots.compare(second, accepted.ballot) > 0);
+  t.true(
+    second !== undefined &&
+      accepted !== null &&
+      Ballots.compare(second, accepted.proposalNumber) > 0,
+  );
   bench.vote('prepare', accepted);
   bench.vote('accept');
   t.deepEqual(
@@ -163,7 +170,9 @@
   bench.vote('prepare');
   const [first] = bench.calls;
   const accepted =
-    first?.call.kind === 'accept' ? { ballot: first.call.ballot, value: first.call.value } : null;
+    first?.call.kind === 'accept'
+      ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
+      : null;
   bench.vote('accept');
   bench.vote('prepare', accepted);
   bench.vote('accept');
@@ -228,7 +237,7 @@
     lastOrders: { west: 5 },
     changes: [],
   };
-  bench.vote('prepare', { ballot: [9, 'z'], value });
+  bench.vote('prepare', { proposalNumber: [9, 'z'], value });
   t.is(bench.statusOf(late), 503);
   t.deepEqual(bench.ballots('accept'), []);
 });
@@ -239,7 +248,9 @@
   bench.vote('prepare');
   const [first] = bench.calls;
   const accepted =
-    first?.call.kind === 'accept' ? { ballot: first.call.ballot, value: first.call.value } : null;
+    first?.call.kind === 'accept'
+      ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
+      : null;
   bench.calls = [];
   bench.now = Limits.ballotPhase + 1;
   bench.step({ kind: 'woken', now: bench.now });
@@ -252,19 +263,19 @@
   const bench = new Bench();
   bench.order(zoneOrder('west', 'empty', '1'));
   bench.vote('prepare');
-  const [ballot] = bench.ballots('accept');
+  const [proposalNumber] = bench.ballots('accept');
   bench.calls = [];
   t.deepEqual(bench.wakes, [Limits.resend, Limits.resend]);
   bench.now = Limits.resend;
   bench.step({ kind: 'woken', now: bench.now });
-  t.deepEqual(bench.ballots('accept'), ballot === undefined ? [] : [ballot]);
+  t.deepEqual(bench.ballots('accept'), proposalNumber === undefined ? [] : [proposalNumber]);
   t.deepEqual(bench.ballots('prepare'), []);
 });
 
 test('prepares are sent again to replicas that have not answered, in the same ballot; promises are kept', (t) => {
   const bench = new Bench();
   bench.order(zoneOrder('west', 'empty', '1'));
-  const [ballot] = bench.ballots('prepare');
+  const [proposalNumber] = bench.ballots('prepare');
   bench.calls = bench.calls.filter(({ to }) => to === 'a');
   bench.vote('prepare');
   bench.now = Limits.resend;
@@ -276,7 +287,7 @@
       ['c', 'prepare'],
     ],
   );
-  t.deepEqual(bench.ballots('prepare'), ballot === undefined ? [] : [ballot]);
+  t.deepEqual(bench.ballots('prepare'), proposalNumber === undefined ? [] : [proposalNumber]);
   bench.calls = bench.calls.filter(({ to }) => to === 'b');
   bench.vote('prepare');
   t.deepEqual(
--- a/packages/agent/src/ballots.ts
+++ b/packages/agent/src/ballots.ts
@@ -11,12 +11,12 @@
 import {
   Ballots,
   Proposer,
-  type Ballot,
+  type ProposalNumber,
   type Change,
-  type Changed,
-  type Turn,
+  type ChangeResult,
+  type ProposalTransition,
 } from '@reedyard/consensus';
-import { membersKey, type ReplicaReply } from '@reedyard/replica';
+import { membershipKey, type ReplicaReply } from '@reedyard/replica';
 import { finish, type Outcome } from './completion.js';
 import type { Reading, RegisterChange } from './changes.js';
 import { learnRegister } from './pulls.js';
@@ -62,7 +62,7 @@
   run.included.filter(({ id }) => state.proposalRuns[id] !== undefined);
 
 /** What a change made of the value it was applied to, and what it left. */
-type Applied = IncludedChange & { readonly changed: Changed; readonly value: unknown };
+type Applied = IncludedChange & { readonly changed: ChangeResult; readonly value: unknown };
 
 /**
  * Applies changes one after the other to what a ballot read; tells of each what it made and what it
@@ -100,23 +100,29 @@
   set(work, { runs: { ...work.state.runs, [key]: run } });
 };
 
-const sendMoves = (work: Work, turn: Turn): void => {
+const sendMoves = (work: Work, turn: ProposalTransition): void => {
   const { key } = turn.proposal;
-  for (const move of turn.moves) {
+  for (const move of turn.actions) {
     if (move.kind !== 'prepare' && move.kind !== 'accept') continue;
     const replica = work.state.replicas[move.to];
     if (replica === undefined) continue;
-    const { ballot } = move;
+    const { proposalNumber } = move;
     const call =
       move.kind === 'prepare'
-        ? ({ kind: 'prepare', key, ballot } as const)
-        : ({ kind: 'accept', key, ballot, value: move.value, disk: move.disk } as const);
+        ? ({ kind: 'prepare', key, proposalNumber } as const)
+        : ({
+            kind: 'accept',
+            key,
+            proposalNumber,
+            value: move.value,
+            diskId: move.diskId,
+          } as const);
     sendToReplica(work, replica.address, call, {
       kind: 'vote',
       key,
       replica: move.to,
       phase: move.kind,
-      ballot,
+      proposalNumber,
     });
   }
 };
@@ -142,7 +148,7 @@
   // opened.
   const proposer = `${state.self.id}/${state.life}`;
   const turn = Proposer.open(key, combine(waiting), members, state.highestBallot, proposer);
-  set(work, { highestBallot: turn.proposal.ballot });
+  set(work, { highestBallot: turn.proposal.proposalNumber });
   setRun(work, key, {
     proposal: turn.proposal,
     included: waiting,
@@ -175,25 +181,35 @@
 const conclude = (
   work: Work,
   run: BallotRun,
-  chosen: { readonly ballot: Ballot | null; readonly value: unknown; readonly read: unknown },
+  chosen: {
+    readonly proposalNumber: ProposalNumber | null;
+    readonly value: unknown;
+    readonly valueRead: unknown;
+  },
 ): void => {
   const { key } = run.proposal;
   const isWanted = ({ id }: Applied): boolean => work.state.proposalRuns[id] !== undefined;
-  const applied = applyAll(run.included, chosen.read).filter(isWanted);
+  const applied = applyAll(run.included, chosen.valueRead).filter(isWanted);
   const proposalRuns = applied.reduce((left, { id }) => without(left, id), work.state.proposalRuns);
   set(work, { proposalRuns, runs: without(work.state.runs, key) });
-  if (chosen.ballot !== null) learnChosen(work, key, chosen.ballot, chosen.value);
+  if (chosen.proposalNumber !== null) learnChosen(work, key, chosen.proposalNumber, chosen.value);
   for (const each of applied) finish(work, each.proposalRun.purpose, outcomeOf(each));
   if (work.state.runs[key] === undefined) openRun(work, key);
 };
 
-const learnChosen = (work: Work, key: string, ballot: Ballot, value: unknown): void => {
+const learnChosen = (
+  work: Work,
+  key: string,
+  proposalNumber: ProposalNumber,
+  value: unknown,
+): void => {
   if (isWatched(key)) {
-    learnRegister(work, key, ballot, value);
+    learnRegister(work, key, proposalNumber, value);
     return;
   }
   const [newest, ...older] = work.state.claims;
-  if (newest !== undefined) set(work, { claims: [newest.set(key, { ballot, value }), ...older] });
+  if (newest !== undefined)
+    set(work, { claims: [newest.set(key, { proposalNumber, value }), ...older] });
 };
 
 /**
@@ -236,27 +252,31 @@
   key: string,
   replica: string,
   phase: 'prepare' | 'accept',
-  ballot: Ballot,
+  proposalNumber: ProposalNumber,
   reply: ReplicaReply,
 ): void => {
   const run = work.state.runs[key];
   if (run === undefined) return;
-  if (reply.kind === 'full') {
+  if (reply.kind === 'too-many-claims') {
     // There is no room for another key: told at once, not after its whole limit.
     for (const { id, proposalRun } of wantedOf(work.state, run)) giveUp(work, id, proposalRun);
     openRun(work, key);
     return;
   }
-  if (reply.kind !== 'vote' || !counts(work.state, replica, reply.disk)) return;
+  if (reply.kind !== 'vote' || !counts(work.state, replica, reply.diskId)) return;
   const { vote } = reply;
   if (vote.kind === 'no' && Ballots.compare(vote.promised, work.state.highestBallot) > 0) {
     set(work, { highestBallot: vote.promised });
   }
-  advance(work, run, Proposer.voted(run.proposal, replica, reply.disk, phase, ballot, vote));
+  advance(
+    work,
+    run,
+    Proposer.voted(run.proposal, replica, reply.diskId, phase, proposalNumber, vote),
+  );
 };
 
 /** Goes on with a ballot after a vote. */
-const advance = (work: Work, run: BallotRun, turn: Turn): void => {
+const advance = (work: Work, run: BallotRun, turn: ProposalTransition): void => {
   const { now } = work.state;
   const isNewPhase = turn.proposal.phase !== run.proposal.phase;
   const next: BallotRun = {
@@ -267,12 +287,13 @@
     resends: isNewPhase ? 0 : run.resends,
   };
   setRun(work, turn.proposal.key, next);
-  if (isNewPhase && run.proposal.phase === 'prepare') noteFirstRead(work, next, turn.proposal.read);
+  if (isNewPhase && run.proposal.phase === 'prepare')
+    noteFirstRead(work, next, turn.proposal.valueRead);
   sendMoves(work, turn);
   if (isNewPhase && turn.proposal.phase === 'accept')
     work.effects.push({ kind: 'wake', inMs: Limits.resend });
-  for (const move of turn.moves) {
-    if (move.kind === 'outvoted' && next.retryAt === null) backOff(work, next);
+  for (const move of turn.actions) {
+    if (move.kind === 'preempted' && next.retryAt === null) backOff(work, next);
     if (move.kind === 'chosen') conclude(work, next, move);
   }
 };
@@ -308,14 +329,14 @@
  * Prepares for replicas that have not answered, and accepts for those that have promised and not
  * accepted.
  */
-const unanswered = ({ proposal }: BallotRun): Turn['moves'] => {
-  const { ballot, promises, proposed: value } = proposal;
-  return proposal.members.flatMap((to): Turn['moves'] => {
+const unanswered = ({ proposal }: BallotRun): ProposalTransition['actions'] => {
+  const { proposalNumber, prepareResponses: promises, proposedValue: value } = proposal;
+  return proposal.members.flatMap((to): ProposalTransition['actions'] => {
     const promise = promises[to];
-    if (proposal.refusedBy.includes(to) || proposal.accepts.includes(to)) return [];
-    if (promise === undefined) return [{ kind: 'prepare', to, ballot }];
+    if (proposal.rejectedBy.includes(to) || proposal.acceptedBy.includes(to)) return [];
+    if (promise === undefined) return [{ kind: 'prepare', to, proposalNumber }];
     return proposal.phase === 'accept'
-      ? [{ kind: 'accept', to, ballot, value, disk: promise.disk }]
+      ? [{ kind: 'accept', to, proposalNumber, value, diskId: promise.diskId }]
       : [];
   });
 };
@@ -325,7 +346,9 @@
   const [oldest] = run.included;
   const isYoung =
     oldest !== undefined && now - oldest.proposalRun.openedAt < Limits.membershipHaste;
-  return isYoung && run.proposal.key === membersKey ? Limits.membershipPhase : Limits.ballotPhase;
+  return isYoung && run.proposal.key === membershipKey
+    ? Limits.membershipPhase
+    : Limits.ballotPhase;
 };
 
 /**
@@ -337,7 +360,7 @@
 const resend = (work: Work, run: BallotRun): void => {
   const next = { ...run, sentAt: work.state.now, resends: run.resends + 1 };
   setRun(work, run.proposal.key, next);
-  sendMoves(work, { proposal: run.proposal, moves: unanswered(run) });
+  sendMoves(work, { proposal: run.proposal, actions: unanswered(run) });
   work.effects.push({ kind: 'wake', inMs: resendAfter(next) });
 };
 
--- a/packages/agent/src/changes.ts
+++ b/packages/agent/src/changes.ts
@@ -3,8 +3,8 @@
  * proposes. Each is applied again in every ballot of its proposal, and knows its own earlier work
  * by an id or by content.
  */
-import type { Members } from '@reedyard/replica';
-import type { Changed } from '@reedyard/consensus';
+import type { Membership } from '@reedyard/replica';
+import type { ChangeResult } from '@reedyard/consensus';
 import type { Plan } from '@reedyard/quota-division';
 import type { ZoneOrder, Policy } from '@reedyard/schemas';
 import { findChange, rememberChange } from './change-ids.js';
@@ -18,7 +18,7 @@
 export type Reading = { readonly first: unknown; readonly now: unknown };
 
 /** A change of a register; `reading` is given from the second ballot on. */
-export type RegisterChange = (current: unknown, reading?: Reading) => Changed;
+export type RegisterChange = (current: unknown, reading?: Reading) => ChangeResult;
 
 /** Why an operator's change was refused. */
 export const Refusals = {
@@ -29,7 +29,7 @@
   overtaken: 'overtaken',
 } as const;
 
-const keep: Changed = { kind: 'keep' };
+const keep: ChangeResult = { kind: 'keep' };
 
 /** A configuration to be taken, with what tells a repeat of it from a new one. */
 export type PolicyOrder = {
@@ -202,9 +202,9 @@
  * none.
  */
 const predecessorsWithout = (
-  members: Members,
+  members: Membership,
   member: string | undefined,
-): Pick<Members, 'predecessors'> => {
+): Pick<Membership, 'predecessors'> => {
   if (members.predecessors === undefined) return {};
   if (member === undefined) return { predecessors: members.predecessors };
   return { predecessors: without(members.predecessors, member) };
@@ -212,10 +212,10 @@
 
 /** Gives a place to another disk: one at a time, and only by the members just before. */
 const seat =
-  (known: Members, replica: string, disk: string, address?: string): RegisterChange =>
+  (known: Membership, replica: string, disk: string, address?: string): RegisterChange =>
   (current) => {
-    const old = current as Members | null;
-    const isThere = (held: Members): boolean =>
+    const old = current as Membership | null;
+    const isThere = (held: Membership): boolean =>
       held.disks[replica] === disk &&
       (address === undefined || held.addresses?.[replica] === address);
     if (old === null || isThere(old)) return keep;
@@ -237,14 +237,20 @@
       ...predecessors,
       ...joinedIn,
     };
-    return { kind: 'write', value: value satisfies Members };
+    return { kind: 'write', value: value satisfies Membership };
   };
 
 /** Gives a place up, and another, of a disk without one, in its stead. */
 const replace =
-  (known: Members, gone: string, replica: string, disk: string, address: string): RegisterChange =>
+  (
+    known: Membership,
+    gone: string,
+    replica: string,
+    disk: string,
+    address: string,
+  ): RegisterChange =>
   (current) => {
-    const old = current as Members | null;
+    const old = current as Membership | null;
     if (old === null || old.disks[replica] === disk) return keep;
     if (old.epoch !== known.epoch || old.disks[gone] === undefined) {
       return { kind: 'refuse', reason: 'the members have changed' };
@@ -260,7 +266,7 @@
     const predecessors = { ...without(old.predecessors ?? {}, gone), [replica]: predecessor };
     const joinedIn = { ...without(old.joinedIn ?? {}, gone), [replica]: old.epoch + 1 };
     const value = { ...old, epoch: old.epoch + 1, disks, addresses, predecessors, joinedIn };
-    return { kind: 'write', value: value satisfies Members };
+    return { kind: 'write', value: value satisfies Membership };
   };
 
 /** Every change that is made to a register. */
--- a/packages/agent/src/core.ts
+++ b/packages/agent/src/core.ts
@@ -90,7 +90,7 @@
         pending.key,
         pending.replica,
         pending.phase,
-        pending.ballot,
+        pending.proposalNumber,
         body as ReplicaReply,
       );
       return;
--- a/packages/agent/src/lease.test.ts
+++ b/packages/agent/src/lease.test.ts
@@ -4,9 +4,9 @@
 import { AgentUnderTest, ballotOf, pulledReply, type AddressedCall } from './replicas.fixture.js';
 
 const pullsIn = (calls: readonly AddressedCall[]): readonly AddressedCall[] =>
-  calls.filter(({ call }) => call.kind === 'pull');
+  calls.filter(({ call }) => call.kind === 'poll');
 const fetchIn = (calls: readonly AddressedCall[]): AddressedCall | undefined =>
-  calls.find(({ call }) => call.kind === 'fetch');
+  calls.find(({ call }) => call.kind === 'read-register');
 
 /** Answers pulls, all showing one ballot of a register, and gives the calls that follow. */
 const answerAll = (
@@ -44,7 +44,11 @@
   }
   agent.answer(
     fetch,
-    { kind: 'fetched', disk: 'disk-a', accepted: { ballot: ballotOf(1), value: planOf(1) } },
+    {
+      kind: 'register-read',
+      diskId: 'disk-a',
+      accepted: { proposalNumber: ballotOf(1), value: planOf(1) },
+    },
     760,
   );
   t.is(agent.state.lease, 100 + Limits.lease);
@@ -60,7 +64,11 @@
   // By now the replica has accepted the next plan. Whether that one is chosen is not known.
   agent.answer(
     fetch,
-    { kind: 'fetched', disk: 'disk-a', accepted: { ballot: ballotOf(2), value: planOf(2) } },
+    {
+      kind: 'register-read',
+      diskId: 'disk-a',
+      accepted: { proposalNumber: ballotOf(2), value: planOf(2) },
+    },
     160,
   );
   t.is(agent.state.registers.plan, undefined);
@@ -72,7 +80,7 @@
   answerAll(agent, [one], 2, 750);
   t.is(agent.state.registers.plan, undefined, 'one of three shows it');
   t.is(fetchIn(answerAll(agent, [two], 2, 750)), undefined);
-  t.deepEqual(agent.state.registers.plan?.ballot, ballotOf(2));
+  t.deepEqual(agent.state.registers.plan?.proposalNumber, ballotOf(2));
   t.is(agent.state.lease, 700 + Limits.lease);
 });
 
@@ -105,7 +113,7 @@
   ): Readonly<Record<string, number>> => {
     const counts: Record<string, number> = { a: 0, b: 0, c: 0 };
     agent.run(until, ({ replica, call }) => {
-      if (call.kind !== 'pull') return null;
+      if (call.kind !== 'poll') return null;
       counts[replica] = (counts[replica] ?? 0) + 1;
       return answers(replica, agent.state.now) ? pulledReply(replica) : null;
     });
--- a/packages/agent/src/lease.ts
+++ b/packages/agent/src/lease.ts
@@ -1,5 +1,5 @@
 import { Beats, Limits } from '@reedyard/constants';
-import { Ballots, majorityOf, type Ballot } from '@reedyard/consensus';
+import { Ballots, majorityOf, type ProposalNumber } from '@reedyard/consensus';
 import { log, set, watched } from './state.js';
 import type { ReplicaView, AgentState, Pulled, PullSeen, Watched, Work } from './state.js';
 
@@ -17,10 +17,14 @@
  * Whether all that a pull showed of a subject is known here. Once true it stays true: registers
  * only grow.
  */
-const isKnown = (state: AgentState, { more, ballots }: PullSeen, subject: Subject): boolean => {
+const isKnown = (
+  state: AgentState,
+  { more, acceptedNumbers: ballots }: PullSeen,
+  subject: Subject,
+): boolean => {
   if (subject === 'facts') return !more;
   const shown = ballots[subject] ?? Ballots.none;
-  const known = state.registers[subject]?.ballot ?? Ballots.none;
+  const known = state.registers[subject]?.proposalNumber ?? Ballots.none;
   return Ballots.compare(shown, known) <= 0;
 };
 
@@ -48,11 +52,15 @@
 /**
  * Whether a replica is known to have accepted a ballot of a register, now or a little while ago.
  */
-export const hasAccepted = (view: ReplicaView, key: Watched, ballot: Ballot): boolean =>
+export const hasAccepted = (
+  view: ReplicaView,
+  key: Watched,
+  proposalNumber: ProposalNumber,
+): boolean =>
   pullsOf(view.pulled).some(
     (each) =>
       each.copied?.includes(key) !== true &&
-      Ballots.compare(each.ballots[key] ?? Ballots.none, ballot) === 0,
+      Ballots.compare(each.acceptedNumbers[key] ?? Ballots.none, proposalNumber) === 0,
   );
 
 /** When the newest pull that shows nothing unknown of a subject was sent to a replica. */
--- a/packages/agent/src/membership-handover.test.ts
+++ b/packages/agent/src/membership-handover.test.ts
@@ -74,7 +74,7 @@
   cluster.tellClient('r', { kind: 'look', address });
   exchange(cluster, 'r', [address]);
   cluster.now += wait;
-  cluster.tellReplica(address, { kind: 'beat', now: cluster.now });
+  cluster.tellReplica(address, { kind: 'tick', now: cluster.now });
   read.forEach((each) => exchange(cluster, address, [each]));
   loseAll(cluster);
 };
@@ -113,7 +113,7 @@
   // d takes over from c: it reads a, then c, and votes.
   replace(cluster, { gone: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
   tellReplica(cluster, 'd', ['a', 'c']);
-  t.true(cluster.replicas.d?.state.voting);
+  t.true(cluster.replicas.d?.state.isVoting);
   // p tries again with a and d, then q with b and d.
   for (const [name, address] of [
     ['p', 'a'],
@@ -140,7 +140,7 @@
   tellReplica(cluster, 'd', ['c']);
   replace(cluster, { gone: 'd', address: 'e', disk: 'disk-5' }, ['a', 'b']);
   tellReplica(cluster, 'e', ['a', 'b']);
-  t.true(cluster.replicas.e?.state.voting);
+  t.true(cluster.replicas.e?.state.isVoting);
   // b and e choose a value; nothing of it comes to a.
   tellClient(cluster, 'p', 'b');
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['b', 'e']);
@@ -149,7 +149,7 @@
   // By old news d is blank: it gets the place of e, and a wiped machine that of d at once.
   replace(cluster, { gone: 'e', address: 'd', disk: 'disk-4' }, ['a', 'b']);
   cluster.wipe('c');
-  const disk = cluster.replicas.c?.state.disk ?? '';
+  const disk = cluster.replicas.c?.state.diskId ?? '';
   replace(cluster, { gone: 'd', address: 'c', disk }, ['a', 'b']);
   tellReplica(cluster, 'c', ['d']);
   t.is(cluster.clients.r?.members?.value.epoch, 5);
--- a/packages/agent/src/membership.test.ts
+++ b/packages/agent/src/membership.test.ts
@@ -7,7 +7,7 @@
 // Which change of the membership an agent opens, and when: its reducer alone, answered by hand.
 
 const committed: CommittedMembership = {
-  ballot: [1, 'founding'],
+  proposalNumber: [1, 'founding'],
   value: {
     epoch: 1,
     disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' },
@@ -58,7 +58,7 @@
         this.proposals.push(`${String(effect.fields.instead)} by ${String(effect.fields.member)}`);
       }
       if (effect.kind !== 'call' || effect.path !== '/replica') continue;
-      const { call, members } = effect.body;
+      const { operation: call, membership: members } = effect.body;
       const isBallot = call.kind === 'prepare' && call.key === 'members';
       if (isBallot) this.prepared.push({ at: this.now, to: effect.to });
       const reply = isBallot ? null : this.#replyOf(effect.to, members);
@@ -76,11 +76,21 @@
     }
     const disk = `disk-${address}`;
     if (manner === 'silent') return null;
-    if (manner === 'blank') return { kind: 'away', disk: spareDisk, fresh: true, informed: true };
-    if (members === null) return { kind: 'stale', disk, members: committed };
-    const more = manner === 'leaving' ? { leaving: true as const } : {};
-    const ballots = { members: committed.ballot };
-    return { kind: 'pulled', disk, seq: 0, reset: false, more: false, facts: [], ballots, ...more };
+    if (manner === 'blank')
+      return { kind: 'not-a-member', diskId: spareDisk, isBlank: true, knowsMembership: true };
+    if (members === null) return { kind: 'newer-membership', diskId: disk, membership: committed };
+    const more = manner === 'leaving' ? { isStopping: true as const } : {};
+    const ballots = { members: committed.proposalNumber };
+    return {
+      kind: 'polled',
+      diskId: disk,
+      sequence: 0,
+      isReset: false,
+      hasMore: false,
+      entries: [],
+      acceptedNumbers: ballots,
+      ...more,
+    };
   }
 
   step(event: AgentEvent): void {
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -1,5 +1,5 @@
 import { Beats, Limits } from '@reedyard/constants';
-import type { ReplicaReply, Members } from '@reedyard/replica';
+import type { ReplicaReply, Membership } from '@reedyard/replica';
 import { propose } from './ballots.js';
 import { Changes } from './changes.js';
 import { replicasHeard, heartbeat, nodesOf, type ReplicaHeard } from './network.js';
@@ -63,7 +63,7 @@
 // -----------------------------------------------------------
 
 const look = (work: Work, address: string): void => {
-  sendToReplica(work, address, { kind: 'pull', cursor: null, keys: [] }, { kind: 'look', address });
+  sendToReplica(work, address, { kind: 'poll', cursor: null, keys: [] }, { kind: 'look', address });
 };
 
 /**
@@ -97,11 +97,11 @@
 
 /** What this machine's own replica tells of itself; news of it goes out by gossip at once. */
 export const noteOwnReplica = (work: Work, reply: ReplicaReply): void => {
-  if (reply.kind === 'stale') return;
-  const fresh = reply.kind === 'away' && reply.fresh;
+  if (reply.kind === 'newer-membership') return;
+  const fresh = reply.kind === 'not-a-member' && reply.isBlank;
   const before = work.state.ownReplica;
-  set(work, { ownReplica: { disk: reply.disk, fresh, at: work.state.now } });
-  if (before !== null && before.disk === reply.disk && before.fresh === fresh) return;
+  set(work, { ownReplica: { disk: reply.diskId, fresh, at: work.state.now } });
+  if (before !== null && before.disk === reply.diskId && before.fresh === fresh) return;
   heartbeat(work);
   if (fresh) set(work, { due: { ...work.state.due, gossip: work.state.now } });
 };
@@ -109,8 +109,10 @@
 /** Whether the replica that was asked waits for a place. */
 export const noteSpare = (work: Work, address: string, reply: ReplicaReply): void => {
   const { spares, now } = work.state;
-  if (reply.kind === 'away' && reply.fresh) {
-    set(work, { spares: { ...liveSpares(work.state), [address]: { disk: reply.disk, at: now } } });
+  if (reply.kind === 'not-a-member' && reply.isBlank) {
+    set(work, {
+      spares: { ...liveSpares(work.state), [address]: { disk: reply.diskId, at: now } },
+    });
   } else if (spares[address] !== undefined) set(work, { spares: without(spares, address) });
 };
 
@@ -121,7 +123,7 @@
  * OriginStandIn replicas that gossip tells of and that have no place, nor stand at the address of
  * one.
  */
-const sparesHeard = (state: AgentState, members: Members): readonly ReplicaHeard[] => {
+const sparesHeard = (state: AgentState, members: Membership): readonly ReplicaHeard[] => {
   const disks = Object.values(members.disks);
   const addresses = Object.values(members.addresses ?? {});
   return replicasHeard(state).filter(
@@ -139,7 +141,7 @@
 /**
  * Keeps an eye on spares, and, while one is live, on members that have not answered the last pull.
  */
-const probe = (work: Work, members: Members): void => {
+const probe = (work: Work, members: Membership): void => {
   const spares = sparesHeard(work.state, members);
   if (spares.length === 0) return;
   for (const { address } of spares) {
@@ -156,7 +158,7 @@
 // --------------------------------------------------------------------------------
 
 /** A member's disk that gossip tells of at another address than the membership does. */
-const movedMember = (state: AgentState, members: Members): MembershipChange | null => {
+const movedMember = (state: AgentState, members: Membership): MembershipChange | null => {
   for (const each of replicasHeard(state).filter((heard) => isAlive(state, heard))) {
     const { disk, address } = each;
     const member = Object.keys(members.disks).find((name) => members.disks[name] === disk);
@@ -173,7 +175,7 @@
  */
 const bestSpare = (
   state: AgentState,
-  members: Members,
+  members: Membership,
   spares: readonly ReplicaHeard[],
 ): ReplicaHeard | undefined => {
   const disks = Object.values(members.disks);
@@ -188,7 +190,7 @@
  * Whether neither gossip nor any answer has told of a member's machine for long. Another member's
  * disk that came to its address is no word of it; a blank one is, and gets the place by itself.
  */
-const isGone = (state: AgentState, member: string, members: Members): boolean => {
+const isGone = (state: AgentState, member: string, members: Membership): boolean => {
   const disk = members.disks[member];
   const address = members.addresses?.[member];
   const heard = nodesOf(state).flatMap(({ record, seenAt }) => {
@@ -226,7 +228,7 @@
 };
 
 const changeForSpare = (
-  members: Members,
+  members: Membership,
   spare: ReplicaHeard,
   instead?: string,
 ): MembershipChange => {
@@ -240,7 +242,7 @@
 };
 
 /** The change that is due by what this agent knows: a move, a further member, or a replacement. */
-const dueChange = (state: AgentState, members: Members): MembershipChange | null => {
+const dueChange = (state: AgentState, members: Membership): MembershipChange | null => {
   const moved = movedMember(state, members);
   if (moved !== null) return moved;
   const spares = sparesHeard(state, members);
@@ -273,7 +275,7 @@
  */
 const drawsToOffer = (work: Work): boolean => hasReplica(work.state) || chance(work) < helpChance;
 
-const proposeChange = (work: Work, members: Members, change: MembershipChange): void => {
+const proposeChange = (work: Work, members: Membership, change: MembershipChange): void => {
   const { member, disk, address, instead } = change;
   const named = { kind: 'seat', replica: member, disk } as const;
   log(work, 'membership.proposed', { member, disk, instead: instead ?? '' });
--- a/packages/agent/src/postings.ts
+++ b/packages/agent/src/postings.ts
@@ -4,13 +4,18 @@
  */
 import { Limits } from '@reedyard/constants';
 import { majorityOf } from '@reedyard/consensus';
-import type { ReplicaReply, Fact } from '@reedyard/replica';
+import type { ReplicaReply, JournalEntry } from '@reedyard/replica';
 import { unreached } from './answers.js';
 import { isPostingStranded } from './reachability.js';
 import { counts, sendToReplica, set, takeId, without, type Work } from './state.js';
 
 /** Posts facts; the waiting caller is answered with `done` once a majority has them on disk. */
-export const post = (work: Work, facts: readonly Fact[], id: number, done: unknown): void => {
+export const post = (
+  work: Work,
+  facts: readonly JournalEntry[],
+  id: number,
+  done: unknown,
+): void => {
   const which = takeId(work);
   const posting = { facts, acks: [], id, openedAt: work.state.now, sentAt: -Infinity, done };
   set(work, { postings: { ...work.state.postings, [which]: posting } });
@@ -19,8 +24,8 @@
 
 export const tookPost = (work: Work, which: number, replica: string, reply: ReplicaReply): void => {
   const posting = work.state.postings[which];
-  if (posting === undefined || reply.kind !== 'posted') return;
-  if (posting.acks.includes(replica) || !counts(work.state, replica, reply.disk)) return;
+  if (posting === undefined || reply.kind !== 'entries-appended') return;
+  if (posting.acks.includes(replica) || !counts(work.state, replica, reply.diskId)) return;
   const acks = [...posting.acks, replica];
   if (acks.length < majorityOf(Object.keys(work.state.replicas).length)) {
     set(work, { postings: { ...work.state.postings, [which]: { ...posting, acks } } });
@@ -49,7 +54,12 @@
       for (const [replica, view] of Object.entries(work.state.replicas)) {
         if (posting.acks.includes(replica)) continue;
         const pending = { kind: 'post', posting: which, replica } as const;
-        sendToReplica(work, view.address, { kind: 'post', facts: posting.facts }, pending);
+        sendToReplica(
+          work,
+          view.address,
+          { kind: 'append-entries', entries: posting.facts },
+          pending,
+        );
       }
     }
   }
--- a/packages/agent/src/pulls.ts
+++ b/packages/agent/src/pulls.ts
@@ -1,9 +1,9 @@
 import { Beats, Limits, Sizes } from '@reedyard/constants';
-import { Ballots, majorityOf, type Ballot } from '@reedyard/consensus';
+import { Ballots, majorityOf, type ProposalNumber } from '@reedyard/consensus';
 import {
-  newerMembers,
+  isNewerMembership,
   type ReplicaReply,
-  type Members,
+  type Membership,
   type CommittedMembership,
 } from '@reedyard/replica';
 import type { Plan } from '@reedyard/quota-division';
@@ -42,7 +42,7 @@
   const call = sendToReplica(
     work,
     view.address,
-    { kind: 'pull', cursor: view.cursor, keys: watched },
+    { kind: 'poll', cursor: view.cursor, keys: watched },
     pending,
   );
   change(work, name, { call, askedAt: work.state.now, unanswered: view.unanswered + 1 });
@@ -79,22 +79,23 @@
 
 /** What a replica tells of itself and of the committed membership, wherever it was asked from. */
 export const tookLook = (work: Work, address: string, reply: ReplicaReply): void => {
-  if (reply.kind === 'stale' && reply.members !== null) learnTold(work, reply.members);
+  if (reply.kind === 'newer-membership' && reply.membership !== null)
+    learnTold(work, reply.membership);
   noteSpare(work, address, reply);
   if (address === work.state.self.replica?.address) noteOwnReplica(work, reply);
 };
 
 /** Members that a replica was told are chosen. */
 const learnTold = (work: Work, told: CommittedMembership): void => {
-  if (newerMembers(told, membersOf(work.state)))
-    learnRegister(work, 'members', told.ballot, told.value);
+  if (isNewerMembership(told, membersOf(work.state)))
+    learnRegister(work, 'members', told.proposalNumber, told.value);
 };
 
 /**
  * The places that are asked and counted are those of the members; what is known of a place's disk
  * is kept.
  */
-const takePlaces = (work: Work, before: Members | undefined, members: Members): void => {
+const takePlaces = (work: Work, before: Membership | undefined, members: Membership): void => {
   if (work.state.voting === null) return;
   const { replicas, now } = work.state;
   set(work, {
@@ -129,34 +130,43 @@
 };
 
 /** Takes in a value that is known to be chosen. A lower ballot than the known one is old news. */
-export const learnRegister = (work: Work, key: Watched, ballot: Ballot, value: unknown): void => {
+export const learnRegister = (
+  work: Work,
+  key: Watched,
+  proposalNumber: ProposalNumber,
+  value: unknown,
+): void => {
   const known = work.state.registers[key];
   // A ballot may write an epoch again after the next one was chosen.
   if (
     known !== undefined &&
     (key === 'members'
-      ? !newerMembers({ ballot, value: value as Members }, membersOf(work.state))
-      : Ballots.compare(ballot, known.ballot) <= 0)
+      ? !isNewerMembership({ proposalNumber, value: value as Membership }, membersOf(work.state))
+      : Ballots.compare(proposalNumber, known.proposalNumber) <= 0)
   )
     return;
   set(work, {
-    registers: { ...work.state.registers, [key]: { ballot, value, at: work.state.now } },
+    registers: {
+      ...work.state.registers,
+      [key]: { proposalNumber, value, at: work.state.now },
+    },
   });
   // The split rests on the policy's routes; which nodes serve is looked at each time.
   if (key === 'policy') set(work, { splitStale: true });
-  if (Ballots.compare(ballot, work.state.highestBallot) > 0) set(work, { highestBallot: ballot });
+  if (Ballots.compare(proposalNumber, work.state.highestBallot) > 0)
+    set(work, { highestBallot: proposalNumber });
   if (key === 'plan') {
     const plan = value as Plan;
     const { planSeen } = work.state;
     if (plan.term !== planSeen.term || plan.beat !== planSeen.beat)
       set(work, { planSeen: { term: plan.term, beat: plan.beat, at: work.state.now } });
   } else if (key === 'members') {
-    const members = value as Members;
+    const members = value as Membership;
     log(work, 'members.in-force', {
       epoch: members.epoch,
       members: Object.keys(members.disks).length,
     });
-    takePlaces(work, known?.value as Members | undefined, members);
+    takePlaces(work, known?.value as Membership | undefined, members);
     countAnew(work);
     // Those who don't know them yet learn them now, not with the next regular pull.
     set(work, { due: { ...work.state.due, pull: work.state.now } });
@@ -169,30 +179,35 @@
 const highestShown = (
   state: AgentState,
   key: Watched,
-): { readonly ballot: Ballot; readonly at: readonly string[] } => {
+): { readonly proposalNumber: ProposalNumber; readonly at: readonly string[] } => {
   const shown = Object.entries(state.replicas).flatMap(([name, view]) =>
-    view.pulled === null ? [] : [{ name, ballot: view.pulled.ballots[key] ?? Ballots.none }],
+    view.pulled === null
+      ? []
+      : [{ name, proposalNumber: view.pulled.acceptedNumbers[key] ?? Ballots.none }],
   );
-  const ballot = shown.reduce<Ballot>(
-    (best, each) => (Ballots.compare(each.ballot, best) > 0 ? each.ballot : best),
+  const proposalNumber = shown.reduce<ProposalNumber>(
+    (best, each) => (Ballots.compare(each.proposalNumber, best) > 0 ? each.proposalNumber : best),
     Ballots.none,
   );
-  const at = shown.filter((each) => Ballots.compare(each.ballot, ballot) === 0);
-  return { ballot, at: at.map(({ name }) => name) };
+  const at = shown.filter((each) => Ballots.compare(each.proposalNumber, proposalNumber) === 0);
+  return { proposalNumber, at: at.map(({ name }) => name) };
 };
 
-/** Whether a majority of replicas is known to have accepted a ballot: then it is chosen. */
-const isChosen = (state: AgentState, key: Watched, ballot: Ballot): boolean => {
+/** Whether a majority of replicas is known to have accepted a proposalNumber: then it is chosen. */
+const isChosen = (state: AgentState, key: Watched, proposalNumber: ProposalNumber): boolean => {
   const views = Object.values(state.replicas);
-  return views.filter((view) => hasAccepted(view, key, ballot)).length >= majorityOf(views.length);
+  return (
+    views.filter((view) => hasAccepted(view, key, proposalNumber)).length >=
+    majorityOf(views.length)
+  );
 };
 
 /** Learns a value that was fetched earlier, if it turns out to be chosen. */
 const learnCandidate = (work: Work, key: Watched): void => {
   const candidate = work.state.candidates[key];
-  if (candidate === undefined || !isChosen(work.state, key, candidate.ballot)) return;
+  if (candidate === undefined || !isChosen(work.state, key, candidate.proposalNumber)) return;
   set(work, { candidates: without(work.state.candidates, key) });
-  learnRegister(work, key, candidate.ballot, candidate.value);
+  learnRegister(work, key, candidate.proposalNumber, candidate.value);
 };
 
 const isFetching = (state: AgentState, key: Watched): boolean =>
@@ -208,17 +223,19 @@
   sendToReplica(
     work,
     view.address,
-    { kind: 'fetch', key },
+    { kind: 'read-register', key },
     { kind: 'fetch', key, sentAt: work.state.now },
   );
 };
 
 /** Writes a value again that only a minority shows for long: its writer may be gone. */
-const repairHanging = (work: Work, key: Watched, ballot: Ballot): void => {
+const repairHanging = (work: Work, key: Watched, proposalNumber: ProposalNumber): void => {
   const { state } = work;
   const seen = state.hanging[key];
-  if (seen === undefined || Ballots.compare(seen.ballot, ballot) !== 0) {
-    set(work, { hanging: { ...state.hanging, [key]: { ballot, since: state.now } } });
+  if (seen === undefined || Ballots.compare(seen.proposalNumber, proposalNumber) !== 0) {
+    set(work, {
+      hanging: { ...state.hanging, [key]: { proposalNumber, since: state.now } },
+    });
     return;
   }
   const repairing = Object.values(state.proposalRuns).some(
@@ -232,10 +249,14 @@
 const watchRegisters = (work: Work): void => {
   for (const key of watched) {
     learnCandidate(work, key);
-    const { ballot, at } = highestShown(work.state, key);
-    if (Ballots.compare(ballot, work.state.registers[key]?.ballot ?? Ballots.none) <= 0) continue;
-    if (isChosen(work.state, key, ballot)) fetchFrom(work, key, at);
-    else repairHanging(work, key, ballot);
+    const { proposalNumber, at } = highestShown(work.state, key);
+    if (
+      Ballots.compare(proposalNumber, work.state.registers[key]?.proposalNumber ?? Ballots.none) <=
+      0
+    )
+      continue;
+    if (isChosen(work.state, key, proposalNumber)) fetchFrom(work, key, at);
+    else repairHanging(work, key, proposalNumber);
   }
 };
 
@@ -246,7 +267,7 @@
       const known = state.registers[key];
       return key === 'members' || known === undefined
         ? []
-        : [[key, { ballot: known.ballot, value: known.value }] as const];
+        : [[key, { proposalNumber: known.proposalNumber, value: known.value }] as const];
     }),
     ...[...state.claims].reverse().flatMap((span) => [...span]),
   ],
@@ -265,10 +286,10 @@
   const { cells, facts } = begun.told;
   const [from, to] = [begun.count, begun.count + Sizes.restorePage];
   const page = {
-    cells: cells.slice(from, to),
-    facts: facts.slice(Math.max(0, from - cells.length), Math.max(0, to - cells.length)),
+    registers: cells.slice(from, to),
+    entries: facts.slice(Math.max(0, from - cells.length), Math.max(0, to - cells.length)),
   };
-  if (page.cells.length + page.facts.length === 0) return;
+  if (page.registers.length + page.entries.length === 0) return;
   if (from === 0)
     log(work, 'register.restored', { replica: name, registers: cells.length, facts: facts.length });
   change(work, name, { restored: { ...begun, sentAt: work.state.now } });
@@ -276,7 +297,12 @@
     work,
     view.address,
     { kind: 'restore', ...page },
-    { kind: 'restore', replica: name, epoch, upTo: from + page.cells.length + page.facts.length },
+    {
+      kind: 'restore',
+      replica: name,
+      epoch,
+      upTo: from + page.registers.length + page.entries.length,
+    },
   );
 };
 
@@ -314,37 +340,38 @@
   const majority = majorityOf(Object.keys(work.state.replicas).length);
   for (const each of named) {
     if (
-      named.filter((other) => Ballots.compare(other.ballot, each.ballot) === 0).length >= majority
+      named.filter((other) => Ballots.compare(other.proposalNumber, each.proposalNumber) === 0)
+        .length >= majority
     )
-      learnRegister(work, 'members', each.ballot, each.value);
+      learnRegister(work, 'members', each.proposalNumber, each.value);
   }
 };
 
 export const tookPull = (work: Work, name: string, sentAt: number, reply: ReplicaReply): void => {
   change(work, name, { answered: replicaAnswer(work.state, name, reply) });
-  const isBlank = reply.kind === 'away' && reply.fresh;
-  if (counts(work.state, name, reply.disk) || isBlank) {
+  const isBlank = reply.kind === 'not-a-member' && reply.isBlank;
+  if (counts(work.state, name, reply.diskId) || isBlank) {
     change(work, name, { heardAt: work.state.now, unanswered: 0 });
   }
-  if (reply.kind === 'stale') {
-    change(work, name, { call: null, pulled: null, named: reply.members });
-    learnMembers(work, reply.members);
+  if (reply.kind === 'newer-membership') {
+    change(work, name, { call: null, pulled: null, named: reply.membership });
+    learnMembers(work, reply.membership);
     return;
   }
-  if (reply.kind === 'recovering' && counts(work.state, name, reply.disk)) {
+  if (reply.kind === 'recovering' && counts(work.state, name, reply.diskId)) {
     change(work, name, { call: null, pulled: null });
     restore(work, name, reply.epoch);
     return;
   }
-  if (reply.kind !== 'pulled' || !counts(work.state, name, reply.disk)) {
+  if (reply.kind !== 'polled' || !counts(work.state, name, reply.diskId)) {
     change(work, name, { call: null, pulled: null });
-    if (isBlank) offerOwnPlace(work, name, reply.disk);
+    if (isBlank) offerOwnPlace(work, name, reply.diskId);
     return;
   }
   const newest = work.state.replicas[name]?.pulled;
   if (newest && newest.sentAt > sentAt) return;
   let { factSeq } = work.state;
-  const added = reply.facts
+  const added = reply.entries
     .filter((fact) => work.state.factKeys[fact.key] === undefined)
     .map((fact) => {
       factSeq += 1;
@@ -362,29 +389,29 @@
   }
   const pulled = stackPull(work.state, newest ?? null, {
     sentAt,
-    more: reply.more,
-    ballots: reply.ballots,
-    ...(reply.copied === undefined ? {} : { copied: reply.copied }),
+    more: reply.hasMore,
+    acceptedNumbers: reply.acceptedNumbers,
+    ...(reply.copiedKeys === undefined ? {} : { copied: reply.copiedKeys }),
   });
   change(work, name, {
     call: null,
-    cursor: { disk: reply.disk, seq: reply.seq },
+    cursor: { diskId: reply.diskId, sequence: reply.sequence },
     pulled,
-    leaving: reply.leaving === true,
+    leaving: reply.isStopping === true,
   });
   watchRegisters(work);
   renewLease(work);
-  if (reply.more) set(work, { due: { ...work.state.due, pull: work.state.now } });
+  if (reply.hasMore) set(work, { due: { ...work.state.due, pull: work.state.now } });
 };
 
 /**
  * Learns a fetched value if it is known to be chosen; else it is kept until pulls show that it is.
  */
 export const tookFetch = (work: Work, key: Watched, reply: ReplicaReply): void => {
-  if (reply.kind !== 'fetched' || reply.accepted === null) return;
-  const { ballot } = reply.accepted;
+  if (reply.kind !== 'register-read' || reply.accepted === null) return;
+  const { proposalNumber } = reply.accepted;
   const kept = work.state.candidates[key];
-  if (kept !== undefined && Ballots.compare(ballot, kept.ballot) < 0) return;
+  if (kept !== undefined && Ballots.compare(proposalNumber, kept.proposalNumber) < 0) return;
   set(work, { candidates: { ...work.state.candidates, [key]: reply.accepted } });
   learnCandidate(work, key);
 };
--- a/packages/agent/src/reachability.test.ts
+++ b/packages/agent/src/reachability.test.ts
@@ -8,7 +8,7 @@
 import type { Action } from './terms.js';
 
 const members = {
-  ballot: ballotOf(1),
+  proposalNumber: ballotOf(1),
   value: { epoch: 1, disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' } },
 };
 const document = { services: {}, routes: [] };
@@ -27,7 +27,7 @@
 const draining = { ...description, draining: true };
 
 const answered = ({ replica, call }: AddressedCall): ReplicaReply | null =>
-  call.kind === 'pull' ? pulledReply(replica) : null;
+  call.kind === 'poll' ? pulledReply(replica) : null;
 const silent = (): null => null;
 
 /** An agent that had a lease, and whose replicas then answered as given until a moment. */
@@ -44,43 +44,43 @@
 /** What a replica may say to a pull without being counted. */
 const refusals: Readonly<Record<string, (replica: string) => ReplicaReply>> = {
   'it is no member': (replica) => ({
-    kind: 'away',
-    disk: `disk-${replica}`,
-    fresh: false,
-    informed: true,
+    kind: 'not-a-member',
+    diskId: `disk-${replica}`,
+    isBlank: false,
+    knowsMembership: true,
   }),
   'its disk is blank': (replica) => ({
-    kind: 'away',
-    disk: `new-${replica}`,
-    fresh: true,
-    informed: true,
+    kind: 'not-a-member',
+    diskId: `new-${replica}`,
+    isBlank: true,
+    knowsMembership: true,
   }),
   'it was told of other members': (replica) => ({
-    kind: 'stale',
-    disk: `disk-${replica}`,
-    members,
+    kind: 'newer-membership',
+    diskId: `disk-${replica}`,
+    membership: members,
   }),
   'it waits for what was known': (replica) => ({
     kind: 'recovering',
-    disk: `disk-${replica}`,
+    diskId: `disk-${replica}`,
     epoch: 1,
   }),
   'it answers from another disk': (replica) => ({
     ...pulledReply(replica),
-    disk: `new-${replica}`,
+    diskId: `new-${replica}`,
   }),
   'it shows what is not known here': (replica) => pulledReply(replica, { zones: ballotOf(9) }),
 };
 
 for (const [what, reply] of Object.entries(refusals)) {
   test(`a node whose replicas answer is in touch, though none counts: ${what}`, (t) => {
-    const agent = afterwards(({ replica, call }) => (call.kind === 'pull' ? reply(replica) : null));
+    const agent = afterwards(({ replica, call }) => (call.kind === 'poll' ? reply(replica) : null));
     t.true(agent.state.lease < agent.state.now);
     t.is(mayActFor(agent.state), 0);
     t.false(isUnreachable(agent.state));
     // A minority that answers is no majority.
     const other = afterwards(({ replica, call }) =>
-      call.kind === 'pull' && replica === 'a' ? reply(replica) : null,
+      call.kind === 'poll' && replica === 'a' ? reply(replica) : null,
     );
     t.is(mayActFor(other.state), Limits.cutOffLease);
     t.true(isUnreachable(other.state));
@@ -103,7 +103,7 @@
   t.is(mayActFor(agent.state), Limits.cutOffLease);
   // What the answers show is not known here yet: in touch, and without a lease.
   const news = ({ replica, call }: AddressedCall): ReplicaReply | null =>
-    call.kind === 'pull' ? pulledReply(replica, { policy: ballotOf(7) }) : null;
+    call.kind === 'poll' ? pulledReply(replica, { policy: ballotOf(7) }) : null;
   agent.run(30_600, news);
   t.is(mayActFor(agent.state), 0);
   t.true(agent.state.lease < agent.state.now);
@@ -114,9 +114,9 @@
   const pulls = (until: number, answers: boolean): number => {
     let count = 0;
     agent.run(until, ({ replica, call }) => {
-      if (call.kind !== 'pull' || replica !== 'a') return null;
+      if (call.kind !== 'poll' || replica !== 'a') return null;
       count += 1;
-      return answers ? { kind: 'recovering', disk: 'disk-a', epoch: 1 } : null;
+      return answers ? { kind: 'recovering', diskId: 'disk-a', epoch: 1 } : null;
     });
     return count;
   };
@@ -161,7 +161,7 @@
     return;
   }
   const refused = afterwards(({ replica, call }) =>
-    call.kind === 'pull' ? { kind: 'recovering', disk: `disk-${replica}`, epoch: 1 } : null,
+    call.kind === 'poll' ? { kind: 'recovering', diskId: `disk-${replica}`, epoch: 1 } : null,
   );
   t.is(refused.operate(order, refused.state.now).length, 3);
   const started = new AgentUnderTest();
@@ -207,7 +207,7 @@
   agent.operate(order, agent.state.now);
   const pulls: string[] = [];
   agent.run(6_000, (call) => {
-    if (call.call.kind === 'pull') pulls.push(call.replica);
+    if (call.call.kind === 'poll') pulls.push(call.replica);
     return answered(call);
   });
   // At rest there are two in a second.
--- a/packages/agent/src/replicas.fixture.ts
+++ b/packages/agent/src/replicas.fixture.ts
@@ -1,5 +1,5 @@
-import type { ReplicaCall, ReplicaReply, Members } from '@reedyard/replica';
-import type { Ballot } from '@reedyard/consensus';
+import type { ReplicaOperation, ReplicaReply, Membership } from '@reedyard/replica';
+import type { ProposalNumber } from '@reedyard/consensus';
 import { Beats } from '@reedyard/constants';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
@@ -14,7 +14,7 @@
 export type AddressedCall = {
   readonly id: number;
   readonly replica: string;
-  readonly call: ReplicaCall;
+  readonly call: ReplicaOperation;
 };
 
 const addresses: Readonly<Record<string, string>> = {
@@ -22,7 +22,7 @@
   b: '10.0.0.2:1',
   c: '10.0.0.3:1',
 };
-const members: Members = { epoch: 1, disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' } };
+const members: Membership = { epoch: 1, disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' } };
 const self = {
   id: 'n',
   zone: 'west',
@@ -33,20 +33,20 @@
 };
 
 /** A ballot of some proposer. */
-export const ballotOf = (round: number): Ballot => [round, 'p'];
+export const ballotOf = (round: number): ProposalNumber => [round, 'p'];
 
 /** What a replica that counts answers a pull: the ballots that it accepted. */
 export const pulledReply = (
   replica: string,
-  ballots: Readonly<Record<string, Ballot>> = {},
+  ballots: Readonly<Record<string, ProposalNumber>> = {},
 ): ReplicaReply => ({
-  kind: 'pulled',
-  disk: `disk-${replica}`,
-  seq: 0,
-  reset: false,
-  more: false,
-  facts: [],
-  ballots: { members: ballotOf(1), ...ballots },
+  kind: 'polled',
+  diskId: `disk-${replica}`,
+  sequence: 0,
+  isReset: false,
+  hasMore: false,
+  entries: [],
+  acceptedNumbers: { members: ballotOf(1), ...ballots },
 });
 
 /** An agent that beats on time and asks three replicas. */
@@ -114,7 +114,7 @@
     return step.effects.flatMap((effect) => {
       if (effect.kind !== 'call' || effect.path !== '/replica') return [];
       const replica = Object.keys(addresses).find((name) => addresses[name] === effect.to);
-      return replica === undefined ? [] : [{ id: effect.id, replica, call: effect.body.call }];
+      return replica === undefined ? [] : [{ id: effect.id, replica, call: effect.body.operation }];
     });
   }
 }
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -2,7 +2,7 @@
  * Safeguards of the agent, each at the border of its reducer: red without the one that it names.
  */
 import test, { type ExecutionContext } from 'ava';
-import type { ReplicaCall, ReplicaReply, Members } from '@reedyard/replica';
+import type { ReplicaOperation, ReplicaReply, Membership } from '@reedyard/replica';
 import { Limits } from '@reedyard/constants';
 import type { Plan } from '@reedyard/quota-division';
 import { Gossip } from '@reedyard/gossip';
@@ -29,12 +29,12 @@
   return work.state;
 };
 
-type AddressedCall = { readonly id: number; readonly call: ReplicaCall };
+type AddressedCall = { readonly id: number; readonly call: ReplicaOperation };
 
 const replicaCalls = (effects: readonly AgentEffect[]): readonly AddressedCall[] =>
   effects.flatMap((effect) =>
     effect.kind === 'call' && effect.path === '/replica'
-      ? [{ id: effect.id, call: effect.body.call }]
+      ? [{ id: effect.id, call: effect.body.operation }]
       : [],
   );
 
@@ -63,17 +63,17 @@
 test('a pull that shows a value or journal entries not known here brings no lease until they are', (t) => {
   const shown = { plan: [9, 'z'] as const };
   const replyOf = (name: string): ReplicaReply =>
-    ({ ...pulled(`${name}/a`), ballots: shown }) as ReplicaReply;
+    ({ ...pulled(`${name}/a`), acceptedNumbers: shown }) as ReplicaReply;
   const beat = Agent.reduce(founded(), { kind: 'beat', now: 100 });
   const answered = answeredPulls(beat, 110, replyOf);
   t.is(answered.state.lease, 0);
-  const fetch = replicaCalls(answered.effects).find(({ call }) => call.kind === 'fetch');
+  const fetch = replicaCalls(answered.effects).find(({ call }) => call.kind === 'read-register');
   const value = { term: 1, holder: 'core-2', beat: 1, slices: {}, seated: [] };
-  const accepted = { ballot: shown.plan, value };
-  const reply = { kind: 'fetched', disk: 'core-1/a', accepted } as const;
+  const accepted = { proposalNumber: shown.plan, value };
+  const reply = { kind: 'register-read', diskId: 'core-1/a', accepted } as const;
   t.is(returned(answered.state, fetch?.id ?? -1, reply, 120).state.lease, 100 + Limits.lease);
   const partial = (name: string): ReplicaReply =>
-    ({ ...pulled(`${name}/a`), more: true }) as ReplicaReply;
+    ({ ...pulled(`${name}/a`), hasMore: true }) as ReplicaReply;
   t.is(asked(founded(), 100, partial).lease, 0);
 });
 
@@ -94,12 +94,17 @@
     action,
     now: 200,
   });
-  const posts = replicaCalls(opened.effects).filter(({ call }) => call.kind === 'post');
+  const posts = replicaCalls(opened.effects).filter(({ call }) => call.kind === 'append-entries');
   t.is(posts.length, names.length);
   const disks = ['core-1/other', 'core-2/a', 'core-3/a', 'core-4/a'];
   let { state } = opened;
   const answered = disks.map((disk, index) => {
-    const step = returned(state, posts[index]?.id ?? -1, { kind: 'posted', disk }, 210);
+    const step = returned(
+      state,
+      posts[index]?.id ?? -1,
+      { kind: 'entries-appended', diskId: disk },
+      210,
+    );
     ({ state } = step);
     return step.effects.some((effect) => effect.kind === 'answer' && effect.status === 200);
   });
@@ -123,12 +128,12 @@
     ({ call }) => call.kind === 'prepare' && call.key === 'plan',
   );
   t.is(prepares.length, names.length);
-  const accepted = { ballot: [3, 'y'] as const, value: allocation(2, 'core-2') };
+  const accepted = { proposalNumber: [3, 'y'] as const, value: allocation(2, 'core-2') };
   let { state } = beat;
   const effects = prepares.flatMap(({ id }, index) => {
     const reply = {
       kind: 'vote',
-      disk: `${names[index] ?? ''}/a`,
+      diskId: `${names[index] ?? ''}/a`,
       vote: { kind: 'yes', accepted },
     } as const;
     const step = returned(state, id, reply, 2_010);
@@ -162,12 +167,12 @@
     );
   }
   t.is(prepares.length, names.length);
-  const accepted = { ballot: [3, 'y'] as const, value: allocation(2) };
+  const accepted = { proposalNumber: [3, 'y'] as const, value: allocation(2) };
   const { now } = state;
   const effects = prepares.flatMap(({ id }, index) => {
     const reply = {
       kind: 'vote',
-      disk: `${names[index] ?? ''}/a`,
+      diskId: `${names[index] ?? ''}/a`,
       vote: { kind: 'yes', accepted },
     } as const;
     const step = returned(state, id, reply, now);
@@ -187,7 +192,7 @@
   const replaces = Changes.replace(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
   for (const change of [joins, replaces]) {
     const made = change(known);
-    t.is(made.kind === 'write' ? (made.value as Members).epoch : made.kind, 4);
+    t.is(made.kind === 'write' ? (made.value as Membership).epoch : made.kind, 4);
     t.is(change(later).kind, 'refuse');
   }
 });
@@ -230,13 +235,13 @@
   };
   const beat = Agent.reduce(leader, { kind: 'beat', now });
   let { state } = beat;
-  const accepted = { ballot: [2, 'x'] as const, value: plan };
+  const accepted = { proposalNumber: [2, 'x'] as const, value: plan };
   const accepts = replicaCalls(beat.effects)
     .filter(({ call }) => call.kind === 'prepare' && call.key === 'plan')
     .flatMap(({ id }, index) => {
       const reply = {
         kind: 'vote',
-        disk: `${names[index] ?? ''}/a`,
+        diskId: `${names[index] ?? ''}/a`,
         vote: { kind: 'yes', accepted },
       } as const;
       const step = returned(state, id, reply, now);
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -1,14 +1,14 @@
 import { Limits } from '@reedyard/constants';
 import type { Map as Table } from 'immutable';
 import type {
-  ReplicaAsk,
-  ReplicaCall,
-  Cursor,
-  Fact,
-  Members,
+  ReplicaRequest,
+  ReplicaOperation,
+  JournalCursor,
+  JournalEntry,
+  Membership,
   CommittedMembership,
 } from '@reedyard/replica';
-import type { Ballot, Proposal } from '@reedyard/consensus';
+import type { ProposalNumber, Proposal } from '@reedyard/consensus';
 import type { Identified, LearntRevision } from './change-ids.js';
 import type { RegisterChange } from './changes.js';
 import type { GossipState } from '@reedyard/gossip';
@@ -58,7 +58,7 @@
 export type PullSeen = {
   readonly sentAt: number;
   readonly more: boolean;
-  readonly ballots: Readonly<Record<string, Ballot>>;
+  readonly acceptedNumbers: Readonly<Record<string, ProposalNumber>>;
   /** Registers whose value the replica copied from another: it has not voted for it. */
   readonly copied?: readonly string[];
 };
@@ -71,7 +71,7 @@
 /** How one replica was last seen. */
 export type ReplicaView = {
   readonly address: string;
-  readonly cursor: Cursor | null;
+  readonly cursor: JournalCursor | null;
   readonly call: number | null;
   readonly askedAt: number;
   /** When it last answered anything, or was first known. */
@@ -104,13 +104,16 @@
 export type Told = {
   readonly cells: readonly (readonly [
     string,
-    { readonly ballot: Ballot; readonly value: unknown },
+    { readonly proposalNumber: ProposalNumber; readonly value: unknown },
   ])[];
-  readonly facts: readonly Fact[];
+  readonly facts: readonly JournalEntry[];
 };
 
 /** Claims that this node saw chosen, by key, with the ballots they were chosen in. */
-export type Claims = Table<string, { readonly ballot: Ballot; readonly value: unknown }>;
+export type Claims = Table<
+  string,
+  { readonly proposalNumber: ProposalNumber; readonly value: unknown }
+>;
 
 /** Who waits for a proposal, and what becomes of its end. */
 export type Purpose =
@@ -166,7 +169,7 @@
 };
 
 export type Posting = {
-  readonly facts: readonly Fact[];
+  readonly facts: readonly JournalEntry[];
   readonly acks: readonly string[];
   readonly id: number;
   readonly openedAt: number;
@@ -186,7 +189,7 @@
       readonly key: string;
       readonly replica: string;
       readonly phase: 'prepare' | 'accept';
-      readonly ballot: Ballot;
+      readonly proposalNumber: ProposalNumber;
     }
   | { readonly kind: 'post'; readonly posting: number; readonly replica: string }
   | { readonly kind: 'exchange'; readonly to: string; readonly peer: string | null }
@@ -224,19 +227,19 @@
   readonly replicas: Readonly<Record<string, ReplicaView>>;
   readonly registers: {
     readonly [K in Watched]?: {
-      readonly ballot: Ballot;
+      readonly proposalNumber: ProposalNumber;
       readonly value: unknown;
       readonly at: number;
     };
   };
-  readonly highestBallot: Ballot;
+  readonly highestBallot: ProposalNumber;
   /** The newest value fetched of a register, until pulls show whether it is chosen. */
   readonly candidates: {
-    readonly [K in Watched]?: { readonly ballot: Ballot; readonly value: unknown };
+    readonly [K in Watched]?: { readonly proposalNumber: ProposalNumber; readonly value: unknown };
   };
   /** The newest ballot of a register that only a minority showed, and since when. */
   readonly hanging: {
-    readonly [K in Watched]?: { readonly ballot: Ballot; readonly since: number };
+    readonly [K in Watched]?: { readonly proposalNumber: ProposalNumber; readonly since: number };
   };
   /** Monotonic ms until which this node may act on what it knows. */
   readonly lease: number;
@@ -246,7 +249,7 @@
   /** When a replica that had been silent last answered again. */
   readonly returnedAt: number;
   readonly flushes: number;
-  readonly facts: readonly (Fact & { readonly seq: number; readonly at: number })[];
+  readonly facts: readonly (JournalEntry & { readonly seq: number; readonly at: number })[];
   readonly factKeys: Readonly<Record<string, true>>;
   readonly factSeq: number;
   /** Keys of facts that this node saw a majority of disks take. */
@@ -322,7 +325,7 @@
   work: Work,
   pending: Pending,
   part:
-    | { readonly to: string; readonly path: '/replica'; readonly body: ReplicaAsk }
+    | { readonly to: string; readonly path: '/replica'; readonly body: ReplicaRequest }
     | { readonly to: string; readonly path: '/agent'; readonly body: AgentCall },
 ): number => {
   const id = takeId(work);
@@ -338,16 +341,16 @@
 export const sendToReplica = (
   work: Work,
   to: string,
-  call: ReplicaCall,
+  call: ReplicaOperation,
   pending: Pending,
 ): number =>
   sendTo(work, pending, {
     to,
     path: '/replica',
     body: {
-      members: membersOf(work.state),
-      call,
-      ...(Object.keys(liveSpares(work.state)).length > 0 ? { spare: true as const } : {}),
+      membership: membersOf(work.state),
+      operation: call,
+      ...(Object.keys(liveSpares(work.state)).length > 0 ? { hasLiveSpare: true as const } : {}),
     },
   });
 
@@ -380,7 +383,9 @@
 /** The members known to be chosen. */
 export const membersOf = (state: AgentState): CommittedMembership | null => {
   const known = state.registers.members;
-  return known === undefined ? null : { ballot: known.ballot, value: known.value as Members };
+  return known === undefined
+    ? null
+    : { proposalNumber: known.proposalNumber, value: known.value as Membership };
 };
 
 /** Whether an answer counts: it must come from the disk that holds the replica's place. */
--- a/packages/agent/src/status.test.ts
+++ b/packages/agent/src/status.test.ts
@@ -65,9 +65,9 @@
 test('refusal, recovery and a blank disk are told apart from silence, and none is counted', (t) => {
   const replies: Readonly<Record<string, ReplicaReply | null>> = {
     'core-1': pulled('core-1/a'),
-    'core-2': { kind: 'recovering', disk: 'core-2/a', epoch: 3 },
-    'core-3': { kind: 'away', disk: 'core-3/new', fresh: true, informed: true },
-    'core-4': { kind: 'stale', disk: 'core-4/a', members: null },
+    'core-2': { kind: 'recovering', diskId: 'core-2/a', epoch: 3 },
+    'core-3': { kind: 'not-a-member', diskId: 'core-3/new', isBlank: true, knowsMembership: true },
+    'core-4': { kind: 'newer-membership', diskId: 'core-4/a', membership: null },
     'core-5': pulled('core-5/old'),
   };
   const state = asked(founded(), 100, (name) => replies[name] ?? null);
@@ -100,7 +100,7 @@
 test('a named disk that still reads the others is recovering', (t) => {
   const state = asked(founded(), 100, (name) =>
     name === 'core-2'
-      ? { kind: 'away', disk: 'core-2/a', fresh: true, informed: true }
+      ? { kind: 'not-a-member', diskId: 'core-2/a', isBlank: true, knowsMembership: true }
       : pulled(`${name}/a`),
   );
   const member = controlStatus(state).members.find((each) => each.name === 'core-2');
@@ -110,7 +110,7 @@
 test('a member whose disk takes no writes counts as lost, though its answers to pulls count', (t) => {
   const state = asked(founded(), 100, (name) => {
     const reply = pulled(`${name}/a`);
-    return name === 'core-2' && reply.kind === 'pulled' ? { ...reply, readOnly: true } : reply;
+    return name === 'core-2' && reply.kind === 'polled' ? { ...reply, isReadOnly: true } : reply;
   });
   const control = controlStatus(state);
   const member = control.members.find((each) => each.name === 'core-2');
--- a/packages/agent/src/status.ts
+++ b/packages/agent/src/status.ts
@@ -113,13 +113,13 @@
 /** What an answer to a pull tells of the replica that gave it. */
 const outcomeOf = (reply: ReplicaReply, named: boolean): ReplicaOutcome => {
   switch (reply.kind) {
-    case 'pulled':
-      return pulledOutcome(named, reply.readOnly === true);
+    case 'polled':
+      return pulledOutcome(named, reply.isReadOnly === true);
     case 'recovering':
       return 'recovering';
-    case 'away':
-      return awayOutcome(named, reply.fresh);
-    case 'stale':
+    case 'not-a-member':
+      return awayOutcome(named, reply.isBlank);
+    case 'newer-membership':
       return 'newer-membership';
     default:
       return 'refused';
@@ -138,8 +138,8 @@
   reply: ReplicaReply,
 ): ReplicaAnswer => ({
   at: state.now,
-  disk: reply.disk,
-  outcome: outcomeOf(reply, counts(state, name, reply.disk)),
+  disk: reply.diskId,
+  outcome: outcomeOf(reply, counts(state, name, reply.diskId)),
 });
 
 const stateOf = (view: ReplicaView, disk: string | null, now: number): MemberState => {
--- a/packages/agent/src/terms.ts
+++ b/packages/agent/src/terms.ts
@@ -1,4 +1,4 @@
-import type { ReplicaAsk, ReplicaReply } from '@reedyard/replica';
+import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
 import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
 import type { Exchange, Exchanged, Telling } from '@reedyard/gossip';
 import type { Split } from '@reedyard/server-selection';
@@ -250,7 +250,7 @@
       readonly id: number;
       readonly to: string;
       readonly path: '/replica';
-      readonly body: ReplicaAsk;
+      readonly body: ReplicaRequest;
     }
   | {
       readonly kind: 'call';
--- a/packages/agent/src/testing/membership-client-types.ts
+++ b/packages/agent/src/testing/membership-client-types.ts
@@ -1,6 +1,11 @@
 /** Test support: the state, calls, events and effects of a client of the membership model. */
-import type { ReplicaAsk, ReplicaReply, Cursor, CommittedMembership } from '@reedyard/replica';
-import type { Ballot, Proposal } from '@reedyard/consensus';
+import type {
+  ReplicaRequest,
+  ReplicaReply,
+  JournalCursor,
+  CommittedMembership,
+} from '@reedyard/replica';
+import type { ProposalNumber, Proposal } from '@reedyard/consensus';
 import type { Goal, WatchedKey } from './membership-goals.js';
 
 /** Why a call was made; comes back with its answer. */
@@ -9,7 +14,7 @@
       readonly kind: 'vote';
       readonly attempt: number;
       readonly phase: 'prepare' | 'accept';
-      readonly ballot: Ballot;
+      readonly proposalNumber: ProposalNumber;
     }
   | { readonly kind: 'pull' }
   | { readonly kind: 'look' }
@@ -23,7 +28,7 @@
   readonly place: string;
   readonly to: string;
   readonly purpose: Purpose;
-  readonly body: ReplicaAsk;
+  readonly body: ReplicaRequest;
   readonly sentAt: number;
 };
 
@@ -38,24 +43,24 @@
 /** What the newest counted pull of a place showed. */
 export type View = {
   readonly sentAt: number;
-  readonly ballots: Readonly<Record<string, Ballot>>;
+  readonly ballots: Readonly<Record<string, ProposalNumber>>;
   /** Registers whose value the replica copied from another. */
   readonly copied: readonly string[];
 };
 /** A value that is known to be chosen. */
-export type Known = { readonly ballot: Ballot; readonly value: unknown };
+export type Known = { readonly proposalNumber: ProposalNumber; readonly value: unknown };
 
 /** A client's whole state. */
 export type Client = {
   readonly name: string;
   readonly life: number;
   readonly members: CommittedMembership | null;
-  readonly highest: Ballot;
+  readonly highest: ProposalNumber;
   readonly attempts: Readonly<Record<number, Attempt>>;
   readonly nextAttempt: number;
   readonly posting: { readonly fact: string; readonly acks: readonly string[] } | null;
   readonly views: Readonly<Record<string, View>>;
-  readonly cursors: Readonly<Record<string, Cursor>>;
+  readonly cursors: Readonly<Record<string, JournalCursor>>;
   readonly data: Known | null;
   readonly facts: readonly string[];
   /** Registers that only a minority shows in the newest ballot. */
@@ -70,12 +75,16 @@
   | {
       readonly kind: 'chosen';
       readonly key: string;
-      readonly ballot: Ballot;
+      readonly proposalNumber: ProposalNumber;
       readonly value: unknown;
     }
   | { readonly kind: 'appended'; readonly id: string }
   | { readonly kind: 'posted'; readonly fact: string }
-  | { readonly kind: 'lives-mixed'; readonly place: string; readonly ballot: Ballot }
+  | {
+      readonly kind: 'lives-mixed';
+      readonly place: string;
+      readonly proposalNumber: ProposalNumber;
+    }
   | {
       readonly kind: 'lease';
       readonly from: number;
--- a/packages/agent/src/testing/membership-client.ts
+++ b/packages/agent/src/testing/membership-client.ts
@@ -6,10 +6,15 @@
  * agent does (a ballot of its own, a majority of pulls that show one ballot, a replica that was
  * told), begins anew under them, and proposes with the real `Proposer` and the real `Changes`.
  */
-import { newerMembers, membersKey } from '@reedyard/replica';
-import type { ReplicaCall, ReplicaReply, Members, CommittedMembership } from '@reedyard/replica';
+import { isNewerMembership, membershipKey } from '@reedyard/replica';
+import type {
+  ReplicaOperation,
+  ReplicaReply,
+  Membership,
+  CommittedMembership,
+} from '@reedyard/replica';
 import { Ballots, majorityOf, Proposer } from '@reedyard/consensus';
-import type { Ballot, Move, Turn } from '@reedyard/consensus';
+import type { ProposalNumber, ProposerAction, ProposalTransition } from '@reedyard/consensus';
 import type {
   Attempt,
   Client,
@@ -40,7 +45,7 @@
   name,
   life: 1,
   members,
-  highest: members?.ballot ?? Ballots.none,
+  highest: members?.proposalNumber ?? Ballots.none,
   attempts: {},
   nextAttempt: 1,
   posting: null,
@@ -59,15 +64,15 @@
 const placesOf = (client: Client): readonly string[] =>
   Object.keys(client.members?.value.disks ?? {});
 
-const call = (work: Work, place: string, body: ReplicaCall, purpose: Purpose): void => {
+const call = (work: Work, place: string, body: ReplicaOperation, purpose: Purpose): void => {
   const { members, life } = work.client;
   const to = members?.value.addresses?.[place] ?? place;
-  const ask = { members, call: body };
+  const ask = { membership: members, operation: body };
   const sent = { life, place, to, purpose, body: ask, sentAt: work.step };
   work.effects.push({ kind: 'call', call: sent });
 };
 
-const open = (work: Work, number: number, goal: Goal, above: Ballot): void => {
+const open = (work: Work, number: number, goal: Goal, above: ProposalNumber): void => {
   const { client } = work;
   // As an agent does: a ballot is used once, and names the life of its process.
   const higher = Ballots.compare(above, client.highest) > 0 ? above : client.highest;
@@ -75,24 +80,24 @@
   const turn = Proposer.open(keyOf(goal), changeOf(goal), placesOf(client), higher, proposer);
   const attempt = { goal, proposal: turn.proposal, promisedBy: {}, outvoted: false };
   const attempts = { ...client.attempts, [number]: attempt };
-  set(work, { attempts, highest: turn.proposal.ballot });
-  turn.moves.forEach((move) => perform(work, number, move));
+  set(work, { attempts, highest: turn.proposal.proposalNumber });
+  turn.actions.forEach((move) => perform(work, number, move));
 };
 
-const perform = (work: Work, number: number, move: Move): void => {
+const perform = (work: Work, number: number, move: ProposerAction): void => {
   const attempt = work.client.attempts[number];
   if (attempt === undefined) return;
   const key = keyOf(attempt.goal);
   if (move.kind === 'prepare' || move.kind === 'accept') {
-    const { kind, to, ballot } = move;
-    const body: ReplicaCall =
+    const { kind, to, proposalNumber } = move;
+    const body: ReplicaOperation =
       move.kind === 'prepare'
-        ? { kind: 'prepare', key, ballot }
-        : { kind: 'accept', key, ballot, value: move.value, disk: move.disk };
-    call(work, to, body, { kind: 'vote', attempt: number, phase: kind, ballot });
+        ? { kind: 'prepare', key, proposalNumber }
+        : { kind: 'accept', key, proposalNumber, value: move.value, diskId: move.diskId };
+    call(work, to, body, { kind: 'vote', attempt: number, phase: kind, proposalNumber });
     return;
   }
-  if (move.kind === 'outvoted') {
+  if (move.kind === 'preempted') {
     set(work, { attempts: { ...work.client.attempts, [number]: { ...attempt, outvoted: true } } });
     return;
   }
@@ -105,35 +110,41 @@
   work: Work,
   key: WatchedKey,
   goal: Goal,
-  { ballot, value }: Extract<Move, { kind: 'chosen' }>,
+  { proposalNumber, value }: Extract<ProposerAction, { kind: 'chosen' }>,
 ): void => {
-  if (ballot === null) return;
-  work.effects.push({ kind: 'chosen', key, ballot, value });
-  learn(work, key, ballot, value);
+  if (proposalNumber === null) return;
+  work.effects.push({ kind: 'chosen', key, proposalNumber, value });
+  learn(work, key, proposalNumber, value);
   if (goal.kind === 'append') work.effects.push({ kind: 'appended', id: goal.id });
 };
 
 /** Takes in a value that is known to be chosen. */
-const learn = (work: Work, key: WatchedKey, ballot: Ballot, value: unknown): void => {
-  if (key === membersKey) {
-    learnMembers(work, { ballot, value: value as Members });
+const learn = (
+  work: Work,
+  key: WatchedKey,
+  proposalNumber: ProposalNumber,
+  value: unknown,
+): void => {
+  if (key === membershipKey) {
+    learnMembers(work, { proposalNumber, value: value as Membership });
     return;
   }
-  const known = work.client.data?.ballot ?? Ballots.none;
-  if (Ballots.compare(ballot, known) <= 0) return;
-  set(work, { data: { ballot, value } });
-  raise(work, ballot);
+  const known = work.client.data?.proposalNumber ?? Ballots.none;
+  if (Ballots.compare(proposalNumber, known) <= 0) return;
+  set(work, { data: { proposalNumber, value } });
+  raise(work, proposalNumber);
   renewLease(work);
 };
 
-const raise = (work: Work, ballot: Ballot): void => {
-  if (Ballots.compare(ballot, work.client.highest) > 0) set(work, { highest: ballot });
+const raise = (work: Work, proposalNumber: ProposalNumber): void => {
+  if (Ballots.compare(proposalNumber, work.client.highest) > 0)
+    set(work, { highest: proposalNumber });
 };
 
 const learnMembers = (work: Work, told: CommittedMembership): void => {
-  if (!newerMembers(told, work.client.members)) return;
+  if (!isNewerMembership(told, work.client.members)) return;
   set(work, { members: told, views: {}, hanging: [] });
-  raise(work, told.ballot);
+  raise(work, told.proposalNumber);
   countAnew(work);
 };
 
@@ -149,17 +160,28 @@
 
 /** Planted fault: accepts that build on promises to the former members are sent to the new ones. */
 const resendAccepts = (work: Work, number: number, attempt: Attempt): void => {
-  const { ballot, promises, proposed, phase } = attempt.proposal;
+  const {
+    proposalNumber,
+    prepareResponses: promises,
+    proposedValue: proposed,
+    phase,
+  } = attempt.proposal;
   if (phase !== 'accept') return;
-  const anew = { ...attempt, proposal: { ...attempt.proposal, accepts: [] } };
+  const anew = { ...attempt, proposal: { ...attempt.proposal, acceptedBy: [] } };
   set(work, { attempts: { ...work.client.attempts, [number]: anew } });
-  for (const [to, { disk }] of Object.entries(promises)) {
-    perform(work, number, { kind: 'accept', to, ballot, value: proposed, disk });
+  for (const [to, { diskId: disk }] of Object.entries(promises)) {
+    perform(work, number, {
+      kind: 'accept',
+      to,
+      proposalNumber,
+      value: proposed,
+      diskId: disk,
+    });
   }
 };
 
-const aboveOf = (client: Client, { proposal }: Attempt): Ballot =>
-  Ballots.compare(client.highest, proposal.highest) > 0 ? client.highest : proposal.highest;
+const aboveOf = (client: Client, { proposal }: Attempt): ProposalNumber =>
+  Ballots.compare(client.highest, proposal.highestSeen) > 0 ? client.highest : proposal.highestSeen;
 
 const counts = (client: Client, place: string, disk: string): boolean =>
   client.members?.value.disks[place] === disk;
@@ -169,28 +191,28 @@
   const { body } = event;
   if (purpose.kind !== 'vote' || body.kind !== 'vote') return;
   const attempt = work.client.attempts[purpose.attempt];
-  if (attempt === undefined || !counts(work.client, place, body.disk)) return;
+  if (attempt === undefined || !counts(work.client, place, body.diskId)) return;
   if (body.vote.kind === 'no') raise(work, body.vote.promised);
-  const { phase, ballot } = purpose;
+  const { phase, proposalNumber } = purpose;
   const before = attempt.proposal;
-  const turn = Proposer.voted(before, place, body.disk, phase, ballot, body.vote);
+  const turn = Proposer.voted(before, place, body.diskId, phase, proposalNumber, body.vote);
   noteLives(work, attempt, turn, event);
-  turn.moves.forEach((move) => perform(work, purpose.attempt, move));
+  turn.actions.forEach((move) => perform(work, purpose.attempt, move));
 };
 
 /** Keeps the proposal, and compares the physical disk of an accept with that of its promise. */
 const noteLives = (
   work: Work,
   attempt: Attempt,
-  { proposal }: Turn,
+  { proposal }: ProposalTransition,
   { call: { place, purpose }, life }: Extract<ClientEvent, { kind: 'replied' }>,
 ): void => {
   if (purpose.kind !== 'vote') return;
-  const promised = proposal.promises !== attempt.proposal.promises;
-  const accepted = proposal.accepts.length > attempt.proposal.accepts.length;
+  const promised = proposal.prepareResponses !== attempt.proposal.prepareResponses;
+  const accepted = proposal.acceptedBy.length > attempt.proposal.acceptedBy.length;
   const promisedBy = promised ? { ...attempt.promisedBy, [place]: life } : attempt.promisedBy;
   if (accepted && promisedBy[place] !== life) {
-    work.effects.push({ kind: 'lives-mixed', place, ballot: purpose.ballot });
+    work.effects.push({ kind: 'lives-mixed', place, proposalNumber: purpose.proposalNumber });
   }
   const next = { ...attempt, proposal, promisedBy };
   set(work, { attempts: { ...work.client.attempts, [purpose.attempt]: next } });
@@ -200,31 +222,36 @@
   for (const place of placesOf(work.client)) {
     const disk = work.client.members?.value.disks[place] ?? '';
     const cursor = work.client.cursors[disk] ?? null;
-    call(work, place, { kind: 'pull', cursor, keys: watchedKeys }, { kind: 'pull' });
+    call(work, place, { kind: 'poll', cursor, keys: watchedKeys }, { kind: 'pull' });
   }
 };
 
 const tookPull = (work: Work, { place, sentAt }: ClientCall, body: ReplicaReply): void => {
-  if (body.kind !== 'pulled' || !counts(work.client, place, body.disk)) return;
+  if (body.kind !== 'polled' || !counts(work.client, place, body.diskId)) return;
   const { views, cursors, facts } = work.client;
   if ((views[place]?.sentAt ?? -1) > sentAt) return;
-  const added = body.facts.map(({ key }) => key).filter((key) => !facts.includes(key));
+  const added = body.entries.map(({ key }) => key).filter((key) => !facts.includes(key));
   set(work, {
     facts: [...facts, ...added],
-    cursors: { ...cursors, [body.disk]: { disk: body.disk, seq: body.seq } },
-    views: { ...views, [place]: { sentAt, ballots: body.ballots, copied: body.copied ?? [] } },
+    cursors: { ...cursors, [body.diskId]: { diskId: body.diskId, sequence: body.sequence } },
+    views: {
+      ...views,
+      [place]: { sentAt, ballots: body.acceptedNumbers, copied: body.copiedKeys ?? [] },
+    },
     hanging: [],
   });
   watchedKeys.forEach((key) => watch(work, key));
   renewLease(work);
 };
 
-const knownBallot = (client: Client, key: WatchedKey): Ballot =>
-  (key === membersKey ? client.members?.ballot : client.data?.ballot) ?? Ballots.none;
+const knownBallot = (client: Client, key: WatchedKey): ProposalNumber =>
+  (key === membershipKey ? client.members?.proposalNumber : client.data?.proposalNumber) ??
+  Ballots.none;
 
 /** Whether a replica shows a ballot that it accepted itself. */
-const votedFor = (view: View, key: WatchedKey, ballot: Ballot): boolean =>
-  !view.copied.includes(key) && Ballots.compare(view.ballots[key] ?? Ballots.none, ballot) === 0;
+const votedFor = (view: View, key: WatchedKey, proposalNumber: ProposalNumber): boolean =>
+  !view.copied.includes(key) &&
+  Ballots.compare(view.ballots[key] ?? Ballots.none, proposalNumber) === 0;
 
 /** What a majority of pulls shows is fetched; what only a minority shows hangs. */
 const watch = (work: Work, key: WatchedKey): void => {
@@ -232,28 +259,31 @@
   const shown = Object.entries(client.views).map(
     ([place, view]) => [place, view.ballots[key] ?? Ballots.none] as const,
   );
-  const highest = shown.reduce<Ballot>(
-    (best, [, ballot]) => (Ballots.compare(ballot, best) > 0 ? ballot : best),
+  const highest = shown.reduce<ProposalNumber>(
+    (best, [, proposalNumber]) =>
+      Ballots.compare(proposalNumber, best) > 0 ? proposalNumber : best,
     Ballots.none,
   );
   if (Ballots.compare(highest, knownBallot(client, key)) <= 0) return;
-  const holders = shown.filter(([, ballot]) => Ballots.compare(ballot, highest) === 0);
+  const holders = shown.filter(
+    ([, proposalNumber]) => Ballots.compare(proposalNumber, highest) === 0,
+  );
   const holder = holders[0]?.[0];
   if (holder === undefined) return;
   const votes = Object.values(client.views).filter((view) => votedFor(view, key, highest));
   if (votes.length < majorityOf(placesOf(client).length)) {
     set(work, { hanging: [...client.hanging, key] });
-  } else call(work, holder, { kind: 'fetch', key }, { kind: 'fetch', key });
+  } else call(work, holder, { kind: 'read-register', key }, { kind: 'fetch', key });
 };
 
 const tookFetch = (work: Work, key: WatchedKey, body: ReplicaReply): void => {
-  if (body.kind !== 'fetched' || body.accepted === null) return;
-  const { ballot, value } = body.accepted;
+  if (body.kind !== 'register-read' || body.accepted === null) return;
+  const { proposalNumber, value } = body.accepted;
   const { views } = work.client;
-  const holders = Object.values(views).filter((view) => votedFor(view, key, ballot));
+  const holders = Object.values(views).filter((view) => votedFor(view, key, proposalNumber));
   if (holders.length < majorityOf(placesOf(work.client).length)) return;
-  work.effects.push({ kind: 'chosen', key, ballot, value });
-  learn(work, key, ballot, value);
+  work.effects.push({ kind: 'chosen', key, proposalNumber, value });
+  learn(work, key, proposalNumber, value);
 };
 
 /**
@@ -286,14 +316,15 @@
 
 const post = (work: Work, fact: string): void => {
   set(work, { posting: { fact, acks: [] } });
-  const body: ReplicaCall = { kind: 'post', facts: [{ key: fact, value: null }] };
+  const body: ReplicaOperation = { kind: 'append-entries', entries: [{ key: fact, value: null }] };
   placesOf(work.client).forEach((place) => call(work, place, body, { kind: 'post', fact }));
 };
 
 const tookPost = (work: Work, place: string, fact: string, body: ReplicaReply): void => {
   const { posting } = work.client;
-  if (body.kind !== 'posted' || posting?.fact !== fact || posting.acks.includes(place)) return;
-  if (!counts(work.client, place, body.disk)) return;
+  if (body.kind !== 'entries-appended' || posting?.fact !== fact || posting.acks.includes(place))
+    return;
+  if (!counts(work.client, place, body.diskId)) return;
   const acks = [...posting.acks, place];
   const done = acks.length >= majorityOf(placesOf(work.client).length);
   set(work, { posting: done ? null : { fact, acks } });
@@ -304,8 +335,8 @@
   const { purpose, place } = event.call;
   const { body } = event;
   if (event.call.life !== work.client.life) return;
-  if (body.kind === 'stale' && body.members !== null) {
-    learnMembers(work, body.members);
+  if (body.kind === 'newer-membership' && body.membership !== null) {
+    learnMembers(work, body.membership);
     return;
   }
   if (purpose.kind === 'vote') tookVote(work, event);
@@ -349,7 +380,7 @@
       pull(work);
       break;
     case 'look':
-      call(work, event.address, { kind: 'pull', cursor: null, keys: [] }, { kind: 'look' });
+      call(work, event.address, { kind: 'poll', cursor: null, keys: [] }, { kind: 'look' });
       break;
     case 'post':
       post(work, event.fact);
--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -105,7 +105,11 @@
     const replica = this.replicas[message.to];
     if (replica?.running !== true) return;
     const body = this.mutation.hears?.(replica.state, message.body) ?? message.body;
-    this.#reduce(replica, { kind: 'asked', id: 0, body, now: this.now }, message);
+    this.#reduce(
+      replica,
+      { kind: 'request-received', requestId: 0, request: body, now: this.now },
+      message,
+    );
   }
 
   drop(index: number): void {
@@ -115,7 +119,11 @@
   /** The caller gives a call up, though its message may still be under way. */
   timeOut({ caller }: Message): void {
     if (caller.kind !== 'replica') return;
-    this.tellReplica(caller.read.from, { kind: 'lost', id: caller.read.id, now: this.now });
+    this.tellReplica(caller.read.from, {
+      kind: 'request-failed',
+      requestId: caller.read.id,
+      now: this.now,
+    });
   }
 
   /** What was appended is on disk now; answers that waited for it go out. */
@@ -136,7 +144,7 @@
     const replica = this.replicas[address];
     if (replica?.running !== true) return;
     const durable = [...replica.durable, ...replica.unsynced.slice(0, kept)];
-    const state = this.#open(address, durable, replica.state.disk).state;
+    const state = this.#open(address, durable, replica.state.diskId).state;
     this.#put({ ...replica, durable, state, running: false, unsynced: [], waiting: [] });
   }
 
@@ -148,7 +156,7 @@
 
   /** The disk is lost, and the process starts with a blank one. */
   wipe(address: string): void {
-    const old = this.replicas[address]?.state.disk ?? '';
+    const old = this.replicas[address]?.state.diskId ?? '';
     this.plugIn(address, [], undefined, this.mutation.wipedDisk?.(old));
   }
 
@@ -161,9 +169,9 @@
   ): void {
     const opened = this.#open(address, records, freshDisk);
     const appended = opened.effects.flatMap((effect) =>
-      effect.kind === 'append' ? effect.records : [],
+      effect.kind === 'append-records' ? effect.records : [],
     );
-    const { told, disk } = opened.state;
+    const { committedMembership: told, diskId: disk } = opened.state;
     if (told !== null) this.history = noteTold(this.history, disk, told.value);
     this.#put({
       address,
@@ -181,7 +189,7 @@
     records: readonly ReplicaRecord[],
     freshDisk: string,
   ): ReturnType<typeof Replica.open> {
-    const seeded = { address, seeds: [], firstStart: false };
+    const seeded = { address, seeds: [], isFirstStart: false };
     const kept = this.mutation.replays?.(records) ?? records;
     const parts = { name: address, others: {}, seeded, records: kept, freshDisk, now: this.now };
     return Replica.open(parts);
@@ -200,11 +208,11 @@
     const after = this.mutation.after?.(replica.state, done) ?? done;
     if (after.state === replica.state && after.effects.length === 0) return;
     const appended = after.effects.flatMap((effect) =>
-      effect.kind === 'append' ? effect.records : [],
+      effect.kind === 'append-records' ? effect.records : [],
     );
     const told = after.effects.flatMap((effect) =>
-      effect.kind === 'tell' && request !== null
-        ? [{ request, body: effect.body, by: after.state.told }]
+      effect.kind === 'send-reply' && request !== null
+        ? [{ request, body: effect.reply, by: after.state.committedMembership }]
         : [],
     );
     const early = this.mutation.answersBeforeSync === true;
@@ -214,24 +222,27 @@
     if (early) told.forEach((each) => this.#answer(replica, each));
     after.effects.forEach((effect) => this.#call(replica, effect));
     if (this.syncing === 'at-once') this.sync(replica.address);
-    const hasChanged = appended.length > 0 || after.state.voting !== replica.state.voting;
+    const hasChanged = appended.length > 0 || after.state.isVoting !== replica.state.isVoting;
     this.#noteBegun(replica.state, after.state);
     if (hasChanged) this.checkQuorums();
   }
 
-  #noteBegun(before: ReplicaState, { voting, votingEpoch, disk, told }: ReplicaState): void {
-    if (told !== null && told !== before.told) {
+  #noteBegun(
+    before: ReplicaState,
+    { isVoting: voting, votingEpoch, diskId: disk, committedMembership: told }: ReplicaState,
+  ): void {
+    if (told !== null && told !== before.committedMembership) {
       this.history = noteTold(this.history, disk, told.value);
     }
-    const hasBegun = voting && (!before.voting || votingEpoch !== before.votingEpoch);
+    const hasBegun = voting && (!before.isVoting || votingEpoch !== before.votingEpoch);
     if (!hasBegun || told === null) return;
     this.history = noteBegun(this.history, disk, told.value);
   }
 
   #call(replica: ModelReplica, effect: ReplicaEffect): void {
-    if (effect.kind !== 'call') return;
-    const read = { from: replica.address, to: effect.to, id: effect.id };
-    const body = this.mutation.reads?.(effect.body, effect.to) ?? effect.body;
+    if (effect.kind !== 'send-request') return;
+    const read = { from: replica.address, to: effect.to, id: effect.requestId };
+    const body = this.mutation.reads?.(effect.request, effect.to) ?? effect.request;
     this.#send({ kind: 'request', caller: { kind: 'replica', read }, to: effect.to, body });
   }
 
@@ -250,18 +261,22 @@
 
   #noteAnswer({ request, body, by }: Told): void {
     const { caller } = request;
-    const { members, call } = request.body;
+    const { membership: members, operation: call } = request.body;
     const commits = ['vote', 'posted', 'pulled', 'fetched'].includes(body.kind);
-    if (commits) this.history = noteVoting(this.history, body.disk, by?.value);
-    if (caller.kind === 'replica' && body.kind === 'dumped' && body.next === null) {
-      const reader = this.replicas[caller.read.from]?.state.disk ?? '';
-      const epoch = body.members?.value.epoch ?? 0;
-      this.history = noteRead(this.history, reader, body.disk, epoch);
+    if (commits) this.history = noteVoting(this.history, body.diskId, by?.value);
+    if (caller.kind === 'replica' && body.kind === 'page-read' && body.nextPage === null) {
+      const reader = this.replicas[caller.read.from]?.state.diskId ?? '';
+      const epoch = body.membership?.value.epoch ?? 0;
+      this.history = noteRead(this.history, reader, body.diskId, epoch);
     }
     const accepts = call.kind === 'accept' && body.kind === 'vote' && body.vote.kind === 'yes';
     if (!accepts || members === null) return;
-    const { key, ballot, value } = call;
-    this.history = noteAccept(this.history, body.disk, members.value, { key, ballot, value });
+    const { key, proposalNumber, value } = call;
+    this.history = noteAccept(this.history, body.diskId, members.value, {
+      key,
+      proposalNumber,
+      value,
+    });
   }
 
   #deliverReply(message: Extract<Message, { kind: 'reply' }>): void {
@@ -272,7 +287,12 @@
     }
     const { from, id } = caller.read;
     const shown = this.mutation.shows?.(body) ?? body;
-    this.tellReplica(from, { kind: 'returned', id, body: shown, now: this.now });
+    this.tellReplica(from, {
+      kind: 'reply-received',
+      requestId: id,
+      reply: shown,
+      now: this.now,
+    });
   }
 
   #performClient(name: string, effect: ClientEffect): void {
@@ -295,7 +315,7 @@
         this.checkQuorums();
         return;
       case 'lives-mixed':
-        this.history = noteLivesMixed(history, effect.place, effect.ballot);
+        this.history = noteLivesMixed(history, effect.place, effect.proposalNumber);
         return;
       case 'lease':
         this.history = checkLease(history, effect);
--- a/packages/agent/src/testing/membership-founding.ts
+++ b/packages/agent/src/testing/membership-founding.ts
@@ -21,8 +21,8 @@
   const records = new Map<string, ReplicaRecord[]>();
   const perform = (address: string, effects: readonly ReplicaEffect[]): void => {
     for (const effect of effects) {
-      if (effect.kind === 'append') records.get(address)?.push(...effect.records);
-      if (effect.kind === 'call') ask(address, effect);
+      if (effect.kind === 'append-records') records.get(address)?.push(...effect.records);
+      if (effect.kind === 'send-request') ask(address, effect);
     }
   };
   const reduce = (address: string, event: ReplicaEvent): readonly ReplicaEffect[] => {
@@ -33,14 +33,18 @@
     perform(address, done.effects);
     return done.effects;
   };
-  const ask = (from: string, { to, id, body }: Extract<ReplicaEffect, { kind: 'call' }>): void => {
-    const told = reduce(to, { kind: 'asked', id: 0, body, now: 0 }).find(
-      (effect) => effect.kind === 'tell',
+  const ask = (
+    from: string,
+    { to, requestId: id, request: body }: Extract<ReplicaEffect, { kind: 'send-request' }>,
+  ): void => {
+    const told = reduce(to, { kind: 'request-received', requestId: 0, request: body, now: 0 }).find(
+      (effect) => effect.kind === 'send-reply',
     );
-    if (told !== undefined) reduce(from, { kind: 'returned', id, body: told.body, now: 0 });
+    if (told !== undefined)
+      reduce(from, { kind: 'reply-received', requestId: id, reply: told.reply, now: 0 });
   };
   seeds.forEach((address, index) => {
-    const seeded = { address, seeds, firstStart: true };
+    const seeded = { address, seeds, isFirstStart: true };
     const freshDisk = `disk-${index + 1}`;
     const parts = { name: address, others: {}, seeded, records: [], freshDisk, now: 0 };
     const opened = Replica.open(parts);
@@ -50,17 +54,17 @@
   });
   const rounds = seeds.flatMap((_, round) => seeds.map((address) => ({ address, round })));
   for (const { address, round } of rounds) {
-    reduce(address, { kind: 'beat', now: (round + 1) * foundingRound });
+    reduce(address, { kind: 'tick', now: (round + 1) * foundingRound });
   }
-  const members = states.get(seeds[0] ?? '')?.told;
+  const members = states.get(seeds[0] ?? '')?.committedMembership;
   if (members === null || members === undefined) throw new Error('the seeds did not found');
   const replicas = Object.fromEntries(
     seeds.map((address, index) => {
       const durable = records.get(address) ?? [];
-      const seeded = { address, seeds: [], firstStart: false };
+      const seeded = { address, seeds: [], isFirstStart: false };
       const parts = { name: address, others: {}, seeded, records: durable, freshDisk: '', now: 0 };
       const { state } = Replica.open(parts);
-      if (!state.voting) throw new Error(`${address} does not vote`);
+      if (!state.isVoting) throw new Error(`${address} does not vote`);
       const life = index + 1;
       return [address, { ...blankReplica, address, life, state, durable }];
     }),
--- a/packages/agent/src/testing/membership-goals.ts
+++ b/packages/agent/src/testing/membership-goals.ts
@@ -1,12 +1,12 @@
 /** Test support: what clients of the membership model want, as changes of registers. */
-import { membersKey } from '@reedyard/replica';
-import type { Members } from '@reedyard/replica';
+import { membershipKey } from '@reedyard/replica';
+import type { Membership } from '@reedyard/replica';
 import type { Change } from '@reedyard/consensus';
 import { Changes } from '../changes.js';
 
 /** The register that clients append to; its value is all ids in the order of their choice. */
 export const dataKey = 'data';
-export const watchedKeys = [membersKey, dataKey] as const;
+export const watchedKeys = [membershipKey, dataKey] as const;
 export type WatchedKey = (typeof watchedKeys)[number];
 
 /** What a proposal is for. */
@@ -14,14 +14,14 @@
   | { readonly kind: 'append'; readonly id: string }
   | {
       readonly kind: 'join';
-      readonly known: Members;
+      readonly known: Membership;
       readonly place: string;
       readonly disk: string;
       readonly address?: string;
     }
   | {
       readonly kind: 'replace';
-      readonly known: Members;
+      readonly known: Membership;
       readonly gone: string;
       readonly place: string;
       readonly disk: string;
@@ -49,5 +49,5 @@
 /** The register that a goal is about. */
 export const keyOf = (goal: Goal): WatchedKey => {
   if (goal.kind === 'append') return dataKey;
-  return goal.kind === 'repair' ? goal.key : membersKey;
+  return goal.kind === 'repair' ? goal.key : membershipKey;
 };
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -2,10 +2,10 @@
  * Test support: what an observer who sees every disk and message knows of a run, and the checks
  * that it makes. Values are immutable, so that a search can fork them.
  */
-import { Replica, isMember, membersKey } from '@reedyard/replica';
-import type { ReplicaState, Members } from '@reedyard/replica';
+import { Replica, isMember, membershipKey } from '@reedyard/replica';
+import type { ReplicaState, Membership } from '@reedyard/replica';
 import { Ballots, majorityOf } from '@reedyard/consensus';
-import type { Ballot } from '@reedyard/consensus';
+import type { ProposalNumber } from '@reedyard/consensus';
 import { dataKey } from './membership-goals.js';
 
 /** The invariants, by the letter that docs/control-model.md gives them. */
@@ -34,13 +34,17 @@
 
 export type Violation = { readonly invariant: Invariant; readonly text: string };
 
-type Chosen = { readonly key: string; readonly ballot: Ballot; readonly value: unknown };
+type Chosen = {
+  readonly key: string;
+  readonly proposalNumber: ProposalNumber;
+  readonly value: unknown;
+};
 type Attempts = { readonly disks: readonly string[]; readonly value: unknown };
 type Acknowledged = { readonly id: string; readonly step: number };
 
 export type History = {
   /** Every membership that was chosen. */
-  readonly epochs: Readonly<Record<number, Members>>;
+  readonly epochs: Readonly<Record<number, Membership>>;
   /** Disks that accepted a value, by register, ballot and the epoch that the caller counts by. */
   readonly accepts: Readonly<Record<string, Attempts>>;
   /** In the order of their ballots. */
@@ -67,7 +71,7 @@
  * @example
  * beginHistory(members).violations // []
  */
-export const beginHistory = (founders: Members): History => ({
+export const beginHistory = (founders: Membership): History => ({
   epochs: { [founders.epoch]: founders },
   accepts: {},
   chosen: [],
@@ -85,23 +89,23 @@
   violations: [...history.violations, { invariant, text }],
 });
 
-const describe = ({ key, ballot, value }: Chosen): string =>
-  `${key} ${ballot.join('/')} ${key === membersKey ? describeMembers(value as Members) : String(value)}`;
+const describe = ({ key, proposalNumber, value }: Chosen): string =>
+  `${key} ${proposalNumber.join('/')} ${key === membershipKey ? describeMembers(value as Membership) : String(value)}`;
 
-const describeMembers = (members: Members): string =>
+const describeMembers = (members: Membership): string =>
   `${members.epoch}:${Object.entries(members.disks)
     .map(([place, disk]) => `${place}=${disk}`)
     .sort()
     .join(',')}`;
 
 const sameValue = (key: string, left: unknown, right: unknown): boolean =>
-  key === membersKey
-    ? describeMembers(left as Members) === describeMembers(right as Members)
+  key === membershipKey
+    ? describeMembers(left as Membership) === describeMembers(right as Membership)
     : left === right;
 
 const descends = (key: string, earlier: unknown, later: unknown): boolean => {
-  if (key !== membersKey) return (later as string).startsWith(earlier as string);
-  const [before, after] = [earlier as Members, later as Members];
+  if (key !== membershipKey) return (later as string).startsWith(earlier as string);
+  const [before, after] = [earlier as Membership, later as Membership];
   return after.epoch > before.epoch || sameValue(key, before, after);
 };
 
@@ -111,7 +115,9 @@
  */
 export const noteChosen = (history: History, fresh: Chosen): History => {
   const rivals = history.chosen.filter(({ key }) => key === fresh.key);
-  const same = rivals.find(({ ballot }) => Ballots.compare(ballot, fresh.ballot) === 0);
+  const same = rivals.find(
+    ({ proposalNumber }) => Ballots.compare(proposalNumber, fresh.proposalNumber) === 0,
+  );
   if (same !== undefined) {
     return sameValue(fresh.key, same.value, fresh.value)
       ? history
@@ -119,30 +125,30 @@
   }
   let next: History = { ...history, chosen: [...history.chosen, fresh] };
   for (const rival of rivals) {
-    const isEarlier = Ballots.compare(rival.ballot, fresh.ballot) < 0;
+    const isEarlier = Ballots.compare(rival.proposalNumber, fresh.proposalNumber) < 0;
     const [earlier, later] = isEarlier ? [rival, fresh] : [fresh, rival];
     if (!descends(fresh.key, earlier.value, later.value)) {
       const text = `${describe(later)} after ${describe(earlier)}`;
       next = violate(next, 'chosen-values-descend', text);
     }
   }
-  return fresh.key === membersKey ? noteEpoch(next, fresh.value as Members) : next;
+  return fresh.key === membershipKey ? noteEpoch(next, fresh.value as Membership) : next;
 };
 
-const noteEpoch = (history: History, members: Members): History => {
+const noteEpoch = (history: History, members: Membership): History => {
   const known = history.epochs[members.epoch];
   if (known === undefined) {
     return { ...history, epochs: { ...history.epochs, [members.epoch]: members } };
   }
-  if (sameValue(membersKey, known, members)) return history;
+  if (sameValue(membershipKey, known, members)) return history;
   const text = `${describeMembers(known)} and ${describeMembers(members)}`;
   return violate(history, 'one-membership-an-epoch', text);
 };
 
 /** A replica goes by these members from now on: they must have been chosen. */
-export const noteTold = (history: History, disk: string, members: Members): History => {
+export const noteTold = (history: History, disk: string, members: Membership): History => {
   const known = history.epochs[members.epoch];
-  if (known !== undefined && sameValue(membersKey, known, members)) return history;
+  if (known !== undefined && sameValue(membershipKey, known, members)) return history;
   return violate(history, 'told-is-chosen', `${disk} goes by ${describeMembers(members)}`);
 };
 
@@ -150,16 +156,16 @@
 export const noteAccept = (
   history: History,
   disk: string,
-  callersMembers: Members,
+  callersMembers: Membership,
   accepted: Chosen,
 ): History => {
   const members = Object.values(callersMembers.disks);
   if (!members.includes(disk)) return history;
-  const { key, ballot, value } = accepted;
-  const name = `${key} ${ballot.join('/')} ${callersMembers.epoch}`;
+  const { key, proposalNumber, value } = accepted;
+  const name = `${key} ${proposalNumber.join('/')} ${callersMembers.epoch}`;
   const before = history.accepts[name];
   if (before !== undefined && !sameValue(key, before.value, value)) {
-    const text = `${describe({ key, ballot, value: before.value })} and ${describe(accepted)}`;
+    const text = `${describe({ key, proposalNumber, value: before.value })} and ${describe(accepted)}`;
     return violate(history, 'one-value-a-ballot', text);
   }
   const disks = [...new Set([...(before?.disks ?? []), disk])].sort();
@@ -182,7 +188,7 @@
  * The disk that another took over from, if that one has read it to the end after it was told so. It
  * must have come to vote in that place itself, and have no place now.
  */
-const readPredecessor = (history: History, disk: string, told: Members): string | undefined => {
+const readPredecessor = (history: History, disk: string, told: Membership): string | undefined => {
   const place = Object.keys(told.disks).find((each) => told.disks[each] === disk) ?? '';
   const predecessor = told.predecessors?.[place]?.disk;
   if (predecessor === undefined || Object.values(told.disks).includes(predecessor))
@@ -199,7 +205,7 @@
  * A disk begins to vote: it must have read enough of the other members, or the disk that it took
  * over from.
  */
-export const noteBegun = (history: History, disk: string, told: Members): History => {
+export const noteBegun = (history: History, disk: string, told: Membership): History => {
   const members = Object.values(told.disks);
   const needed = members.length - majorityOf(members.length) + 1;
   const joined = joinedAt(history, disk, told);
@@ -215,7 +221,11 @@
 };
 
 /** A disk answers as a member: it must have begun to vote since it became one. */
-export const noteVoting = (history: History, disk: string, told: Members | undefined): History => {
+export const noteVoting = (
+  history: History,
+  disk: string,
+  told: Membership | undefined,
+): History => {
   if (told === undefined) return history;
   const handedOverIn = history.handedOver[disk];
   if (handedOverIn !== undefined && told.epoch < handedOverIn) {
@@ -233,7 +243,7 @@
 };
 
 /** The epoch from which on a disk has been a member without a gap, up to the one told. */
-const joinedAt = (history: History, disk: string, told: Members): number => {
+const joinedAt = (history: History, disk: string, told: Membership): number => {
   let epoch = told.epoch;
   while (Object.values(history.epochs[epoch - 1]?.disks ?? {}).includes(disk)) epoch -= 1;
   return epoch;
@@ -249,8 +259,16 @@
   posted: [...history.posted, { id, step }],
 });
 
-export const noteLivesMixed = (history: History, place: string, ballot: Ballot): History =>
-  violate(history, 'promise-and-vote-of-one-life', `${place} in ballot ${ballot.join('/')}`);
+export const noteLivesMixed = (
+  history: History,
+  place: string,
+  proposalNumber: ProposalNumber,
+): History =>
+  violate(
+    history,
+    'promise-and-vote-of-one-life',
+    `${place} in ballot ${proposalNumber.join('/')}`,
+  );
 
 /** A client may act on what it knows: it must know all that was acknowledged before its pulls. */
 export const checkLease = (
@@ -268,35 +286,42 @@
 };
 
 /** Whether a replica, told of these members by a caller who counts by them, answers as one. */
-const answersAsMember = (state: ReplicaState, members: Members): boolean => {
-  const known = state.told?.value.epoch ?? 0;
+const answersAsMember = (state: ReplicaState, members: Membership): boolean => {
+  const known = state.committedMembership?.value.epoch ?? 0;
   if (known >= members.epoch) return known === members.epoch && isMember(state);
-  const told = { ballot: state.told?.ballot ?? Ballots.none, value: members };
-  const call = { kind: 'pull', cursor: null, keys: [] } as const;
-  const event = { kind: 'asked', id: 0, body: { members: told, call }, now: 0 } as const;
+  const told = {
+    proposalNumber: state.committedMembership?.proposalNumber ?? Ballots.none,
+    value: members,
+  };
+  const operation = { kind: 'poll', cursor: null, keys: [] } as const;
+  const request = { membership: told, operation };
+  const event = { kind: 'request-received', requestId: 0, request, now: 0 } as const;
   const { effects } = Replica.reduce(state, event);
-  return effects.some((effect) => effect.kind === 'tell' && effect.body.kind === 'pulled');
+  return effects.some((effect) => effect.kind === 'send-reply' && effect.reply.kind === 'polled');
 };
 
 /** Disks that a caller who counts by these members could still win over. */
-const gatherable = (disks: readonly ReplicaState[], members: Members): readonly ReplicaState[] => {
+const gatherable = (
+  disks: readonly ReplicaState[],
+  members: Membership,
+): readonly ReplicaState[] => {
   const named = Object.values(members.disks);
   const found = disks.filter(
-    (state) => state.voting && named.includes(state.disk) && answersAsMember(state, members),
+    (state) => state.isVoting && named.includes(state.diskId) && answersAsMember(state, members),
   );
   return found.length >= majorityOf(named.length) ? found : [];
 };
 
 type Gathered = {
-  readonly members: Members;
+  readonly members: Membership;
   readonly disks: readonly ReplicaState[];
   readonly quorum: number;
 };
 
 /** Whether two quorums can be taken out of these that share no disk. */
 const canBeDisjoint = (left: Gathered, right: Gathered): boolean => {
-  const shared = left.disks.filter(({ disk }) =>
-    right.disks.some((other) => other.disk === disk),
+  const shared = left.disks.filter(({ diskId: disk }) =>
+    right.disks.some((other) => other.diskId === disk),
   ).length;
   const leftNeeds = Math.max(0, left.quorum - (left.disks.length - shared));
   const rightNeeds = Math.max(0, right.quorum - (right.disks.length - shared));
@@ -314,13 +339,13 @@
   return history;
 };
 
-const acceptedOf = ({ cells }: ReplicaState): Chosen | null => {
+const acceptedOf = ({ registers: cells }: ReplicaState): Chosen | null => {
   const accepted = cells.get(dataKey)?.accepted ?? null;
   return accepted === null ? null : { key: dataKey, ...accepted };
 };
 
 const byBallot = (left: Chosen | null, right: Chosen | null): number =>
-  Ballots.compare(left?.ballot ?? Ballots.none, right?.ballot ?? Ballots.none);
+  Ballots.compare(left?.proposalNumber ?? Ballots.none, right?.proposalNumber ?? Ballots.none);
 
 /** Every quorum that could read must find the newest chosen value, or one that descends from it. */
 const checkReadable = (history: History, { disks, quorum, members }: Gathered): History => {
@@ -338,7 +363,8 @@
     return violate(history, 'acknowledged-is-readable', text);
   }
   const lost = history.posted.find(
-    ({ id }) => disks.filter(({ factKeys }) => !factKeys.has(id)).length >= quorum,
+    ({ id }) =>
+      disks.filter(({ sequenceByEntryKey: factKeys }) => !factKeys.has(id)).length >= quorum,
   );
   return lost === undefined
     ? history
--- a/packages/agent/src/testing/membership-mutations.ts
+++ b/packages/agent/src/testing/membership-mutations.ts
@@ -2,16 +2,16 @@
  * Test support: planted faults. Each takes one safeguard of the membership protocol away by
  * changing what goes into a replica's reducer or comes out of it.
  */
-import { newerMembers, membersKey } from '@reedyard/replica';
+import { isNewerMembership, membershipKey } from '@reedyard/replica';
 import type {
-  ReplicaAsk,
+  ReplicaRequest,
   ReplicaEffect,
   ReplicaRecord,
   ReplicaReply,
   ReplicaState,
 } from '@reedyard/replica';
 import { Ballots, majorityOf } from '@reedyard/consensus';
-import type { Cell } from '@reedyard/consensus';
+import type { RegisterState } from '@reedyard/consensus';
 import type { ClientFaults } from './membership-client-types.js';
 
 type Step = { readonly state: ReplicaState; readonly effects: readonly ReplicaEffect[] };
@@ -19,13 +19,13 @@
 export type Mutation = {
   readonly name: string;
   /** What a replica hears of a call. */
-  readonly hears?: (state: ReplicaState, ask: ReplicaAsk) => ReplicaAsk;
+  readonly hears?: (state: ReplicaState, ask: ReplicaRequest) => ReplicaRequest;
   /** What a replica makes of a step. */
   readonly after?: (before: ReplicaState, step: Step) => Step;
   /** The name that a wiped disk gets. */
   readonly wipedDisk?: (old: string) => string;
   /** The call by which a replica reads another. */
-  readonly reads?: (ask: ReplicaAsk, to: string) => ReplicaAsk;
+  readonly reads?: (ask: ReplicaRequest, to: string) => ReplicaRequest;
   /** What a replica that reads another gets to see of the answer. */
   readonly shows?: (body: ReplicaReply) => ReplicaReply;
   /** What a restart finds on the disk. */
@@ -36,16 +36,17 @@
 
 export const sound: Mutation = { name: 'none' };
 
-const hearsAsCurrent = (state: ReplicaState, ask: ReplicaAsk): ReplicaAsk => {
-  const { told } = state;
-  const isStale = told !== null && ask.members !== null && newerMembers(told, ask.members);
-  return isStale && state.voting ? { ...ask, members: told } : ask;
+const hearsAsCurrent = (state: ReplicaState, ask: ReplicaRequest): ReplicaRequest => {
+  const { committedMembership: told } = state;
+  const isStale =
+    told !== null && ask.membership !== null && isNewerMembership(told, ask.membership);
+  return isStale && state.isVoting ? { ...ask, membership: told } : ask;
 };
 
-const isMembershipCall = ({ call }: ReplicaAsk): boolean =>
-  (call.kind === 'prepare' || call.kind === 'accept') && call.key === membersKey;
+const isMembershipCall = ({ operation: call }: ReplicaRequest): boolean =>
+  (call.kind === 'prepare' || call.kind === 'accept') && call.key === membershipKey;
 
-const isNamed = ({ told, disk }: ReplicaState): boolean =>
+const isNamed = ({ committedMembership: told, diskId: disk }: ReplicaState): boolean =>
   told !== null && Object.values(told.value.disks).includes(disk);
 
 /** Lets a replica vote once it has read this many members. */
@@ -53,48 +54,49 @@
   (enough: (members: number) => number) =>
   (_before: ReplicaState, step: Step): Step => {
     const { state } = step;
-    if (state.voting || state.told === null || !isNamed(state)) return step;
-    const { epoch, disks } = state.told.value;
-    const read = Object.values(state.readings).filter(
+    if (state.isVoting || state.committedMembership === null || !isNamed(state)) return step;
+    const { epoch, disks } = state.committedMembership.value;
+    const read = Object.values(state.peerReads).filter(
       (reading) => reading.state === 'done' && reading.epoch >= epoch,
     );
     if (read.length < enough(Object.keys(disks).length)) return step;
-    const append = { kind: 'append', records: [{ kind: 'voting' }] } as const;
-    const votingEpoch = state.told.value.epoch;
+    const append = { kind: 'append-records', records: [{ kind: 'voting-begun' }] } as const;
+    const votingEpoch = state.committedMembership.value.epoch;
     return {
-      state: { ...state, voting: true, votingEpoch, readings: {} },
+      state: { ...state, isVoting: true, votingEpoch, peerReads: {} },
       effects: [...step.effects, append],
     };
   };
 
 const withoutBlanking = (before: ReplicaState, step: Step): Step => {
-  if (!before.voting || step.state.voting) return step;
-  const records: readonly ReplicaRecord[] = [{ kind: 'blanked', disk: before.disk }];
+  if (!before.isVoting || step.state.isVoting) return step;
+  const records: readonly ReplicaRecord[] = [{ kind: 'disk-erased', diskId: before.diskId }];
   const renamed = step.effects.map((effect) =>
-    effect.kind === 'append' && effect.records.some((record) => record.kind === 'blanked')
+    effect.kind === 'append-records' &&
+    effect.records.some((record) => record.kind === 'disk-erased')
       ? { ...effect, records: [...records, ...effect.records.slice(1)] }
       : effect,
   );
-  return { state: { ...step.state, disk: before.disk }, effects: renamed };
+  return { state: { ...step.state, diskId: before.diskId }, effects: renamed };
 };
 
-const withoutPromise = ([key, cell]: readonly [string, Cell]): readonly [string, Cell] => [
-  key,
-  { ...cell, promised: cell.accepted?.ballot ?? Ballots.none },
-];
+const withoutPromise = ([key, cell]: readonly [string, RegisterState]): readonly [
+  string,
+  RegisterState,
+] => [key, { ...cell, promised: cell.accepted?.proposalNumber ?? Ballots.none }];
 
-const isPredecessorAt = (ask: ReplicaAsk, address: string): boolean => {
-  const { addresses = {}, predecessors = {} } = ask.members?.value ?? {};
+const isPredecessorAt = (ask: ReplicaRequest, address: string): boolean => {
+  const { addresses = {}, predecessors = {} } = ask.membership?.value ?? {};
   const isMember = Object.values(addresses).includes(address);
   return !isMember && Object.values(predecessors).some((each) => each.address === address);
 };
 
-const isRetired = (state: ReplicaState): boolean => state.voting && !isNamed(state);
+const isRetired = (state: ReplicaState): boolean => state.isVoting && !isNamed(state);
 
 /** A replica that is told of members without it tells so to its reader, and goes on as before. */
 const votesOn = (before: ReplicaState, step: Step): Step => {
-  if (!before.voting || !isNamed(before) || isNamed(step.state)) return step;
-  const effects = step.effects.filter(({ kind }) => kind === 'tell');
+  if (!before.isVoting || !isNamed(before) || isNamed(step.state)) return step;
+  const effects = step.effects.filter(({ kind }) => kind === 'send-reply');
   return { state: before, effects };
 };
 
@@ -102,36 +104,36 @@
 const forgetsAtOnce = (_before: ReplicaState, step: Step): Step => {
   const { state } = step;
   if (!isRetired(state)) return step;
-  const isEmpty = state.cells.isEmpty() && state.facts.length === 0;
-  const emptied = isEmpty ? state : { ...state, cells: state.cells.clear(), facts: [] };
+  const isEmpty = state.registers.isEmpty() && state.entries.length === 0;
+  const emptied = isEmpty ? state : { ...state, registers: state.registers.clear(), entries: [] };
   const effects = step.effects.map((effect) =>
-    effect.kind === 'tell' && effect.body.kind === 'dumped'
-      ? { ...effect, body: { ...effect.body, cells: [], facts: [] } }
+    effect.kind === 'send-reply' && effect.reply.kind === 'page-read'
+      ? { ...effect, reply: { ...effect.reply, registers: [], entries: [] } }
       : effect,
   );
   return { state: emptied, effects };
 };
 
 const countsCopiedCells = (_before: ReplicaState, step: Step): Step => {
-  const cells = step.state.cells.map((cell): Cell => {
+  const cells = step.state.registers.map((cell): RegisterState => {
     if (cell.accepted?.copied !== true) return cell;
-    const { ballot, value } = cell.accepted;
-    return { ...cell, accepted: { ballot, value } };
+    const { proposalNumber, value } = cell.accepted;
+    return { ...cell, accepted: { proposalNumber, value } };
   });
-  return { ...step, state: { ...step.state, cells } };
+  return { ...step, state: { ...step.state, registers: cells } };
 };
 
 /** Tells of members as if every replaced disk had been a founder. */
-const withoutPredecessorEpochs = (ask: ReplicaAsk): ReplicaAsk => {
-  if (ask.members === null) return ask;
-  const { value } = ask.members;
+const withoutPredecessorEpochs = (ask: ReplicaRequest): ReplicaRequest => {
+  if (ask.membership === null) return ask;
+  const { value } = ask.membership;
   const predecessors = Object.fromEntries(
     Object.entries(value.predecessors ?? {}).map(([place, { disk, address }]) => [
       place,
       { disk, address },
     ]),
   );
-  return { ...ask, members: { ...ask.members, value: { ...value, predecessors } } };
+  return { ...ask, membership: { ...ask.membership, value: { ...value, predecessors } } };
 };
 
 /** Every planted fault, by a short name. */
@@ -154,7 +156,9 @@
   acceptsForAnyDisk: {
     name: 'an accept is not bound to the disk that promised',
     hears: (state, ask) =>
-      ask.call.kind === 'accept' ? { ...ask, call: { ...ask.call, disk: state.disk } } : ask,
+      ask.operation.kind === 'accept'
+        ? { ...ask, operation: { ...ask.operation, diskId: state.diskId } }
+        : ask,
   },
   keepsPromises: {
     name: 'a client keeps its promises over a change of members',
@@ -162,11 +166,11 @@
   },
   readsWithoutTelling: {
     name: 'a successor does not tell whom it reads of its epoch',
-    reads: (ask) => ({ ...ask, members: null }),
+    reads: (ask) => ({ ...ask, membership: null }),
   },
   readsPredecessorUntold: {
     name: 'a successor does not tell its predecessor of its epoch before it reads it',
-    reads: (ask, to) => (isPredecessorAt(ask, to) ? { ...ask, members: null } : ask),
+    reads: (ask, to) => (isPredecessorAt(ask, to) ? { ...ask, membership: null } : ask),
   },
   predecessorVotesOn: {
     name: 'a predecessor goes on voting after it was read',
@@ -187,16 +191,16 @@
   votesInAnyPlace: {
     name: 'a disk votes in every place once it has voted in one',
     after: (_before, step) =>
-      step.state.voting ? { ...step, state: { ...step.state, votingEpoch: Infinity } } : step,
+      step.state.isVoting ? { ...step, state: { ...step.state, votingEpoch: Infinity } } : step,
   },
   takesNoPromises: {
     name: 'a successor takes over what was accepted, not what was promised',
     shows: (body) =>
-      body.kind === 'dumped' ? { ...body, cells: body.cells.map(withoutPromise) } : body,
+      body.kind === 'page-read' ? { ...body, registers: body.registers.map(withoutPromise) } : body,
   },
   takesNoFacts: {
     name: 'a successor takes no facts over',
-    shows: (body) => (body.kind === 'dumped' ? { ...body, facts: [] } : body),
+    shows: (body) => (body.kind === 'page-read' ? { ...body, entries: [] } : body),
   },
   leasesFromNewest: {
     name: 'a lease runs from the newest of a majority of pulls',
@@ -208,7 +212,7 @@
   },
   forgetsTold: {
     name: 'a restarted replica forgets the members that it was told of',
-    replays: (records) => records.filter((record) => record.kind !== 'told'),
+    replays: (records) => records.filter((record) => record.kind !== 'membership-committed'),
   },
   answersBeforeSync: { name: 'replicas answer before they sync', answersBeforeSync: true },
 } as const satisfies Record<string, Mutation>;
--- a/packages/agent/src/testing/membership-network.ts
+++ b/packages/agent/src/testing/membership-network.ts
@@ -1,6 +1,6 @@
 /** Test support: the messages of a cluster, and a replica with its disk. */
 import type {
-  ReplicaAsk,
+  ReplicaRequest,
   ReplicaRecord,
   ReplicaReply,
   ReplicaState,
@@ -20,7 +20,7 @@
       readonly kind: 'request';
       readonly caller: Caller;
       readonly to: string;
-      readonly body: ReplicaAsk;
+      readonly body: ReplicaRequest;
       readonly frozen?: boolean;
     }
   | {
--- a/packages/agent/src/testing/membership-random.ts
+++ b/packages/agent/src/testing/membership-random.ts
@@ -3,7 +3,7 @@
  * numbers give the same run.
  */
 import { Replica } from '@reedyard/replica';
-import type { Members } from '@reedyard/replica';
+import type { Membership } from '@reedyard/replica';
 import { majorityOf } from '@reedyard/consensus';
 import { Cluster } from './membership-cluster.js';
 import type { Syncing } from './membership-cluster.js';
@@ -139,8 +139,8 @@
   /** Disks without a place, as gossip tells of them. */
   blanks(draw: Draw): readonly OriginStandIn[] {
     const now = Object.values(this.cluster.replicas)
-      .filter(({ running, state }) => running && !state.voting)
-      .map(({ address, state }) => ({ address, disk: state.disk }));
+      .filter(({ running, state }) => running && !state.isVoting)
+      .map(({ address, state }) => ({ address, disk: state.diskId }));
     if (this.#options.offers === 'never-named') return now.filter((each) => !this.#named(each));
     if (this.#options.offers === 'blank-now') return now;
     this.#blanksSeen.push(...now.filter(({ disk }) => !this.#seen(disk)));
@@ -156,19 +156,19 @@
     return this.#blanksSeen.some((blank) => blank.disk === disk);
   }
 
-  newestMembers(): Members {
+  newestMembers(): Membership {
     const epochs = Object.values(this.cluster.history.epochs);
     return epochs.reduce((best, each) => (each.epoch > best.epoch ? each : best));
   }
 
   /** Whether a disk holds its place in the newest membership, on what it would be after a crash. */
-  isSound({ address, durable }: ModelReplica, members: Members): boolean {
-    const seeded = { address, seeds: [], firstStart: false };
+  isSound({ address, durable }: ModelReplica, members: Membership): boolean {
+    const seeded = { address, seeds: [], isFirstStart: false };
     const parts = { name: address, others: {}, seeded, records: durable, freshDisk: '', now: 0 };
     const { state } = Replica.open(parts);
-    const place = Object.keys(members.disks).find((each) => members.disks[each] === state.disk);
+    const place = Object.keys(members.disks).find((each) => members.disks[each] === state.diskId);
     return (
-      state.voting && place !== undefined && (members.joinedIn?.[place] ?? 0) <= state.votingEpoch
+      state.isVoting && place !== undefined && (members.joinedIn?.[place] ?? 0) <= state.votingEpoch
     );
   }
 
@@ -209,10 +209,10 @@
 const beat = (run: Run, draw: Draw): void => {
   const { cluster } = run;
   const running = Object.values(cluster.replicas).filter((each) => each.running);
-  const waiting = running.filter(({ state }) => !state.voting);
+  const waiting = running.filter(({ state }) => !state.isVoting);
   const replica = draw.pick(waiting.length > 0 && draw.next() < 0.8 ? waiting : running);
   if (replica === undefined) return;
-  cluster.tellReplica(replica.address, { kind: 'beat', now: cluster.now });
+  cluster.tellReplica(replica.address, { kind: 'tick', now: cluster.now });
 };
 
 const crashOrStart = (run: Run, draw: Draw): void => {
@@ -225,8 +225,8 @@
   if (replica === undefined) return;
   if (!replica.running) {
     cluster.start(replica.address);
-    const isMember = Object.values(run.newestMembers().disks).includes(replica.state.disk);
-    if (replica.state.voting && !isMember) run.returns += 1;
+    const isMember = Object.values(run.newestMembers().disks).includes(replica.state.diskId);
+    if (replica.state.isVoting && !isMember) run.returns += 1;
   } else if (draw.next() < crashShare) {
     cluster.stop(replica.address, draw.index(replica.unsynced.length + 1));
     run.crashes += 1;
@@ -248,7 +248,7 @@
   });
 };
 
-const membershipGoal = (run: Run, draw: Draw, known: Members): Goal | null => {
+const membershipGoal = (run: Run, draw: Draw, known: Membership): Goal | null => {
   const places = Object.keys(known.disks);
   const members = Object.values(known.disks);
   const blank = draw.pick(run.blanks(draw).filter(({ disk }) => !members.includes(disk)));
--- a/packages/agent/src/testing/membership-search.ts
+++ b/packages/agent/src/testing/membership-search.ts
@@ -4,9 +4,9 @@
  */
 import { createHash } from 'node:crypto';
 import { isMember } from '@reedyard/replica';
-import type { ReplicaAsk, ReplicaState, CommittedMembership } from '@reedyard/replica';
+import type { ReplicaRequest, ReplicaState, CommittedMembership } from '@reedyard/replica';
 import { Ballots } from '@reedyard/consensus';
-import type { Cell } from '@reedyard/consensus';
+import type { RegisterState } from '@reedyard/consensus';
 import { Cluster } from './membership-cluster.js';
 import type { Message, ReadCall, ModelReplica } from './membership-network.js';
 import type { Client, ClientCall, ClientEvent } from './membership-client-types.js';
@@ -119,7 +119,9 @@
 };
 
 const waits = ({ running, state }: ModelReplica): boolean =>
-  running && !isMember(state) && Object.values(state.told?.value.disks ?? {}).includes(state.disk);
+  running &&
+  !isMember(state) &&
+  Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId);
 
 const beats = (node: Node, bounds: Bounds): readonly Node[] => {
   if (node.beats >= bounds.beats) return [];
@@ -127,7 +129,7 @@
     .filter(waits)
     .map(({ address }) => {
       const next = stepped(node, { beats: node.beats + 1 });
-      next.cluster.tellReplica(address, { kind: 'beat', now: next.cluster.now });
+      next.cluster.tellReplica(address, { kind: 'tick', now: next.cluster.now });
       return next;
     });
 };
@@ -169,27 +171,33 @@
 };
 
 const textOfTold = (told: CommittedMembership | null): string =>
-  told === null ? '-' : `${told.value.epoch}@${told.ballot.join('/')}`;
+  told === null ? '-' : `${told.value.epoch}@${told.proposalNumber.join('/')}`;
 
-const textOfCell = (cell: Cell): string => {
+const textOfCell = (cell: RegisterState): string => {
   const { promised, accepted } = cell;
   if (accepted === null) return promised.join('/');
   const value = accepted.value as { epoch?: number; disks?: unknown } | string;
   const text = typeof value === 'string' ? value : JSON.stringify(value.disks);
   const copied = accepted.copied === true ? ' copied' : '';
-  return `${promised.join('/')}:${accepted.ballot.join('/')}=${text}${copied}`;
+  return `${promised.join('/')}:${accepted.proposalNumber.join('/')}=${text}${copied}`;
 };
 
 const textOfState = remembered((state: ReplicaState): string => {
-  const cells = [...state.cells].map(([key, cell]) => `${key} ${textOfCell(cell)}`).sort();
-  const readings = Object.entries(state.readings)
-    .map(([name, { state: how, disk, epoch, call }]) => [name, how, disk, epoch, call !== null])
+  const cells = [...state.registers].map(([key, cell]) => `${key} ${textOfCell(cell)}`).sort();
+  const readings = Object.entries(state.peerReads)
+    .map(([name, { state: how, diskId: disk, epoch, requestId: call }]) => [
+      name,
+      how,
+      disk,
+      epoch,
+      call !== null,
+    ])
     .sort();
   return JSON.stringify([
-    state.disk,
-    state.voting,
+    state.diskId,
+    state.isVoting,
     state.votingEpoch,
-    textOfTold(state.told),
+    textOfTold(state.committedMembership),
     cells,
     readings,
   ]);
@@ -197,27 +205,27 @@
 
 const textOfClient = remembered((client: Client): string => {
   const attempts = Object.values(client.attempts).map(({ goal, proposal }) => {
-    const promises = Object.entries(proposal.promises)
-      .map(([place, { disk, vote }]) => [place, disk, JSON.stringify(vote)])
+    const promises = Object.entries(proposal.prepareResponses)
+      .map(([place, { diskId: disk, vote }]) => [place, disk, JSON.stringify(vote)])
       .sort();
-    const { ballot, highest, phase } = proposal;
-    const refusedBy = [...proposal.refusedBy].sort();
-    const accepts = [...proposal.accepts].sort();
-    return [goal.kind, ballot, highest, phase, refusedBy, promises, accepts];
+    const { proposalNumber, highestSeen: highest, phase } = proposal;
+    const refusedBy = [...proposal.rejectedBy].sort();
+    const accepts = [...proposal.acceptedBy].sort();
+    return [goal.kind, proposalNumber, highest, phase, refusedBy, promises, accepts];
   });
   const { members, highest, data, views, leaseFrom } = client;
   return JSON.stringify([textOfTold(members), highest, attempts, data, views, leaseFrom]);
 });
 
 const textOfCall = remembered(({ purpose, to, body }: ClientCall): string =>
-  JSON.stringify([purpose, to, textOfTold(body.members), body.call]),
+  JSON.stringify([purpose, to, textOfTold(body.membership), body.operation]),
 );
 
 /** A call by which a replica reads another counts while the replica waits for its answer. */
-const textOfRead = ({ from, to, id }: ReadCall, body: ReplicaAsk, cluster: Cluster): string => {
-  const readings = Object.values(cluster.replicas[from]?.state.readings ?? {});
-  const isAwaited = readings.some(({ call }) => call === id);
-  return `${from} ${isAwaited} ${to} ${textOfTold(body.members)}`;
+const textOfRead = ({ from, to, id }: ReadCall, body: ReplicaRequest, cluster: Cluster): string => {
+  const readings = Object.values(cluster.replicas[from]?.state.peerReads ?? {});
+  const isAwaited = readings.some(({ requestId: call }) => call === id);
+  return `${from} ${isAwaited} ${to} ${textOfTold(body.membership)}`;
 };
 
 const textOfMessage = (message: Message, cluster: Cluster): string => {
@@ -231,7 +239,7 @@
 const textOfHistory = remembered((history: History): string => {
   const { accepts, chosen, appended, reads, begun, handedOver } = history;
   const tallies = Object.entries(accepts).map(([name, { disks }]) => `${name} ${disks.join()}`);
-  const ballots = chosen.map(({ key, ballot }) => `${key} ${ballot.join('/')}`);
+  const ballots = chosen.map(({ key, proposalNumber }) => `${key} ${proposalNumber.join('/')}`);
   const ids = appended.map(({ id }) => id);
   return JSON.stringify([tallies.sort(), ballots.sort(), ids.sort(), reads, begun, handedOver]);
 });
@@ -255,7 +263,7 @@
 };
 
 const isIdleRead = ({ from, id }: ReadCall, { replicas }: Cluster): boolean =>
-  !Object.values(replicas[from]?.state.readings ?? {}).some(({ call }) => call === id);
+  !Object.values(replicas[from]?.state.peerReads ?? {}).some(({ requestId: call }) => call === id);
 
 const isIdlePrepare = (message: Message, { clients }: Cluster): boolean => {
   if (message.kind === 'reply' || message.caller.kind === 'replica') return false;
@@ -263,7 +271,8 @@
   if (call.purpose.kind !== 'vote' || call.purpose.phase === 'accept') return false;
   const proposal = clients[name]?.attempts[call.purpose.attempt]?.proposal;
   const isWanted =
-    proposal?.phase === 'prepare' && Ballots.compare(proposal.ballot, call.purpose.ballot) === 0;
+    proposal?.phase === 'prepare' &&
+    Ballots.compare(proposal.proposalNumber, call.purpose.proposalNumber) === 0;
   return !isWanted;
 };
 
--- a/packages/consensus/src/acceptor.ts
+++ b/packages/consensus/src/acceptor.ts
@@ -1,24 +1,24 @@
-/** A ballot: a round and who opened it. Any two are ordered. */
-export type Ballot = readonly [round: number, proposer: string];
+/** A proposalNumber: a round and who opened it. Any two are ordered. */
+export type ProposalNumber = readonly [round: number, proposer: string];
 
 /** A value as an acceptor holds it. */
-export type Accepted = {
-  readonly ballot: Ballot;
+export type AcceptedValue = {
+  readonly proposalNumber: ProposalNumber;
   readonly value: unknown;
   /** It was copied from another acceptor, and counts as read, but not as a vote of this one. */
   readonly copied?: true;
 };
 
 /** What an acceptor keeps of one register. */
-export type Cell = {
-  readonly promised: Ballot;
-  readonly accepted: Accepted | null;
+export type RegisterState = {
+  readonly promised: ProposalNumber;
+  readonly accepted: AcceptedValue | null;
 };
 
 export const Ballots = {
-  none: [0, ''] as Ballot,
+  none: [0, ''] as ProposalNumber,
   /** @example Ballots.compare([2, 'a'], [1, 'b']) // 1 */
-  compare: (left: Ballot, right: Ballot): number =>
+  compare: (left: ProposalNumber, right: ProposalNumber): number =>
     left[0] !== right[0]
       ? Math.sign(left[0] - right[0])
       : left[1] < right[1]
@@ -27,20 +27,26 @@
           ? 1
           : 0,
   /** @example Ballots.after([3, 'a'], 'b') // [4, 'b'] */
-  after: (ballot: Ballot, proposer: string): Ballot => [ballot[0] + 1, proposer],
+  after: (proposalNumber: ProposalNumber, proposer: string): ProposalNumber => [
+    proposalNumber[0] + 1,
+    proposer,
+  ],
 } as const;
 
-export const emptyCell: Cell = { promised: Ballots.none, accepted: null };
+export const emptyRegister: RegisterState = { promised: Ballots.none, accepted: null };
 
 /** An acceptor's answer to either phase. */
 export type Vote =
-  | { readonly kind: 'yes'; readonly accepted: Cell['accepted'] }
-  | { readonly kind: 'no'; readonly promised: Ballot };
+  | { readonly kind: 'yes'; readonly accepted: RegisterState['accepted'] }
+  | { readonly kind: 'no'; readonly promised: ProposalNumber };
 
 /** The newer of two accepted values; of one ballot, a vote rather than a copy. */
-const newerAccepted = (left: Accepted | null, right: Accepted | null): Accepted | null => {
+const newerAccepted = (
+  left: AcceptedValue | null,
+  right: AcceptedValue | null,
+): AcceptedValue | null => {
   if (left === null || right === null) return left ?? right;
-  const order = Ballots.compare(left.ballot, right.ballot);
+  const order = Ballots.compare(left.proposalNumber, right.proposalNumber);
   if (order !== 0) return order > 0 ? left : right;
   return left.copied === true ? right : left;
 };
@@ -54,26 +60,32 @@
    * @example
    * Acceptor.prepare(emptyCell, [1, 'agent']).vote // { kind: 'yes', accepted: null }
    */
-  prepare: (cell: Cell, ballot: Ballot): { readonly cell: Cell; readonly vote: Vote } =>
-    Ballots.compare(ballot, cell.promised) >= 0
-      ? { cell: { ...cell, promised: ballot }, vote: { kind: 'yes', accepted: cell.accepted } }
-      : { cell, vote: { kind: 'no', promised: cell.promised } },
+  prepare: (
+    register: RegisterState,
+    proposalNumber: ProposalNumber,
+  ): { readonly register: RegisterState; readonly vote: Vote } =>
+    Ballots.compare(proposalNumber, register.promised) >= 0
+      ? {
+          register: { ...register, promised: proposalNumber },
+          vote: { kind: 'yes', accepted: register.accepted },
+        }
+      : { register, vote: { kind: 'no', promised: register.promised } },
 
   /**
    * Second phase: take the value unless a higher ballot was promised.
    *
    * @example
-   * Acceptor.accept(emptyCell, [1, 'agent'], 'v').cell.accepted // { ballot: [1, 'agent'], value: 'v' }
+   * Acceptor.accept(emptyCell, [1, 'agent'], 'v').cell.accepted // { proposalNumber: [1, 'agent'], value: 'v' }
    */
   accept: (
-    cell: Cell,
-    ballot: Ballot,
+    register: RegisterState,
+    proposalNumber: ProposalNumber,
     value: unknown,
-  ): { readonly cell: Cell; readonly vote: Vote } => {
-    if (Ballots.compare(ballot, cell.promised) < 0)
-      return { cell, vote: { kind: 'no', promised: cell.promised } };
-    const accepted = { ballot, value };
-    return { cell: { promised: ballot, accepted }, vote: { kind: 'yes', accepted } };
+  ): { readonly register: RegisterState; readonly vote: Vote } => {
+    if (Ballots.compare(proposalNumber, register.promised) < 0)
+      return { register, vote: { kind: 'no', promised: register.promised } };
+    const accepted = { proposalNumber, value };
+    return { register: { promised: proposalNumber, accepted }, vote: { kind: 'yes', accepted } };
   },
 
   /**
@@ -82,7 +94,7 @@
    * @example
    * Acceptor.merge(emptyCell, { promised: [2, 'a'], accepted: null }).promised // [2, 'a']
    */
-  merge: (left: Cell, right: Cell): Cell => ({
+  merge: (left: RegisterState, right: RegisterState): RegisterState => ({
     promised: Ballots.compare(left.promised, right.promised) >= 0 ? left.promised : right.promised,
     accepted: newerAccepted(left.accepted, right.accepted),
   }),
@@ -93,8 +105,10 @@
    * not have voted for any more.
    *
    * @example
-   * Acceptor.copyOf({ promised: [2, 'a'], accepted: { ballot: [1, 'a'], value: 'v' } }).accepted?.copied // true
+   * Acceptor.copyOf({ promised: [2, 'a'], accepted: { proposalNumber: [1, 'a'], value: 'v' } }).accepted?.copied // true
    */
-  copyOf: (cell: Cell): Cell =>
-    cell.accepted === null ? cell : { ...cell, accepted: { ...cell.accepted, copied: true } },
+  copyOf: (register: RegisterState): RegisterState =>
+    register.accepted === null
+      ? register
+      : { ...register, accepted: { ...register.accepted, copied: true } },
 } as const;
--- a/packages/consensus/src/codec.ts
+++ b/packages/consensus/src/codec.ts
@@ -5,7 +5,7 @@
  * which stays as it is: data of earlier versions must stay readable, and versions run side by side.
  * All other code works with the types of `acceptor.ts`.
  */
-import type { Accepted, Ballot, Cell, Vote } from './acceptor.js';
+import type { AcceptedValue, ProposalNumber, RegisterState, Vote } from './acceptor.js';
 
 /** A proposal number: its counter and its proposer. */
 export type WireProposalNumber = readonly [counter: number, proposerId: string];
@@ -28,29 +28,32 @@
   | { readonly kind: 'yes'; readonly accepted: WireAcceptedValue | null }
   | { readonly kind: 'no'; readonly promised: WireProposalNumber };
 
-export const encodeProposalNumber = (ballot: Ballot): WireProposalNumber => [ballot[0], ballot[1]];
+export const encodeProposalNumber = (ballot: ProposalNumber): WireProposalNumber => [
+  ballot[0],
+  ballot[1],
+];
 
-export const decodeProposalNumber = ([counter, proposerId]: WireProposalNumber): Ballot => [
+export const decodeProposalNumber = ([counter, proposerId]: WireProposalNumber): ProposalNumber => [
   counter,
   proposerId,
 ];
 
-export const encodeAcceptedValue = (accepted: Accepted): WireAcceptedValue => ({
-  ballot: encodeProposalNumber(accepted.ballot),
+export const encodeAcceptedValue = (accepted: AcceptedValue): WireAcceptedValue => ({
+  ballot: encodeProposalNumber(accepted.proposalNumber),
   value: accepted.value,
   ...(accepted.copied === true ? { copied: true } : {}),
 });
 
-export const decodeAcceptedValue = (accepted: WireAcceptedValue): Accepted => ({
-  ballot: decodeProposalNumber(accepted.ballot),
+export const decodeAcceptedValue = (accepted: WireAcceptedValue): AcceptedValue => ({
+  proposalNumber: decodeProposalNumber(accepted.ballot),
   value: accepted.value,
   ...(accepted.copied === true ? { copied: true } : {}),
 });
 
 /** A number that stands in both places is written once: the serializer keeps references. */
-export const encodeRegister = ({ promised, accepted }: Cell): WireRegister => {
+export const encodeRegister = ({ promised, accepted }: RegisterState): WireRegister => {
   const encoded = accepted === null ? null : encodeAcceptedValue(accepted);
-  const isSameNumber = accepted !== null && accepted.ballot === promised;
+  const isSameNumber = accepted !== null && accepted.proposalNumber === promised;
   return {
     promised: encoded !== null && isSameNumber ? encoded.ballot : encodeProposalNumber(promised),
     accepted: encoded,
@@ -58,11 +61,12 @@
 };
 
 /** Keeps a number that stands in both places one object, so that it is written once again. */
-export const decodeRegister = ({ promised, accepted }: WireRegister): Cell => {
+export const decodeRegister = ({ promised, accepted }: WireRegister): RegisterState => {
   const decoded = accepted === null ? null : decodeAcceptedValue(accepted);
   const isSameNumber = accepted !== null && accepted.ballot === promised;
   return {
-    promised: decoded !== null && isSameNumber ? decoded.ballot : decodeProposalNumber(promised),
+    promised:
+      decoded !== null && isSameNumber ? decoded.proposalNumber : decodeProposalNumber(promised),
     accepted: decoded,
   };
 };
--- a/packages/consensus/src/consensus.test.ts
+++ b/packages/consensus/src/consensus.test.ts
@@ -2,23 +2,26 @@
 import {
   Acceptor,
   Ballots,
-  emptyCell,
+  emptyRegister,
   majorityOf,
   Proposer,
-  type Ballot,
-  type Cell,
+  type ProposalNumber,
+  type RegisterState,
   type Change,
-  type Move,
+  type ProposerAction,
   type Proposal,
 } from './index.js';
 
 const members = ['a', 'b', 'c'];
-type Message = { readonly which: 0 | 1; readonly move: Move };
+type Message = { readonly which: 0 | 1; readonly move: ProposerAction };
 type World = {
-  readonly cells: Readonly<Record<string, Cell>>;
+  readonly cells: Readonly<Record<string, RegisterState>>;
   readonly proposals: readonly [Proposal, Proposal];
   readonly flying: readonly Message[];
-  readonly chosen: readonly { readonly ballot: Ballot; readonly value: readonly string[] }[];
+  readonly chosen: readonly {
+    readonly proposalNumber: ProposalNumber;
+    readonly value: readonly string[];
+  }[];
 };
 
 const append =
@@ -32,12 +35,12 @@
   const first = Proposer.open('r', append('x'), members, Ballots.none, 'p');
   const second = Proposer.open('r', append('y'), members, Ballots.none, 'q');
   return {
-    cells: { a: emptyCell, b: emptyCell, c: emptyCell },
+    cells: { a: emptyRegister, b: emptyRegister, c: emptyRegister },
     proposals: [first.proposal, second.proposal],
     chosen: [],
     flying: [
-      ...first.moves.map((move) => ({ which: 0, move }) as const),
-      ...second.moves.map((move) => ({ which: 1, move }) as const),
+      ...first.actions.map((move) => ({ which: 0, move }) as const),
+      ...second.actions.map((move) => ({ which: 1, move }) as const),
     ],
   };
 };
@@ -49,47 +52,47 @@
   if (message === undefined || (message.move.kind !== 'prepare' && message.move.kind !== 'accept'))
     return { ...world, flying: rest };
   const { move, which } = message;
-  const cell = world.cells[move.to] ?? emptyCell;
+  const register = world.cells[move.to] ?? emptyRegister;
   const outcome =
     move.kind === 'prepare'
-      ? Acceptor.prepare(cell, move.ballot)
-      : Acceptor.accept(cell, move.ballot, move.value);
+      ? Acceptor.prepare(register, move.proposalNumber)
+      : Acceptor.accept(register, move.proposalNumber, move.value);
   let turn = Proposer.voted(
     world.proposals[which],
     move.to,
     `disk-${move.to}`,
     move.kind,
-    move.ballot,
+    move.proposalNumber,
     outcome.vote,
   );
-  if (turn.moves.some((each) => each.kind === 'outvoted')) {
+  if (turn.actions.some((each) => each.kind === 'preempted')) {
     turn =
-      turn.proposal.ballot[0] > 1
-        ? { proposal: { ...turn.proposal, phase: 'done' }, moves: [] }
+      turn.proposal.proposalNumber[0] > 1
+        ? { proposal: { ...turn.proposal, phase: 'done' }, actions: [] }
         : Proposer.open(
             'r',
             turn.proposal.change,
             members,
-            turn.proposal.highest,
+            turn.proposal.highestSeen,
             which === 0 ? 'p' : 'q',
           );
   }
   const proposals: [Proposal, Proposal] =
     which === 0 ? [turn.proposal, world.proposals[1]] : [world.proposals[0], turn.proposal];
   return {
-    cells: { ...world.cells, [move.to]: outcome.cell },
+    cells: { ...world.cells, [move.to]: outcome.register },
     proposals,
     flying: [
       ...rest,
-      ...turn.moves.flatMap((each) =>
+      ...turn.actions.flatMap((each) =>
         each.kind === 'prepare' || each.kind === 'accept' ? [{ which, move: each }] : [],
       ),
     ],
     chosen: [
       ...world.chosen,
-      ...turn.moves.flatMap((each) =>
-        each.kind === 'chosen' && each.ballot !== null
-          ? [{ ballot: each.ballot, value: each.value as readonly string[] }]
+      ...turn.actions.flatMap((each) =>
+        each.kind === 'chosen' && each.proposalNumber !== null
+          ? [{ proposalNumber: each.proposalNumber, value: each.value as readonly string[] }]
           : [],
       ),
     ],
@@ -101,7 +104,9 @@
  * proposer may learn late that its lower ballot was chosen; that loses nothing.)
  */
 const sound = (chosen: World['chosen']): boolean => {
-  const ordered = [...chosen].sort((left, right) => Ballots.compare(left.ballot, right.ballot));
+  const ordered = [...chosen].sort((left, right) =>
+    Ballots.compare(left.proposalNumber, right.proposalNumber),
+  );
   return ordered.every(({ value }, index) =>
     ordered.slice(index + 1).every((later) => value.every((name, at) => later.value[at] === name)),
   );
@@ -135,7 +140,7 @@
   // The same walk must be able to fail: acceptors here take every ballot.
   const forgetful = (world: World): World => ({
     ...world,
-    cells: Object.fromEntries(Object.entries(world.cells).map(([name]) => [name, emptyCell])),
+    cells: Object.fromEntries(Object.entries(world.cells).map(([name]) => [name, emptyRegister])),
   });
   let found = false;
   const walk = (world: World, depth: number): void => {
@@ -171,7 +176,7 @@
 const sentTwice = (second: string): World => {
   const world = opened();
   const other = Proposer.open('r', append('y'), members, Ballots.none, second);
-  const moves: readonly Message[] = other.moves.map((move) => ({ which: 1, move }));
+  const moves: readonly Message[] = other.actions.map((move) => ({ which: 1, move }));
   const flying = [...world.flying.filter(({ which }) => which === 0), ...moves];
   return {
     ...world,
@@ -191,35 +196,58 @@
 test('a vote of another life of a disk is told apart by the accept that names it', (t) => {
   const first = Proposer.open('r', append('x'), members, Ballots.none, 'p');
   let proposal = first.proposal;
-  let moves: readonly Move[] = [];
+  let moves: readonly ProposerAction[] = [];
   for (const member of ['a', 'b'])
-    ({ proposal, moves } = Proposer.voted(
+    ({ proposal, actions: moves } = Proposer.voted(
       proposal,
       member,
       `life-1-${member}`,
       'prepare',
-      proposal.ballot,
+      proposal.proposalNumber,
       { kind: 'yes', accepted: null },
     ));
   t.deepEqual(
-    moves.map((move) => (move.kind === 'accept' ? move.disk : move.kind)),
+    moves.map((move) => (move.kind === 'accept' ? move.diskId : move.kind)),
     ['life-1-a', 'life-1-b'],
   );
 });
 
 test('a value that hangs on a minority is written again before a read tells it', (t) => {
-  const held: Cell = { promised: [1, 'p'], accepted: { ballot: [1, 'p'], value: ['x'] } };
-  const opened = Proposer.open('r', () => ({ kind: 'keep' }), members, [1, 'p'] as Ballot, 'q');
-  const first = Proposer.voted(opened.proposal, 'a', 'd', 'prepare', opened.proposal.ballot, {
-    kind: 'yes',
-    accepted: held.accepted,
-  });
-  const second = Proposer.voted(first.proposal, 'b', 'd', 'prepare', first.proposal.ballot, {
-    kind: 'yes',
-    accepted: null,
-  });
+  const held: RegisterState = {
+    promised: [1, 'p'],
+    accepted: { proposalNumber: [1, 'p'], value: ['x'] },
+  };
+  const opened = Proposer.open(
+    'r',
+    () => ({ kind: 'keep' }),
+    members,
+    [1, 'p'] as ProposalNumber,
+    'q',
+  );
+  const first = Proposer.voted(
+    opened.proposal,
+    'a',
+    'd',
+    'prepare',
+    opened.proposal.proposalNumber,
+    {
+      kind: 'yes',
+      accepted: held.accepted,
+    },
+  );
+  const second = Proposer.voted(
+    first.proposal,
+    'b',
+    'd',
+    'prepare',
+    first.proposal.proposalNumber,
+    {
+      kind: 'yes',
+      accepted: null,
+    },
+  );
   t.deepEqual(
-    second.moves.map((move) => move.kind),
+    second.actions.map((move) => move.kind),
     ['accept', 'accept'],
   );
   t.is(majorityOf(3), 2);
@@ -228,17 +256,17 @@
 test('a promise that comes late is used: one refusal among a bare majority does not leave a ballot hanging', (t) => {
   const first = Proposer.open('r', append('x'), members, Ballots.none, 'p');
   let { proposal } = first;
-  let moves: readonly Move[] = [];
+  let moves: readonly ProposerAction[] = [];
   const vote = (member: string, phase: 'prepare' | 'accept', isTaken: boolean): void => {
     const cast = isTaken
       ? ({ kind: 'yes', accepted: null } as const)
       : ({ kind: 'no', promised: [9, 'q'] } as const);
-    ({ proposal, moves } = Proposer.voted(
+    ({ proposal, actions: moves } = Proposer.voted(
       proposal,
       member,
       `disk-${member}`,
       phase,
-      proposal.ballot,
+      proposal.proposalNumber,
       cast,
     ));
   };
@@ -261,17 +289,17 @@
 test('a member that refused either phase counts once; a majority of them ends the ballot', (t) => {
   const first = Proposer.open('r', append('x'), ['a', 'b', 'c', 'd', 'e'], Ballots.none, 'p');
   let { proposal } = first;
-  let moves: readonly Move[] = [];
+  let moves: readonly ProposerAction[] = [];
   const vote = (member: string, phase: 'prepare' | 'accept', isTaken: boolean): void => {
     const cast = isTaken
       ? ({ kind: 'yes', accepted: null } as const)
       : ({ kind: 'no', promised: [9, 'q'] } as const);
-    ({ proposal, moves } = Proposer.voted(
+    ({ proposal, actions: moves } = Proposer.voted(
       proposal,
       member,
       `disk-${member}`,
       phase,
-      proposal.ballot,
+      proposal.proposalNumber,
       cast,
     ));
   };
@@ -282,6 +310,6 @@
   vote('b', 'accept', false);
   t.deepEqual(
     moves.map((move) => move.kind),
-    ['outvoted'],
+    ['preempted'],
   );
 });
--- a/packages/consensus/src/proposer.ts
+++ b/packages/consensus/src/proposer.ts
@@ -1,7 +1,7 @@
-import { Ballots, type Ballot, type Vote } from './acceptor.js';
+import { Ballots, type ProposalNumber, type Vote } from './acceptor.js';
 
 /** What a change makes of the value it reads: a new one, the same one, or a refusal. */
-export type Changed =
+export type ChangeResult =
   | { readonly kind: 'write'; readonly value: unknown }
   | { readonly kind: 'keep' }
   | { readonly kind: 'refuse'; readonly reason: string };
@@ -10,67 +10,78 @@
  * A change is applied again on each try, so it must know its own earlier work by an id in the
  * value.
  */
-export type Change = (current: unknown) => Changed;
+export type Change = (current: unknown) => ChangeResult;
 
 /** One replica as a member; disk names the life of its data, so votes of a wiped one never mix. */
-export type Member = string;
+export type MemberName = string;
 
 export type Proposal = {
   readonly key: string;
   readonly change: Change;
-  readonly members: readonly Member[];
-  readonly ballot: Ballot;
-  readonly highest: Ballot;
+  readonly members: readonly MemberName[];
+  readonly proposalNumber: ProposalNumber;
+  readonly highestSeen: ProposalNumber;
   readonly phase: 'prepare' | 'accept' | 'done';
-  readonly promises: Readonly<Record<Member, { readonly disk: string; readonly vote: Vote }>>;
+  readonly prepareResponses: Readonly<
+    Record<MemberName, { readonly diskId: string; readonly vote: Vote }>
+  >;
   /** Members that promised a higher ballot, in either phase. */
-  readonly refusedBy: readonly Member[];
+  readonly rejectedBy: readonly MemberName[];
   /** What the change was applied to; known once a majority has promised. */
-  readonly read: unknown;
-  readonly proposed: unknown;
-  readonly verdict: Changed | null;
-  readonly accepts: readonly Member[];
+  readonly valueRead: unknown;
+  readonly proposedValue: unknown;
+  readonly changeResult: ChangeResult | null;
+  readonly acceptedBy: readonly MemberName[];
 };
 
 /** What the proposer wants sent, or how it ended. */
-export type Move =
-  | { readonly kind: 'prepare'; readonly to: Member; readonly ballot: Ballot }
+export type ProposerAction =
+  | {
+      readonly kind: 'prepare';
+      readonly to: MemberName;
+      readonly proposalNumber: ProposalNumber;
+    }
   | {
       readonly kind: 'accept';
-      readonly to: Member;
-      readonly ballot: Ballot;
+      readonly to: MemberName;
+      readonly proposalNumber: ProposalNumber;
       readonly value: unknown;
-      readonly disk: string;
+      readonly diskId: string;
     }
   | {
       readonly kind: 'chosen';
-      readonly ballot: Ballot | null;
+      readonly proposalNumber: ProposalNumber | null;
       readonly value: unknown;
-      readonly wrote: boolean;
-      /** What the change was applied to. */ readonly read: unknown;
+      readonly isWrite: boolean;
+      /** What the change was applied to. */ readonly valueRead: unknown;
     }
   | { readonly kind: 'refused'; readonly reason: string; readonly value: unknown }
-  | { readonly kind: 'outvoted' };
+  | { readonly kind: 'preempted' };
 
-export type Turn = { readonly proposal: Proposal; readonly moves: readonly Move[] };
+export type ProposalTransition = {
+  readonly proposal: Proposal;
+  readonly actions: readonly ProposerAction[];
+};
 
 /** @example majorityOf(5) // 3 */
 export const majorityOf = (count: number): number => Math.floor(count / 2) + 1;
 
-const still = (proposal: Proposal): Turn => ({ proposal, moves: [] });
-const ended = (proposal: Proposal, move: Move): Turn => ({
+const still = (proposal: Proposal): ProposalTransition => ({ proposal, actions: [] });
+const ended = (proposal: Proposal, move: ProposerAction): ProposalTransition => ({
   proposal: { ...proposal, phase: 'done' },
-  moves: [move],
+  actions: [move],
 });
 
-const toAccept = (proposal: Proposal): Turn => {
-  const promises = Object.entries(proposal.promises).flatMap(([member, { disk, vote }]) =>
-    vote.kind === 'yes' ? [{ member, disk, accepted: vote.accepted }] : [],
+const toAccept = (proposal: Proposal): ProposalTransition => {
+  const promises = Object.entries(proposal.prepareResponses).flatMap(
+    ([member, { diskId: disk, vote }]) =>
+      vote.kind === 'yes' ? [{ member, disk, accepted: vote.accepted }] : [],
   );
   if (promises.length < majorityOf(proposal.members.length)) return still(proposal);
-  const newest = promises.reduce<{ ballot: Ballot; value: unknown } | null>(
+  const newest = promises.reduce<{ proposalNumber: ProposalNumber; value: unknown } | null>(
     (best, { accepted }) =>
-      accepted !== null && (best === null || Ballots.compare(accepted.ballot, best.ballot) > 0)
+      accepted !== null &&
+      (best === null || Ballots.compare(accepted.proposalNumber, best.proposalNumber) > 0)
         ? accepted
         : best,
     null,
@@ -85,18 +96,18 @@
             ({ accepted }) =>
               accepted !== null &&
               accepted.copied !== true &&
-              Ballots.compare(accepted.ballot, newest.ballot) === 0,
+              Ballots.compare(accepted.proposalNumber, newest.proposalNumber) === 0,
           ).length;
     if (held >= majorityOf(proposal.members.length)) {
       return ended(
-        { ...proposal, read: current },
+        { ...proposal, valueRead: current },
         changed.kind === 'keep'
           ? {
               kind: 'chosen',
-              ballot: newest === null ? null : newest.ballot,
+              proposalNumber: newest === null ? null : newest.proposalNumber,
               value: current,
-              wrote: false,
-              read: current,
+              isWrite: false,
+              valueRead: current,
             }
           : { kind: 'refused', reason: changed.reason, value: current },
       );
@@ -105,42 +116,58 @@
   // A kept or refused value that no majority is seen to hold is written again first: only then is it true.
   const proposed = changed.kind === 'write' ? changed.value : current;
   return {
-    proposal: { ...proposal, phase: 'accept', read: current, proposed, verdict: changed },
-    moves: promises.map(({ member, disk }) => ({
+    proposal: {
+      ...proposal,
+      phase: 'accept',
+      valueRead: current,
+      proposedValue: proposed,
+      changeResult: changed,
+    },
+    actions: promises.map(({ member, disk }) => ({
       kind: 'accept',
       to: member,
-      ballot: proposal.ballot,
+      proposalNumber: proposal.proposalNumber,
       value: proposed,
-      disk,
+      diskId: disk,
     })),
   };
 };
 
 /**
- * A member promised a higher ballot: without it, and others like it, there may be no majority left.
+ * A member promised a higher proposalNumber: without it, and others like it, there may be no majority left.
  */
-const refused = (proposal: Proposal, member: Member, promised: Ballot): Turn => {
-  const highest = Ballots.compare(promised, proposal.highest) > 0 ? promised : proposal.highest;
-  const refusedBy = proposal.refusedBy.includes(member)
-    ? proposal.refusedBy
-    : [...proposal.refusedBy, member];
-  const next = { ...proposal, highest, refusedBy };
+const refused = (
+  proposal: Proposal,
+  member: MemberName,
+  promised: ProposalNumber,
+): ProposalTransition => {
+  const highest =
+    Ballots.compare(promised, proposal.highestSeen) > 0 ? promised : proposal.highestSeen;
+  const refusedBy = proposal.rejectedBy.includes(member)
+    ? proposal.rejectedBy
+    : [...proposal.rejectedBy, member];
+  const next = { ...proposal, highestSeen: highest, rejectedBy: refusedBy };
   const isOutvoted =
     refusedBy.length > proposal.members.length - majorityOf(proposal.members.length);
-  return isOutvoted ? { proposal: next, moves: [{ kind: 'outvoted' }] } : still(next);
+  return isOutvoted ? { proposal: next, actions: [{ kind: 'preempted' }] } : still(next);
 };
 
 /**
  * A promise that comes after the second phase has begun: the member may take the value as well.
  * Without it the refusal of one of a bare majority would leave the ballot hanging.
  */
-const lateToAccept = (proposal: Proposal, member: Member, disk: string, vote: Vote): Turn => {
-  if (proposal.promises[member] !== undefined) return still(proposal);
-  const promises = { ...proposal.promises, [member]: { disk, vote } };
-  const { ballot, proposed: value } = proposal;
+const lateToAccept = (
+  proposal: Proposal,
+  member: MemberName,
+  disk: string,
+  vote: Vote,
+): ProposalTransition => {
+  if (proposal.prepareResponses[member] !== undefined) return still(proposal);
+  const promises = { ...proposal.prepareResponses, [member]: { diskId: disk, vote } };
+  const { proposalNumber, proposedValue: value } = proposal;
   return {
-    proposal: { ...proposal, promises },
-    moves: [{ kind: 'accept', to: member, ballot, value, disk }],
+    proposal: { ...proposal, prepareResponses: promises },
+    actions: [{ kind: 'accept', to: member, proposalNumber, value, diskId: disk }],
   };
 };
 
@@ -154,27 +181,27 @@
   open: (
     key: string,
     change: Change,
-    members: readonly Member[],
-    above: Ballot,
+    members: readonly MemberName[],
+    above: ProposalNumber,
     proposer: string,
-  ): Turn => {
-    const ballot = Ballots.after(above, proposer);
+  ): ProposalTransition => {
+    const proposalNumber = Ballots.after(above, proposer);
     return {
       proposal: {
         key,
         change,
         members,
-        ballot,
-        highest: ballot,
+        proposalNumber,
+        highestSeen: proposalNumber,
         phase: 'prepare',
-        promises: {},
-        refusedBy: [],
-        read: undefined,
-        proposed: undefined,
-        verdict: null,
-        accepts: [],
+        prepareResponses: {},
+        rejectedBy: [],
+        valueRead: undefined,
+        proposedValue: undefined,
+        changeResult: null,
+        acceptedBy: [],
       },
-      moves: members.map((to) => ({ kind: 'prepare', to, ballot })),
+      actions: members.map((to) => ({ kind: 'prepare', to, proposalNumber })),
     };
   },
 
@@ -186,13 +213,13 @@
    */
   voted: (
     proposal: Proposal,
-    member: Member,
+    member: MemberName,
     disk: string,
     phase: 'prepare' | 'accept',
-    ballot: Ballot,
+    proposalNumber: ProposalNumber,
     vote: Vote,
-  ): Turn => {
-    if (proposal.phase === 'done' || Ballots.compare(ballot, proposal.ballot) !== 0)
+  ): ProposalTransition => {
+    if (proposal.phase === 'done' || Ballots.compare(proposalNumber, proposal.proposalNumber) !== 0)
       return still(proposal);
     if (proposal.phase === 'prepare' && phase === 'accept') return still(proposal);
     if (vote.kind === 'no') return refused(proposal, member, vote.promised);
@@ -201,21 +228,21 @@
     if (phase === 'prepare')
       return toAccept({
         ...proposal,
-        promises: { ...proposal.promises, [member]: { disk, vote } },
+        prepareResponses: { ...proposal.prepareResponses, [member]: { diskId: disk, vote } },
       });
-    if (proposal.accepts.includes(member)) return still(proposal);
-    const next = { ...proposal, accepts: [...proposal.accepts, member] };
-    if (next.accepts.length < majorityOf(next.members.length)) return still(next);
+    if (proposal.acceptedBy.includes(member)) return still(proposal);
+    const next = { ...proposal, acceptedBy: [...proposal.acceptedBy, member] };
+    if (next.acceptedBy.length < majorityOf(next.members.length)) return still(next);
     return ended(
       next,
-      next.verdict?.kind === 'refuse'
-        ? { kind: 'refused', reason: next.verdict.reason, value: next.proposed }
+      next.changeResult?.kind === 'refuse'
+        ? { kind: 'refused', reason: next.changeResult.reason, value: next.proposedValue }
         : {
             kind: 'chosen',
-            ballot: next.ballot,
-            value: next.proposed,
-            wrote: true,
-            read: next.read,
+            proposalNumber: next.proposalNumber,
+            value: next.proposedValue,
+            isWrite: true,
+            valueRead: next.valueRead,
           },
     );
   },
--- a/packages/replica/src/core.ts
+++ b/packages/replica/src/core.ts
@@ -1,137 +1,145 @@
 import { Map as Table, Set as Group } from 'immutable';
 import { Limits, Sizes } from '@reedyard/constants';
-import { Acceptor, emptyCell, type Cell } from '@reedyard/consensus';
+import { Acceptor, emptyRegister, type RegisterState } from '@reedyard/consensus';
 import type { Step } from '@reedyard/task-loop';
 import { keepFacts, pulled } from './journal.js';
 import { adopt } from './membership.js';
 import {
-  newerMembers,
-  membersKey,
-  type ReplicaAsk,
+  isNewerMembership,
+  membershipKey,
+  type ReplicaRequest,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaRecord,
   type ReplicaReply,
-  type ReplicaVoting,
-  type Members,
+  type BootstrapSettings,
+  type Membership,
   type CommittedMembership,
 } from './messages.js';
 import { away, dumped, rejoin, returned, takeRestored } from './recovery.js';
 import { claimPrefix, minuteOf, vote, withoutClaim } from './registers.js';
 import { isPolled, notePoll, pollMembers, tendRetirement, tendStop } from './retirement.js';
 import {
-  isNamed,
-  isMember,
-  set,
+  isInMembership,
+  isVotingMember,
+  update,
   membersOf,
   type ReplicaState,
-  type Kept,
-  type Work,
+  type RetainedEntry,
+  type Transition,
 } from './state.js';
 
-const asked = (work: Work, id: number, ask: ReplicaAsk, now: number): void => {
-  if (ask.spare === true) set(work, { spareHeardAt: now });
-  const wasNamed = isNamed(work.state);
-  adopt(work, ask.members, now);
-  if (!wasNamed && isNamed(work.state) && !isMember(work.state)) rejoin(work, now);
-  tendRetirement(work, now);
-  const { state } = work;
-  const body = ask.call;
+const asked = (transition: Transition, id: number, ask: ReplicaRequest, now: number): void => {
+  if (ask.hasLiveSpare === true) update(transition, { spareSeenAt: now });
+  const wasNamed = isInMembership(transition.state);
+  adopt(transition, ask.membership, now);
+  if (!wasNamed && isInMembership(transition.state) && !isVotingMember(transition.state))
+    rejoin(transition, now);
+  tendRetirement(transition, now);
+  const { state } = transition;
+  const body = ask.operation;
   const tell = (reply: ReplicaReply): void => {
-    work.effects.push({ kind: 'tell', id, body: reply });
+    transition.effects.push({ kind: 'send-reply', requestId: id, reply: reply });
   };
-  if (body.kind === 'dump') {
-    tell(dumped(work, body.after));
+  if (body.kind === 'read-page') {
+    tell(dumped(transition, body.after));
     return;
   }
   const mine = membersOf(state);
-  const [epoch, known] = [ask.members?.value.epoch ?? 0, mine?.value.epoch ?? 0];
-  if (!state.voting && (state.seeded === null || epoch >= known)) {
+  const [epoch, known] = [ask.membership?.value.epoch ?? 0, mine?.value.epoch ?? 0];
+  if (!state.isVoting && (state.bootstrap === null || epoch >= known)) {
     tell(away(state));
     return;
   }
   // Only the newest set that is known to be chosen counts, and only by the disks that it names.
   // What it accepted but was not told of changes nothing: the earlier set, which decides on it,
   // goes on.
-  const onMembers = (body.kind === 'prepare' || body.kind === 'accept') && body.key === membersKey;
+  const onMembers =
+    (body.kind === 'prepare' || body.kind === 'accept') && body.key === membershipKey;
   if (epoch < known) {
-    tell({ kind: 'stale', disk: state.disk, members: mine });
+    tell({ kind: 'newer-membership', diskId: state.diskId, membership: mine });
     return;
   }
   if (body.kind === 'restore') {
-    takeRestored(work, body, now);
-    tell({ kind: 'restored', disk: state.disk });
+    takeRestored(transition, body, now);
+    tell({ kind: 'restored', diskId: state.diskId });
     return;
   }
   if (!onMembers && now < state.recoveringUntil) {
-    tell({ kind: 'recovering', disk: state.disk, epoch: known });
+    tell({ kind: 'recovering', diskId: state.diskId, epoch: known });
     return;
   }
   if (
     body.kind === 'prepare' &&
     body.key.startsWith(claimPrefix) &&
-    state.claimsSeen.size >= Sizes.claims &&
-    !state.cells.has(body.key)
+    state.claimMinuteByKey.size >= Sizes.claims &&
+    !state.registers.has(body.key)
   ) {
-    tell({ kind: 'full', disk: state.disk });
+    tell({ kind: 'too-many-claims', diskId: state.diskId });
     return;
   }
-  if (!isMember(state)) {
+  if (!isVotingMember(state)) {
     tell(away(state));
     return;
   }
   switch (body.kind) {
     case 'prepare':
       vote(
-        work,
+        transition,
         id,
         body.key,
-        Acceptor.prepare(state.cells.get(body.key) ?? emptyCell, body.ballot),
+        Acceptor.prepare(state.registers.get(body.key) ?? emptyRegister, body.proposalNumber),
         now,
       );
       return;
     case 'accept':
-      if (body.disk !== state.disk) {
+      if (body.diskId !== state.diskId) {
         tell(away(state));
         return;
       }
       vote(
-        work,
+        transition,
         id,
         body.key,
-        Acceptor.accept(state.cells.get(body.key) ?? emptyCell, body.ballot, body.value),
+        Acceptor.accept(
+          state.registers.get(body.key) ?? emptyRegister,
+          body.proposalNumber,
+          body.value,
+        ),
         now,
       );
       return;
-    case 'post':
-      keepFacts(work, body.facts, now);
-      tell({ kind: 'posted', disk: state.disk });
+    case 'append-entries':
+      keepFacts(transition, body.entries, now);
+      tell({ kind: 'entries-appended', diskId: state.diskId });
       return;
-    case 'pull':
+    case 'poll':
       tell(pulled(state, body.cursor, body.keys));
       return;
-    case 'fetch':
+    case 'read-register':
       tell({
-        kind: 'fetched',
-        disk: state.disk,
-        accepted: state.cells.get(body.key)?.accepted ?? null,
+        kind: 'register-read',
+        diskId: state.diskId,
+        accepted: state.registers.get(body.key)?.accepted ?? null,
       });
       return;
   }
 };
 
-const sweep = (work: Work, now: number): void => {
-  const { state } = work;
-  if (now - state.sweptAt < 1_000) return;
-  const old = state.facts.filter((fact) => now - fact.at > Limits.fact);
-  set(work, {
-    sweptAt: now,
-    facts: old.length === 0 ? state.facts : state.facts.slice(old.length),
-    factKeys:
-      old.length === 0 ? state.factKeys : state.factKeys.deleteAll(old.map((fact) => fact.key)),
-    floor: old.at(-1)?.seq ?? state.floor,
+const sweep = (transition: Transition, now: number): void => {
+  const { state } = transition;
+  if (now - state.lastExpiryAt < 1_000) return;
+  const old = state.entries.filter((entry) => now - entry.appendedAt > Limits.fact);
+  update(transition, {
+    lastExpiryAt: now,
+    entries: old.length === 0 ? state.entries : state.entries.slice(old.length),
+    sequenceByEntryKey:
+      old.length === 0
+        ? state.sequenceByEntryKey
+        : state.sequenceByEntryKey.deleteAll(old.map((entry) => entry.key)),
+    truncatedUpTo: old.at(-1)?.sequence ?? state.truncatedUpTo,
   });
-  const lapsed = [...state.claimMinutes]
+  const lapsed = [...state.claimKeysByMinute]
     .filter(([minute]) => minute < minuteOf(now - Limits.claim))
     .flatMap(([minute, keys]) =>
       [...keys.take(Sizes.claimSweep)].map((key) => [minute, key] as const),
@@ -139,20 +147,25 @@
     .slice(0, Sizes.claimSweep);
   if (lapsed.length === 0) return;
   const keys = lapsed.map(([, key]) => key);
-  set(work, {
-    cells: state.cells.deleteAll(keys),
-    claimsSeen: state.claimsSeen.deleteAll(keys),
-    claimMinutes: lapsed.reduce(
+  update(transition, {
+    registers: state.registers.deleteAll(keys),
+    claimMinuteByKey: state.claimMinuteByKey.deleteAll(keys),
+    claimKeysByMinute: lapsed.reduce(
       (minutes, [minute, key]) => withoutClaim(minutes, minute, key),
-      state.claimMinutes,
+      state.claimKeysByMinute,
     ),
   });
 };
 
 /** What came of a call of its own: to a member that goes on without it, or to one that it reads. */
-const answered = (work: Work, id: number, body: ReplicaReply | null, now: number): void => {
-  if (isPolled(work.state, id)) notePoll(work, id, body, now);
-  else returned(work, id, body, now);
+const answered = (
+  transition: Transition,
+  id: number,
+  body: ReplicaReply | null,
+  now: number,
+): void => {
+  if (isPolled(transition.state, id)) notePoll(transition, id, body, now);
+  else returned(transition, id, body, now);
 };
 
 export const Replica = {
@@ -169,110 +182,122 @@
     readonly freshDisk: string;
     readonly now: number;
     /** Where members found themselves from seeds; `others` is then not looked at. */
-    readonly seeded?: ReplicaVoting | null;
+    readonly seeded?: BootstrapSettings | null;
   }): Step<ReplicaState, ReplicaEffect> => {
     let disk: string | null = null;
     let voting = false;
     let votingEpoch = 0;
-    let told: CommittedMembership | null = null;
-    let seq = 0;
-    const cells = new Map<string, Cell>();
-    const facts = new Map<string, Kept>();
+    let committed: CommittedMembership | null = null;
+    let sequence = 0;
+    const registers = new Map<string, RegisterState>();
+    const entries = new Map<string, RetainedEntry>();
     for (const record of parts.records) {
-      if (record.kind === 'disk') disk = record.disk;
-      else if (record.kind === 'voting') {
+      if (record.kind === 'disk-named') disk = record.diskId;
+      else if (record.kind === 'voting-begun') {
         voting = true;
         votingEpoch = Math.max(votingEpoch, record.epoch ?? 0);
-      } else if (record.kind === 'blanked') {
-        disk = record.disk;
+      } else if (record.kind === 'disk-erased') {
+        disk = record.diskId;
         voting = false;
         votingEpoch = 0;
-        cells.clear();
-        facts.clear();
-      } else if (record.kind === 'told')
-        told = told === null || newerMembers(record.members, told) ? record.members : told;
-      else if (record.kind === 'place') seq = Math.max(seq, record.seq);
-      else if (record.kind === 'cell') cells.set(record.key, record.cell);
+        registers.clear();
+        entries.clear();
+      } else if (record.kind === 'membership-committed')
+        committed =
+          committed === null || isNewerMembership(record.membership, committed)
+            ? record.membership
+            : committed;
+      else if (record.kind === 'sequence-reached') sequence = Math.max(sequence, record.sequence);
+      else if (record.kind === 'register-written') registers.set(record.key, record.register);
       else {
-        facts.set(record.fact.key, { ...record.fact, seq: record.seq, at: parts.now });
-        seq = Math.max(seq, record.seq);
+        entries.set(record.entry.key, {
+          ...record.entry,
+          sequence: record.sequence,
+          appendedAt: parts.now,
+        });
+        sequence = Math.max(sequence, record.sequence);
       }
     }
     // A disk of before members were noted as told.
-    const accepted = cells.get(membersKey)?.accepted ?? null;
-    told ??=
-      accepted === null ? null : { ballot: accepted.ballot, value: accepted.value as Members };
-    const claims = [...cells.keys()].filter((key) => key.startsWith(claimPrefix));
-    const kept = [...facts.values()].sort((a, b) => a.seq - b.seq);
+    const accepted = registers.get(membershipKey)?.accepted ?? null;
+    committed ??=
+      accepted === null
+        ? null
+        : { proposalNumber: accepted.proposalNumber, value: accepted.value as Membership };
+    const claims = [...registers.keys()].filter((key) => key.startsWith(claimPrefix));
+    const kept = [...entries.values()].sort((a, b) => a.sequence - b.sequence);
     return {
       state: {
         name: parts.name,
-        others: parts.others,
-        seeded: parts.seeded ?? null,
-        told,
-        disk: disk ?? parts.freshDisk,
-        voting,
+        otherFounders: parts.others,
+        bootstrap: parts.seeded ?? null,
+        committedMembership: committed,
+        diskId: disk ?? parts.freshDisk,
+        isVoting: voting,
         votingEpoch,
-        cells: Table(cells),
-        claimsSeen: Table(claims.map((key) => [key, minuteOf(parts.now)])),
-        claimMinutes: claims.length === 0 ? Table() : Table([[minuteOf(parts.now), Group(claims)]]),
-        dumps: {},
-        facts: kept,
-        factKeys: Table(kept.map((fact) => [fact.key, fact.seq])),
-        seq,
-        floor: (kept[0]?.seq ?? seq + 1) - 1,
-        readings: {},
-        nextCall: 1,
-        sweptAt: parts.now,
+        registers: Table(registers),
+        claimMinuteByKey: Table(claims.map((key) => [key, minuteOf(parts.now)])),
+        claimKeysByMinute:
+          claims.length === 0 ? Table() : Table([[minuteOf(parts.now), Group(claims)]]),
+        openPageReads: {},
+        entries: kept,
+        sequenceByEntryKey: Table(kept.map((entry) => [entry.key, entry.sequence])),
+        lastSequence: sequence,
+        truncatedUpTo: (kept[0]?.sequence ?? sequence + 1) - 1,
+        peerReads: {},
+        nextRequestId: 1,
+        lastExpiryAt: parts.now,
         recoveringUntil: -Infinity,
-        settledFor: told?.value.refounded ?? 0,
+        lastRefoundedEpoch: committed?.value.refounded ?? 0,
         retirement: null,
-        stopAskedAt: null,
-        spareHeardAt: -Infinity,
+        stopRequestedAt: null,
+        spareSeenAt: -Infinity,
       },
       effects:
         disk === null
-          ? [{ kind: 'append', records: [{ kind: 'disk', disk: parts.freshDisk }] }]
+          ? [{ kind: 'append-records', records: [{ kind: 'disk-named', diskId: parts.freshDisk }] }]
           : [],
     };
   },
 
   /** The whole state as records, for a snapshot. @example [...Replica.records(state)].length // 1 for a new one */
   *records(state: ReplicaState): Iterable<ReplicaRecord> {
-    yield { kind: 'disk', disk: state.disk };
-    if (state.voting) yield { kind: 'voting', epoch: state.votingEpoch };
-    if (state.told !== null) yield { kind: 'told', members: state.told };
-    yield { kind: 'place', seq: state.seq };
-    for (const [key, cell] of state.cells) yield { kind: 'cell', key, cell };
-    for (const { seq, key, value } of state.facts)
-      yield { kind: 'fact', seq, fact: { key, value } };
+    yield { kind: 'disk-named', diskId: state.diskId };
+    if (state.isVoting) yield { kind: 'voting-begun', epoch: state.votingEpoch };
+    if (state.committedMembership !== null)
+      yield { kind: 'membership-committed', membership: state.committedMembership };
+    yield { kind: 'sequence-reached', sequence: state.lastSequence };
+    for (const [key, register] of state.registers)
+      yield { kind: 'register-written', key, register };
+    for (const { sequence, key, value } of state.entries)
+      yield { kind: 'entry-appended', sequence, entry: { key, value } };
   },
 
   /** @example Replica.reduce(state, { kind: 'beat', now: 200 }) */
   reduce: (state: ReplicaState, event: ReplicaEvent): Step<ReplicaState, ReplicaEffect> => {
-    const work: Work = { state, effects: [] };
+    const transition: Transition = { state, effects: [] };
     switch (event.kind) {
-      case 'asked':
-        asked(work, event.id, event.body, event.now);
+      case 'request-received':
+        asked(transition, event.requestId, event.request, event.now);
         break;
-      case 'returned':
-        answered(work, event.id, event.body, event.now);
+      case 'reply-received':
+        answered(transition, event.requestId, event.reply, event.now);
         break;
-      case 'lost':
-        answered(work, event.id, null, event.now);
+      case 'request-failed':
+        answered(transition, event.requestId, null, event.now);
         break;
-      case 'stop':
-        set(work, { stopAskedAt: event.now });
-        tendStop(work, event.now);
+      case 'stop-requested':
+        update(transition, { stopRequestedAt: event.now });
+        tendStop(transition, event.now);
         break;
-      case 'beat':
-        tendRetirement(work, event.now);
-        pollMembers(work);
-        if (!isMember(work.state)) rejoin(work, event.now);
-        sweep(work, event.now);
-        tendStop(work, event.now);
+      case 'tick':
+        tendRetirement(transition, event.now);
+        pollMembers(transition);
+        if (!isVotingMember(transition.state)) rejoin(transition, event.now);
+        sweep(transition, event.now);
+        tendStop(transition, event.now);
         break;
     }
-    return { state: work.state, effects: work.effects };
+    return { state: transition.state, effects: transition.effects };
   },
 } as const;
--- a/packages/replica/src/history.test.ts
+++ b/packages/replica/src/history.test.ts
@@ -8,13 +8,13 @@
 import { Sizes } from '@reedyard/constants';
 import {
   Replica,
-  membersKey,
-  type ReplicaAsk,
-  type ReplicaCall,
+  membershipKey,
+  type ReplicaRequest,
+  type ReplicaOperation,
   type ReplicaLog,
   type ReplicaReply,
   openReplicaLog,
-  type Members,
+  type Membership,
   type CommittedMembership,
 } from './index.js';
 import { ReplicaHost } from './replica-host.js';
@@ -117,26 +117,28 @@
     }
   }
 
-  ask(name: Name, call: ReplicaCall): Promise<ReplicaReply> {
+  ask(name: Name, call: ReplicaOperation): Promise<ReplicaReply> {
     const running = this.running.get(name);
     if (running === undefined) return Promise.reject(new Error(`${name} is down`));
-    return running.host.ask({ members: this.members, call });
+    return running.host.ask({ membership: this.members, operation: call });
   }
 
   /** Writes a register by a majority; tells whether one was reached. */
   async write(key: string, value: unknown): Promise<boolean> {
     this.#round += 1;
-    const ballot = [this.#round, proposer] as const;
-    const promised = await this.#askAll(() => ({ kind: 'prepare', key, ballot }));
+    const proposalNumber = [this.#round, proposer] as const;
+    const promised = await this.#askAll(() => ({ kind: 'prepare', key, proposalNumber }));
     const disks = promised.flatMap(([name, reply]) =>
-      reply.kind === 'vote' && reply.vote.kind === 'yes' ? [[name, reply.disk] as const] : [],
+      reply.kind === 'vote' && reply.vote.kind === 'yes' ? [[name, reply.diskId] as const] : [],
     );
     if (disks.length < 2) return false;
     const accepted = await Promise.all(
-      disks.map(([name, disk]) => this.ask(name, { kind: 'accept', key, ballot, value, disk })),
+      disks.map(([name, disk]) =>
+        this.ask(name, { kind: 'accept', key, proposalNumber, value, diskId: disk }),
+      ),
     );
     if (accepted.filter((reply) => reply.kind === 'vote').length < 2) return false;
-    if (key === membersKey) this.members = { ballot, value: value as Members };
+    if (key === membershipKey) this.members = { proposalNumber, value: value as Membership };
     return true;
   }
 
@@ -145,8 +147,8 @@
     const config = await this.write('config', configOf(version, routes));
     const zones = await this.write('zones', { evacuated: version % 2 === 0 ? ['north'] : [] });
     const claim = await this.write(`claim/key-${version}`, { owner: version });
-    const facts = [{ key: `purge-${version}`, value: { tags: [`tag-${version}`] } }];
-    await this.#askAll(() => ({ kind: 'post', facts }));
+    const entries = [{ key: `purge-${version}`, value: { tags: [`tag-${version}`] } }];
+    await this.#askAll(() => ({ kind: 'append-entries', entries }));
     for (const name of this.running.keys()) this.#notePeak(name as Name);
     return config && zones && claim;
   }
@@ -160,16 +162,18 @@
     this.peakBytes.set(name, Math.max(bytes, this.peakBytes.get(name) ?? 0));
   }
 
-  async #askAll(callOf: () => ReplicaCall): Promise<readonly (readonly [Name, ReplicaReply])[]> {
+  async #askAll(
+    callOf: () => ReplicaOperation,
+  ): Promise<readonly (readonly [Name, ReplicaReply])[]> {
     const up = names.filter((name) => this.running.has(name));
     return Promise.all(up.map(async (name) => [name, await this.ask(name, callOf())] as const));
   }
 
-  async #deliver(address: string, body: ReplicaAsk): Promise<ReplicaReply> {
+  async #deliver(address: string, body: ReplicaRequest): Promise<ReplicaReply> {
     const running = this.running.get(address);
     if (running === undefined) throw new Error(`${address} is down`);
     const reply = await running.host.ask(body);
-    if (reply.kind === 'dumped') {
+    if (reply.kind === 'page-read') {
       this.pages += 1;
       this.pageBytes += stringify(reply).length;
     }
@@ -188,24 +192,25 @@
   const cluster = new Cluster();
   for (const name of names) await cluster.start(name);
   await cluster.run(2_000);
-  cluster.members = cluster.running.get('a')?.host.durableState.told ?? null;
+  cluster.members = cluster.running.get('a')?.host.durableState.committedMembership ?? null;
   return cluster;
 };
 
 const versionHeld = (cluster: Cluster, name: Name): unknown => {
-  const held = cluster.running.get(name)?.host.durableState.cells.get('config')?.accepted?.value;
+  const held = cluster.running.get(name)?.host.durableState.registers.get('config')
+    ?.accepted?.value;
   return (held as { readonly version: number } | undefined)?.version;
 };
 
 const isVoting = async (cluster: Cluster, name: Name): Promise<boolean> =>
-  (await cluster.ask(name, { kind: 'pull', cursor: null, keys: [] })).kind === 'pulled';
+  (await cluster.ask(name, { kind: 'poll', cursor: null, keys: [] })).kind === 'polled';
 
 /** Gives the place of a wiped replica to its new disk, as some agent does. */
 const giveBackPlace = async (cluster: Cluster, name: Name): Promise<void> => {
   const before = cluster.members?.value;
-  const disk = cluster.running.get(name)?.host.durableState.disk ?? '';
+  const disk = cluster.running.get(name)?.host.durableState.diskId ?? '';
   const disks = { ...before?.disks, [name]: disk };
-  await cluster.write(membersKey, { epoch: (before?.epoch ?? 0) + 1, disks });
+  await cluster.write(membershipKey, { epoch: (before?.epoch ?? 0) + 1, disks });
 };
 
 type Figures = {
@@ -323,7 +328,7 @@
     const log = await openReplicaLog(image);
     const records = log.takeRecords();
     const { state } = Replica.open({ name: 'c', others: {}, records, freshDisk: 'x', now: 0 });
-    const held = state.cells.get('config')?.accepted?.value as { readonly version: number };
+    const held = state.registers.get('config')?.accepted?.value as { readonly version: number };
     t.is(held.version, Number(image.split('-').at(-1)), image);
     await log.close();
   }
--- a/packages/replica/src/index.ts
+++ b/packages/replica/src/index.ts
@@ -11,4 +11,4 @@
 export { ReplicaProtocolError } from './protocol/errors.js';
 export { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 export { runReplica, type ReplicaSettings } from './run.js';
-export { isMember } from './state.js';
+export { isVotingMember as isMember } from './state.js';
--- a/packages/replica/src/journal.ts
+++ b/packages/replica/src/journal.ts
@@ -1,62 +1,70 @@
 import { Sizes } from '@reedyard/constants';
-import type { ReplicaReply, Cursor, Fact } from './messages.js';
-import { set, type ReplicaState, type Kept, type Work } from './state.js';
+import type { ReplicaReply, JournalCursor, JournalEntry } from './messages.js';
+import { update, type ReplicaState, type RetainedEntry, type Transition } from './state.js';
 
 /** The journal: entries written once, read by each agent from its cursor on. */
 
-export const keepFacts = (work: Work, facts: readonly Fact[], now: number): void => {
-  const added: Kept[] = [];
-  let keys = work.state.factKeys;
-  let seq = work.state.seq;
-  for (const fact of facts) {
-    if (keys.has(fact.key)) continue;
-    seq += 1;
-    keys = keys.set(fact.key, seq);
-    added.push({ key: fact.key, value: fact.value, seq, at: now });
+export const keepFacts = (
+  transition: Transition,
+  entries: readonly JournalEntry[],
+  now: number,
+): void => {
+  const added: RetainedEntry[] = [];
+  let keys = transition.state.sequenceByEntryKey;
+  let sequence = transition.state.lastSequence;
+  for (const entry of entries) {
+    if (keys.has(entry.key)) continue;
+    sequence += 1;
+    keys = keys.set(entry.key, sequence);
+    added.push({ key: entry.key, value: entry.value, sequence, appendedAt: now });
   }
   if (added.length === 0) return;
-  set(work, { facts: [...work.state.facts, ...added], factKeys: keys, seq });
-  work.effects.push({
-    kind: 'append',
+  update(transition, {
+    entries: [...transition.state.entries, ...added],
+    sequenceByEntryKey: keys,
+    lastSequence: sequence,
+  });
+  transition.effects.push({
+    kind: 'append-records',
     records: added.map((kept) => ({
-      kind: 'fact',
-      seq: kept.seq,
-      fact: { key: kept.key, value: kept.value },
+      kind: 'entry-appended',
+      sequence: kept.sequence,
+      entry: { key: kept.key, value: kept.value },
     })),
   });
 };
 
 export const pulled = (
   state: ReplicaState,
-  cursor: Cursor | null,
+  cursor: JournalCursor | null,
   keys: readonly string[],
 ): ReplicaReply => {
   const known =
     cursor !== null &&
-    cursor.disk === state.disk &&
-    cursor.seq >= state.floor &&
-    cursor.seq <= state.seq
-      ? cursor.seq
+    cursor.diskId === state.diskId &&
+    cursor.sequence >= state.truncatedUpTo &&
+    cursor.sequence <= state.lastSequence
+      ? cursor.sequence
       : null;
-  const from = known ?? state.floor;
-  const fresh = state.facts.filter((fact) => fact.seq > from);
-  const facts = fresh.slice(0, Sizes.purges);
+  const from = known ?? state.truncatedUpTo;
+  const fresh = state.entries.filter((entry) => entry.sequence > from);
+  const entries = fresh.slice(0, Sizes.purges);
   const ballots = Object.fromEntries(
     keys.flatMap((key) => {
-      const accepted = state.cells.get(key)?.accepted;
-      return accepted ? [[key, accepted.ballot]] : [];
+      const accepted = state.registers.get(key)?.accepted;
+      return accepted ? [[key, accepted.proposalNumber]] : [];
     }),
   );
-  const copied = keys.filter((key) => state.cells.get(key)?.accepted?.copied === true);
+  const copied = keys.filter((key) => state.registers.get(key)?.accepted?.copied === true);
   return {
-    kind: 'pulled',
-    disk: state.disk,
-    seq: facts.at(-1)?.seq ?? Math.max(from, known ?? state.seq),
-    reset: cursor !== null && known === null,
-    more: facts.length < fresh.length,
-    facts: facts.map(({ key, value }) => ({ key, value })),
-    ballots,
-    ...(copied.length === 0 ? {} : { copied }),
-    ...(state.stopAskedAt === null ? {} : { leaving: true as const }),
+    kind: 'polled',
+    diskId: state.diskId,
+    sequence: entries.at(-1)?.sequence ?? Math.max(from, known ?? state.lastSequence),
+    isReset: cursor !== null && known === null,
+    hasMore: entries.length < fresh.length,
+    entries: entries.map(({ key, value }) => ({ key, value })),
+    acceptedNumbers: ballots,
+    ...(copied.length === 0 ? {} : { copiedKeys: copied }),
+    ...(state.stopRequestedAt === null ? {} : { isStopping: true as const }),
   };
 };
