--- a/packages/replica/src/members.test.ts
+++ b/packages/replica/src/members.test.ts
@@ -2,21 +2,21 @@
 import {
   Ballots,
   Proposer,
-  type Ballot,
+  type ProposalNumber,
   type Change,
   type Proposal,
-  type Turn,
+  type ProposalTransition,
 } from '@reedyard/consensus';
 import { Replica } from './core.js';
 import {
-  membersKey,
-  type ReplicaAsk,
+  membershipKey,
+  type ReplicaRequest,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaRecord,
   type ReplicaReply,
-  type ReplicaVoting,
-  type Members,
+  type BootstrapSettings,
+  type Membership,
   type CommittedMembership,
 } from './messages.js';
 import type { ReplicaState } from './state.js';
@@ -31,13 +31,13 @@
     return state / 4_294_967_296;
   };
 };
-const pull = { kind: 'pull', cursor: null, keys: [] } as const;
+const pull = { kind: 'poll', cursor: null, keys: [] } as const;
 
 type Flying = {
   readonly to: string;
   readonly from: string;
   readonly id: number;
-  readonly ask?: ReplicaAsk;
+  readonly ask?: ReplicaRequest;
   readonly reply?: ReplicaReply;
 };
 
@@ -52,9 +52,9 @@
   /** Who else may be asked, and may ask: not a replica. */
   onReply: (to: string, id: number, reply: ReplicaReply) => void = () => undefined;
   /** What a replica hears of the members that a caller counts by; a planted fault changes it. */
-  hears: (state: ReplicaState, ask: ReplicaAsk) => ReplicaAsk = (_state, ask) => ask;
+  hears: (state: ReplicaState, ask: ReplicaRequest) => ReplicaRequest = (_state, ask) => ask;
 
-  open(address: string, seeded: Omit<ReplicaVoting, 'address'>): void {
+  open(address: string, seeded: Omit<BootstrapSettings, 'address'>): void {
     this.lives += 1;
     const opened = Replica.open({
       name: address,
@@ -76,19 +76,19 @@
   perform(address: string, effects: readonly ReplicaEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === 'log' && effect.fields.step === 'handover') this.onHandover();
-      if (effect.kind === 'append')
+      if (effect.kind === 'append-records')
         this.disks.set(address, [...(this.disks.get(address) ?? []), ...effect.records]);
-      if (effect.kind === 'call')
+      if (effect.kind === 'send-request')
         this.flying = [
           ...this.flying,
-          { to: effect.to, from: address, id: effect.id, ask: effect.body },
+          { to: effect.to, from: address, id: effect.requestId, ask: effect.request },
         ];
-      if (effect.kind === 'tell') {
-        const asker = this.#asking.get(`${address}/${effect.id}`);
+      if (effect.kind === 'send-reply') {
+        const asker = this.#asking.get(`${address}/${effect.requestId}`);
         if (asker !== undefined)
           this.flying = [
             ...this.flying,
-            { to: asker.from, from: address, id: asker.id, reply: effect.body },
+            { to: asker.from, from: address, id: asker.id, reply: effect.reply },
           ];
       }
     }
@@ -106,15 +106,15 @@
     this.flying = this.flying.filter((_, at) => at !== index);
     const asker = message.reply === undefined ? message.from : message.to;
     if (lost || (!this.states.has(message.to) && message.reply === undefined)) {
-      this.step(asker, { kind: 'lost', id: message.id, now: this.now });
+      this.step(asker, { kind: 'request-failed', requestId: message.id, now: this.now });
       return;
     }
     if (message.reply !== undefined) {
       if (this.states.has(message.to))
         this.step(message.to, {
-          kind: 'returned',
-          id: message.id,
-          body: message.reply,
+          kind: 'reply-received',
+          requestId: message.id,
+          reply: message.reply,
           now: this.now,
         });
       else this.onReply(message.to, message.id, message.reply);
@@ -125,9 +125,9 @@
     const state = this.states.get(message.to);
     if (message.ask !== undefined && state !== undefined)
       this.step(message.to, {
-        kind: 'asked',
-        id: this.#asks,
-        body: this.hears(state, message.ask),
+        kind: 'request-received',
+        requestId: this.#asks,
+        request: this.hears(state, message.ask),
         now: this.now,
       });
   }
@@ -135,8 +135,8 @@
     const state = this.states.get(address);
     return (
       state !== undefined &&
-      state.voting &&
-      Object.values(state.told?.value.disks ?? {}).includes(state.disk)
+      state.isVoting &&
+      Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId)
     );
   }
 }
@@ -153,10 +153,10 @@
     for (let tick = 0; tick < 1_400; tick += 1) {
       bench.now += 20;
       for (const each of waiting)
-        if (each.at === tick) bench.open(each.address, { seeds, firstStart: true });
+        if (each.at === tick) bench.open(each.address, { seeds, isFirstStart: true });
       const up = [...bench.states.keys()];
       if (bench.flying.length === 0 || chance() < 0.3)
-        bench.step(up[Math.floor(chance() * up.length)] ?? '', { kind: 'beat', now: bench.now });
+        bench.step(up[Math.floor(chance() * up.length)] ?? '', { kind: 'tick', now: bench.now });
       else bench.deliver(Math.floor(chance() * bench.flying.length), chance() < (seed % 2) * 0.15);
       if (seeds.some((each) => !bench.states.has(each)))
         t.false(
@@ -164,7 +164,7 @@
           `seed ${seed}`,
         );
     }
-    const told = seeds.map((each) => bench.states.get(each)?.told);
+    const told = seeds.map((each) => bench.states.get(each)?.committedMembership);
     t.true(
       seeds.every((each) => bench.votes(each)),
       `seed ${seed}`,
@@ -173,7 +173,7 @@
       new Set(
         told.map((each) =>
           JSON.stringify([
-            each?.ballot,
+            each?.proposalNumber,
             each?.value.epoch,
             Object.entries(each?.value.disks ?? {}).sort(),
             Object.entries(each?.value.addresses ?? {}).sort(),
@@ -198,21 +198,27 @@
   const founded = new Set<string>();
   const note = (states: ReadonlyMap<string, ReplicaState>): void => {
     for (const state of states.values())
-      if (state.voting)
+      if (state.isVoting)
         founded.add(
           JSON.stringify([
-            state.told?.ballot,
-            state.told?.value.epoch,
-            Object.entries(state.told?.value.disks ?? {}).sort(),
+            state.committedMembership?.proposalNumber,
+            state.committedMembership?.value.epoch,
+            Object.entries(state.committedMembership?.value.disks ?? {}).sort(),
           ]),
         );
   };
-  const work: Node[] = [{ states: new Map(), flying: [], left: { a: 3, b: 3 } }];
-  for (let node = work.pop(); node !== undefined; node = work.pop()) {
+  const transition: Node[] = [{ states: new Map(), flying: [], left: { a: 3, b: 3 } }];
+  for (let node = transition.pop(); node !== undefined; node = transition.pop()) {
     const key = JSON.stringify([
       [...node.states]
         .sort(([x], [y]) => (x < y ? -1 : 1))
-        .map(([name, state]) => [name, state.told, state.voting, state.readings, state.nextCall]),
+        .map(([name, state]) => [
+          name,
+          state.committedMembership,
+          state.isVoting,
+          state.peerReads,
+          state.nextRequestId,
+        ]),
       node.flying,
       node.left,
     ]);
@@ -225,17 +231,17 @@
       bench.flying = node.flying.filter((message) => message.ask !== undefined);
       bench.now = 1_000 * (7 - (left.a ?? 0) - (left.b ?? 0));
       act(bench);
-      work.push({ states: bench.states, flying: bench.flying, left });
+      transition.push({ states: bench.states, flying: bench.flying, left });
     };
     for (const name of seeds) {
       const left = node.left[name] ?? 0;
       if (!node.states.has(name))
         next((bench) => {
           bench.lives = name === 'a' ? 0 : 1;
-          bench.open(name, { seeds, firstStart: true });
+          bench.open(name, { seeds, isFirstStart: true });
         });
       else if (left > 0)
-        next((bench) => bench.step(name, { kind: 'beat', now: bench.now }), {
+        next((bench) => bench.step(name, { kind: 'tick', now: bench.now }), {
           ...node.left,
           [name]: left - 1,
         });
@@ -257,9 +263,9 @@
 const told = (
   epoch: number,
   disks: Readonly<Record<string, string>>,
-  ballot: Ballot = [epoch, 'agent'],
+  proposalNumber: ProposalNumber = [epoch, 'agent'],
 ): CommittedMembership => ({
-  ballot,
+  proposalNumber,
   value: {
     epoch,
     disks,
@@ -269,32 +275,43 @@
 
 /** One replica with a kept disk of the first members, and what it answers. */
 const member = (): {
-  ask: (ask: ReplicaAsk) => ReplicaReply | undefined;
+  ask: (ask: ReplicaRequest) => ReplicaReply | undefined;
   state: () => ReplicaState;
   records: () => readonly ReplicaRecord[];
 } => {
   const first = told(1, { a: 'A', b: 'B', c: 'C' }, [1, 'founding']);
   const records: ReplicaRecord[] = [
-    { kind: 'disk', disk: 'A' },
-    { kind: 'cell', key: membersKey, cell: { promised: first.ballot, accepted: first } },
-    { kind: 'told', members: first },
-    { kind: 'voting' },
+    { kind: 'disk-named', diskId: 'A' },
+    {
+      kind: 'register-written',
+      key: membershipKey,
+      register: { promised: first.proposalNumber, accepted: first },
+    },
+    { kind: 'membership-committed', membership: first },
+    { kind: 'voting-begun' },
   ];
   let state = Replica.open({
     name: 'a',
     others: {},
-    seeded: { address: 'a', seeds: ['x', 'y', 'z'], firstStart: false },
+    seeded: { address: 'a', seeds: ['x', 'y', 'z'], isFirstStart: false },
     records,
     freshDisk: 'never',
     now: 0,
   }).state;
   return {
     ask: (ask) => {
-      const done = Replica.reduce(state, { kind: 'asked', id: 1, body: ask, now: 1 });
+      const done = Replica.reduce(state, {
+        kind: 'request-received',
+        requestId: 1,
+        request: ask,
+        now: 1,
+      });
       state = done.state;
       for (const effect of done.effects)
-        if (effect.kind === 'append') records.push(...effect.records);
-      return done.effects.flatMap((effect) => (effect.kind === 'tell' ? [effect.body] : []))[0];
+        if (effect.kind === 'append-records') records.push(...effect.records);
+      return done.effects.flatMap((effect) =>
+        effect.kind === 'send-reply' ? [effect.reply] : [],
+      )[0];
     },
     state: () => state,
     records: () => records,
@@ -306,52 +323,68 @@
 test('members that a replica accepted count only once it is told that they are chosen', (t) => {
   const replica = member();
   t.is(
-    replica.ask({ members: first, call: { kind: 'prepare', key: membersKey, ballot: [2, 'p'] } })
-      ?.kind,
+    replica.ask({
+      membership: first,
+      operation: { kind: 'prepare', key: membershipKey, proposalNumber: [2, 'p'] },
+    })?.kind,
     'vote',
   );
   t.is(
     replica.ask({
-      members: first,
-      call: { kind: 'accept', key: membersKey, ballot: [2, 'p'], value: second.value, disk: 'A' },
+      membership: first,
+      operation: {
+        kind: 'accept',
+        key: membershipKey,
+        proposalNumber: [2, 'p'],
+        value: second.value,
+        diskId: 'A',
+      },
     })?.kind,
     'vote',
   );
-  t.is(replica.ask({ members: first, call: pull })?.kind, 'pulled');
-  t.is(replica.ask({ members: second, call: pull })?.kind, 'pulled');
-  const stale = replica.ask({ members: first, call: pull });
-  t.deepEqual(stale?.kind === 'stale' ? stale.members : null, second);
+  t.is(replica.ask({ membership: first, operation: pull })?.kind, 'polled');
+  t.is(replica.ask({ membership: second, operation: pull })?.kind, 'polled');
+  const stale = replica.ask({ membership: first, operation: pull });
+  t.deepEqual(stale?.kind === 'newer-membership' ? stale.membership : null, second);
   // Those who count by the set before decide nothing any more, not even who votes.
   t.is(
-    replica.ask({ members: first, call: { kind: 'prepare', key: membersKey, ballot: [9, 'q'] } })
-      ?.kind,
-    'stale',
+    replica.ask({
+      membership: first,
+      operation: { kind: 'prepare', key: membershipKey, proposalNumber: [9, 'q'] },
+    })?.kind,
+    'newer-membership',
   );
   t.is(
     replica.ask({
-      members: first,
-      call: { kind: 'accept', key: membersKey, ballot: [9, 'q'], value: second.value, disk: 'A' },
+      membership: first,
+      operation: {
+        kind: 'accept',
+        key: membershipKey,
+        proposalNumber: [9, 'q'],
+        value: second.value,
+        diskId: 'A',
+      },
     })?.kind,
-    'stale',
+    'newer-membership',
   );
 });
 
 test('a later epoch under a lower ballot is newer, and stays so', (t) => {
   const replica = member();
   const third = told(3, { a: 'A', d: 'D', e: 'E' }, [3, 'p']);
-  replica.ask({ members: { ...second, ballot: [9, 'q'] }, call: pull });
-  replica.ask({ members: third, call: pull });
-  t.is(replica.state().told?.value.epoch, 3);
-  replica.ask({ members: { ...second, ballot: [10, 'q'] }, call: pull });
-  t.is(replica.state().told?.value.epoch, 3);
-  t.is((replica.state().cells.get(membersKey)?.accepted?.value as Members).epoch, 3);
+  replica.ask({ membership: { ...second, proposalNumber: [9, 'q'] }, operation: pull });
+  replica.ask({ membership: third, operation: pull });
+  t.is(replica.state().committedMembership?.value.epoch, 3);
+  replica.ask({ membership: { ...second, proposalNumber: [10, 'q'] }, operation: pull });
+  t.is(replica.state().committedMembership?.value.epoch, 3);
+  t.is((replica.state().registers.get(membershipKey)?.accepted?.value as Membership).epoch, 3);
 });
 
 // An agent in short: it knows members that are chosen, and opens ballots by them.
 type Asker = {
   readonly name: string;
   members: CommittedMembership;
-  highest: Ballot;
+  highest: ProposalNumber;
   proposal: Proposal | null;
   goal: 'count' | 'members';
   since: number;
@@ -371,22 +404,27 @@
   const founding = told(1, founders, [1, 'founding']);
   for (const [place, disk] of Object.entries(founders)) {
     bench.disks.set(place, [
-      { kind: 'disk', disk },
-      { kind: 'cell', key: membersKey, cell: { promised: founding.ballot, accepted: founding } },
-      { kind: 'told', members: founding },
-      { kind: 'voting' },
+      { kind: 'disk-named', diskId: disk },
+      {
+        kind: 'register-written',
+        key: membershipKey,
+        register: { promised: founding.proposalNumber, accepted: founding },
+      },
+      { kind: 'membership-committed', membership: founding },
+      { kind: 'voting-begun' },
     ]);
   }
   const all = ['a', 'b', 'c', 'd', 'e', 'f'];
   bench.lives = 3;
-  all.forEach((address) => bench.open(address, { seeds: [], firstStart: false }));
+  all.forEach((address) => bench.open(address, { seeds: [], isFirstStart: false }));
   // Who is read does not hear of the epoch that the reader joins.
   if (deaf === 'read')
-    bench.hears = (_state, ask) => (ask.call.kind === 'dump' ? { ...ask, members: null } : ask);
+    bench.hears = (_state, ask) =>
+      ask.operation.kind === 'read-page' ? { ...ask, membership: null } : ask;
   if (deaf === 'members')
     bench.hears = (state, ask) =>
-      state.told !== null && state.voting && ask.members !== null
-        ? { ...ask, members: state.told }
+      state.committedMembership !== null && state.isVoting && ask.membership !== null
+        ? { ...ask, membership: state.committedMembership }
         : ask;
   const askers: Asker[] = ['p', 'q', 'r'].map((name) => ({
     name,
@@ -398,14 +436,14 @@
   }));
   const calls = new Map<
     string,
-    { asker: Asker; member: string; phase: 'prepare' | 'accept'; ballot: Ballot }
+    { asker: Asker; member: string; phase: 'prepare' | 'accept'; proposalNumber: ProposalNumber }
   >();
   let ids = 0;
   let handovers = 0;
   bench.onHandover = () => {
     handovers += 1;
   };
-  const send = (asker: Asker, place: string, ask: ReplicaAsk['call']): void => {
+  const send = (asker: Asker, place: string, ask: ReplicaRequest['operation']): void => {
     ids += 1;
     const address = asker.members.value.addresses?.[place] ?? '';
     if (ask.kind === 'prepare' || ask.kind === 'accept')
@@ -413,18 +451,23 @@
         asker,
         member: place,
         phase: ask.kind,
-        ballot: ask.ballot,
+        proposalNumber: ask.proposalNumber,
       });
     bench.flying = [
       ...bench.flying,
-      { to: address, from: asker.name, id: ids, ask: { members: asker.members, call: ask } },
+      {
+        to: address,
+        from: asker.name,
+        id: ids,
+        ask: { membership: asker.members, operation: ask },
+      },
     ];
   };
   const learn = (asker: Asker, next: CommittedMembership): void => {
     if (
       next.value.epoch < asker.members.value.epoch ||
       (next.value.epoch === asker.members.value.epoch &&
-        Ballots.compare(next.ballot, asker.members.ballot) <= 0)
+        Ballots.compare(next.proposalNumber, asker.members.proposalNumber) <= 0)
     )
       return;
     const text = JSON.stringify(Object.entries(next.value.disks).sort());
@@ -435,27 +478,31 @@
     asker.members = next;
     asker.proposal = null;
   };
-  const play = (asker: Asker, turn: Turn): void => {
+  const play = (asker: Asker, turn: ProposalTransition): void => {
     asker.proposal = turn.proposal;
-    for (const move of turn.moves) {
+    for (const move of turn.actions) {
       if (move.kind === 'prepare')
-        send(asker, move.to, { kind: 'prepare', key: turn.proposal.key, ballot: move.ballot });
+        send(asker, move.to, {
+          kind: 'prepare',
+          key: turn.proposal.key,
+          proposalNumber: move.proposalNumber,
+        });
       else if (move.kind === 'accept')
         send(asker, move.to, {
           kind: 'accept',
           key: turn.proposal.key,
-          ballot: move.ballot,
+          proposalNumber: move.proposalNumber,
           value: move.value,
-          disk: move.disk,
+          diskId: move.diskId,
         });
       else {
-        if (Ballots.compare(turn.proposal.highest, asker.highest) > 0)
-          asker.highest = turn.proposal.highest;
+        if (Ballots.compare(turn.proposal.highestSeen, asker.highest) > 0)
+          asker.highest = turn.proposal.highestSeen;
         asker.proposal = null;
-        if (move.kind !== 'chosen' || move.ballot === null) continue;
+        if (move.kind !== 'chosen' || move.proposalNumber === null) continue;
         if (asker.goal === 'members')
-          learn(asker, { ballot: move.ballot, value: move.value as Members });
-        else if (move.wrote) {
+          learn(asker, { proposalNumber: move.proposalNumber, value: move.value as Membership });
+        else if (move.isWrite) {
           const { count, by } = move.value as { count: number; by: string };
           if (by !== `${asker.name}/${asker.since}`) continue;
           if (counted.has(count)) wrongs.push(`count ${count} was given twice`);
@@ -468,17 +515,25 @@
     const call = calls.get(`${to}/${id}`);
     const asker = askers.find((each) => each.name === to);
     if (asker === undefined) return;
-    if (reply.kind === 'stale' && reply.members !== null) learn(asker, reply.members);
+    if (reply.kind === 'newer-membership' && reply.membership !== null)
+      learn(asker, reply.membership);
     if (
       reply.kind !== 'vote' ||
       call === undefined ||
       asker.proposal === null ||
-      asker.members.value.disks[call.member] !== reply.disk
+      asker.members.value.disks[call.member] !== reply.diskId
     )
       return;
     play(
       asker,
-      Proposer.voted(asker.proposal, call.member, reply.disk, call.phase, call.ballot, reply.vote),
+      Proposer.voted(
+        asker.proposal,
+        call.member,
+        reply.diskId,
+        call.phase,
+        call.proposalNumber,
+        reply.vote,
+      ),
     );
   };
   const open = (asker: Asker): void => {
@@ -492,7 +547,7 @@
     const state = bench.states.get(into);
     const goal = chance() < 0.5 ? 'count' : 'members';
     // Like an agent: only a disk that waits for a place is given one.
-    if (goal === 'members' && (state === undefined || state.voting)) return;
+    if (goal === 'members' && (state === undefined || state.isVoting)) return;
     asker.goal = goal;
     asker.since += 1;
     const by = `${asker.name}/${asker.since}`;
@@ -506,8 +561,8 @@
               : { kind: 'write', value: { count: (old?.count ?? 0) + 1, by } };
           }
         : (current) => {
-            const old = current as Members;
-            const disk = state?.disk ?? '';
+            const old = current as Membership;
+            const disk = state?.diskId ?? '';
             if (old.epoch !== members.value.epoch) return { kind: 'keep' };
             const without = grows
               ? old.disks
@@ -531,13 +586,13 @@
             };
           };
     const turn = Proposer.open(
-      asker.goal === 'count' ? 'count' : membersKey,
+      asker.goal === 'count' ? 'count' : membershipKey,
       change,
       places,
       asker.highest,
       asker.name,
     );
-    asker.highest = turn.proposal.ballot;
+    asker.highest = turn.proposal.proposalNumber;
     play(asker, turn);
   };
   for (let tick = 0; tick < 2_500; tick += 1) {
@@ -551,7 +606,7 @@
       // Wiped, or only restarted: never one of a majority that is not there to be read.
       const address = all[Math.floor(chance() * all.length)] ?? '';
       const newest = [...bench.states.values()]
-        .map((state) => state.told)
+        .map((state) => state.committedMembership)
         .reduce(
           (best, each) =>
             each !== null && (best === null || each.value.epoch > best.value.epoch) ? each : best,
@@ -560,12 +615,12 @@
       const places = Object.entries(newest?.value.disks ?? {});
       const sound = places.filter(([place, disk]) => {
         const state = bench.states.get(place);
-        return place !== address && state !== undefined && state.disk === disk && state.voting;
+        return place !== address && state !== undefined && state.diskId === disk && state.isVoting;
       }).length;
       bench.close(address, sound >= Math.floor(places.length / 2) + 1);
-      bench.open(address, { seeds: [], firstStart: false });
+      bench.open(address, { seeds: [], isFirstStart: false });
     } else if (draw < 0.25 || bench.flying.length === 0) {
-      bench.step(up[Math.floor(chance() * up.length)] ?? '', { kind: 'beat', now: bench.now });
+      bench.step(up[Math.floor(chance() * up.length)] ?? '', { kind: 'tick', now: bench.now });
       const asker = askers[Math.floor(chance() * askers.length)];
       if (asker !== undefined && chance() < 0.3) {
         const places = Object.keys(asker.members.value.disks);
--- a/packages/replica/src/membership.ts
+++ b/packages/replica/src/membership.ts
@@ -1,15 +1,22 @@
 import { Map as Table } from 'immutable';
 import { Limits } from '@reedyard/constants';
-import { Ballots, emptyCell } from '@reedyard/consensus';
+import { Ballots, emptyRegister } from '@reedyard/consensus';
 import {
-  newerMembers,
-  membersKey,
+  isNewerMembership,
+  membershipKey,
   type Predecessor,
-  type Members,
+  type Membership,
   type CommittedMembership,
 } from './messages.js';
 import { keepCell } from './registers.js';
-import { isNamed, isRetired, placeOf, set, type ReplicaState, type Work } from './state.js';
+import {
+  isInMembership,
+  isRetired,
+  slotOf,
+  update,
+  type ReplicaState,
+  type Transition,
+} from './state.js';
 
 /**
  * Membership as one replica knows it: which members are committed, and what follows for this disk.
@@ -20,21 +27,21 @@
  * seed's address, blank and not told of members.
  */
 export const mayFound = (state: ReplicaState): boolean =>
-  state.seeded !== null &&
-  state.seeded.firstStart &&
-  state.seeded.seeds.includes(state.seeded.address) &&
-  state.told === null &&
-  !state.voting;
+  state.bootstrap !== null &&
+  state.bootstrap.isFirstStart &&
+  state.bootstrap.seeds.includes(state.bootstrap.address) &&
+  state.committedMembership === null &&
+  !state.isVoting;
 
 /** Whom it reads before it votes: name and address. */
 export const othersOf = (state: ReplicaState): Readonly<Record<string, string>> => {
-  if (state.seeded === null) return state.others;
-  const { address, seeds } = state.seeded;
-  const members = state.told?.value;
-  const place = members === undefined ? undefined : placeOf(state, members);
-  if (members !== undefined && place !== undefined)
+  if (state.bootstrap === null) return state.otherFounders;
+  const { address, seeds } = state.bootstrap;
+  const members = state.committedMembership?.value;
+  const slot = members === undefined ? undefined : slotOf(state, members);
+  if (members !== undefined && slot !== undefined)
     return Object.fromEntries(
-      Object.entries(members.addresses ?? {}).filter(([name]) => name !== place),
+      Object.entries(members.addresses ?? {}).filter(([name]) => name !== slot),
     );
   return mayFound(state)
     ? Object.fromEntries(seeds.filter((seed) => seed !== address).map((seed) => [seed, seed]))
@@ -48,10 +55,10 @@
 export const predecessorOf = (
   state: ReplicaState,
 ): (Predecessor & { readonly reading: string }) | null => {
-  const members = state.told?.value;
-  const place =
-    members === undefined || state.seeded === null ? undefined : placeOf(state, members);
-  const found = place === undefined ? undefined : members?.predecessors?.[place];
+  const members = state.committedMembership?.value;
+  const slot =
+    members === undefined || state.bootstrap === null ? undefined : slotOf(state, members);
+  const found = slot === undefined ? undefined : members?.predecessors?.[slot];
   // A disk that is a member again goes on voting, in a place of its own: its votes must not count
   // twice.
   if (
@@ -67,40 +74,53 @@
  * After most disks were lost every member waits for what agents tell again: also one that kept its
  * disk, since it may lack what the others had, and one that read the others before they were told.
  */
-const settleFor = (work: Work, refounded: number, now: number): void => {
-  if (refounded > work.state.settledFor)
-    set(work, { settledFor: refounded, recoveringUntil: now + Limits.restoring });
+const settleFor = (transition: Transition, refounded: number, now: number): void => {
+  if (refounded > transition.state.lastRefoundedEpoch)
+    update(transition, { lastRefoundedEpoch: refounded, recoveringUntil: now + Limits.restoring });
 };
 
 /** Takes in members that are known to be chosen, if they are newer than those it knew. */
-export const adopt = (work: Work, told: CommittedMembership | null, now: number): void => {
-  const before = work.state;
-  if (told === null || !newerMembers(told, before.told)) return;
-  const epochBefore = before.told?.value.epoch ?? 0;
-  set(work, { told });
-  const cell = before.cells.get(membersKey) ?? emptyCell;
+export const adopt = (
+  transition: Transition,
+  committed: CommittedMembership | null,
+  now: number,
+): void => {
+  const before = transition.state;
+  if (committed === null || !isNewerMembership(committed, before.committedMembership)) return;
+  const epochBefore = before.committedMembership?.value.epoch ?? 0;
+  update(transition, { committedMembership: committed });
+  const register = before.registers.get(membershipKey) ?? emptyRegister;
   const accepted =
-    cell.accepted === null
+    register.accepted === null
       ? null
-      : { ballot: cell.accepted.ballot, value: cell.accepted.value as Members };
-  if (newerMembers(told, accepted))
+      : {
+          proposalNumber: register.accepted.proposalNumber,
+          value: register.accepted.value as Membership,
+        };
+  if (isNewerMembership(committed, accepted))
     keepCell(
-      work,
-      membersKey,
+      transition,
+      membershipKey,
       {
-        promised: Ballots.compare(cell.promised, told.ballot) > 0 ? cell.promised : told.ballot,
-        accepted: told,
+        promised:
+          Ballots.compare(register.promised, committed.proposalNumber) > 0
+            ? register.promised
+            : committed.proposalNumber,
+        accepted: committed,
       },
       now,
     );
   // After the register itself: told of members, it must show no older ones to a ballot.
-  work.effects.push({ kind: 'append', records: [{ kind: 'told', members: told }] });
-  settleFor(work, told.value.refounded ?? 0, now);
-  if (told.value.epoch > epochBefore)
-    work.effects.push({
+  transition.effects.push({
+    kind: 'append-records',
+    records: [{ kind: 'membership-committed', membership: committed }],
+  });
+  settleFor(transition, committed.value.refounded ?? 0, now);
+  if (committed.value.epoch > epochBefore)
+    transition.effects.push({
       kind: 'log',
       event: 'members.learned',
-      fields: { epoch: told.value.epoch, seated: isNamed(work.state) },
+      fields: { epoch: committed.value.epoch, seated: isInMembership(transition.state) },
     });
 };
 
@@ -108,34 +128,34 @@
  * Forgets all that this disk voted for, since its successor has it; it waits for a place as a blank
  * one, under a new name.
  */
-export const blank = (work: Work): void => {
-  const { state } = work;
-  const { told } = state;
-  if (told === null || !isRetired(state)) return;
-  const disk = `${state.disk.split('/', 1)[0] ?? ''}/${told.value.epoch}`;
-  set(work, {
-    disk,
-    voting: false,
+export const blank = (transition: Transition): void => {
+  const { state } = transition;
+  const { committedMembership: committed } = state;
+  if (committed === null || !isRetired(state)) return;
+  const disk = `${state.diskId.split('/', 1)[0] ?? ''}/${committed.value.epoch}`;
+  update(transition, {
+    diskId: disk,
+    isVoting: false,
     votingEpoch: 0,
-    cells: Table(),
-    claimsSeen: Table(),
-    claimMinutes: Table(),
-    dumps: {},
-    facts: [],
-    factKeys: Table(),
-    floor: state.seq,
-    readings: {},
+    registers: Table(),
+    claimMinuteByKey: Table(),
+    claimKeysByMinute: Table(),
+    openPageReads: {},
+    entries: [],
+    sequenceByEntryKey: Table(),
+    truncatedUpTo: state.lastSequence,
+    peerReads: {},
     retirement: null,
   });
-  work.effects.push(
+  transition.effects.push(
     {
-      kind: 'append',
+      kind: 'append-records',
       records: [
-        { kind: 'blanked', disk },
-        { kind: 'told', members: told },
-        { kind: 'place', seq: state.seq },
+        { kind: 'disk-erased', diskId: disk },
+        { kind: 'membership-committed', membership: committed },
+        { kind: 'sequence-reached', sequence: state.lastSequence },
       ],
     },
-    { kind: 'log', event: 'replica.replaced', fields: { epoch: told.value.epoch, disk } },
+    { kind: 'log', event: 'replica.replaced', fields: { epoch: committed.value.epoch, disk } },
   );
 };
--- a/packages/replica/src/messages.ts
+++ b/packages/replica/src/messages.ts
@@ -1,15 +1,15 @@
-import { Ballots, type Ballot, type Cell, type Vote } from '@reedyard/consensus';
+import { Ballots, type ProposalNumber, type RegisterState, type Vote } from '@reedyard/consensus';
 
 /** What a replica is asked, answers, writes to disk and does: the types of its messages. */
 
 /** One fact of the board: written once under its key, never changed. */
-export type Fact = { readonly key: string; readonly value: unknown };
+export type JournalEntry = { readonly key: string; readonly value: unknown };
 
 /** A place on one replica's board, in one life of its disk. */
-export type Cursor = { readonly disk: string; readonly seq: number };
+export type JournalCursor = { readonly diskId: string; readonly sequence: number };
 
 /** Who votes: for each place, the disk that holds it. One place changes at a time. */
-export type Members = {
+export type Membership = {
   readonly epoch: number;
   readonly disks: Readonly<Record<string, string>>;
   /**
@@ -37,8 +37,11 @@
   readonly joinedIn?: number;
 };
 /** Members that are known to be chosen. */
-export type CommittedMembership = { readonly ballot: Ballot; readonly value: Members };
-export const membersKey = 'members';
+export type CommittedMembership = {
+  readonly proposalNumber: ProposalNumber;
+  readonly value: Membership;
+};
+export const membershipKey = 'members';
 
 /**
  * Whether members known to be chosen are newer than others: epochs are chosen one after the other,
@@ -46,145 +49,168 @@
  * after the next was chosen.
  *
  * @example
- * newerMembers({ ballot: [3, 'x'], value: { epoch: 2, disks: {} } }, { ballot: [9, 'y'], value: { epoch: 1, disks: {} } }) // true
+ * newerMembers({ proposalNumber: [3, 'x'], value: { epoch: 2, disks: {} } }, { proposalNumber: [9, 'y'], value: { epoch: 1, disks: {} } }) // true
  */
-export const newerMembers = (
+export const isNewerMembership = (
   told: CommittedMembership,
   known: CommittedMembership | null,
 ): boolean =>
   known === null ||
   told.value.epoch > known.value.epoch ||
-  (told.value.epoch === known.value.epoch && Ballots.compare(told.ballot, known.ballot) > 0);
+  (told.value.epoch === known.value.epoch &&
+    Ballots.compare(told.proposalNumber, known.proposalNumber) > 0);
 
 /** Where members found themselves from seeds: what one replica is told by its settings. */
-export type ReplicaVoting = {
+export type BootstrapSettings = {
   readonly address: string;
   /** Replicas that found the state among themselves. */ readonly seeds: readonly string[];
   /** True only when the whole system starts for the very first time. */
-  readonly firstStart: boolean;
+  readonly isFirstStart: boolean;
 };
 
 /** A call, with the members that the caller counts by. */
-export type ReplicaAsk = {
-  readonly members: CommittedMembership | null;
-  readonly call: ReplicaCall;
+export type ReplicaRequest = {
+  readonly membership: CommittedMembership | null;
+  readonly operation: ReplicaOperation;
   /** The caller knows of a live blank replica that could take a member's place. */
-  readonly spare?: true;
+  readonly hasLiveSpare?: true;
 };
 
 /** What may be asked of a replica. */
-export type ReplicaCall =
-  | { readonly kind: 'prepare'; readonly key: string; readonly ballot: Ballot }
+export type ReplicaOperation =
+  | { readonly kind: 'prepare'; readonly key: string; readonly proposalNumber: ProposalNumber }
   | {
       readonly kind: 'accept';
       readonly key: string;
-      readonly ballot: Ballot;
+      readonly proposalNumber: ProposalNumber;
       readonly value: unknown;
-      readonly disk: string;
+      readonly diskId: string;
+    }
+  | { readonly kind: 'append-entries'; readonly entries: readonly JournalEntry[] }
+  | {
+      readonly kind: 'poll';
+      readonly cursor: JournalCursor | null;
+      readonly keys: readonly string[];
     }
-  | { readonly kind: 'post'; readonly facts: readonly Fact[] }
-  | { readonly kind: 'pull'; readonly cursor: Cursor | null; readonly keys: readonly string[] }
-  | { readonly kind: 'fetch'; readonly key: string }
-  | { readonly kind: 'dump'; readonly after: string | null }
+  | { readonly kind: 'read-register'; readonly key: string }
+  | { readonly kind: 'read-page'; readonly after: string | null }
   /** What an agent knows to have been chosen, told again after most disks were lost. */
   | {
       readonly kind: 'restore';
-      readonly cells: readonly (readonly [string, NonNullable<Cell['accepted']>])[];
-      readonly facts: readonly Fact[];
+      readonly registers: readonly (readonly [string, NonNullable<RegisterState['accepted']>])[];
+      readonly entries: readonly JournalEntry[];
     };
 
 /** What a replica answers. */
 export type ReplicaReply =
   /** It may not vote; a fresh disk, which never did, may be given a place. */
   | {
-      readonly kind: 'away';
-      readonly disk: string;
-      readonly fresh: boolean;
-      /** Whether it has heard of members. */ readonly informed: boolean;
+      readonly kind: 'not-a-member';
+      readonly diskId: string;
+      readonly isBlank: boolean;
+      /** Whether it has heard of members. */ readonly knowsMembership: boolean;
     }
   /** The caller counts by members that are no longer in force. */
-  | { readonly kind: 'stale'; readonly disk: string; readonly members: CommittedMembership | null }
-  | { readonly kind: 'vote'; readonly disk: string; readonly vote: Vote }
+  | {
+      readonly kind: 'newer-membership';
+      readonly diskId: string;
+      readonly membership: CommittedMembership | null;
+    }
+  | { readonly kind: 'vote'; readonly diskId: string; readonly vote: Vote }
   /** Its disk takes no writes, or none in time: it counts as lost until it does. */
-  | { readonly kind: 'unavailable'; readonly disk: string }
+  | { readonly kind: 'unavailable'; readonly diskId: string }
   /** It keeps as many claims as it may. */
-  | { readonly kind: 'full'; readonly disk: string }
-  | { readonly kind: 'posted'; readonly disk: string }
+  | { readonly kind: 'too-many-claims'; readonly diskId: string }
+  | { readonly kind: 'entries-appended'; readonly diskId: string }
   /**
    * It founded the state anew and wants to be told again what is known; until then it takes part in
    * nothing.
    */
-  | { readonly kind: 'recovering'; readonly disk: string; readonly epoch: number }
-  | { readonly kind: 'restored'; readonly disk: string }
+  | { readonly kind: 'recovering'; readonly diskId: string; readonly epoch: number }
+  | { readonly kind: 'restored'; readonly diskId: string }
   | {
-      readonly kind: 'pulled';
-      readonly disk: string;
-      readonly seq: number;
-      readonly reset: boolean;
-      readonly more: boolean;
-      readonly facts: readonly Fact[];
-      readonly ballots: Readonly<Record<string, Ballot>>;
+      readonly kind: 'polled';
+      readonly diskId: string;
+      readonly sequence: number;
+      readonly isReset: boolean;
+      readonly hasMore: boolean;
+      readonly entries: readonly JournalEntry[];
+      readonly acceptedNumbers: Readonly<Record<string, ProposalNumber>>;
       /**
        * Registers whose value it copied from another replica: they tell what to learn, but count as
        * no vote.
        */
-      readonly copied?: readonly string[];
+      readonly copiedKeys?: readonly string[];
       /**
        * Its disk takes no writes: what it shows is sound, but it votes for nothing and counts as
        * lost.
        */
-      readonly readOnly?: true;
+      readonly isReadOnly?: true;
       /** It was told to stop, and would rather give its place away first. */
-      readonly leaving?: true;
+      readonly isStopping?: true;
+    }
+  | {
+      readonly kind: 'register-read';
+      readonly diskId: string;
+      readonly accepted: RegisterState['accepted'];
     }
-  | { readonly kind: 'fetched'; readonly disk: string; readonly accepted: Cell['accepted'] }
   | {
-      readonly kind: 'dumped';
-      readonly disk: string;
-      /** The members that it knows to be chosen. */ readonly members: CommittedMembership | null;
-      readonly cells: readonly (readonly [string, Cell])[];
-      readonly facts: readonly Fact[];
-      readonly next: string | null;
+      readonly kind: 'page-read';
+      readonly diskId: string;
+      /** The members that it knows to be chosen. */ readonly membership: CommittedMembership | null;
+      readonly registers: readonly (readonly [string, RegisterState])[];
+      readonly entries: readonly JournalEntry[];
+      readonly nextPage: string | null;
     };
 
 /** What goes to disk. Replaying a record twice changes nothing. */
 export type ReplicaRecord =
-  | { readonly kind: 'disk'; readonly disk: string }
+  | { readonly kind: 'disk-named'; readonly diskId: string }
   /** It votes from now on, in the place that the membership of this epoch gives it. */
-  | { readonly kind: 'voting'; readonly epoch?: number }
+  | { readonly kind: 'voting-begun'; readonly epoch?: number }
   /**
    * Its place was given to another: all that was on this disk is gone, and it goes on under a new
    * name.
    */
-  | { readonly kind: 'blanked'; readonly disk: string }
+  | { readonly kind: 'disk-erased'; readonly diskId: string }
   /** Members that it was told are chosen. */
-  | { readonly kind: 'told'; readonly members: CommittedMembership }
+  | { readonly kind: 'membership-committed'; readonly membership: CommittedMembership }
   /** The last place given on the board; kept apart, since the facts themselves age away. */
-  | { readonly kind: 'place'; readonly seq: number }
-  | { readonly kind: 'cell'; readonly key: string; readonly cell: Cell }
-  | { readonly kind: 'fact'; readonly seq: number; readonly fact: Fact };
+  | { readonly kind: 'sequence-reached'; readonly sequence: number }
+  | { readonly kind: 'register-written'; readonly key: string; readonly register: RegisterState }
+  | { readonly kind: 'entry-appended'; readonly sequence: number; readonly entry: JournalEntry };
 
 export type ReplicaEvent =
-  | { readonly kind: 'asked'; readonly id: number; readonly body: ReplicaAsk; readonly now: number }
   | {
-      readonly kind: 'returned';
-      readonly id: number;
-      readonly body: ReplicaReply;
+      readonly kind: 'request-received';
+      readonly requestId: number;
+      readonly request: ReplicaRequest;
+      readonly now: number;
+    }
+  | {
+      readonly kind: 'reply-received';
+      readonly requestId: number;
+      readonly reply: ReplicaReply;
       readonly now: number;
     }
-  | { readonly kind: 'lost'; readonly id: number; readonly now: number }
-  | { readonly kind: 'beat'; readonly now: number }
+  | { readonly kind: 'request-failed'; readonly requestId: number; readonly now: number }
+  | { readonly kind: 'tick'; readonly now: number }
   /** The process was told to stop. */
-  | { readonly kind: 'stop'; readonly now: number };
+  | { readonly kind: 'stop-requested'; readonly now: number };
 
 export type ReplicaEffect =
   /** To disk, in order. */
-  | { readonly kind: 'append'; readonly records: readonly ReplicaRecord[] }
+  | { readonly kind: 'append-records'; readonly records: readonly ReplicaRecord[] }
   /** Answer a call, only after all that was appended before is synced. */
-  | { readonly kind: 'tell'; readonly id: number; readonly body: ReplicaReply }
-  | { readonly kind: 'call'; readonly id: number; readonly to: string; readonly body: ReplicaAsk }
+  | { readonly kind: 'send-reply'; readonly requestId: number; readonly reply: ReplicaReply }
+  | {
+      readonly kind: 'send-request';
+      readonly requestId: number;
+      readonly to: string;
+      readonly request: ReplicaRequest;
+    }
   /** It was told to stop, and nothing waits for it any more. */
-  | { readonly kind: 'end' }
+  | { readonly kind: 'exit' }
   | {
       readonly kind: 'log';
       readonly event: string;
--- a/packages/replica/src/protocol/codec.ts
+++ b/packages/replica/src/protocol/codec.ts
@@ -9,8 +9,14 @@
   encodeRegister,
   encodeVote,
 } from '@reedyard/consensus';
-import type { Ballot } from '@reedyard/consensus';
-import type { Cursor, Fact, ReplicaAsk, ReplicaCall, ReplicaReply } from '../messages.js';
+import type { ProposalNumber } from '@reedyard/consensus';
+import type {
+  JournalCursor,
+  JournalEntry,
+  ReplicaRequest,
+  ReplicaOperation,
+  ReplicaReply,
+} from '../messages.js';
 import { ReplicaProtocolError } from './errors.js';
 import { decodeMembership, encodeMembership } from './wire-membership.js';
 import type {
@@ -21,13 +27,19 @@
   WireRequest,
 } from './wire-format.js';
 
-const encodeEntry = ({ key, value }: Fact): WireEntry => ({ key, value });
+const encodeEntry = ({ key, value }: JournalEntry): WireEntry => ({ key, value });
 
-const decodeEntry = ({ key, value }: WireEntry): Fact => ({ key, value });
+const decodeEntry = ({ key, value }: WireEntry): JournalEntry => ({ key, value });
 
-const encodeCursor = (cursor: Cursor): WireCursor => ({ disk: cursor.disk, seq: cursor.seq });
+const encodeCursor = (cursor: JournalCursor): WireCursor => ({
+  disk: cursor.diskId,
+  seq: cursor.sequence,
+});
 
-const decodeCursor = (cursor: WireCursor): Cursor => ({ disk: cursor.disk, seq: cursor.seq });
+const decodeCursor = (cursor: WireCursor): JournalCursor => ({
+  diskId: cursor.disk,
+  sequence: cursor.seq,
+});
 
 const mapValues = <From, To>(
   table: Readonly<Record<string, From>>,
@@ -35,68 +47,68 @@
 ): Readonly<Record<string, To>> =>
   Object.fromEntries(Object.entries(table).map(([key, value]) => [key, map(value)]));
 
-const encodeOperation = (call: ReplicaCall): WireOperation => {
+const encodeOperation = (call: ReplicaOperation): WireOperation => {
   switch (call.kind) {
     case 'prepare':
-      return { kind: 'prepare', key: call.key, ballot: encodeProposalNumber(call.ballot) };
+      return { kind: 'prepare', key: call.key, ballot: encodeProposalNumber(call.proposalNumber) };
     case 'accept':
       return {
         kind: 'accept',
         key: call.key,
-        ballot: encodeProposalNumber(call.ballot),
+        ballot: encodeProposalNumber(call.proposalNumber),
         value: call.value,
-        disk: call.disk,
+        disk: call.diskId,
       };
-    case 'post':
-      return { kind: 'post', facts: call.facts.map(encodeEntry) };
-    case 'pull':
+    case 'append-entries':
+      return { kind: 'post', facts: call.entries.map(encodeEntry) };
+    case 'poll':
       return {
         kind: 'pull',
         cursor: call.cursor === null ? null : encodeCursor(call.cursor),
         keys: call.keys,
       };
-    case 'fetch':
+    case 'read-register':
       return { kind: 'fetch', key: call.key };
-    case 'dump':
+    case 'read-page':
       return { kind: 'dump', after: call.after };
     case 'restore':
       return {
         kind: 'restore',
-        cells: call.cells.map(([key, accepted]) => [key, encodeAcceptedValue(accepted)]),
-        facts: call.facts.map(encodeEntry),
+        cells: call.registers.map(([key, accepted]) => [key, encodeAcceptedValue(accepted)]),
+        facts: call.entries.map(encodeEntry),
       };
   }
 };
 
-const decodeOperation = (call: WireOperation): ReplicaCall => {
+const decodeOperation = (call: WireOperation): ReplicaOperation => {
   switch (call.kind) {
     case 'prepare':
-      return { kind: 'prepare', key: call.key, ballot: decodeProposalNumber(call.ballot) };
+      return { kind: 'prepare', key: call.key, proposalNumber: decodeProposalNumber(call.ballot) };
     case 'accept':
       return {
         kind: 'accept',
         key: call.key,
-        ballot: decodeProposalNumber(call.ballot),
+        proposalNumber: decodeProposalNumber(call.ballot),
         value: call.value,
-        disk: call.disk,
+        diskId: call.disk,
       };
     case 'post':
-      return { kind: 'post', facts: call.facts.map(decodeEntry) };
+      return { kind: 'append-entries', entries: call.facts.map(decodeEntry) };
     case 'pull':
       return {
-        kind: 'pull',
+        kind: 'poll',
         cursor: call.cursor === null ? null : decodeCursor(call.cursor),
         keys: call.keys,
       };
     case 'fetch':
-      return { kind: 'fetch', key: call.key };
+      return { kind: 'read-register', key: call.key };
     case 'dump':
-      return { kind: 'dump', after: call.after };
+      return { kind: 'read-page', after: call.after };
     case 'restore':
       return {
         kind: 'restore',
-        cells: call.cells.map(([key, accepted]) => [key, decodeAcceptedValue(accepted)]),
-        facts: call.facts.map(decodeEntry),
+        registers: call.cells.map(([key, accepted]) => [key, decodeAcceptedValue(accepted)]),
+        entries: call.facts.map(decodeEntry),
       };
     default:
       throw unknownMessage('request', call satisfies never);
@@ -106,92 +118,92 @@
 const unknownMessage = (what: string, message: { readonly kind?: unknown }): ReplicaProtocolError =>
   new ReplicaProtocolError('unknown-message', `unknown ${what}: ${String(message.kind)}`);
 
-export const encodeReplicaRequest = (request: ReplicaAsk): WireRequest => ({
-  members: request.members === null ? null : encodeMembership(request.members),
-  call: encodeOperation(request.call),
-  ...(request.spare === true ? { spare: true } : {}),
+export const encodeReplicaRequest = (request: ReplicaRequest): WireRequest => ({
+  members: request.membership === null ? null : encodeMembership(request.membership),
+  call: encodeOperation(request.operation),
+  ...(request.hasLiveSpare === true ? { spare: true } : {}),
 });
 
 /** @throws ReplicaProtocolError `unknown-message` where this version does not know the operation */
-export const decodeReplicaRequest = (body: unknown): ReplicaAsk => {
+export const decodeReplicaRequest = (body: unknown): ReplicaRequest => {
   const request = body as WireRequest;
   return {
-    members: request.members === null ? null : decodeMembership(request.members),
-    call: decodeOperation(request.call),
-    ...(request.spare === true ? { spare: true } : {}),
+    membership: request.members === null ? null : decodeMembership(request.members),
+    operation: decodeOperation(request.call),
+    ...(request.spare === true ? { hasLiveSpare: true } : {}),
   };
 };
 
 type Polled<Reply> = Extract<Reply, { readonly kind: 'pulled' }>;
 
-const encodePolled = (reply: Extract<ReplicaReply, { kind: 'pulled' }>): Polled<WireReply> => ({
+const encodePolled = (reply: Extract<ReplicaReply, { kind: 'polled' }>): Polled<WireReply> => ({
   kind: 'pulled',
-  disk: reply.disk,
-  seq: reply.seq,
-  reset: reply.reset,
-  more: reply.more,
-  facts: reply.facts.map(encodeEntry),
-  ballots: mapValues(reply.ballots, encodeProposalNumber),
-  ...(reply.copied === undefined ? {} : { copied: reply.copied }),
-  ...(reply.leaving === true ? { leaving: true } : {}),
-  ...(reply.readOnly === true ? { readOnly: true } : {}),
+  disk: reply.diskId,
+  seq: reply.sequence,
+  reset: reply.isReset,
+  more: reply.hasMore,
+  facts: reply.entries.map(encodeEntry),
+  ballots: mapValues(reply.acceptedNumbers, encodeProposalNumber),
+  ...(reply.copiedKeys === undefined ? {} : { copied: reply.copiedKeys }),
+  ...(reply.isStopping === true ? { leaving: true } : {}),
+  ...(reply.isReadOnly === true ? { readOnly: true } : {}),
 });
 
-const decodePolled = (reply: Polled<WireReply>): Extract<ReplicaReply, { kind: 'pulled' }> => ({
-  kind: 'pulled',
-  disk: reply.disk,
-  seq: reply.seq,
-  reset: reply.reset,
-  more: reply.more,
-  facts: reply.facts.map(decodeEntry),
-  ballots: mapValues<Polled<WireReply>['ballots'][string], Ballot>(
+const decodePolled = (reply: Polled<WireReply>): Extract<ReplicaReply, { kind: 'polled' }> => ({
+  kind: 'polled',
+  diskId: reply.disk,
+  sequence: reply.seq,
+  isReset: reply.reset,
+  hasMore: reply.more,
+  entries: reply.facts.map(decodeEntry),
+  acceptedNumbers: mapValues<Polled<WireReply>['ballots'][string], ProposalNumber>(
     reply.ballots,
     decodeProposalNumber,
   ),
-  ...(reply.copied === undefined ? {} : { copied: reply.copied }),
-  ...(reply.leaving === true ? { leaving: true } : {}),
-  ...(reply.readOnly === true ? { readOnly: true } : {}),
+  ...(reply.copied === undefined ? {} : { copiedKeys: reply.copied }),
+  ...(reply.leaving === true ? { isStopping: true } : {}),
+  ...(reply.readOnly === true ? { isReadOnly: true } : {}),
 });
 
 export const encodeReplicaReply = (reply: ReplicaReply): WireReply => {
-  const { disk } = reply;
+  const { diskId: disk } = reply;
   switch (reply.kind) {
-    case 'away':
-      return { kind: 'away', disk, fresh: reply.fresh, informed: reply.informed };
-    case 'stale':
+    case 'not-a-member':
+      return { kind: 'away', disk, fresh: reply.isBlank, informed: reply.knowsMembership };
+    case 'newer-membership':
       return {
         kind: 'stale',
         disk,
-        members: reply.members === null ? null : encodeMembership(reply.members),
+        members: reply.membership === null ? null : encodeMembership(reply.membership),
       };
     case 'vote':
       return { kind: 'vote', disk, vote: encodeVote(reply.vote) };
     case 'unavailable':
       return { kind: 'unavailable', disk };
-    case 'full':
+    case 'too-many-claims':
       return { kind: 'full', disk };
-    case 'posted':
+    case 'entries-appended':
       return { kind: 'posted', disk };
     case 'recovering':
       return { kind: 'recovering', disk, epoch: reply.epoch };
     case 'restored':
       return { kind: 'restored', disk };
-    case 'pulled':
+    case 'polled':
       return encodePolled(reply);
-    case 'fetched':
+    case 'register-read':
       return {
         kind: 'fetched',
         disk,
         accepted: reply.accepted === null ? null : encodeAcceptedValue(reply.accepted),
       };
-    case 'dumped':
+    case 'page-read':
       return {
         kind: 'dumped',
         disk,
-        members: reply.members === null ? null : encodeMembership(reply.members),
-        next: reply.next,
-        cells: reply.cells.map(([key, cell]) => [key, encodeRegister(cell)]),
-        facts: reply.facts.map(encodeEntry),
+        members: reply.membership === null ? null : encodeMembership(reply.membership),
+        next: reply.nextPage,
+        cells: reply.registers.map(([key, register]) => [key, encodeRegister(register)]),
+        facts: reply.entries.map(encodeEntry),
       };
   }
 };
@@ -202,41 +214,46 @@
   const { disk } = reply;
   switch (reply.kind) {
     case 'away':
-      return { kind: 'away', disk, fresh: reply.fresh, informed: reply.informed };
+      return {
+        kind: 'not-a-member',
+        diskId: disk,
+        isBlank: reply.fresh,
+        knowsMembership: reply.informed,
+      };
     case 'stale':
       return {
-        kind: 'stale',
-        disk,
-        members: reply.members === null ? null : decodeMembership(reply.members),
+        kind: 'newer-membership',
+        diskId: disk,
+        membership: reply.members === null ? null : decodeMembership(reply.members),
       };
     case 'vote':
-      return { kind: 'vote', disk, vote: decodeVote(reply.vote) };
+      return { kind: 'vote', diskId: disk, vote: decodeVote(reply.vote) };
     case 'unavailable':
-      return { kind: 'unavailable', disk };
+      return { kind: 'unavailable', diskId: disk };
     case 'full':
-      return { kind: 'full', disk };
+      return { kind: 'too-many-claims', diskId: disk };
     case 'posted':
-      return { kind: 'posted', disk };
+      return { kind: 'entries-appended', diskId: disk };
     case 'recovering':
-      return { kind: 'recovering', disk, epoch: reply.epoch };
+      return { kind: 'recovering', diskId: disk, epoch: reply.epoch };
     case 'restored':
-      return { kind: 'restored', disk };
+      return { kind: 'restored', diskId: disk };
     case 'pulled':
       return decodePolled(reply);
     case 'fetched':
       return {
-        kind: 'fetched',
-        disk,
+        kind: 'register-read',
+        diskId: disk,
         accepted: reply.accepted === null ? null : decodeAcceptedValue(reply.accepted),
       };
     case 'dumped':
       return {
-        kind: 'dumped',
-        disk,
-        members: reply.members === null ? null : decodeMembership(reply.members),
-        next: reply.next,
-        cells: reply.cells.map(([key, cell]) => [key, decodeRegister(cell)]),
-        facts: reply.facts.map(decodeEntry),
+        kind: 'page-read',
+        diskId: disk,
+        membership: reply.members === null ? null : decodeMembership(reply.members),
+        nextPage: reply.next,
+        registers: reply.cells.map(([key, register]) => [key, decodeRegister(register)]),
+        entries: reply.facts.map(decodeEntry),
       };
     default:
       throw unknownMessage('reply', reply satisfies never);
--- a/packages/replica/src/protocol/wire-membership.ts
+++ b/packages/replica/src/protocol/wire-membership.ts
@@ -4,20 +4,20 @@
   encodeProposalNumber,
   type WireProposalNumber,
 } from '@reedyard/consensus';
-import type { CommittedMembership, Members } from '../messages.js';
+import type { CommittedMembership, Membership } from '../messages.js';
 
 /** A committed membership, with the proposal number that it was committed under. */
 export type WireCommittedMembership = {
   readonly ballot: WireProposalNumber;
-  readonly value: Members;
+  readonly value: Membership;
 };
 
 export const encodeMembership = (membership: CommittedMembership): WireCommittedMembership => ({
-  ballot: encodeProposalNumber(membership.ballot),
+  ballot: encodeProposalNumber(membership.proposalNumber),
   value: membership.value,
 });
 
 export const decodeMembership = (membership: WireCommittedMembership): CommittedMembership => ({
-  ballot: decodeProposalNumber(membership.ballot),
+  proposalNumber: decodeProposalNumber(membership.ballot),
   value: membership.value,
 });
--- a/packages/replica/src/recovery.ts
+++ b/packages/replica/src/recovery.ts
@@ -1,34 +1,40 @@
 import { Beats, Limits, Sizes } from '@reedyard/constants';
-import { Acceptor, Ballots, emptyCell, majorityOf, type Ballot } from '@reedyard/consensus';
+import {
+  Acceptor,
+  Ballots,
+  emptyRegister,
+  majorityOf,
+  type ProposalNumber,
+} from '@reedyard/consensus';
 import { keepFacts } from './journal.js';
 import { adopt, mayFound, othersOf, predecessorOf } from './membership.js';
 import {
-  membersKey,
-  type ReplicaCall,
+  membershipKey,
+  type ReplicaOperation,
   type ReplicaReply,
-  type ReplicaVoting,
-  type Members,
+  type BootstrapSettings,
+  type Membership,
 } from './messages.js';
 import { keepCell } from './registers.js';
 import {
-  isNamed,
+  isInMembership,
   isRetired,
-  isMember,
-  placeOf,
-  set,
+  isVotingMember,
+  slotOf,
+  update,
   membersOf,
   type ReplicaState,
-  type Reading,
-  type Work,
+  type PeerRead,
+  type Transition,
 } from './state.js';
 
 /** Recovery: how a replica that may not vote yet reads the others, and how it is read by them. */
 
 export const away = (state: ReplicaState): ReplicaReply => ({
-  kind: 'away',
-  disk: state.disk,
-  fresh: !state.voting,
-  informed: state.told !== null,
+  kind: 'not-a-member',
+  diskId: state.diskId,
+  isBlank: !state.isVoting,
+  knowsMembership: state.committedMembership !== null,
 });
 
 /**
@@ -36,40 +42,40 @@
  * have chosen in that place, before it, what it never read.
  */
 const votedInLastPlace = (state: ReplicaState): boolean => {
-  const predecessors = Object.values(state.told?.value.predecessors ?? {});
-  const place = predecessors.find(({ disk }) => disk === state.disk);
-  return (place?.joinedIn ?? 0) <= state.votingEpoch;
+  const predecessors = Object.values(state.committedMembership?.value.predecessors ?? {});
+  const slot = predecessors.find(({ disk }) => disk === state.diskId);
+  return (slot?.joinedIn ?? 0) <= state.votingEpoch;
 };
 
 /**
  * One page of the registers for a reader. The keys are listed once, at its first page: a register
  * that is written later was not written under members that the reader's place took part in.
  */
-export const dumped = (work: Work, after: string | null): ReplicaReply => {
-  const { state } = work;
+export const dumped = (transition: Transition, after: string | null): ReplicaReply => {
+  const { state } = transition;
   // A retired replica accepts nothing more, so what it shows is all that it ever will.
-  if (!isMember(state) && !(isRetired(state) && votedInLastPlace(state))) return away(state);
+  if (!isVotingMember(state) && !(isRetired(state) && votedInLastPlace(state))) return away(state);
   const [given = '', at = '0'] = after === null ? [] : after.split(':');
-  const known = state.dumps[given];
-  const reading = known === undefined ? String(state.nextCall) : given;
+  const known = state.openPageReads[given];
+  const reading = known === undefined ? String(state.nextRequestId) : given;
   const from = known === undefined ? 0 : Number(at);
-  const keys = known ?? [...state.cells.keys()];
+  const keys = known ?? [...state.registers.keys()];
   const page = keys.slice(from, from + Sizes.dumpPage);
   const more = from + page.length < keys.length;
-  const others = Object.entries(state.dumps).filter(([name]) => name !== reading);
-  set(work, {
-    nextCall: state.nextCall + 1,
-    dumps: Object.fromEntries(
+  const others = Object.entries(state.openPageReads).filter(([name]) => name !== reading);
+  update(transition, {
+    nextRequestId: state.nextRequestId + 1,
+    openPageReads: Object.fromEntries(
       more ? [...others, [reading, keys] as const].slice(-Sizes.readers) : others,
     ),
   });
   return {
-    kind: 'dumped',
-    disk: state.disk,
-    members: state.told,
-    next: more ? `${reading}:${from + page.length}` : null,
-    cells: page.map((key) => [key, state.cells.get(key) ?? emptyCell]),
-    facts: more ? [] : state.facts.map(({ key, value }) => ({ key, value })),
+    kind: 'page-read',
+    diskId: state.diskId,
+    membership: state.committedMembership,
+    nextPage: more ? `${reading}:${from + page.length}` : null,
+    registers: page.map((key) => [key, state.registers.get(key) ?? emptyRegister]),
+    entries: more ? [] : state.entries.map(({ key, value }) => ({ key, value })),
   };
 };
 
@@ -78,39 +84,45 @@
  * more.
  */
 export const takeRestored = (
-  work: Work,
-  told: Extract<ReplicaCall, { kind: 'restore' }>,
+  transition: Transition,
+  committed: Extract<ReplicaOperation, { kind: 'restore' }>,
   now: number,
 ): void => {
-  const { seq } = work.state;
+  const { lastSequence: sequence } = transition.state;
   let news = false;
-  for (const [key, accepted] of told.cells) {
-    const mine = work.state.cells.get(key) ?? emptyCell;
+  for (const [key, accepted] of committed.registers) {
+    const mine = transition.state.registers.get(key) ?? emptyRegister;
     if (
-      key === membersKey ||
-      (mine.accepted !== null && Ballots.compare(accepted.ballot, mine.accepted.ballot) <= 0)
+      key === membershipKey ||
+      (mine.accepted !== null &&
+        Ballots.compare(accepted.proposalNumber, mine.accepted.proposalNumber) <= 0)
     )
       continue;
-    keepCell(work, key, Acceptor.merge(mine, { promised: accepted.ballot, accepted }), now);
+    keepCell(
+      transition,
+      key,
+      Acceptor.merge(mine, { promised: accepted.proposalNumber, accepted }),
+      now,
+    );
     news = true;
   }
-  keepFacts(work, told.facts, now);
-  if ((news || work.state.seq > seq) && now < work.state.recoveringUntil)
-    set(work, { recoveringUntil: now + Limits.restoring });
+  keepFacts(transition, committed.entries, now);
+  if ((news || transition.state.lastSequence > sequence) && now < transition.state.recoveringUntil)
+    update(transition, { recoveringUntil: now + Limits.restoring });
 };
 
-const blankReading: Reading = {
-  after: null,
+const blankReading: PeerRead = {
+  nextPage: null,
   state: 'reading',
-  call: null,
+  requestId: null,
   sentAt: -Infinity,
-  disk: '',
+  diskId: '',
   epoch: 0,
-  askedEpoch: 0,
-  earlierCalls: [],
+  requestedEpoch: 0,
+  earlierRequestIds: [],
 };
-const readingOf = (state: ReplicaState, name: string): Reading =>
-  state.readings[name] ?? blankReading;
+const readingOf = (state: ReplicaState, name: string): PeerRead =>
+  state.peerReads[name] ?? blankReading;
 
 /**
  * How a disk that does not vote comes to do so, from what it has read of the others.
@@ -122,16 +134,16 @@
  * - `found`: every other one was reached and too few have anything to make a majority.
  *
  * @example
- * nextStep({ name: 'a', disk: 'd', members: null, others: { b: { state: 'blank', disk: 'e', epoch: 0 } } }) // 'found'
+ * nextStep({ name: 'a', diskId: 'd', members: null, others: { b: { state: 'blank', diskId: 'e', epoch: 0 } } }) // 'found'
  */
 export const nextStep = (me: {
   readonly name: string;
-  readonly disk: string;
-  readonly members: Members | null;
+  readonly diskId: string;
+  readonly members: Membership | null;
   readonly others: Readonly<
     Record<
       string,
-      { readonly state: Reading['state']; readonly disk: string; readonly epoch: number }
+      { readonly state: PeerRead['state']; readonly diskId: string; readonly epoch: number }
     >
   >;
 }): 'vote' | 'found' | 'wait' => {
@@ -139,12 +151,12 @@
   const count = others.length + 1;
   const majority = majorityOf(count);
   const members = me.members;
-  if (members !== null && members.disks[me.name] === me.disk) {
+  if (members !== null && members.disks[me.name] === me.diskId) {
     const met = others.filter(
       ([name, other]) =>
         other.state === 'done' &&
         other.epoch >= members.epoch &&
-        other.disk === members.disks[name],
+        other.diskId === members.disks[name],
     ).length;
     if (met >= count - majority + 1) return 'vote';
   }
@@ -159,62 +171,71 @@
  * less is borne, so it asks again soon, and gives a busy machine more time at each try; who only
  * waits to be named is in no haste.
  */
-const patienceFor = (state: ReplicaState, reading: Reading): number =>
-  isNamed(state)
-    ? Math.min(Limits.call, Limits.recoveryCall * (1 + reading.earlierCalls.length))
+const patienceFor = (state: ReplicaState, reading: PeerRead): number =>
+  isInMembership(state)
+    ? Math.min(Limits.call, Limits.recoveryCall * (1 + reading.earlierRequestIds.length))
     : Limits.call;
 
-export const rejoin = (work: Work, now: number): void => {
-  const epoch = membersOf(work.state)?.value.epoch ?? 0;
-  const predecessor = predecessorOf(work.state);
+export const rejoin = (transition: Transition, now: number): void => {
+  const epoch = membersOf(transition.state)?.value.epoch ?? 0;
+  const predecessor = predecessorOf(transition.state);
   const targets = {
-    ...othersOf(work.state),
+    ...othersOf(transition.state),
     ...(predecessor === null ? {} : { [predecessor.reading]: predecessor.address }),
   };
   for (const [name, address] of Object.entries(targets)) {
-    let reading = readingOf(work.state, name);
-    const patience = patienceFor(work.state, reading);
-    if (reading.call !== null && now - reading.sentAt < patience) continue;
+    let reading = readingOf(transition.state, name);
+    const patience = patienceFor(transition.state, reading);
+    if (reading.requestId !== null && now - reading.sentAt < patience) continue;
     if (reading.state === 'done' && reading.epoch >= epoch) continue;
-    if (reading.after === null && now - reading.sentAt < Beats.rejoin) continue;
-    if (reading.state === 'done') reading = { ...reading, after: null };
-    const id = work.state.nextCall;
-    const askedEpoch = reading.after === null ? epoch : Math.min(epoch, reading.askedEpoch);
+    if (reading.nextPage === null && now - reading.sentAt < Beats.rejoin) continue;
+    if (reading.state === 'done') reading = { ...reading, nextPage: null };
+    const id = transition.state.nextRequestId;
+    const askedEpoch = reading.nextPage === null ? epoch : Math.min(epoch, reading.requestedEpoch);
     // An answer counts by the epoch that its call told; so only calls under one epoch stand for
     // each other.
-    const isAgain = reading.call !== null && askedEpoch === reading.askedEpoch;
-    const earlierCalls = isAgain ? [...reading.earlierCalls, reading.call ?? id] : [];
-    set(work, {
-      nextCall: id + 1,
-      readings: {
-        ...work.state.readings,
-        [name]: { ...reading, call: id, sentAt: now, askedEpoch, earlierCalls },
+    const isAgain = reading.requestId !== null && askedEpoch === reading.requestedEpoch;
+    const earlierCalls = isAgain ? [...reading.earlierRequestIds, reading.requestId ?? id] : [];
+    update(transition, {
+      nextRequestId: id + 1,
+      peerReads: {
+        ...transition.state.peerReads,
+        [name]: {
+          ...reading,
+          requestId: id,
+          sentAt: now,
+          requestedEpoch: askedEpoch,
+          earlierRequestIds: earlierCalls,
+        },
       },
     });
-    work.effects.push({
-      kind: 'call',
-      id,
+    transition.effects.push({
+      kind: 'send-request',
+      requestId: id,
       to: address,
-      body: { members: membersOf(work.state), call: { kind: 'dump', after: reading.after } },
+      request: {
+        membership: membersOf(transition.state),
+        operation: { kind: 'read-page', after: reading.nextPage },
+      },
     });
   }
-  tryVote(work, now);
+  tryVote(transition, now);
 };
 
-const tryVote = (work: Work, now: number): void => {
-  const { state } = work;
-  if (isMember(state)) return;
+const tryVote = (transition: Transition, now: number): void => {
+  const { state } = transition;
+  if (isVotingMember(state)) return;
   const known = membersOf(state);
   const others = Object.fromEntries(
     Object.keys(othersOf(state)).map((name) => [name, readingOf(state, name)]),
   );
-  if (state.seeded !== null) {
-    tryVoteSeeded(work, state.seeded, others, now);
+  if (state.bootstrap !== null) {
+    tryVoteSeeded(transition, state.bootstrap, others, now);
     return;
   }
   const step = nextStep({
     name: state.name,
-    disk: state.disk,
+    diskId: state.diskId,
     members: known?.value ?? null,
     others,
   });
@@ -223,25 +244,25 @@
     // All that found at once come to the same members under the same ballot.
     const disks = {
       ...known?.value.disks,
-      ...Object.fromEntries(Object.entries(others).map(([name, other]) => [name, other.disk])),
-      [state.name]: state.disk,
+      ...Object.fromEntries(Object.entries(others).map(([name, other]) => [name, other.diskId])),
+      [state.name]: state.diskId,
     };
     const names = Object.keys(disks);
     const founded =
       known !== null &&
       names.length === Object.keys(known.value.disks).length &&
       names.every((name) => known.value.disks[name] === disks[name as keyof typeof disks]);
-    const ballot: Ballot = [(known?.ballot[0] ?? 0) + 1, 'founding'];
+    const proposalNumber: ProposalNumber = [(known?.proposalNumber[0] ?? 0) + 1, 'founding'];
     // Another may have founded the very same just before: then that epoch stands.
     const epoch = (known?.value.epoch ?? 0) + 1;
     if (!founded)
       adopt(
-        work,
-        { ballot, value: { epoch, disks, ...(epoch > 1 ? { refounded: epoch } : {}) } },
+        transition,
+        { proposalNumber, value: { epoch, disks, ...(epoch > 1 ? { refounded: epoch } : {}) } },
         now,
       );
   }
-  beginVoting(work, step, now);
+  beginVoting(transition, step, now);
 };
 
 /**
@@ -255,29 +276,29 @@
   const reading = readingOf(state, predecessor.reading);
   return (
     reading.state === 'done' &&
-    reading.disk === predecessor.disk &&
-    reading.epoch === state.told?.value.epoch
+    reading.diskId === predecessor.disk &&
+    reading.epoch === state.committedMembership?.value.epoch
   );
 };
 
 /** A disk that comes back to vote in another place: none of its earlier votes counts there. */
-const forgetVotes = (work: Work, now: number): void => {
-  for (const [key, cell] of work.state.cells) {
-    const isVote = cell.accepted !== null && cell.accepted.copied !== true;
-    if (key !== membersKey && isVote) keepCell(work, key, Acceptor.copyOf(cell), now);
+const forgetVotes = (transition: Transition, now: number): void => {
+  for (const [key, register] of transition.state.registers) {
+    const isVote = register.accepted !== null && register.accepted.copied !== true;
+    if (key !== membershipKey && isVote) keepCell(transition, key, Acceptor.copyOf(register), now);
   }
 };
 
-const beginVoting = (work: Work, step: string, now: number): void => {
-  if (work.state.voting) forgetVotes(work, now);
-  const epoch = work.state.told?.value.epoch ?? 0;
-  set(work, { voting: true, votingEpoch: epoch, readings: {} });
-  work.effects.push(
-    { kind: 'append', records: [{ kind: 'voting', epoch }] },
+const beginVoting = (transition: Transition, step: string, now: number): void => {
+  if (transition.state.isVoting) forgetVotes(transition, now);
+  const epoch = transition.state.committedMembership?.value.epoch ?? 0;
+  update(transition, { isVoting: true, votingEpoch: epoch, peerReads: {} });
+  transition.effects.push(
+    { kind: 'append-records', records: [{ kind: 'voting-begun', epoch }] },
     {
       kind: 'log',
       event: 'replica.votes',
-      fields: { disk: work.state.disk, cells: work.state.cells.size, step },
+      fields: { disk: transition.state.diskId, cells: transition.state.registers.size, step },
     },
   );
 };
@@ -289,85 +310,99 @@
  * time.
  */
 const tryVoteSeeded = (
-  work: Work,
-  seeded: ReplicaVoting,
-  others: Readonly<Record<string, Reading>>,
+  transition: Transition,
+  seeded: BootstrapSettings,
+  others: Readonly<Record<string, PeerRead>>,
   now: number,
 ): void => {
-  const { state } = work;
-  const members = state.told?.value;
-  const place = members === undefined ? undefined : placeOf(state, members);
-  if (members !== undefined && place !== undefined) {
+  const { state } = transition;
+  const members = state.committedMembership?.value;
+  const slot = members === undefined ? undefined : slotOf(state, members);
+  if (members !== undefined && slot !== undefined) {
     if (
       members.epoch === 1 ||
-      nextStep({ name: place, disk: state.disk, members, others }) === 'vote'
+      nextStep({ name: slot, diskId: state.diskId, members, others }) === 'vote'
     )
-      beginVoting(work, 'vote', now);
-    else if (hasReadPredecessor(state)) beginVoting(work, 'handover', now);
+      beginVoting(transition, 'vote', now);
+    else if (hasReadPredecessor(state)) beginVoting(transition, 'handover', now);
     return;
   }
   if (!mayFound(state) || Object.values(others).some((other) => other.state !== 'blank')) return;
   const addresses = Object.fromEntries(seeded.seeds.map((seed) => [seed, seed]));
   const disks = {
-    ...Object.fromEntries(Object.entries(others).map(([name, other]) => [name, other.disk])),
-    [seeded.address]: state.disk,
+    ...Object.fromEntries(Object.entries(others).map(([name, other]) => [name, other.diskId])),
+    [seeded.address]: state.diskId,
   };
   // All that found at once come to the same members under the same ballot.
-  adopt(work, { ballot: [1, 'founding'], value: { epoch: 1, disks, addresses } }, now);
-  beginVoting(work, 'found', now);
+  adopt(
+    transition,
+    { proposalNumber: [1, 'founding'], value: { epoch: 1, disks, addresses } },
+    now,
+  );
+  beginVoting(transition, 'found', now);
 };
 
-export const returned = (work: Work, id: number, body: ReplicaReply | null, now: number): void => {
-  const found = Object.entries(work.state.readings).find(
-    ([, reading]) => reading.call === id || reading.earlierCalls.includes(id),
+export const returned = (
+  transition: Transition,
+  id: number,
+  body: ReplicaReply | null,
+  now: number,
+): void => {
+  const found = Object.entries(transition.state.peerReads).find(
+    ([, reading]) => reading.requestId === id || reading.earlierRequestIds.includes(id),
   );
-  if (found === undefined || isMember(work.state)) return;
+  if (found === undefined || isVotingMember(transition.state)) return;
   const [name, reading] = found;
-  const note = (next: Partial<Reading>): void =>
-    set(work, {
-      readings: {
-        ...work.state.readings,
-        [name]: { ...reading, call: null, earlierCalls: [], ...next },
+  const note = (next: Partial<PeerRead>): void =>
+    update(transition, {
+      peerReads: {
+        ...transition.state.peerReads,
+        [name]: { ...reading, requestId: null, earlierRequestIds: [], ...next },
       },
     });
   if (body === null) {
-    const earlierCalls = reading.earlierCalls.filter((each) => each !== id);
-    note({ call: reading.call === id ? null : reading.call, earlierCalls });
+    const earlierCalls = reading.earlierRequestIds.filter((each) => each !== id);
+    note({
+      requestId: reading.requestId === id ? null : reading.requestId,
+      earlierRequestIds: earlierCalls,
+    });
     return;
   }
-  if (body.kind === 'away') {
-    const blankSeed = work.state.seeded === null || (body.fresh && !body.informed);
-    note({ state: blankSeed ? 'blank' : 'reading', disk: body.disk, after: null });
-    tryVote(work, now);
+  if (body.kind === 'not-a-member') {
+    const blankSeed =
+      transition.state.bootstrap === null || (body.isBlank && !body.knowsMembership);
+    note({ state: blankSeed ? 'blank' : 'reading', diskId: body.diskId, nextPage: null });
+    tryVote(transition, now);
     return;
   }
-  if (body.kind !== 'dumped') {
+  if (body.kind !== 'page-read') {
     note({});
     return;
   }
-  adopt(work, body.members, now);
-  if (work.state.readings[name] === undefined) return;
+  adopt(transition, body.membership, now);
+  if (transition.state.peerReads[name] === undefined) return;
   const isPredecessor =
-    name === predecessorOf(work.state)?.reading && body.disk === predecessorOf(work.state)?.disk;
-  for (const [key, shown] of body.cells) {
+    name === predecessorOf(transition.state)?.reading &&
+    body.diskId === predecessorOf(transition.state)?.disk;
+  for (const [key, shown] of body.registers) {
     // Only the predecessor's votes were cast in this place.
-    const cell = isPredecessor ? shown : Acceptor.copyOf(shown);
-    const mine = work.state.cells.get(key) ?? emptyCell;
+    const register = isPredecessor ? shown : Acceptor.copyOf(shown);
+    const mine = transition.state.registers.get(key) ?? emptyRegister;
     // Members that another accepted need not be chosen: of that register only what was promised is
     // taken over.
     const merged =
-      key === membersKey
-        ? { ...mine, promised: Acceptor.merge(mine, cell).promised }
-        : Acceptor.merge(mine, cell);
+      key === membershipKey
+        ? { ...mine, promised: Acceptor.merge(mine, register).promised }
+        : Acceptor.merge(mine, register);
     if (Ballots.compare(merged.promised, mine.promised) !== 0 || merged.accepted !== mine.accepted)
-      keepCell(work, key, merged, now);
+      keepCell(transition, key, merged, now);
   }
-  keepFacts(work, body.facts, now);
+  keepFacts(transition, body.entries, now);
   note(
-    body.next === null
-      ? { state: 'done', after: null, disk: body.disk, epoch: reading.askedEpoch }
-      : { after: body.next, sentAt: -Infinity },
+    body.nextPage === null
+      ? { state: 'done', nextPage: null, diskId: body.diskId, epoch: reading.requestedEpoch }
+      : { nextPage: body.nextPage, sentAt: -Infinity },
   );
-  if (body.next === null) tryVote(work, now);
-  else rejoin(work, now);
+  if (body.nextPage === null) tryVote(transition, now);
+  else rejoin(transition, now);
 };
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -6,14 +6,19 @@
   type DiskOperation,
   ModelDisk,
 } from '@reedyard/write-ahead-log/model-disk';
-import { type CommittedMembership, Replica, type ReplicaCall, type ReplicaReply } from './index.js';
+import {
+  type CommittedMembership,
+  Replica,
+  type ReplicaOperation,
+  type ReplicaReply,
+} from './index.js';
 import { ReplicaHost } from './replica-host.js';
 import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 
 const folder = 'model';
 const diskName = 'disk-a';
 const members: CommittedMembership = {
-  ballot: [1, 'founding'],
+  proposalNumber: [1, 'founding'],
   value: { epoch: 1, disks: { a: diskName, b: 'disk-b', c: 'disk-c' } },
 };
 
@@ -63,8 +68,8 @@
     return bed;
   }
 
-  ask(call: ReplicaCall): Promise<ReplicaReply> {
-    return this.host.ask({ members: members, call });
+  ask(call: ReplicaOperation): Promise<ReplicaReply> {
+    return this.host.ask({ membership: members, operation: call });
   }
 
   async tick(ms: number): Promise<void> {
@@ -74,15 +79,21 @@
   }
 
   prepare(round: number, key = 'config'): Promise<ReplicaReply> {
-    return this.ask({ kind: 'prepare', key, ballot: [round, 'proposer'] });
+    return this.ask({ kind: 'prepare', key, proposalNumber: [round, 'proposer'] });
   }
 
   accept(round: number, value: unknown, key = 'config'): Promise<ReplicaReply> {
-    return this.ask({ kind: 'accept', key, ballot: [round, 'proposer'], value, disk: diskName });
+    return this.ask({
+      kind: 'accept',
+      key,
+      proposalNumber: [round, 'proposer'],
+      value,
+      diskId: diskName,
+    });
   }
 
   pull(): Promise<ReplicaReply> {
-    return this.ask({ kind: 'pull', cursor: null, keys: ['config'] });
+    return this.ask({ kind: 'poll', cursor: null, keys: ['config'] });
   }
 }
 
@@ -91,10 +102,14 @@
   const disk = new ModelDisk();
   const log = await openReplicaLog(folder, disk.fileSystem);
   await log.append([
-    { kind: 'disk', disk: diskName },
-    { kind: 'cell', key: 'members', cell: { promised: members.ballot, accepted: members } },
-    { kind: 'told', members: members },
-    { kind: 'voting' },
+    { kind: 'disk-named', diskId: diskName },
+    {
+      kind: 'register-written',
+      key: 'members',
+      register: { promised: members.proposalNumber, accepted: members },
+    },
+    { kind: 'membership-committed', membership: members },
+    { kind: 'voting-begun' },
   ]);
   await log.close();
   return disk;
@@ -104,24 +119,27 @@
 const acceptedOnDisk = async (disk: ModelDisk): Promise<unknown> => {
   const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
   const { state } = Replica.open({ name: 'a', others: {}, records, freshDisk: 'another', now: 0 });
-  return state.cells.get('config')?.accepted?.value;
+  return state.registers.get('config')?.accepted?.value;
 };
 
 const ballotShown = (reply: ReplicaReply): unknown =>
-  reply.kind === 'pulled' ? reply.ballots['config'] : reply.kind;
+  reply.kind === 'polled' ? reply.acceptedNumbers['config'] : reply.kind;
 
 test('with a full disk the replica refuses to vote at once, shows what is on disk, and votes again once there is room', async (t) => {
   const bed = await Bed.open(await votingDisk());
   t.is((await bed.accept(1, 'first')).kind, 'vote');
   bed.disk.hook = fullDisk;
-  t.deepEqual(await bed.accept(2, 'second'), { kind: 'unavailable', disk: diskName });
-  t.deepEqual(await bed.prepare(3), { kind: 'unavailable', disk: diskName });
-  t.is((await bed.ask({ kind: 'post', facts: [{ key: 'f', value: 1 }] })).kind, 'unavailable');
+  t.deepEqual(await bed.accept(2, 'second'), { kind: 'unavailable', diskId: diskName });
+  t.deepEqual(await bed.prepare(3), { kind: 'unavailable', diskId: diskName });
+  t.is(
+    (await bed.ask({ kind: 'append-entries', entries: [{ key: 'f', value: 1 }] })).kind,
+    'unavailable',
+  );
   t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
-  t.deepEqual(await bed.ask({ kind: 'fetch', key: 'config' }), {
-    kind: 'fetched',
-    disk: diskName,
-    accepted: { ballot: [1, 'proposer'], value: 'first' },
+  t.deepEqual(await bed.ask({ kind: 'read-register', key: 'config' }), {
+    kind: 'register-read',
+    diskId: diskName,
+    accepted: { proposalNumber: [1, 'proposer'], value: 'first' },
   });
   for (let each = 0; each < 100; each += 1) {
     await bed.tick(200);
@@ -139,7 +157,7 @@
   const bed = await Bed.open(await votingDisk());
   const isReadOnly = async (): Promise<boolean> => {
     const reply = await bed.pull();
-    return reply.kind === 'pulled' && reply.readOnly === true;
+    return reply.kind === 'polled' && reply.isReadOnly === true;
   };
   await bed.accept(1, 'first');
   t.false(await isReadOnly());
@@ -158,7 +176,7 @@
   const answers = await Promise.all([bed.accept(5, 'lost'), bed.prepare(9, 'zone'), bed.pull()]);
   t.deepEqual(
     answers.map((answer) => answer.kind),
-    ['unavailable', 'unavailable', 'pulled'],
+    ['unavailable', 'unavailable', 'polled'],
   );
   t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
   bed.disk.hook = () => null;
@@ -177,7 +195,7 @@
   await before.accept(1, 'first');
   disk.hook = fullDisk;
   const bed = await Bed.open(disk);
-  for (const call of [bed.pull(), bed.prepare(2), bed.ask({ kind: 'dump', after: null })]) {
+  for (const call of [bed.pull(), bed.prepare(2), bed.ask({ kind: 'read-page', after: null })]) {
     t.is((await call).kind, 'unavailable');
   }
   await bed.tick(5_000);
@@ -197,10 +215,10 @@
   disk.hook = () => null;
   await bed.tick(5_000);
   // The only member has nobody to read: it votes with the call that names it.
-  t.is((await bed.pull()).kind, 'pulled');
+  t.is((await bed.pull()).kind, 'polled');
   const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
-  t.deepEqual(records[0], { kind: 'disk', disk: diskName });
-  t.true(records.some((record) => record.kind === 'voting'));
+  t.deepEqual(records[0], { kind: 'disk-named', diskId: diskName });
+  t.true(records.some((record) => record.kind === 'voting-begun'));
 });
 
 /**
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -16,7 +16,7 @@
 import type { Step } from '@reedyard/task-loop';
 import { Replica } from './core.js';
 import type {
-  ReplicaAsk,
+  ReplicaRequest,
   ReplicaEffect,
   ReplicaEvent,
   ReplicaRecord,
@@ -28,7 +28,7 @@
 /** What the host does outside. */
 export type ReplicaShell = {
   readonly now: () => number;
-  readonly call: (address: string, body: ReplicaAsk) => Promise<ReplicaReply>;
+  readonly call: (address: string, body: ReplicaRequest) => Promise<ReplicaReply>;
   /** Ends the process: it was told to stop, and nothing waits for it any more. */
   readonly end: () => void;
   readonly log: (
@@ -66,14 +66,14 @@
   readonly answers: HeldAnswer[];
 };
 
-type Asked = Extract<ReplicaEvent, { kind: 'asked' }>;
-type TellEffect = Extract<ReplicaEffect, { kind: 'tell' }>;
+type Asked = Extract<ReplicaEvent, { kind: 'request-received' }>;
+type TellEffect = Extract<ReplicaEffect, { kind: 'send-reply' }>;
 
 const recordsIn = (effects: readonly ReplicaEffect[]): readonly ReplicaRecord[] =>
-  effects.flatMap((effect) => (effect.kind === 'append' ? effect.records : []));
+  effects.flatMap((effect) => (effect.kind === 'append-records' ? effect.records : []));
 
 const tellIn = (effects: readonly ReplicaEffect[]): TellEffect | undefined =>
-  effects.find((effect): effect is TellEffect => effect.kind === 'tell');
+  effects.find((effect): effect is TellEffect => effect.kind === 'send-reply');
 
 export class ReplicaHost {
   readonly #log: ReplicaLog;
@@ -124,11 +124,16 @@
   }
 
   /** Answers a call, perhaps with a refusal; late answers are given to nobody. */
-  ask(body: ReplicaAsk): Promise<ReplicaReply> {
+  ask(body: ReplicaRequest): Promise<ReplicaReply> {
     if (!this.#opened) return Promise.resolve(this.#refusal());
     const id = this.#nextAsk;
     this.#nextAsk += 1;
-    const event: Asked = { kind: 'asked', id, body, now: this.#shell.now() };
+    const event: Asked = {
+      kind: 'request-received',
+      requestId: id,
+      request: body,
+      now: this.#shell.now(),
+    };
     const read = this.#readDurable(event);
     if (read !== null) {
       this.#noteSpare(event);
@@ -141,7 +146,7 @@
 
   /** The process was told to stop: it ends once nothing waits for this replica. */
   stop(): void {
-    const isTaken = this.#opened && this.#apply({ kind: 'stop', now: this.#shell.now() });
+    const isTaken = this.#opened && this.#apply({ kind: 'stop-requested', now: this.#shell.now() });
     if (!isTaken) this.#shell.end();
   }
 
@@ -151,7 +156,7 @@
     this.#dropLateAnswers();
     this.#recoverIfDue();
     if (!this.#opened) return;
-    this.#apply({ kind: 'beat', now: this.#shell.now() });
+    this.#apply({ kind: 'tick', now: this.#shell.now() });
     this.#compactIfDue();
   }
 
@@ -160,20 +165,20 @@
    * yet.
    */
   #readDurable(event: Asked): ReplicaReply | null {
-    const { kind } = event.body.call;
-    if (kind !== 'pull' && kind !== 'fetch') return null;
+    const { kind } = event.request.operation;
+    if (kind !== 'poll' && kind !== 'read-register') return null;
     const { effects } = Replica.reduce(this.#durable, event);
     if (recordsIn(effects).length > 0) return null;
-    const reply = tellIn(effects)?.body ?? null;
-    return reply?.kind === 'pulled' && !this.available ? { ...reply, readOnly: true } : reply;
+    const reply = tellIn(effects)?.reply ?? null;
+    return reply?.kind === 'polled' && !this.available ? { ...reply, isReadOnly: true } : reply;
   }
 
   /**
    * What a caller told of blank replicas counts also where it was answered from the disk's state.
    */
-  #noteSpare({ body, now }: Asked): void {
-    if (body.spare !== true) return;
-    this.#state = { ...this.#state, spareHeardAt: now };
+  #noteSpare({ request: body, now }: Asked): void {
+    if (body.hasLiveSpare !== true) return;
+    this.#state = { ...this.#state, spareSeenAt: now };
     this.#followPending();
   }
 
@@ -200,15 +205,15 @@
 
   #perform(effect: ReplicaEffect, resolve?: (reply: ReplicaReply) => void): void {
     switch (effect.kind) {
-      case 'append':
+      case 'append-records':
         return;
-      case 'tell':
-        if (resolve !== undefined) this.#answerOnceSynced(effect.body, resolve);
+      case 'send-reply':
+        if (resolve !== undefined) this.#answerOnceSynced(effect.reply, resolve);
         return;
-      case 'call':
-        this.#call(effect.id, effect.to, effect.body);
+      case 'send-request':
+        this.#call(effect.requestId, effect.to, effect.request);
         return;
-      case 'end':
+      case 'exit':
         this.#shell.end();
         return;
       case 'log':
@@ -217,10 +222,16 @@
     }
   }
 
-  #call(id: number, to: string, body: ReplicaAsk): void {
+  #call(id: number, to: string, body: ReplicaRequest): void {
     this.#shell.call(to, body).then(
-      (reply) => this.#apply({ kind: 'returned', id, body: reply, now: this.#shell.now() }),
-      () => this.#apply({ kind: 'lost', id, now: this.#shell.now() }),
+      (reply) =>
+        this.#apply({
+          kind: 'reply-received',
+          requestId: id,
+          reply: reply,
+          now: this.#shell.now(),
+        }),
+      () => this.#apply({ kind: 'request-failed', requestId: id, now: this.#shell.now() }),
     );
   }
 
@@ -277,7 +288,7 @@
 
   /** Ids of calls are not used twice, also where the state goes back. */
   #rollBack(): void {
-    this.#state = { ...this.#durable, nextCall: this.#state.nextCall };
+    this.#state = { ...this.#durable, nextRequestId: this.#state.nextRequestId };
     this.#durable = this.#state;
     const refusal = this.#refusal();
     const answers = this.#pending.flatMap((pending) => pending.answers);
@@ -377,6 +388,6 @@
   }
 
   #refusal(): ReplicaReply {
-    return { kind: 'unavailable', disk: this.#durable.disk };
+    return { kind: 'unavailable', diskId: this.#durable.diskId };
   }
 }
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -2,13 +2,13 @@
 import { Limits, Sizes } from '@reedyard/constants';
 import { Replica } from './core.js';
 import {
-  membersKey,
-  type ReplicaAsk,
+  membershipKey,
+  type ReplicaRequest,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaRecord,
   type ReplicaReply,
-  type Members,
+  type Membership,
 } from './messages.js';
 import { nextStep } from './recovery.js';
 import type { ReplicaState } from './state.js';
@@ -24,7 +24,7 @@
   readonly to: string;
   readonly from: string;
   readonly id: number;
-  readonly ask?: ReplicaAsk;
+  readonly ask?: ReplicaRequest;
   readonly reply?: ReplicaReply;
 };
 
@@ -67,14 +67,14 @@
 
   perform(name: string, effects: readonly ReplicaEffect[]): void {
     for (const effect of effects) {
-      if (effect.kind === 'append')
+      if (effect.kind === 'append-records')
         this.disks.set(name, [...(this.disks.get(name) ?? []), ...effect.records]);
-      if (effect.kind === 'call')
-        this.flying.push({ to: effect.to, from: name, id: effect.id, ask: effect.body });
-      if (effect.kind === 'tell') {
-        const asker = this.#asking.get(`${name}/${effect.id}`);
+      if (effect.kind === 'send-request')
+        this.flying.push({ to: effect.to, from: name, id: effect.requestId, ask: effect.request });
+      if (effect.kind === 'send-reply') {
+        const asker = this.#asking.get(`${name}/${effect.requestId}`);
         if (asker !== undefined)
-          this.flying.push({ to: asker.from, from: name, id: asker.id, reply: effect.body });
+          this.flying.push({ to: asker.from, from: name, id: asker.id, reply: effect.reply });
       }
     }
   }
@@ -91,7 +91,7 @@
     const draw = this.chance();
     if (this.flying.length === 0 || draw < 0.3) {
       this.step(this.names[Math.floor(this.chance() * this.names.length)] ?? '', {
-        kind: 'beat',
+        kind: 'tick',
         now: this.now,
       });
       return;
@@ -100,15 +100,15 @@
     if (message === undefined) return;
     if (this.chance() < loss) {
       if (message.reply === undefined)
-        this.step(message.from, { kind: 'lost', id: message.id, now: this.now });
-      else this.step(message.to, { kind: 'lost', id: message.id, now: this.now });
+        this.step(message.from, { kind: 'request-failed', requestId: message.id, now: this.now });
+      else this.step(message.to, { kind: 'request-failed', requestId: message.id, now: this.now });
       return;
     }
     if (message.reply !== undefined) {
       this.step(message.to, {
-        kind: 'returned',
-        id: message.id,
-        body: message.reply,
+        kind: 'reply-received',
+        requestId: message.id,
+        reply: message.reply,
         now: this.now,
       });
       return;
@@ -116,12 +116,18 @@
     this.#asks += 1;
     this.#asking.set(`${message.to}/${this.#asks}`, { from: message.from, id: message.id });
     if (message.ask !== undefined)
-      this.step(message.to, { kind: 'asked', id: this.#asks, body: message.ask, now: this.now });
+      this.step(message.to, {
+        kind: 'request-received',
+        requestId: this.#asks,
+        request: message.ask,
+        now: this.now,
+      });
   }
-  members(): readonly (Members | undefined)[] {
+  members(): readonly (Membership | undefined)[] {
     return this.names.map(
       (name) =>
-        this.states.get(name)?.cells.get(membersKey)?.accepted?.value as Members | undefined,
+        this.states.get(name)?.registers.get(membershipKey)?.accepted?.value as
+          Membership | undefined,
     );
   }
 }
@@ -135,7 +141,7 @@
     for (let each = 0; each < 900; each += 1) bench.tick(seed % 4 < 2 ? 0 : 0.15);
     const members = bench.members();
     t.true(
-      [...bench.states.values()].every((state) => state.voting),
+      [...bench.states.values()].every((state) => state.isVoting),
       `seed ${seed}`,
     );
     t.is(
@@ -156,22 +162,22 @@
   const before = bench.members()[0];
   bench.wipe('c');
   for (let each = 0; each < 600; each += 1) bench.tick(0.1);
-  t.false(bench.states.get('c')?.voting);
+  t.false(bench.states.get('c')?.isVoting);
   const told = {
-    ballot: [9, 'agent'] as const,
+    proposalNumber: [9, 'agent'] as const,
     value: {
       epoch: (before?.epoch ?? 0) + 1,
-      disks: { ...before?.disks, c: bench.states.get('c')?.disk ?? '' },
+      disks: { ...before?.disks, c: bench.states.get('c')?.diskId ?? '' },
     },
   };
   bench.step('c', {
-    kind: 'asked',
-    id: 9_999,
-    body: { members: told, call: { kind: 'pull', cursor: null, keys: [] } },
+    kind: 'request-received',
+    requestId: 9_999,
+    request: { membership: told, operation: { kind: 'poll', cursor: null, keys: [] } },
     now: bench.now,
   });
   for (let each = 0; each < 600; each += 1) bench.tick(0.1);
-  t.true(bench.states.get('c')?.voting);
+  t.true(bench.states.get('c')?.isVoting);
   // Whom it read was told first: nobody of them goes on in the old epoch.
   t.true(bench.members().every((each) => each?.epoch === told.value.epoch));
 });
@@ -180,11 +186,11 @@
   const disks = { a: '1', b: '2', c: '3', d: '4', e: '5' };
   const other = (
     state: 'reading' | 'blank' | 'done',
-    disk: string,
+    diskId: string,
     epoch = 2,
-  ): { state: 'reading' | 'blank' | 'done'; disk: string; epoch: number } => ({
+  ): { state: 'reading' | 'blank' | 'done'; diskId: string; epoch: number } => ({
     state,
-    disk,
+    diskId,
     epoch,
   });
   const me = (
@@ -192,7 +198,7 @@
     others: Parameters<typeof nextStep>[0]['others'],
     epoch = 2,
   ): ReturnType<typeof nextStep> =>
-    nextStep({ name: 'a', disk: name, members: { epoch, disks }, others });
+    nextStep({ name: 'a', diskId: name, members: { epoch, disks }, others });
   t.is(
     me('1', {
       b: other('done', '2'),
@@ -262,34 +268,41 @@
   const bench = new Bench(['a', 'b', 'c'], chanceFrom(3));
   for (let each = 0; each < 600; each += 1) bench.tick(0);
   const [members] = bench.members();
-  const ballot = bench.states.get('a')?.cells.get(membersKey)?.accepted?.ballot ?? [0, ''];
+  const proposalNumber = bench.states.get('a')?.registers.get(membershipKey)?.accepted
+    ?.proposalNumber ?? [0, ''];
   const asked = (epoch: number): ReplicaReply | undefined => {
     const state = bench.states.get('a');
     if (state === undefined || members === undefined) return undefined;
     const { effects } = Replica.reduce(state, {
-      kind: 'asked',
-      id: 1,
-      body: {
-        members: { ballot, value: { ...members, epoch } },
-        call: { kind: 'pull', cursor: null, keys: [] },
+      kind: 'request-received',
+      requestId: 1,
+      request: {
+        membership: { proposalNumber, value: { ...members, epoch } },
+        operation: { kind: 'poll', cursor: null, keys: [] },
       },
       now: bench.now,
     });
-    return effects.flatMap((effect) => (effect.kind === 'tell' ? [effect.body] : []))[0];
+    return effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []))[0];
   };
-  t.is(asked(members?.epoch ?? 0)?.kind, 'pulled');
-  t.is(asked((members?.epoch ?? 0) - 1)?.kind, 'stale');
+  t.is(asked(members?.epoch ?? 0)?.kind, 'polled');
+  t.is(asked((members?.epoch ?? 0) - 1)?.kind, 'newer-membership');
 });
 
 test('a place on the board survives a restart, so no cursor skips a fact', (t) => {
   const bench = new Bench(['a'], chanceFrom(1));
-  bench.step('a', { kind: 'beat', now: 100 });
-  const members = { ballot: [1, 'founding'] as const, value: bench.members()[0] as Members };
+  bench.step('a', { kind: 'tick', now: 100 });
+  const members = {
+    proposalNumber: [1, 'founding'] as const,
+    value: bench.members()[0] as Membership,
+  };
   const post = (key: string, id: number): void =>
     bench.step('a', {
-      kind: 'asked',
-      id,
-      body: { members, call: { kind: 'post', facts: [{ key, value: 1 }] } },
+      kind: 'request-received',
+      requestId: id,
+      request: {
+        membership: members,
+        operation: { kind: 'append-entries', entries: [{ key, value: 1 }] },
+      },
       now: bench.now,
     });
   post('purge/1', 1);
@@ -300,70 +313,93 @@
     return;
   }
   // Everything aged away, then a snapshot, then a restart.
-  const aged = Replica.reduce(state, { kind: 'beat', now: 1e9 }).state;
-  t.is(aged.facts.length, 0);
+  const aged = Replica.reduce(state, { kind: 'tick', now: 1e9 }).state;
+  t.is(aged.entries.length, 0);
   bench.disks.set('a', [...Replica.records(aged)]);
   bench.open('a');
   post('purge/3', 3);
-  t.is(bench.states.get('a')?.facts[0]?.seq, 3);
+  t.is(bench.states.get('a')?.entries[0]?.sequence, 3);
 });
 
 test('many claims: read page by page while more are written, let go after an hour, and refused when there is no room', (t) => {
   const bench = new Bench(['a'], chanceFrom(1));
-  bench.step('a', { kind: 'beat', now: 100 });
-  const members = { ballot: [1, 'founding'] as const, value: bench.members()[0] as Members };
-  const disk = bench.states.get('a')?.disk ?? '';
+  bench.step('a', { kind: 'tick', now: 100 });
+  const members = {
+    proposalNumber: [1, 'founding'] as const,
+    value: bench.members()[0] as Membership,
+  };
+  const disk = bench.states.get('a')?.diskId ?? '';
   let state = bench.states.get('a') as ReplicaState;
   const act = (event: ReplicaEvent): readonly ReplicaReply[] => {
     const step = Replica.reduce(state, event);
     state = step.state;
-    return step.effects.flatMap((effect) => (effect.kind === 'tell' ? [effect.body] : []));
+    return step.effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []));
   };
-  const ask = (call: ReplicaAsk['call'], now: number): ReplicaReply | undefined =>
-    act({ kind: 'asked', id: 1, body: { members, call }, now })[0];
+  const ask = (call: ReplicaRequest['operation'], now: number): ReplicaReply | undefined =>
+    act({
+      kind: 'request-received',
+      requestId: 1,
+      request: { membership: members, operation: call },
+      now,
+    })[0];
   const claim = (index: number, now: number): void => {
-    ask({ kind: 'accept', key: `claim/k${index}`, ballot: [1, 'x'], value: index, disk }, now);
+    ask(
+      {
+        kind: 'accept',
+        key: `claim/k${index}`,
+        proposalNumber: [1, 'x'],
+        value: index,
+        diskId: disk,
+      },
+      now,
+    );
   };
   const count = Math.floor(2.5 * Sizes.dumpPage);
   for (let index = 0; index < count; index += 1) claim(index, 1_000);
   const got = new Set<string>();
   let after: string | null = null;
   for (let pages = 0; pages < 10; pages += 1) {
-    const reply = ask({ kind: 'dump', after }, 2_000);
-    if (reply?.kind !== 'dumped') {
+    const reply = ask({ kind: 'read-page', after }, 2_000);
+    if (reply?.kind !== 'page-read') {
       t.fail();
       return;
     }
-    reply.cells.forEach(([key]) => got.add(key));
-    after = reply.next;
+    reply.registers.forEach(([key]) => got.add(key));
+    after = reply.nextPage;
     if (after === null) break;
     claim(count + pages, 2_000);
   }
   t.is(after, null);
   for (let index = 0; index < count; index += 1) t.true(got.has(`claim/k${index}`));
-  t.deepEqual(state.dumps, {});
+  t.deepEqual(state.openPageReads, {});
 
   // A claim written again late in the hour stays; the others go, some in each sweep.
   claim(0, 3_000_000);
   const over = 1_000 + Limits.claim + 120_000;
-  for (let sweeps = 0; sweeps < 3; sweeps += 1) act({ kind: 'beat', now: over + 2_000 * sweeps });
+  for (let sweeps = 0; sweeps < 3; sweeps += 1) act({ kind: 'tick', now: over + 2_000 * sweeps });
   t.deepEqual(
-    [...state.cells.keys()].filter((key) => key.startsWith('claim/')),
+    [...state.registers.keys()].filter((key) => key.startsWith('claim/')),
     ['claim/k0'],
   );
-  t.is(state.claimMinutes.size, 1);
+  t.is(state.claimKeysByMinute.size, 1);
 
   const full = {
     ...state,
-    claimsSeen: { ...state.claimsSeen, size: Sizes.claims } as ReplicaState['claimsSeen'],
+    claimMinuteByKey: {
+      ...state.claimMinuteByKey,
+      size: Sizes.claims,
+    } as ReplicaState['claimMinuteByKey'],
   };
   const prepared = (key: string): string | undefined =>
     Replica.reduce(full, {
-      kind: 'asked',
-      id: 1,
-      body: { members, call: { kind: 'prepare', key, ballot: [9, 'x'] } },
+      kind: 'request-received',
+      requestId: 1,
+      request: {
+        membership: members,
+        operation: { kind: 'prepare', key, proposalNumber: [9, 'x'] },
+      },
       now: over,
-    }).effects.flatMap((effect) => (effect.kind === 'tell' ? [effect.body.kind] : []))[0];
-  t.is(prepared('claim/new'), 'full');
+    }).effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply.kind] : []))[0];
+  t.is(prepared('claim/new'), 'too-many-claims');
   t.is(prepared('policy'), 'vote');
 });
--- a/packages/replica/src/retirement.test.ts
+++ b/packages/replica/src/retirement.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import { Limits } from '@reedyard/constants';
-import type { Ballot } from '@reedyard/consensus';
+import type { ProposalNumber } from '@reedyard/consensus';
 import { Replica } from './core.js';
-import type { ReplicaAsk, ReplicaCall, ReplicaEffect, ReplicaEvent } from './messages.js';
+import type { ReplicaRequest, ReplicaOperation, ReplicaEffect, ReplicaEvent } from './messages.js';
 import {
-  membersKey,
+  membershipKey,
   type ReplicaRecord,
   type ReplicaReply,
   type CommittedMembership,
@@ -18,9 +18,9 @@
   disks: Readonly<Record<string, string>>,
   more: Partial<CommittedMembership['value']> = {},
 ): CommittedMembership => {
-  const ballot: Ballot = [epoch, epoch === 1 ? 'founding' : 'agent'];
+  const proposalNumber: ProposalNumber = [epoch, epoch === 1 ? 'founding' : 'agent'];
   const addresses = Object.fromEntries(Object.keys(disks).map((member) => [member, member]));
-  return { ballot, value: { epoch, disks, addresses, ...more } };
+  return { proposalNumber, value: { epoch, disks, addresses, ...more } };
 };
 const first = membership(1, { a: 'A', b: 'B', c: 'C' });
 const predecessors = { d: { disk: 'A', address: 'a' } };
@@ -33,23 +33,27 @@
   },
 );
 
-const pull: ReplicaCall = { kind: 'pull', cursor: null, keys: [] };
-const dump: ReplicaCall = { kind: 'dump', after: null };
-const prepare: ReplicaCall = { kind: 'prepare', key: 'config', ballot: [9, 'agent'] };
-const entry: ReplicaCall = { kind: 'post', facts: [{ key: 'purge/1', value: 1 }] };
+const pull: ReplicaOperation = { kind: 'poll', cursor: null, keys: [] };
+const dump: ReplicaOperation = { kind: 'read-page', after: null };
+const prepare: ReplicaOperation = { kind: 'prepare', key: 'config', proposalNumber: [9, 'agent'] };
+const entry: ReplicaOperation = { kind: 'append-entries', entries: [{ key: 'purge/1', value: 1 }] };
 
 /** Records of a replica that voted in the first epoch. */
 const recordsOf = (disk: string): readonly ReplicaRecord[] => [
-  { kind: 'disk', disk },
-  { kind: 'cell', key: membersKey, cell: { promised: first.ballot, accepted: first } },
-  { kind: 'told', members: first },
-  { kind: 'voting' },
+  { kind: 'disk-named', diskId: disk },
+  {
+    kind: 'register-written',
+    key: membershipKey,
+    register: { promised: first.proposalNumber, accepted: first },
+  },
+  { kind: 'membership-committed', membership: first },
+  { kind: 'voting-begun' },
 ];
 
 class ReplicaUnderTest {
   state: ReplicaState;
   readonly records: ReplicaRecord[];
-  sent: Extract<ReplicaEffect, { kind: 'call' }>[] = [];
+  sent: Extract<ReplicaEffect, { kind: 'send-request' }>[] = [];
   ended = false;
   now = 0;
 
@@ -59,7 +63,7 @@
     freshDisk = 'never',
   ) {
     this.records = [...records];
-    const seeded = { address, seeds: [address], firstStart: true };
+    const seeded = { address, seeds: [address], isFirstStart: true };
     const opened = Replica.open({ name: address, others: {}, seeded, records, freshDisk, now: 0 });
     this.state = opened.state;
     this.#take(opened.effects);
@@ -68,10 +72,10 @@
   #take(effects: readonly ReplicaEffect[]): readonly ReplicaReply[] {
     const replies: ReplicaReply[] = [];
     for (const effect of effects) {
-      if (effect.kind === 'append') this.records.push(...effect.records);
-      if (effect.kind === 'call') this.sent.push(effect);
-      if (effect.kind === 'end') this.ended = true;
-      if (effect.kind === 'tell') replies.push(effect.body);
+      if (effect.kind === 'append-records') this.records.push(...effect.records);
+      if (effect.kind === 'send-request') this.sent.push(effect);
+      if (effect.kind === 'exit') this.ended = true;
+      if (effect.kind === 'send-reply') replies.push(effect.reply);
     }
     return replies;
   }
@@ -84,57 +88,71 @@
 
   ask(
     members: CommittedMembership,
-    call: ReplicaCall,
-    more: Partial<ReplicaAsk> = {},
+    call: ReplicaOperation,
+    more: Partial<ReplicaRequest> = {},
   ): ReplicaReply | undefined {
-    return this.step({ kind: 'asked', id: 1, body: { members, call, ...more }, now: this.now })[0];
+    return this.step({
+      kind: 'request-received',
+      requestId: 1,
+      request: { membership: members, operation: call, ...more },
+      now: this.now,
+    })[0];
   }
 
   interval(ms = 200): void {
     this.now += ms;
-    this.step({ kind: 'beat', now: this.now });
+    this.step({ kind: 'tick', now: this.now });
   }
 
   /** Answers what was asked of a machine last. */
   answer(from: string, reply: ReplicaReply): void {
     const call = this.sent.filter((each) => each.to === from).at(-1);
     if (call === undefined) throw new Error(`nothing was asked of ${from}`);
-    this.step({ kind: 'returned', id: call.id, body: reply, now: this.now });
+    this.step({ kind: 'reply-received', requestId: call.requestId, reply: reply, now: this.now });
   }
 }
 
-const fetched = (disk: string): ReplicaReply => ({ kind: 'fetched', disk, accepted: null });
+const fetched = (disk: string): ReplicaReply => ({
+  kind: 'register-read',
+  diskId: disk,
+  accepted: null,
+});
 
 test('a replaced replica votes no more, and keeps its data, readable, until its successor votes', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
   replica.ask(first, entry);
-  t.deepEqual(replica.ask(second, pull), { kind: 'away', disk: 'A', fresh: false, informed: true });
-  t.is(replica.ask(second, prepare)?.kind, 'away');
-  t.is(replica.ask(first, prepare)?.kind, 'stale');
+  t.deepEqual(replica.ask(second, pull), {
+    kind: 'not-a-member',
+    diskId: 'A',
+    isBlank: false,
+    knowsMembership: true,
+  });
+  t.is(replica.ask(second, prepare)?.kind, 'not-a-member');
+  t.is(replica.ask(first, prepare)?.kind, 'newer-membership');
   for (const holder of [replica, new ReplicaUnderTest('a', replica.records)]) {
     holder.interval();
     const read = holder.ask(second, dump);
-    t.is(read?.kind === 'dumped' ? read.facts.length : 0, 1);
-    t.is(read?.kind === 'dumped' ? read.members?.value.epoch : 0, 2);
+    t.is(read?.kind === 'page-read' ? read.entries.length : 0, 1);
+    t.is(read?.kind === 'page-read' ? read.membership?.value.epoch : 0, 2);
     holder.answer('b', fetched('B'));
     holder.answer('c', fetched('C'));
-    t.is(holder.ask(second, pull)?.kind, 'away');
+    t.is(holder.ask(second, pull)?.kind, 'not-a-member');
     t.is(
-      holder.state.disk,
+      holder.state.diskId,
       'A',
       'a majority that votes is not enough while the successor may still read',
     );
     holder.answer('d', fetched('D'));
-    const blank = { kind: 'away', disk: 'A/2', fresh: true, informed: true };
+    const blank = { kind: 'not-a-member', diskId: 'A/2', isBlank: true, knowsMembership: true };
     t.deepEqual(holder.ask(second, pull), blank);
     for (const records of [holder.records, [...Replica.records(holder.state)]]) {
       const { state } = new ReplicaUnderTest('a', records);
       t.deepEqual(
-        [state.disk, state.voting, state.cells.size, state.facts.length],
+        [state.diskId, state.isVoting, state.registers.size, state.entries.length],
         ['A/2', false, 0, 0],
       );
-      t.is(state.told?.value.epoch, 2);
-      t.false(Replica.reduce(state, { kind: 'beat', now: 5_000 }).state.voting);
+      t.is(state.committedMembership?.value.epoch, 2);
+      t.false(Replica.reduce(state, { kind: 'tick', now: 5_000 }).state.isVoting);
     }
   }
 });
@@ -143,9 +161,9 @@
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
   replica.ask(second, pull);
   replica.interval();
-  replica.answer('d', { kind: 'away', disk: 'D', fresh: true, informed: true });
+  replica.answer('d', { kind: 'not-a-member', diskId: 'D', isBlank: true, knowsMembership: true });
   replica.answer('b', fetched('D'));
-  t.is(replica.state.disk, 'A');
+  t.is(replica.state.diskId, 'A');
 });
 
 test('without a successor that votes the data is kept until a majority votes without it', (t) => {
@@ -153,33 +171,33 @@
   replica.ask(second, pull);
   replica.interval(Limits.retention + 200);
   replica.answer('b', fetched('B'));
-  t.is(replica.state.disk, 'A', 'one of three');
+  t.is(replica.state.diskId, 'A', 'one of three');
   replica.interval(Limits.retentionProof + 200);
   replica.answer('c', fetched('C'));
-  t.is(replica.state.disk, 'A', 'two of three, but not at one time');
+  t.is(replica.state.diskId, 'A', 'two of three, but not at one time');
   replica.answer('b', fetched('B'));
-  t.is(replica.state.disk, 'A/2');
+  t.is(replica.state.diskId, 'A/2');
 });
 
 test('a successor that was replaced in its turn is not waited for', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
   replica.ask(second, pull);
   replica.interval();
-  replica.answer('b', { kind: 'stale', disk: 'B', members: third });
-  t.is(replica.state.disk, 'A');
+  replica.answer('b', { kind: 'newer-membership', diskId: 'B', membership: third });
+  t.is(replica.state.diskId, 'A');
   replica.interval();
   replica.answer('b', fetched('B'));
   replica.answer('e', fetched('E'));
-  t.is(replica.state.disk, 'A/3');
+  t.is(replica.state.diskId, 'A/3');
 });
 
 const dumped = (disk: string, members: CommittedMembership): ReplicaReply => ({
-  kind: 'dumped',
-  disk,
-  members,
-  cells: [],
-  facts: [],
-  next: null,
+  kind: 'page-read',
+  diskId: disk,
+  membership: members,
+  registers: [],
+  entries: [],
+  nextPage: null,
 });
 
 test('a successor votes once it has read its predecessor, or enough other members', (t) => {
@@ -187,34 +205,34 @@
     const replica = new ReplicaUnderTest('d', [], 'D');
     replica.ask(second, pull);
     t.deepEqual(replica.sent.map((each) => each.to).sort(), ['a', 'b', 'c']);
-    t.true(replica.sent.every((each) => each.body.members?.value.epoch === 2));
+    t.true(replica.sent.every((each) => each.request.membership?.value.epoch === 2));
     return replica;
   };
   const fromPredecessor = joining();
   fromPredecessor.answer('a', dumped('A', second));
-  t.true(fromPredecessor.state.voting);
+  t.true(fromPredecessor.state.isVoting);
 
   const fromOthers = joining();
   fromOthers.answer('b', dumped('B', second));
-  t.false(fromOthers.state.voting, 'one of two others');
+  t.false(fromOthers.state.isVoting, 'one of two others');
   fromOthers.answer('c', dumped('C', second));
-  t.true(fromOthers.state.voting);
+  t.true(fromOthers.state.isVoting);
 
   const fromAnother = joining();
   fromAnother.answer('a', dumped('X', second));
-  t.false(fromAnother.state.voting, 'another disk at the address of its predecessor');
+  t.false(fromAnother.state.isVoting, 'another disk at the address of its predecessor');
 });
 
 test('told to stop, a member without a spare ends at once; with one it says so and waits a while', (t) => {
   const alone = new ReplicaUnderTest('a', recordsOf('A'));
-  alone.step({ kind: 'stop', now: alone.now });
+  alone.step({ kind: 'stop-requested', now: alone.now });
   t.true(alone.ended);
 
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
-  replica.ask(first, pull, { spare: true });
-  replica.step({ kind: 'stop', now: replica.now });
-  const answer = replica.ask(first, pull, { spare: true });
-  t.true(answer?.kind === 'pulled' && answer.leaving === true);
+  replica.ask(first, pull, { hasLiveSpare: true });
+  replica.step({ kind: 'stop-requested', now: replica.now });
+  const answer = replica.ask(first, pull, { hasLiveSpare: true });
+  t.true(answer?.kind === 'polled' && answer.isStopping === true);
   replica.interval();
   t.false(replica.ended);
   t.is(replica.ask(first, prepare)?.kind, 'vote', 'it votes on meanwhile');
@@ -225,8 +243,8 @@
 test('told to stop, a replaced member ends once its successor votes, or has taken too long', (t) => {
   const leaving = (): ReplicaUnderTest => {
     const replica = new ReplicaUnderTest('a', recordsOf('A'));
-    replica.ask(first, pull, { spare: true });
-    replica.step({ kind: 'stop', now: replica.now });
+    replica.ask(first, pull, { hasLiveSpare: true });
+    replica.step({ kind: 'stop-requested', now: replica.now });
     replica.ask(second, pull);
     replica.interval();
     t.false(replica.ended);
@@ -240,5 +258,5 @@
   const late = leaving();
   late.interval(Limits.retention);
   t.true(late.ended);
-  t.is(late.state.disk, 'A', 'with its data');
+  t.is(late.state.diskId, 'A', 'with its data');
 });
--- a/packages/replica/src/retirement.ts
+++ b/packages/replica/src/retirement.ts
@@ -1,14 +1,14 @@
 import { Limits } from '@reedyard/constants';
 import { majorityOf } from '@reedyard/consensus';
 import { adopt, blank } from './membership.js';
-import { membersKey, type ReplicaReply, type Members } from './messages.js';
+import { membershipKey, type ReplicaReply, type Membership } from './messages.js';
 import {
   isRetired,
-  isMember,
-  set,
+  isVotingMember,
+  update,
   type ReplicaState,
   type Retirement,
-  type Work,
+  type Transition,
 } from './state.js';
 
 /**
@@ -20,10 +20,10 @@
  * in its stead. Only then it forgets its data and waits for a place as a blank replica.
  */
 
-const begin = (now: number): Retirement => ({ since: now, calls: {}, votingAt: {} });
+const begin = (now: number): Retirement => ({ startedAt: now, pendingPolls: {}, lastVotingAt: {} });
 
 /** The disk that took this one's place, while it is still a member. */
-const successorOf = (members: Members, disk: string): string | undefined => {
+const successorOf = (members: Membership, disk: string): string | undefined => {
   const [member] =
     Object.entries(members.predecessors ?? {}).find(([, each]) => each.disk === disk) ?? [];
   return member === undefined ? undefined : members.disks[member];
@@ -35,77 +35,89 @@
  * without it.
  */
 const mayForget = (state: ReplicaState, retirement: Retirement, now: number): boolean => {
-  const members = state.told?.value;
+  const members = state.committedMembership?.value;
   if (members === undefined) return false;
-  const successor = successorOf(members, state.disk);
-  if (successor !== undefined && retirement.votingAt[successor] !== undefined) return true;
-  if (successor !== undefined && now - retirement.since < Limits.retention) return false;
+  const successor = successorOf(members, state.diskId);
+  if (successor !== undefined && retirement.lastVotingAt[successor] !== undefined) return true;
+  if (successor !== undefined && now - retirement.startedAt < Limits.retention) return false;
   const disks = Object.values(members.disks);
   const votes = (disk: string): boolean =>
-    now - (retirement.votingAt[disk] ?? -Infinity) < Limits.retentionProof;
+    now - (retirement.lastVotingAt[disk] ?? -Infinity) < Limits.retentionProof;
   return disks.filter(votes).length >= majorityOf(disks.length);
 };
 
 /** Asks the members, whom it no longer belongs to, whether they vote. */
-const poll = (work: Work, retirement: Retirement): void => {
-  const { told } = work.state;
-  if (told === null) return;
+const poll = (transition: Transition, retirement: Retirement): void => {
+  const { committedMembership: committed } = transition.state;
+  if (committed === null) return;
   const calls: Record<number, string> = {};
-  let id = work.state.nextCall;
-  for (const [member, address] of Object.entries(told.value.addresses ?? {})) {
+  let id = transition.state.nextRequestId;
+  for (const [member, address] of Object.entries(committed.value.addresses ?? {})) {
     calls[id] = member;
-    const body = { members: told, call: { kind: 'fetch', key: membersKey } } as const;
-    work.effects.push({ kind: 'call', id, to: address, body });
+    const request = {
+      membership: committed,
+      operation: { kind: 'read-register', key: membershipKey },
+    } as const;
+    transition.effects.push({ kind: 'send-request', requestId: id, to: address, request });
     id += 1;
   }
   // Only the answers to the last two rounds are waited for.
-  const recent = Object.entries(retirement.calls).slice(-Object.keys(calls).length);
-  set(work, {
-    nextCall: id,
-    retirement: { ...retirement, calls: { ...Object.fromEntries(recent), ...calls } },
+  const recent = Object.entries(retirement.pendingPolls).slice(-Object.keys(calls).length);
+  update(transition, {
+    nextRequestId: id,
+    retirement: { ...retirement, pendingPolls: { ...Object.fromEntries(recent), ...calls } },
   });
 };
 
 /** Looks after a replica whose place was given away; called at each interval and after each ask. */
-export const tendRetirement = (work: Work, now: number): void => {
-  const { state } = work;
+export const tendRetirement = (transition: Transition, now: number): void => {
+  const { state } = transition;
   if (!isRetired(state)) {
-    if (state.retirement !== null) set(work, { retirement: null });
+    if (state.retirement !== null) update(transition, { retirement: null });
     return;
   }
   if (state.retirement === null) {
-    set(work, { retirement: begin(now), readings: {} });
-    work.effects.push({
+    update(transition, { retirement: begin(now), peerReads: {} });
+    transition.effects.push({
       kind: 'log',
       event: 'replica.retired',
-      fields: { epoch: state.told?.value.epoch ?? 0, disk: state.disk },
+      fields: { epoch: state.committedMembership?.value.epoch ?? 0, disk: state.diskId },
     });
   }
-  const retirement = work.state.retirement ?? begin(now);
-  if (mayForget(work.state, retirement, now)) blank(work);
+  const retirement = transition.state.retirement ?? begin(now);
+  if (mayForget(transition.state, retirement, now)) blank(transition);
 };
 
 /** At each interval: the members are asked anew. */
-export const pollMembers = (work: Work): void => {
-  const { retirement } = work.state;
-  if (retirement !== null) poll(work, retirement);
+export const pollMembers = (transition: Transition): void => {
+  const { retirement } = transition.state;
+  if (retirement !== null) poll(transition, retirement);
 };
 
 /** Whether a call was one of those to the members that go on without it. */
 export const isPolled = (state: ReplicaState, id: number): boolean =>
-  state.retirement?.calls[id] !== undefined;
+  state.retirement?.pendingPolls[id] !== undefined;
 
 /** Takes in what a member answered, or that it did not (null). */
-export const notePoll = (work: Work, id: number, body: ReplicaReply | null, now: number): void => {
-  const { retirement, told } = work.state;
-  const member = retirement?.calls[id];
-  if (retirement === null || told === null || member === undefined) return;
-  const { [id]: _answered, ...calls } = retirement.calls;
-  const votes = body?.kind === 'fetched' && body.disk === told.value.disks[member];
-  const votingAt = votes ? { ...retirement.votingAt, [body.disk]: now } : retirement.votingAt;
-  set(work, { retirement: { ...retirement, calls, votingAt } });
-  if (body?.kind === 'stale') adopt(work, body.members, now);
-  tendRetirement(work, now);
+export const notePoll = (
+  transition: Transition,
+  id: number,
+  body: ReplicaReply | null,
+  now: number,
+): void => {
+  const { retirement, committedMembership: committed } = transition.state;
+  const member = retirement?.pendingPolls[id];
+  if (retirement === null || committed === null || member === undefined) return;
+  const { [id]: _answered, ...calls } = retirement.pendingPolls;
+  const votes = body?.kind === 'register-read' && body.diskId === committed.value.disks[member];
+  const votingAt = votes
+    ? { ...retirement.lastVotingAt, [body.diskId]: now }
+    : retirement.lastVotingAt;
+  update(transition, {
+    retirement: { ...retirement, pendingPolls: calls, lastVotingAt: votingAt },
+  });
+  if (body?.kind === 'newer-membership') adopt(transition, body.membership, now);
+  tendRetirement(transition, now);
 };
 
 /**
@@ -113,14 +125,14 @@
  * take its place, a replaced one until its successor has read it.
  */
 const isAwaited = (state: ReplicaState, now: number): boolean => {
-  const since = now - (state.stopAskedAt ?? now);
+  const since = now - (state.stopRequestedAt ?? now);
   if (isRetired(state)) return since < Limits.retention;
-  const spareIsLive = now - state.spareHeardAt < Limits.lease;
-  return isMember(state) && spareIsLive && since < Limits.handover;
+  const spareIsLive = now - state.spareSeenAt < Limits.lease;
+  return isVotingMember(state) && spareIsLive && since < Limits.handover;
 };
 
 /** Lets the process end, once it was told to stop and nothing waits for it. */
-export const tendStop = (work: Work, now: number): void => {
-  if (work.state.stopAskedAt === null || isAwaited(work.state, now)) return;
-  work.effects.push({ kind: 'end' });
+export const tendStop = (transition: Transition, now: number): void => {
+  if (transition.state.stopRequestedAt === null || isAwaited(transition.state, now)) return;
+  transition.effects.push({ kind: 'exit' });
 };
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -34,7 +34,7 @@
   const others = Object.fromEntries(Object.entries(founders).filter(([each]) => each !== name));
   const address = `${host}:${settings.replica.port}`;
   const seeded =
-    voting === undefined ? null : { address, seeds: voting.seeds, firstStart: voting.firstStart };
+    voting === undefined ? null : { address, seeds: voting.seeds, isFirstStart: voting.firstStart };
   const records = log.takeRecords();
   return Replica.open({ name, others, seeded, records, freshDisk: randomUUID(), now: now() });
 };
@@ -103,7 +103,7 @@
     },
   );
   setInterval(() => replica.tick(), Beats.rejoin);
-  const { disk, voting } = opened.state;
+  const { diskId: disk, isVoting: voting } = opened.state;
   scribe.info('started', { port: listening.port, disk, voting });
   stopOnSignals(replica, leave);
 };
--- a/packages/replica/src/safeguards.test.ts
+++ b/packages/replica/src/safeguards.test.ts
@@ -4,8 +4,8 @@
 import test from 'ava';
 import {
   Replica,
-  membersKey,
-  type ReplicaCall,
+  membershipKey,
+  type ReplicaOperation,
   type ReplicaRecord,
   type ReplicaReply,
   type ReplicaState,
@@ -13,7 +13,7 @@
 } from './index.js';
 
 const membership: CommittedMembership = {
-  ballot: [1, 'founding'],
+  proposalNumber: [1, 'founding'],
   value: {
     epoch: 1,
     disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' },
@@ -21,14 +21,18 @@
   },
 };
 const memberRecords: readonly ReplicaRecord[] = [
-  { kind: 'disk', disk: 'disk-a' },
-  { kind: 'cell', key: membersKey, cell: { promised: membership.ballot, accepted: membership } },
-  { kind: 'told', members: membership },
-  { kind: 'voting' },
+  { kind: 'disk-named', diskId: 'disk-a' },
+  {
+    kind: 'register-written',
+    key: membershipKey,
+    register: { promised: membership.proposalNumber, accepted: membership },
+  },
+  { kind: 'membership-committed', membership: membership },
+  { kind: 'voting-begun' },
 ];
 
 const opened = (records: readonly ReplicaRecord[]): ReplicaState => {
-  const seeded = { address: 'a', seeds: ['a', 'b', 'c'], firstStart: false };
+  const seeded = { address: 'a', seeds: ['a', 'b', 'c'], isFirstStart: false };
   return Replica.open({ name: 'a', others: {}, seeded, records, freshDisk: 'never', now: 0 }).state;
 };
 
@@ -38,49 +42,56 @@
   readonly records: readonly ReplicaRecord[];
 };
 
-const asked = (state: ReplicaState, call: ReplicaCall): Answered => {
-  const body = { members: membership, call };
-  const done = Replica.reduce(state, { kind: 'asked', id: 1, body, now: 1 });
-  const replies = done.effects.flatMap((effect) => (effect.kind === 'tell' ? [effect.body] : []));
+const asked = (state: ReplicaState, call: ReplicaOperation): Answered => {
+  const body = { membership, operation: call };
+  const done = Replica.reduce(state, {
+    kind: 'request-received',
+    requestId: 1,
+    request: body,
+    now: 1,
+  });
+  const replies = done.effects.flatMap((effect) =>
+    effect.kind === 'send-reply' ? [effect.reply] : [],
+  );
   const records = done.effects.flatMap((effect) =>
-    effect.kind === 'append' ? effect.records : [],
+    effect.kind === 'append-records' ? effect.records : [],
   );
   return { state: done.state, reply: replies[0], records };
 };
 
-const acceptBy = (disk: string): ReplicaCall => ({
+const acceptBy = (disk: string): ReplicaOperation => ({
   kind: 'accept',
   key: 'policy',
-  ballot: [2, 'p'],
+  proposalNumber: [2, 'p'],
   value: 'new',
-  disk,
+  diskId: disk,
 });
 
 test('an accept that rests on the promise of another disk is refused, and leaves nothing on this one', (t) => {
   const foreign = asked(opened(memberRecords), acceptBy('disk-of-another-life'));
-  t.is(foreign.reply?.kind, 'away');
+  t.is(foreign.reply?.kind, 'not-a-member');
   t.deepEqual(foreign.records, []);
   const own = asked(opened(memberRecords), acceptBy('disk-a'));
   t.is(own.reply?.kind, 'vote');
   t.is(own.records.length, 1);
 });
 
-const pull = (disk: string, seq: number): ReplicaCall => ({
-  kind: 'pull',
-  cursor: { disk, seq },
+const pull = (disk: string, sequence: number): ReplicaOperation => ({
+  kind: 'poll',
+  cursor: { diskId: disk, sequence },
   keys: [],
 });
 
 test('a reader with the cursor of another disk is given the journal from its beginning', (t) => {
-  const entries = [1, 2, 3].map((seq) => ({
-    kind: 'fact' as const,
-    seq: 10 + seq,
-    fact: { key: `purge/${seq}`, value: seq },
+  const entries = [1, 2, 3].map((sequence) => ({
+    kind: 'entry-appended' as const,
+    sequence: 10 + sequence,
+    entry: { key: `purge/${sequence}`, value: sequence },
   }));
   const state = opened([...memberRecords, ...entries]);
-  const given = (disk: string, seq: number): readonly unknown[] => {
-    const { reply } = asked(state, pull(disk, seq));
-    return reply?.kind === 'pulled' ? reply.facts.map((fact) => fact.value) : [];
+  const given = (disk: string, sequence: number): readonly unknown[] => {
+    const { reply } = asked(state, pull(disk, sequence));
+    return reply?.kind === 'polled' ? reply.entries.map((entry) => entry.value) : [];
   };
   t.deepEqual(given('disk-a', 12), [3]);
   t.deepEqual(given('disk-of-another-life', 12), [1, 2, 3]);
--- a/packages/replica/src/storage/record-codec.ts
+++ b/packages/replica/src/storage/record-codec.ts
@@ -27,26 +27,26 @@
 
 export const encodeReplicaRecord = (record: ReplicaRecord): StoredRecord => {
   switch (record.kind) {
-    case 'disk':
-      return { kind: 'disk', disk: record.disk };
-    case 'voting':
+    case 'disk-named':
+      return { kind: 'disk', disk: record.diskId };
+    case 'voting-begun':
       return {
         kind: 'voting',
         ...(record.epoch === undefined ? {} : { epoch: record.epoch }),
       };
-    case 'blanked':
-      return { kind: 'blanked', disk: record.disk };
-    case 'told':
-      return { kind: 'told', members: encodeMembership(record.members) };
-    case 'place':
-      return { kind: 'place', seq: record.seq };
-    case 'cell':
-      return { kind: 'cell', key: record.key, cell: encodeRegister(record.cell) };
-    case 'fact':
+    case 'disk-erased':
+      return { kind: 'blanked', disk: record.diskId };
+    case 'membership-committed':
+      return { kind: 'told', members: encodeMembership(record.membership) };
+    case 'sequence-reached':
+      return { kind: 'place', seq: record.sequence };
+    case 'register-written':
+      return { kind: 'cell', key: record.key, cell: encodeRegister(record.register) };
+    case 'entry-appended':
       return {
         kind: 'fact',
-        seq: record.seq,
-        fact: { key: record.fact.key, value: record.fact.value },
+        seq: record.sequence,
+        fact: { key: record.entry.key, value: record.entry.value },
       };
   }
 };
@@ -56,25 +56,25 @@
   const record = stored as StoredRecord;
   switch (record.kind) {
     case 'disk':
-      return { kind: 'disk', disk: record.disk };
+      return { kind: 'disk-named', diskId: record.disk };
     case 'voting':
       return {
-        kind: 'voting',
+        kind: 'voting-begun',
         ...(record.epoch === undefined ? {} : { epoch: record.epoch }),
       };
     case 'blanked':
-      return { kind: 'blanked', disk: record.disk };
+      return { kind: 'disk-erased', diskId: record.disk };
     case 'told':
-      return { kind: 'told', members: decodeMembership(record.members) };
+      return { kind: 'membership-committed', membership: decodeMembership(record.members) };
     case 'place':
-      return { kind: 'place', seq: record.seq };
+      return { kind: 'sequence-reached', sequence: record.seq };
     case 'cell':
-      return { kind: 'cell', key: record.key, cell: decodeRegister(record.cell) };
+      return { kind: 'register-written', key: record.key, register: decodeRegister(record.cell) };
     case 'fact':
       return {
-        kind: 'fact',
-        seq: record.seq,
-        fact: { key: record.fact.key, value: record.fact.value },
+        kind: 'entry-appended',
+        sequence: record.seq,
+        entry: { key: record.fact.key, value: record.fact.value },
       };
     default:
       throw new ReplicaProtocolError(
--- a/packages/replica/src/stored-data.test.ts
+++ b/packages/replica/src/stored-data.test.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from 'node:url';
 import { encodeRecord } from '@reedyard/write-ahead-log';
 import { Replica } from './core.js';
-import type { ReplicaVoting } from './messages.js';
+import type { BootstrapSettings } from './messages.js';
 import type { ReplicaState } from './state.js';
 import { encodeReplicaRecord } from './storage/record-codec.js';
 import { openReplicaLog } from './storage/replica-log.js';
@@ -16,22 +16,22 @@
 type Expected = {
   readonly name: string;
   readonly others: Readonly<Record<string, string>>;
-  readonly seeded: ReplicaVoting | null;
+  readonly seeded: BootstrapSettings | null;
   /** The records of a snapshot of the state, as they are on disk. */
   readonly records: readonly string[];
   readonly summary: Readonly<Record<string, unknown>>;
 };
 
 const summaryOf = (state: ReplicaState): Expected['summary'] => ({
-  disk: state.disk,
-  voting: state.voting,
+  disk: state.diskId,
+  voting: state.isVoting,
   votingEpoch: state.votingEpoch,
-  epoch: state.told?.value.epoch ?? null,
-  seq: state.seq,
-  floor: state.floor,
-  registers: state.cells.size,
-  claims: state.claimsSeen.size,
-  entries: state.facts.length,
+  epoch: state.committedMembership?.value.epoch ?? null,
+  seq: state.lastSequence,
+  floor: state.truncatedUpTo,
+  registers: state.registers.size,
+  claims: state.claimMinuteByKey.size,
+  entries: state.entries.length,
 });
 
 for (const name of readdirSync(fixtures).filter((each) => !each.endsWith('.json'))) {
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,6 +1,6 @@
 import {
   Replica,
-  type ReplicaAsk,
+  type ReplicaRequest,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaRecord,
@@ -344,9 +344,9 @@
    */
   #forgetWhenReplaced(process: Process<'replica'>): void {
     const { state } = process;
-    const disk = `${state.disk}/forgotten`;
+    const disk = `${state.diskId}/forgotten`;
     if (state.retirement !== null)
-      process.state = { ...state, voting: false, disk, retirement: null };
+      process.state = { ...state, isVoting: false, diskId: disk, retirement: null };
   }
 
   #tookStep(process: Process<'agent'>): void {
@@ -436,7 +436,7 @@
           : {
               address: `${machine.name}/replica`,
               seeds: this.#replicaSeeds(),
-              firstStart: this.firstStart,
+              isFirstStart: this.firstStart,
             };
       const opened = Replica.open({
         name: box.as,
@@ -452,7 +452,7 @@
     box.replica = process;
     effects.forEach((effect) => this.#replicaEffect(process, effect));
     this.#every(process, Beats.rejoin, () => {
-      this.#step(process, { kind: 'beat', now: this.#now(process) });
+      this.#step(process, { kind: 'tick', now: this.#now(process) });
       this.#compact(box, process);
     });
   }
@@ -560,7 +560,9 @@
   stopReplica(name: string): void {
     const replica = this.boxes.get(name)?.replica ?? null;
     if (replica === null) return;
-    this.#inside(replica, () => this.#step(replica, { kind: 'stop', now: this.#now(replica) }));
+    this.#inside(replica, () =>
+      this.#step(replica, { kind: 'stop-requested', now: this.#now(replica) }),
+    );
   }
   /** Takes a dead machine's disk away. */
   wipe(name: string): void {
@@ -568,9 +570,9 @@
     if (box === undefined || box.powered) return;
     box.namePlate = box.disk.synced.filter(
       (record) =>
-        record.kind === 'disk' ||
-        record.kind === 'voting' ||
-        (record.kind === 'cell' && record.key === 'members'),
+        record.kind === 'disk-named' ||
+        record.kind === 'voting-begun' ||
+        (record.kind === 'register-written' && record.key === 'members'),
     );
     box.disk = blankDisk();
   }
@@ -694,20 +696,29 @@
     }
   }
 
-  #askReplica(target: Process<'replica'>, body: ReplicaAsk, reply: (body: unknown) => void): void {
+  #askReplica(
+    target: Process<'replica'>,
+    body: ReplicaRequest,
+    reply: (body: unknown) => void,
+  ): void {
     this.#inside(target, () => {
       const id = target.nextAsk;
       target.nextAsk += 1;
       target.asking.set(id, reply);
-      const { told } = target.state;
+      const { committedMembership: told } = target.state;
       const heard =
         this.tuning.plant === 'deaf-members' &&
-        target.state.voting &&
+        target.state.isVoting &&
         told !== null &&
-        body.members !== null
-          ? { ...body, members: told }
+        body.membership !== null
+          ? { ...body, membership: told }
           : body;
-      this.#step(target, { kind: 'asked', id, body: heard, now: this.#now(target) });
+      this.#step(target, {
+        kind: 'request-received',
+        requestId: id,
+        request: heard,
+        now: this.#now(target),
+      });
     });
   }
 
@@ -716,14 +727,14 @@
     if (box === undefined) return;
     const { disk } = box;
     switch (effect.kind) {
-      case 'append':
+      case 'append-records':
         disk.unsynced.push(...effect.records);
         this.#sync(box, disk);
         return;
-      case 'tell': {
+      case 'send-reply': {
         const tell = (): void => {
-          process.asking.get(effect.id)?.(effect.body);
-          process.asking.delete(effect.id);
+          process.asking.get(effect.requestId)?.(effect.reply);
+          process.asking.delete(effect.requestId);
         };
         if (disk.unsynced.length === 0 || this.tuning.plant === 'tell-unsynced') tell();
         else
@@ -735,24 +746,29 @@
           });
         return;
       }
-      case 'call':
+      case 'send-request':
         this.#call(
           process,
           effect.to,
           (target, reply) => {
-            if (target.replica !== null) this.#askReplica(target.replica, effect.body, reply);
+            if (target.replica !== null) this.#askReplica(target.replica, effect.request, reply);
           },
           (body) =>
             this.#step(process, {
-              kind: 'returned',
-              id: effect.id,
-              body: body as never,
+              kind: 'reply-received',
+              requestId: effect.requestId,
+              reply: body as never,
+              now: this.#now(process),
+            }),
+          () =>
+            this.#step(process, {
+              kind: 'request-failed',
+              requestId: effect.requestId,
               now: this.#now(process),
             }),
-          () => this.#step(process, { kind: 'lost', id: effect.id, now: this.#now(process) }),
         );
         return;
-      case 'end':
+      case 'exit':
         if (box.replica === process) {
           this.#end(process);
           box.replica = null;
--- a/packages/simulator/src/members.test.ts
+++ b/packages/simulator/src/members.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import type { Members } from '@reedyard/replica';
+import type { Membership } from '@reedyard/replica';
 import type { Policy } from '@reedyard/schemas';
 import { SimFleet } from './fleet.js';
 
@@ -25,8 +25,8 @@
   up.forEach((index) => fleet.start(machine(index)));
   return fleet;
 };
-const membersOf = (fleet: SimFleet, index: number): Members | undefined =>
-  fleet.boxes.get(machine(index))?.agent?.state.registers.members?.value as Members | undefined;
+const membersOf = (fleet: SimFleet, index: number): Membership | undefined =>
+  fleet.boxes.get(machine(index))?.agent?.state.registers.members?.value as Membership | undefined;
 /** Machines whose replica is a place of the members that an agent knows. */
 const placesOf = (fleet: SimFleet, index: number): readonly string[] =>
   Object.values(membersOf(fleet, index)?.addresses ?? {})
@@ -36,8 +36,8 @@
   const state = fleet.boxes.get(machine(index))?.replica?.state;
   return (
     state !== undefined &&
-    state.voting &&
-    Object.values(state.told?.value.disks ?? {}).includes(state.disk)
+    state.isVoting &&
+    Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId)
   );
 };
 const runFor = (fleet: SimFleet, ms: number): void => fleet.clock.runUntil(fleet.clock.now() + ms);
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -85,7 +85,7 @@
   votingDisk(machine: string): string | null {
     const replica = this.fleet.boxes.get(machine)?.replica ?? null;
     if (replica === null || !replica.alive || replica.frozen) return null;
-    const { told, voting, disk } = replica.state;
+    const { committedMembership: told, isVoting: voting, diskId: disk } = replica.state;
     return voting && told !== null && Object.values(told.value.disks).includes(disk) ? disk : null;
   }
 
@@ -101,7 +101,7 @@
       disks: [],
     };
     for (const box of this.fleet.boxes.values()) {
-      const told = box.replica?.state.told ?? null;
+      const told = box.replica?.state.committedMembership ?? null;
       if (told === null || told.value.epoch <= newest.epoch) continue;
       newest = { epoch: told.value.epoch, disks: Object.values(told.value.disks) };
     }
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -360,9 +360,9 @@
         replica.next += 1;
         replica.asking.set(id, (reply) => resolve(encodeReplicaReply(reply)));
         this.#reduceReplica(replica, {
-          kind: 'asked',
-          id,
-          body: decodeReplicaRequest(body),
+          kind: 'request-received',
+          requestId: id,
+          request: decodeReplicaRequest(body),
           now: this.#now,
         });
       } else if (agent !== undefined) {
@@ -431,7 +431,9 @@
 
   #reduceReplica(node: ReplicaNode, event: ReplicaEvent): void {
     const label =
-      event.kind === 'asked' ? `asked.${kindOf(encodeReplicaRequest(event.body))}` : event.kind;
+      event.kind === 'request-received'
+        ? `asked.${kindOf(encodeReplicaRequest(event.request))}`
+        : event.kind;
     const step = this.#timed('replica', label, () => Replica.reduce(node.state, event));
     node.state = step.state;
     for (const effect of step.effects) this.#performReplica(node, effect);
@@ -442,7 +444,7 @@
       this.#failed = thrown;
     };
     switch (effect.kind) {
-      case 'append':
+      case 'append-records':
         this.#during(node.log.append(effect.records), () => undefined, failed);
         if (
           node.log.segmentBytes() > Math.max(Sizes.segment, node.log.snapshotBytes() / 2) &&
@@ -458,30 +460,35 @@
           );
         }
         return;
-      case 'tell':
+      case 'send-reply':
         this.#during(
           node.log.settled(),
           () => {
-            node.asking.get(effect.id)?.(effect.body);
-            node.asking.delete(effect.id);
+            node.asking.get(effect.requestId)?.(effect.reply);
+            node.asking.delete(effect.requestId);
           },
           failed,
         );
         return;
-      case 'call':
+      case 'send-request':
         this.#call(
           'replica',
           effect.to,
           '/replica',
-          encodeReplicaRequest(effect.body),
+          encodeReplicaRequest(effect.request),
           (body) =>
             this.#reduceReplica(node, {
-              kind: 'returned',
-              id: effect.id,
-              body: decodeReplicaReply(body),
+              kind: 'reply-received',
+              requestId: effect.requestId,
+              reply: decodeReplicaReply(body),
+              now: this.#now,
+            }),
+          () =>
+            this.#reduceReplica(node, {
+              kind: 'request-failed',
+              requestId: effect.requestId,
               now: this.#now,
             }),
-          () => this.#reduceReplica(node, { kind: 'lost', id: effect.id, now: this.#now }),
         );
         return;
       case 'log':
@@ -716,7 +723,7 @@
     for (const node of this.#replicas.values()) {
       if (now < node.beatAt) continue;
       node.beatAt += Beats.rejoin;
-      this.#reduceReplica(node, { kind: 'beat', now });
+      this.#reduceReplica(node, { kind: 'tick', now });
     }
     for (const node of this.#agents.values()) {
       if (now >= node.wakeAt) {
