--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -33,7 +33,7 @@
 };
 const learnt = (state: AgentState, key: Watched, round: number, value: unknown): AgentState => {
   const work: Work = { state, effects: [] };
-  learnRegister(work, key, [round, 'x'], value);
+  learnRegister(work, key, { counter: round, proposerId: 'x' }, value);
   return work.state;
 };
 const acted = (
--- a/packages/agent/src/answered-pulls.fixture.ts
+++ b/packages/agent/src/answered-pulls.fixture.ts
@@ -34,7 +34,7 @@
   disks: Membership['disks'],
 ): AgentState => {
   const work: Work = { state, effects: [] };
-  learnRegister(work, 'members', [epoch, 'x'], { epoch, disks });
+  learnRegister(work, 'members', { counter: epoch, proposerId: 'x' }, { epoch, disks });
   return work.state;
 };
 
--- a/packages/agent/src/ballots.test.ts
+++ b/packages/agent/src/ballots.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
+import { compareProposalNumbers, type ProposalNumber } from '@reedyard/consensus';
 import { Limits } from '@reedyard/constants';
-import { Ballots, type ProposalNumber } from '@reedyard/consensus';
 import type { ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
 import { Agent } from './core.js';
@@ -28,7 +28,7 @@
     const opened = Agent.open({ self, life, seeds: [], founders, seed: 1, now: 0 });
     const work: Work = { state: opened, effects: [] };
     const disks = Object.fromEntries(replicas.map((name) => [name, `disk-${name}`]));
-    learnRegister(work, 'members', [1, 'x'], { epoch: 1, disks });
+    learnRegister(work, 'members', { counter: 1, proposerId: 'x' }, { epoch: 1, disks });
     this.state = work.state;
   }
 
@@ -90,7 +90,7 @@
     const mine = all.filter((call) => call.kind === kind).map((call) => call.proposalNumber);
     return mine.filter(
       (proposalNumber, at) =>
-        mine.findIndex((each) => Ballots.compare(each, proposalNumber) === 0) === at,
+        mine.findIndex((each) => compareProposalNumbers(each, proposalNumber) === 0) === at,
     );
   }
 
@@ -141,7 +141,7 @@
   t.true(
     second !== undefined &&
       accepted !== null &&
-      Ballots.compare(second, accepted.proposalNumber) > 0,
+      compareProposalNumbers(second, accepted.proposalNumber) > 0,
   );
   bench.vote('prepare', accepted);
   bench.vote('accept');
@@ -215,7 +215,7 @@
   const gone = bench.order(zoneOrder('west', 'empty', '1'));
   bench.vote('prepare');
   bench.step({ kind: 'caller-gone', id: gone, now: 0 });
-  bench.refuse('accept', [9, 'z']);
+  bench.refuse('accept', { counter: 9, proposerId: 'z' });
   bench.now = 5_000;
   bench.step({ kind: 'woken', now: bench.now });
   t.deepEqual(bench.ballots('prepare'), []);
@@ -226,7 +226,7 @@
   const bench = new Bench();
   const late = bench.order(zoneOrder('west', 'empty', '1'));
   bench.vote('prepare');
-  bench.refuse('accept', [9, 'z']);
+  bench.refuse('accept', { counter: 9, proposerId: 'z' });
   bench.now = 300;
   bench.step({ kind: 'woken', now: bench.now });
   const value = {
@@ -237,7 +237,7 @@
     lastOrders: { west: 5 },
     changes: [],
   };
-  bench.vote('prepare', { proposalNumber: [9, 'z'], value });
+  bench.vote('prepare', { proposalNumber: { counter: 9, proposerId: 'z' }, value });
   t.is(bench.statusOf(late), 503);
   t.deepEqual(bench.ballots('accept'), []);
 });
@@ -313,7 +313,7 @@
   bench.order(zoneOrder('west', 'empty', '1'));
   const waits: number[] = [];
   for (let round = 2; round < 12; round += 1) {
-    bench.refuse('prepare', [10 * round, 'z']);
+    bench.refuse('prepare', { counter: 10 * round, proposerId: 'z' });
     const wake = bench.wakes.at(-1) ?? 0;
     waits.push(wake - bench.now);
     bench.now = wake;
--- a/packages/agent/src/ballots.ts
+++ b/packages/agent/src/ballots.ts
@@ -7,36 +7,37 @@
  * been given before could answer a read with a value that was replaced before the read was asked
  * for.
  */
-import { Limits } from '@reedyard/constants';
 import {
-  Ballots,
-  Proposer,
-  type ProposalNumber,
   type Change,
   type ChangeResult,
+  compareProposalNumbers,
+  handleVote,
+  type ProposalNumber,
   type ProposalTransition,
+  startProposal,
 } from '@reedyard/consensus';
+import { Limits } from '@reedyard/constants';
 import { membershipKey, type ReplicaReply } from '@reedyard/replica';
-import { finish, type Outcome } from './completion.js';
 import type { Reading, RegisterChange } from './changes.js';
+import { finish, type Outcome } from './completion.js';
 import { learnRegister } from './pulls.js';
 import { isStranded } from './reachability.js';
 import {
+  type AgentState,
+  type BallotRun,
   chance,
   counts,
+  type IncludedChange,
   log,
+  type ProposalRun,
+  type Purpose,
+  type Retries,
   sendToReplica,
   set,
   takeId,
   watched,
-  without,
-  type BallotRun,
-  type IncludedChange,
-  type AgentState,
-  type Purpose,
-  type ProposalRun,
-  type Retries,
   type Watched,
+  without,
   type Work,
 } from './state.js';
 
@@ -147,7 +148,7 @@
   // A ballot belongs to one life of a process: a new one does not know which ballots the last one
   // opened.
   const proposer = `${state.self.id}/${state.life}`;
-  const turn = Proposer.open(key, combine(waiting), members, state.highestBallot, proposer);
+  const turn = startProposal(key, combine(waiting), members, state.highestBallot, proposer);
   set(work, { highestBallot: turn.proposal.proposalNumber });
   setRun(work, key, {
     proposal: turn.proposal,
@@ -265,13 +266,19 @@
   }
   if (reply.kind !== 'vote' || !counts(work.state, replica, reply.diskId)) return;
   const { vote } = reply;
-  if (vote.kind === 'no' && Ballots.compare(vote.promised, work.state.highestBallot) > 0) {
+  if (vote.kind === 'no' && compareProposalNumbers(vote.promised, work.state.highestBallot) > 0) {
     set(work, { highestBallot: vote.promised });
   }
   advance(
     work,
     run,
-    Proposer.voted(run.proposal, replica, reply.diskId, phase, proposalNumber, vote),
+    handleVote(run.proposal, {
+      member: replica,
+      diskId: reply.diskId,
+      phase,
+      proposalNumber,
+      vote,
+    }),
   );
 };
 
--- a/packages/agent/src/changes.test.ts
+++ b/packages/agent/src/changes.test.ts
@@ -122,7 +122,12 @@
   let state: AgentState = Agent.open({ self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 });
   const learn = (revision: number, now: number): void => {
     const work: Work = { state: { ...state, now }, effects: [] };
-    learnRegister(work, 'zones', [revision, 'x'], { ...zonesValueOf(null), revision });
+    learnRegister(
+      work,
+      'zones',
+      { counter: revision, proposerId: 'x' },
+      { ...zonesValueOf(null), revision },
+    );
     state = Agent.reduce(work.state, { kind: 'beat', now }).state;
   };
   const at = (now: number): number => lapsedRevision({ ...state, now }, 'zones');
--- a/packages/agent/src/core.ts
+++ b/packages/agent/src/core.ts
@@ -1,19 +1,18 @@
 /** The agent's reducer: takes each event to the module that it is about. */
 import { Map as Table } from 'immutable';
+import { zeroProposalNumber } from '@reedyard/consensus';
 import { Beats } from '@reedyard/constants';
-import { Ballots } from '@reedyard/consensus';
+import { Gossip } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
-import { Gossip } from '@reedyard/gossip';
 import { dropCaller, tendProposalRuns, tookVote } from './ballots.js';
 import { noteRevisions } from './change-ids.js';
-import { tendQuotaLeadership } from './quota-leadership.js';
 import { fed } from './feed.js';
+import { pullInterval, renewLease } from './lease.js';
 import { awaitOwnReplica, tendMembership } from './membership.js';
 import { computeSplit, gossip, heartbeat, isJoining, learn, pingAll, tookPing } from './network.js';
 import { operator } from './operators.js';
 import { tendPostings, tookPost } from './postings.js';
-import { pullInterval, renewLease } from './lease.js';
 import {
   lostPull,
   pullAll,
@@ -23,8 +22,9 @@
   tookPull,
   tookRestored,
 } from './pulls.js';
+import { tendQuotaLeadership } from './quota-leadership.js';
 import { noteAnswer, noteLeaseLost } from './reachability.js';
-import { replicaView, noteBeat, send, set, without, type AgentState, type Work } from './state.js';
+import { type AgentState, noteBeat, replicaView, send, set, without, type Work } from './state.js';
 import { sweep } from './sweep.js';
 import type { AgentCall, AgentEffect, AgentEvent, AgentReply, AgentVoting, Self } from './terms.js';
 
@@ -187,7 +187,7 @@
         founders.map(([name, address]) => [name, replicaView(address, now)]),
       ),
       registers: {},
-      highestBallot: Ballots.none,
+      highestBallot: zeroProposalNumber,
       candidates: {},
       hanging: {},
       lease: 0,
--- a/packages/agent/src/lease.ts
+++ b/packages/agent/src/lease.ts
@@ -1,7 +1,21 @@
+import {
+  compareProposalNumbers,
+  majorityOf,
+  type ProposalNumber,
+  zeroProposalNumber,
+} from '@reedyard/consensus';
 import { Beats, Limits } from '@reedyard/constants';
-import { Ballots, majorityOf, type ProposalNumber } from '@reedyard/consensus';
-import { log, set, watched } from './state.js';
-import type { ReplicaView, AgentState, Pulled, PullSeen, Watched, Work } from './state.js';
+import {
+  type AgentState,
+  log,
+  type Pulled,
+  type PullSeen,
+  type ReplicaView,
+  set,
+  watched,
+  type Watched,
+  type Work,
+} from './state.js';
 
 /**
  * The lease: the proof, from a majority of replicas, that this node knows all that was acknowledged
@@ -23,9 +37,9 @@
   subject: Subject,
 ): boolean => {
   if (subject === 'facts') return !more;
-  const shown = ballots[subject] ?? Ballots.none;
-  const known = state.registers[subject]?.proposalNumber ?? Ballots.none;
-  return Ballots.compare(shown, known) <= 0;
+  const shown = ballots[subject] ?? zeroProposalNumber;
+  const known = state.registers[subject]?.proposalNumber ?? zeroProposalNumber;
+  return compareProposalNumbers(shown, known) <= 0;
 };
 
 const isWhollyKnown = (state: AgentState, seen: PullSeen): boolean =>
@@ -60,7 +74,7 @@
   pullsOf(view.pulled).some(
     (each) =>
       each.copied?.includes(key) !== true &&
-      Ballots.compare(each.acceptedNumbers[key] ?? Ballots.none, proposalNumber) === 0,
+      compareProposalNumbers(each.acceptedNumbers[key] ?? zeroProposalNumber, proposalNumber) === 0,
   );
 
 /** When the newest pull that shows nothing unknown of a subject was sent to a replica. */
--- a/packages/agent/src/membership.test.ts
+++ b/packages/agent/src/membership.test.ts
@@ -7,7 +7,7 @@
 // Which change of the membership an agent opens, and when: its reducer alone, answered by hand.
 
 const committed: CommittedMembership = {
-  proposalNumber: [1, 'founding'],
+  proposalNumber: { counter: 1, proposerId: 'founding' },
   value: {
     epoch: 1,
     disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' },
--- a/packages/agent/src/pulls.ts
+++ b/packages/agent/src/pulls.ts
@@ -1,35 +1,40 @@
+import {
+  compareProposalNumbers,
+  majorityOf,
+  type ProposalNumber,
+  zeroProposalNumber,
+} from '@reedyard/consensus';
 import { Beats, Limits, Sizes } from '@reedyard/constants';
-import { Ballots, majorityOf, type ProposalNumber } from '@reedyard/consensus';
+import type { Plan } from '@reedyard/quota-division';
 import {
+  type CommittedMembership,
   isNewerMembership,
-  type ReplicaReply,
   type Membership,
-  type CommittedMembership,
+  type ReplicaReply,
 } from '@reedyard/replica';
-import type { Plan } from '@reedyard/quota-division';
 import { countAnew, propose } from './ballots.js';
 import { hasAccepted, isLow, isOverdue, pullPatience, renewLease, stackPull } from './lease.js';
 import { discoverMembers, noteOwnReplica, noteSpare, offerOwnPlace } from './membership.js';
 import { isProbeDue, isProbing } from './reachability.js';
-import type { ZonesValue } from './terms.js';
-import { replicaAnswer } from './status.js';
 import {
-  replicaView,
+  type AgentState,
   chance,
   counts,
-  zonesValueOf,
   log,
-  sendToReplica,
-  set,
   membersOf,
-  watched,
-  without,
+  replicaView,
   type ReplicaView,
-  type AgentState,
+  sendToReplica,
+  set,
   type Told,
+  watched,
   type Watched,
+  without,
   type Work,
+  zonesValueOf,
 } from './state.js';
+import { replicaAnswer } from './status.js';
+import type { ZonesValue } from './terms.js';
 
 const change = (work: Work, name: string, part: Partial<ReplicaView>): void => {
   const view = work.state.replicas[name];
@@ -142,7 +147,7 @@
     known !== undefined &&
     (key === 'members'
       ? !isNewerMembership({ proposalNumber, value: value as Membership }, membersOf(work.state))
-      : Ballots.compare(proposalNumber, known.proposalNumber) <= 0)
+      : compareProposalNumbers(proposalNumber, known.proposalNumber) <= 0)
   )
     return;
   set(work, {
@@ -153,7 +158,7 @@
   });
   // The split rests on the policy's routes; which nodes serve is looked at each time.
   if (key === 'policy') set(work, { splitStale: true });
-  if (Ballots.compare(proposalNumber, work.state.highestBallot) > 0)
+  if (compareProposalNumbers(proposalNumber, work.state.highestBallot) > 0)
     set(work, { highestBallot: proposalNumber });
   if (key === 'plan') {
     const plan = value as Plan;
@@ -183,13 +188,16 @@
   const shown = Object.entries(state.replicas).flatMap(([name, view]) =>
     view.pulled === null
       ? []
-      : [{ name, proposalNumber: view.pulled.acceptedNumbers[key] ?? Ballots.none }],
+      : [{ name, proposalNumber: view.pulled.acceptedNumbers[key] ?? zeroProposalNumber }],
   );
   const proposalNumber = shown.reduce<ProposalNumber>(
-    (best, each) => (Ballots.compare(each.proposalNumber, best) > 0 ? each.proposalNumber : best),
-    Ballots.none,
+    (best, each) =>
+      compareProposalNumbers(each.proposalNumber, best) > 0 ? each.proposalNumber : best,
+    zeroProposalNumber,
+  );
+  const at = shown.filter(
+    (each) => compareProposalNumbers(each.proposalNumber, proposalNumber) === 0,
   );
-  const at = shown.filter((each) => Ballots.compare(each.proposalNumber, proposalNumber) === 0);
   return { proposalNumber, at: at.map(({ name }) => name) };
 };
 
@@ -232,7 +240,7 @@
 const repairHanging = (work: Work, key: Watched, proposalNumber: ProposalNumber): void => {
   const { state } = work;
   const seen = state.hanging[key];
-  if (seen === undefined || Ballots.compare(seen.proposalNumber, proposalNumber) !== 0) {
+  if (seen === undefined || compareProposalNumbers(seen.proposalNumber, proposalNumber) !== 0) {
     set(work, {
       hanging: { ...state.hanging, [key]: { proposalNumber, since: state.now } },
     });
@@ -251,8 +259,10 @@
     learnCandidate(work, key);
     const { proposalNumber, at } = highestShown(work.state, key);
     if (
-      Ballots.compare(proposalNumber, work.state.registers[key]?.proposalNumber ?? Ballots.none) <=
-      0
+      compareProposalNumbers(
+        proposalNumber,
+        work.state.registers[key]?.proposalNumber ?? zeroProposalNumber,
+      ) <= 0
     )
       continue;
     if (isChosen(work.state, key, proposalNumber)) fetchFrom(work, key, at);
@@ -340,8 +350,9 @@
   const majority = majorityOf(Object.keys(work.state.replicas).length);
   for (const each of named) {
     if (
-      named.filter((other) => Ballots.compare(other.proposalNumber, each.proposalNumber) === 0)
-        .length >= majority
+      named.filter(
+        (other) => compareProposalNumbers(other.proposalNumber, each.proposalNumber) === 0,
+      ).length >= majority
     )
       learnRegister(work, 'members', each.proposalNumber, each.value);
   }
@@ -411,7 +422,7 @@
   if (reply.kind !== 'register-read' || reply.accepted === null) return;
   const { proposalNumber } = reply.accepted;
   const kept = work.state.candidates[key];
-  if (kept !== undefined && Ballots.compare(proposalNumber, kept.proposalNumber) < 0) return;
+  if (kept !== undefined && compareProposalNumbers(proposalNumber, kept.proposalNumber) < 0) return;
   set(work, { candidates: { ...work.state.candidates, [key]: reply.accepted } });
   learnCandidate(work, key);
 };
--- a/packages/agent/src/replicas.fixture.ts
+++ b/packages/agent/src/replicas.fixture.ts
@@ -33,7 +33,7 @@
 };
 
 /** A ballot of some proposer. */
-export const ballotOf = (round: number): ProposalNumber => [round, 'p'];
+export const ballotOf = (round: number): ProposalNumber => ({ counter: round, proposerId: 'p' });
 
 /** What a replica that counts answers a pull: the ballots that it accepted. */
 export const pulledReply = (
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -25,7 +25,7 @@
 
 const learnt = (state: AgentState, key: Watched, round: number, value: unknown): AgentState => {
   const work: Work = { state, effects: [] };
-  learnRegister(work, key, [round, 'x'], value);
+  learnRegister(work, key, { counter: round, proposerId: 'x' }, value);
   return work.state;
 };
 
@@ -61,7 +61,7 @@
 });
 
 test('a pull that shows a value or journal entries not known here brings no lease until they are', (t) => {
-  const shown = { plan: [9, 'z'] as const };
+  const shown = { plan: { counter: 9, proposerId: 'z' } as const };
   const replyOf = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), acceptedNumbers: shown }) as ReplicaReply;
   const beat = Agent.reduce(founded(), { kind: 'beat', now: 100 });
@@ -128,7 +128,10 @@
     ({ call }) => call.kind === 'prepare' && call.key === 'plan',
   );
   t.is(prepares.length, names.length);
-  const accepted = { proposalNumber: [3, 'y'] as const, value: allocation(2, 'core-2') };
+  const accepted = {
+    proposalNumber: { counter: 3, proposerId: 'y' } as const,
+    value: allocation(2, 'core-2'),
+  };
   let { state } = beat;
   const effects = prepares.flatMap(({ id }, index) => {
     const reply = {
@@ -167,7 +170,10 @@
     );
   }
   t.is(prepares.length, names.length);
-  const accepted = { proposalNumber: [3, 'y'] as const, value: allocation(2) };
+  const accepted = {
+    proposalNumber: { counter: 3, proposerId: 'y' } as const,
+    value: allocation(2),
+  };
   const { now } = state;
   const effects = prepares.flatMap(({ id }, index) => {
     const reply = {
@@ -235,7 +241,7 @@
   };
   const beat = Agent.reduce(leader, { kind: 'beat', now });
   let { state } = beat;
-  const accepted = { proposalNumber: [2, 'x'] as const, value: plan };
+  const accepted = { proposalNumber: { counter: 2, proposerId: 'x' } as const, value: plan };
   const accepts = replicaCalls(beat.effects)
     .filter(({ call }) => call.kind === 'prepare' && call.key === 'plan')
     .flatMap(({ id }, index) => {
--- a/packages/agent/src/status.test.ts
+++ b/packages/agent/src/status.test.ts
@@ -142,7 +142,7 @@
   const disks = { a: 'da', b: 'db', c: 'dc' };
   const places = { a: seeds[0] ?? '', b: seeds[1] ?? '', c: seeds[2] ?? '' };
   const members = { epoch: 1, disks, addresses: places };
-  learnRegister(work, 'members', [1, 'founding'], members);
+  learnRegister(work, 'members', { counter: 1, proposerId: 'founding' }, members);
   const control = controlStatus(work.state);
   t.deepEqual([control.members.length, control.quorum, control.wantedMembers], [3, 2, 5]);
 });
--- a/packages/agent/src/testing/membership-client.ts
+++ b/packages/agent/src/testing/membership-client.ts
@@ -6,15 +6,24 @@
  * agent does (a ballot of its own, a majority of pulls that show one ballot, a replica that was
  * told), begins anew under them, and proposes with the real `Proposer` and the real `Changes`.
  */
-import { isNewerMembership, membershipKey } from '@reedyard/replica';
-import type {
-  ReplicaOperation,
-  ReplicaReply,
-  Membership,
-  CommittedMembership,
+import {
+  compareProposalNumbers,
+  handleVote,
+  majorityOf,
+  type ProposalNumber,
+  type ProposalTransition,
+  type ProposerAction,
+  startProposal,
+  zeroProposalNumber,
+} from '@reedyard/consensus';
+import {
+  type CommittedMembership,
+  isNewerMembership,
+  type Membership,
+  membershipKey,
+  type ReplicaOperation,
+  type ReplicaReply,
 } from '@reedyard/replica';
-import { Ballots, majorityOf, Proposer } from '@reedyard/consensus';
-import type { ProposalNumber, ProposerAction, ProposalTransition } from '@reedyard/consensus';
 import type {
   Attempt,
   Client,
@@ -25,8 +34,7 @@
   Purpose,
   View,
 } from './membership-client-types.js';
-import { changeOf, keyOf, watchedKeys } from './membership-goals.js';
-import type { Goal, WatchedKey } from './membership-goals.js';
+import { changeOf, type Goal, keyOf, type WatchedKey, watchedKeys } from './membership-goals.js';
 
 type Work = {
   client: Client;
@@ -45,7 +53,7 @@
   name,
   life: 1,
   members,
-  highest: members?.proposalNumber ?? Ballots.none,
+  highest: members?.proposalNumber ?? zeroProposalNumber,
   attempts: {},
   nextAttempt: 1,
   posting: null,
@@ -75,9 +83,9 @@
 const open = (work: Work, number: number, goal: Goal, above: ProposalNumber): void => {
   const { client } = work;
   // As an agent does: a ballot is used once, and names the life of its process.
-  const higher = Ballots.compare(above, client.highest) > 0 ? above : client.highest;
+  const higher = compareProposalNumbers(above, client.highest) > 0 ? above : client.highest;
   const proposer = `${client.name}/${client.life}`;
-  const turn = Proposer.open(keyOf(goal), changeOf(goal), placesOf(client), higher, proposer);
+  const turn = startProposal(keyOf(goal), changeOf(goal), placesOf(client), higher, proposer);
   const attempt = { goal, proposal: turn.proposal, promisedBy: {}, outvoted: false };
   const attempts = { ...client.attempts, [number]: attempt };
   set(work, { attempts, highest: turn.proposal.proposalNumber });
@@ -129,15 +137,15 @@
     learnMembers(work, { proposalNumber, value: value as Membership });
     return;
   }
-  const known = work.client.data?.proposalNumber ?? Ballots.none;
-  if (Ballots.compare(proposalNumber, known) <= 0) return;
+  const known = work.client.data?.proposalNumber ?? zeroProposalNumber;
+  if (compareProposalNumbers(proposalNumber, known) <= 0) return;
   set(work, { data: { proposalNumber, value } });
   raise(work, proposalNumber);
   renewLease(work);
 };
 
 const raise = (work: Work, proposalNumber: ProposalNumber): void => {
-  if (Ballots.compare(proposalNumber, work.client.highest) > 0)
+  if (compareProposalNumbers(proposalNumber, work.client.highest) > 0)
     set(work, { highest: proposalNumber });
 };
 
@@ -181,7 +189,9 @@
 };
 
 const aboveOf = (client: Client, { proposal }: Attempt): ProposalNumber =>
-  Ballots.compare(client.highest, proposal.highestSeen) > 0 ? client.highest : proposal.highestSeen;
+  compareProposalNumbers(client.highest, proposal.highestSeen) > 0
+    ? client.highest
+    : proposal.highestSeen;
 
 const counts = (client: Client, place: string, disk: string): boolean =>
   client.members?.value.disks[place] === disk;
@@ -195,7 +205,13 @@
   if (body.vote.kind === 'no') raise(work, body.vote.promised);
   const { phase, proposalNumber } = purpose;
   const before = attempt.proposal;
-  const turn = Proposer.voted(before, place, body.diskId, phase, proposalNumber, body.vote);
+  const turn = handleVote(before, {
+    member: place,
+    diskId: body.diskId,
+    phase,
+    proposalNumber,
+    vote: body.vote,
+  });
   noteLives(work, attempt, turn, event);
   turn.actions.forEach((move) => perform(work, purpose.attempt, move));
 };
@@ -246,27 +262,27 @@
 
 const knownBallot = (client: Client, key: WatchedKey): ProposalNumber =>
   (key === membershipKey ? client.members?.proposalNumber : client.data?.proposalNumber) ??
-  Ballots.none;
+  zeroProposalNumber;
 
 /** Whether a replica shows a ballot that it accepted itself. */
 const votedFor = (view: View, key: WatchedKey, proposalNumber: ProposalNumber): boolean =>
   !view.copied.includes(key) &&
-  Ballots.compare(view.ballots[key] ?? Ballots.none, proposalNumber) === 0;
+  compareProposalNumbers(view.ballots[key] ?? zeroProposalNumber, proposalNumber) === 0;
 
 /** What a majority of pulls shows is fetched; what only a minority shows hangs. */
 const watch = (work: Work, key: WatchedKey): void => {
   const { client } = work;
   const shown = Object.entries(client.views).map(
-    ([place, view]) => [place, view.ballots[key] ?? Ballots.none] as const,
+    ([place, view]) => [place, view.ballots[key] ?? zeroProposalNumber] as const,
   );
   const highest = shown.reduce<ProposalNumber>(
     (best, [, proposalNumber]) =>
-      Ballots.compare(proposalNumber, best) > 0 ? proposalNumber : best,
-    Ballots.none,
+      compareProposalNumbers(proposalNumber, best) > 0 ? proposalNumber : best,
+    zeroProposalNumber,
   );
-  if (Ballots.compare(highest, knownBallot(client, key)) <= 0) return;
+  if (compareProposalNumbers(highest, knownBallot(client, key)) <= 0) return;
   const holders = shown.filter(
-    ([, proposalNumber]) => Ballots.compare(proposalNumber, highest) === 0,
+    ([, proposalNumber]) => compareProposalNumbers(proposalNumber, highest) === 0,
   );
   const holder = holders[0]?.[0];
   if (holder === undefined) return;
@@ -311,7 +327,9 @@
 
 const showsKnown = (client: Client, view: View): boolean =>
   watchedKeys.every(
-    (key) => Ballots.compare(view.ballots[key] ?? Ballots.none, knownBallot(client, key)) <= 0,
+    (key) =>
+      compareProposalNumbers(view.ballots[key] ?? zeroProposalNumber, knownBallot(client, key)) <=
+      0,
   );
 
 const post = (work: Work, fact: string): void => {
@@ -389,7 +407,9 @@
       work.client = { ...openClient(client.name, null), life: client.life + 1 };
       break;
     case 'outpaced':
-      set(work, { highest: [client.highest[0] + event.rounds, client.name] });
+      set(work, {
+        highest: { counter: client.highest.counter + event.rounds, proposerId: client.name },
+      });
       break;
     case 'replied':
       tookReply(work, event);
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -2,10 +2,20 @@
  * Test support: what an observer who sees every disk and message knows of a run, and the checks
  * that it makes. Values are immutable, so that a search can fork them.
  */
-import { Replica, isMember, membershipKey } from '@reedyard/replica';
-import type { ReplicaState, Membership } from '@reedyard/replica';
-import { Ballots, majorityOf } from '@reedyard/consensus';
-import type { ProposalNumber } from '@reedyard/consensus';
+import {
+  compareProposalNumbers,
+  formatProposalNumber,
+  majorityOf,
+  type ProposalNumber,
+  zeroProposalNumber,
+} from '@reedyard/consensus';
+import {
+  isMember,
+  type Membership,
+  membershipKey,
+  Replica,
+  type ReplicaState,
+} from '@reedyard/replica';
 import { dataKey } from './membership-goals.js';
 
 /** The invariants, by the letter that docs/control-model.md gives them. */
@@ -90,7 +100,7 @@
 });
 
 const describe = ({ key, proposalNumber, value }: Chosen): string =>
-  `${key} ${proposalNumber.join('/')} ${key === membershipKey ? describeMembers(value as Membership) : String(value)}`;
+  `${key} ${formatProposalNumber(proposalNumber)} ${key === membershipKey ? describeMembers(value as Membership) : String(value)}`;
 
 const describeMembers = (members: Membership): string =>
   `${members.epoch}:${Object.entries(members.disks)
@@ -116,7 +126,7 @@
 export const noteChosen = (history: History, fresh: Chosen): History => {
   const rivals = history.chosen.filter(({ key }) => key === fresh.key);
   const same = rivals.find(
-    ({ proposalNumber }) => Ballots.compare(proposalNumber, fresh.proposalNumber) === 0,
+    ({ proposalNumber }) => compareProposalNumbers(proposalNumber, fresh.proposalNumber) === 0,
   );
   if (same !== undefined) {
     return sameValue(fresh.key, same.value, fresh.value)
@@ -125,7 +135,7 @@
   }
   let next: History = { ...history, chosen: [...history.chosen, fresh] };
   for (const rival of rivals) {
-    const isEarlier = Ballots.compare(rival.proposalNumber, fresh.proposalNumber) < 0;
+    const isEarlier = compareProposalNumbers(rival.proposalNumber, fresh.proposalNumber) < 0;
     const [earlier, later] = isEarlier ? [rival, fresh] : [fresh, rival];
     if (!descends(fresh.key, earlier.value, later.value)) {
       const text = `${describe(later)} after ${describe(earlier)}`;
@@ -162,7 +172,7 @@
   const members = Object.values(callersMembers.disks);
   if (!members.includes(disk)) return history;
   const { key, proposalNumber, value } = accepted;
-  const name = `${key} ${proposalNumber.join('/')} ${callersMembers.epoch}`;
+  const name = `${key} ${formatProposalNumber(proposalNumber)} ${callersMembers.epoch}`;
   const before = history.accepts[name];
   if (before !== undefined && !sameValue(key, before.value, value)) {
     const text = `${describe({ key, proposalNumber, value: before.value })} and ${describe(accepted)}`;
@@ -267,7 +277,7 @@
   violate(
     history,
     'promise-and-vote-of-one-life',
-    `${place} in ballot ${proposalNumber.join('/')}`,
+    `${place} in ballot ${formatProposalNumber(proposalNumber)}`,
   );
 
 /** A client may act on what it knows: it must know all that was acknowledged before its pulls. */
@@ -290,7 +300,7 @@
   const known = state.committedMembership?.value.epoch ?? 0;
   if (known >= members.epoch) return known === members.epoch && isMember(state);
   const told = {
-    proposalNumber: state.committedMembership?.proposalNumber ?? Ballots.none,
+    proposalNumber: state.committedMembership?.proposalNumber ?? zeroProposalNumber,
     value: members,
   };
   const operation = { kind: 'poll', cursor: null, keys: [] } as const;
@@ -345,7 +355,10 @@
 };
 
 const byBallot = (left: Chosen | null, right: Chosen | null): number =>
-  Ballots.compare(left?.proposalNumber ?? Ballots.none, right?.proposalNumber ?? Ballots.none);
+  compareProposalNumbers(
+    left?.proposalNumber ?? zeroProposalNumber,
+    right?.proposalNumber ?? zeroProposalNumber,
+  );
 
 /** Every quorum that could read must find the newest chosen value, or one that descends from it. */
 const checkReadable = (history: History, { disks, quorum, members }: Gathered): History => {
--- a/packages/agent/src/testing/membership-mutations.ts
+++ b/packages/agent/src/testing/membership-mutations.ts
@@ -2,16 +2,16 @@
  * Test support: planted faults. Each takes one safeguard of the membership protocol away by
  * changing what goes into a replica's reducer or comes out of it.
  */
-import { isNewerMembership, membershipKey } from '@reedyard/replica';
-import type {
-  ReplicaRequest,
-  ReplicaEffect,
-  ReplicaRecord,
-  ReplicaReply,
-  ReplicaState,
+import { majorityOf, type RegisterState, zeroProposalNumber } from '@reedyard/consensus';
+import {
+  isNewerMembership,
+  membershipKey,
+  type ReplicaEffect,
+  type ReplicaRecord,
+  type ReplicaReply,
+  type ReplicaRequest,
+  type ReplicaState,
 } from '@reedyard/replica';
-import { Ballots, majorityOf } from '@reedyard/consensus';
-import type { RegisterState } from '@reedyard/consensus';
 import type { ClientFaults } from './membership-client-types.js';
 
 type Step = { readonly state: ReplicaState; readonly effects: readonly ReplicaEffect[] };
@@ -83,7 +83,7 @@
 const withoutPromise = ([key, cell]: readonly [string, RegisterState]): readonly [
   string,
   RegisterState,
-] => [key, { ...cell, promised: cell.accepted?.proposalNumber ?? Ballots.none }];
+] => [key, { ...cell, promised: cell.accepted?.proposalNumber ?? zeroProposalNumber }];
 
 const isPredecessorAt = (ask: ReplicaRequest, address: string): boolean => {
   const { addresses = {}, predecessors = {} } = ask.membership?.value ?? {};
--- a/packages/agent/src/testing/membership-search.ts
+++ b/packages/agent/src/testing/membership-search.ts
@@ -3,14 +3,21 @@
  * answers and repeated requests. States that were met before, by a digest, are not gone on from.
  */
 import { createHash } from 'node:crypto';
-import { isMember } from '@reedyard/replica';
-import type { ReplicaRequest, ReplicaState, CommittedMembership } from '@reedyard/replica';
-import { Ballots } from '@reedyard/consensus';
-import type { RegisterState } from '@reedyard/consensus';
-import { Cluster } from './membership-cluster.js';
-import type { Message, ReadCall, ModelReplica } from './membership-network.js';
+import {
+  compareProposalNumbers,
+  formatProposalNumber,
+  type RegisterState,
+} from '@reedyard/consensus';
+import {
+  type CommittedMembership,
+  isMember,
+  type ReplicaRequest,
+  type ReplicaState,
+} from '@reedyard/replica';
 import type { Client, ClientCall, ClientEvent } from './membership-client-types.js';
+import { Cluster } from './membership-cluster.js';
 import type { History, Invariant, Violation } from './membership-history.js';
+import type { Message, ModelReplica, ReadCall } from './membership-network.js';
 
 /** Something that a client does, or that befalls a replica; those of one line come in order. */
 export type Operation =
@@ -171,15 +178,15 @@
 };
 
 const textOfTold = (told: CommittedMembership | null): string =>
-  told === null ? '-' : `${told.value.epoch}@${told.proposalNumber.join('/')}`;
+  told === null ? '-' : `${told.value.epoch}@${formatProposalNumber(told.proposalNumber)}`;
 
 const textOfCell = (cell: RegisterState): string => {
   const { promised, accepted } = cell;
-  if (accepted === null) return promised.join('/');
+  if (accepted === null) return formatProposalNumber(promised);
   const value = accepted.value as { epoch?: number; disks?: unknown } | string;
   const text = typeof value === 'string' ? value : JSON.stringify(value.disks);
   const copied = accepted.copied === true ? ' copied' : '';
-  return `${promised.join('/')}:${accepted.proposalNumber.join('/')}=${text}${copied}`;
+  return `${formatProposalNumber(promised)}:${formatProposalNumber(accepted.proposalNumber)}=${text}${copied}`;
 };
 
 const textOfState = remembered((state: ReplicaState): string => {
@@ -239,7 +246,9 @@
 const textOfHistory = remembered((history: History): string => {
   const { accepts, chosen, appended, reads, begun, handedOver } = history;
   const tallies = Object.entries(accepts).map(([name, { disks }]) => `${name} ${disks.join()}`);
-  const ballots = chosen.map(({ key, proposalNumber }) => `${key} ${proposalNumber.join('/')}`);
+  const ballots = chosen.map(
+    ({ key, proposalNumber }) => `${key} ${formatProposalNumber(proposalNumber)}`,
+  );
   const ids = appended.map(({ id }) => id);
   return JSON.stringify([tallies.sort(), ballots.sort(), ids.sort(), reads, begun, handedOver]);
 });
@@ -272,7 +281,7 @@
   const proposal = clients[name]?.attempts[call.purpose.attempt]?.proposal;
   const isWanted =
     proposal?.phase === 'prepare' &&
-    Ballots.compare(proposal.proposalNumber, call.purpose.proposalNumber) === 0;
+    compareProposalNumbers(proposal.proposalNumber, call.purpose.proposalNumber) === 0;
   return !isWanted;
 };
 
--- a/packages/consensus/src/codec.ts
+++ b/packages/consensus/src/codec.ts
@@ -5,7 +5,9 @@
  * which stays as it is: data of earlier versions must stay readable, and versions run side by side.
  * All other code works with the types of `acceptor.ts`.
  */
-import type { AcceptedValue, ProposalNumber, RegisterState, Vote } from './acceptor.js';
+import type { Vote } from './acceptor.js';
+import type { ProposalNumber } from './proposal-number.js';
+import type { AcceptedValue, RegisterState } from './register.js';
 
 /** A proposal number: its counter and its proposer. */
 export type WireProposalNumber = readonly [counter: number, proposerId: string];
@@ -28,15 +30,15 @@
   | { readonly kind: 'yes'; readonly accepted: WireAcceptedValue | null }
   | { readonly kind: 'no'; readonly promised: WireProposalNumber };
 
-export const encodeProposalNumber = (ballot: ProposalNumber): WireProposalNumber => [
-  ballot[0],
-  ballot[1],
-];
+export const encodeProposalNumber = ({
+  counter,
+  proposerId,
+}: ProposalNumber): WireProposalNumber => [counter, proposerId];
 
-export const decodeProposalNumber = ([counter, proposerId]: WireProposalNumber): ProposalNumber => [
+export const decodeProposalNumber = ([
   counter,
   proposerId,
-];
+]: WireProposalNumber): ProposalNumber => ({ counter, proposerId });
 
 export const encodeAcceptedValue = (accepted: AcceptedValue): WireAcceptedValue => ({
   ballot: encodeProposalNumber(accepted.proposalNumber),
--- a/packages/consensus/src/consensus.test.ts
+++ b/packages/consensus/src/consensus.test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
+import { accept, prepare } from './acceptor.js';
 import {
-  Acceptor,
-  Ballots,
+  type Change,
   emptyRegister,
   majorityOf,
-  Proposer,
+  type Proposal,
   type ProposalNumber,
-  type RegisterState,
-  type Change,
   type ProposerAction,
-  type Proposal,
+  type RegisterState,
 } from './index.js';
+import { compareProposalNumbers, zeroProposalNumber } from './proposal-number.js';
+import { handleVote, startProposal } from './proposer.js';
 
 const members = ['a', 'b', 'c'];
 type Message = { readonly which: 0 | 1; readonly move: ProposerAction };
@@ -32,8 +32,8 @@
   };
 
 const opened = (): World => {
-  const first = Proposer.open('r', append('x'), members, Ballots.none, 'p');
-  const second = Proposer.open('r', append('y'), members, Ballots.none, 'q');
+  const first = startProposal('r', append('x'), members, zeroProposalNumber, 'p');
+  const second = startProposal('r', append('y'), members, zeroProposalNumber, 'q');
   return {
     cells: { a: emptyRegister, b: emptyRegister, c: emptyRegister },
     proposals: [first.proposal, second.proposal],
@@ -55,21 +55,20 @@
   const register = world.cells[move.to] ?? emptyRegister;
   const outcome =
     move.kind === 'prepare'
-      ? Acceptor.prepare(register, move.proposalNumber)
-      : Acceptor.accept(register, move.proposalNumber, move.value);
-  let turn = Proposer.voted(
-    world.proposals[which],
-    move.to,
-    `disk-${move.to}`,
-    move.kind,
-    move.proposalNumber,
-    outcome.vote,
-  );
+      ? prepare(register, move.proposalNumber)
+      : accept(register, move.proposalNumber, move.value);
+  let turn = handleVote(world.proposals[which], {
+    member: move.to,
+    diskId: `disk-${move.to}`,
+    phase: move.kind,
+    proposalNumber: move.proposalNumber,
+    vote: outcome.vote,
+  });
   if (turn.actions.some((each) => each.kind === 'preempted')) {
     turn =
-      turn.proposal.proposalNumber[0] > 1
+      turn.proposal.proposalNumber.counter > 1
         ? { proposal: { ...turn.proposal, phase: 'done' }, actions: [] }
-        : Proposer.open(
+        : startProposal(
             'r',
             turn.proposal.change,
             members,
@@ -105,7 +104,7 @@
  */
 const sound = (chosen: World['chosen']): boolean => {
   const ordered = [...chosen].sort((left, right) =>
-    Ballots.compare(left.proposalNumber, right.proposalNumber),
+    compareProposalNumbers(left.proposalNumber, right.proposalNumber),
   );
   return ordered.every(({ value }, index) =>
     ordered.slice(index + 1).every((later) => value.every((name, at) => later.value[at] === name)),
@@ -175,7 +174,7 @@
 /** A world in which every first message is sent twice. */
 const sentTwice = (second: string): World => {
   const world = opened();
-  const other = Proposer.open('r', append('y'), members, Ballots.none, second);
+  const other = startProposal('r', append('y'), members, zeroProposalNumber, second);
   const moves: readonly Message[] = other.actions.map((move) => ({ which: 1, move }));
   const flying = [...world.flying.filter(({ which }) => which === 0), ...moves];
   return {
@@ -194,18 +193,17 @@
 });
 
 test('a vote of another life of a disk is told apart by the accept that names it', (t) => {
-  const first = Proposer.open('r', append('x'), members, Ballots.none, 'p');
+  const first = startProposal('r', append('x'), members, zeroProposalNumber, 'p');
   let proposal = first.proposal;
   let moves: readonly ProposerAction[] = [];
   for (const member of ['a', 'b'])
-    ({ proposal, actions: moves } = Proposer.voted(
-      proposal,
+    ({ proposal, actions: moves } = handleVote(proposal, {
       member,
-      `life-1-${member}`,
-      'prepare',
-      proposal.proposalNumber,
-      { kind: 'yes', accepted: null },
-    ));
+      diskId: `life-1-${member}`,
+      phase: 'prepare',
+      proposalNumber: proposal.proposalNumber,
+      vote: { kind: 'yes', accepted: null },
+    }));
   t.deepEqual(
     moves.map((move) => (move.kind === 'accept' ? move.diskId : move.kind)),
     ['life-1-a', 'life-1-b'],
@@ -214,38 +212,36 @@
 
 test('a value that hangs on a minority is written again before a read tells it', (t) => {
   const held: RegisterState = {
-    promised: [1, 'p'],
-    accepted: { proposalNumber: [1, 'p'], value: ['x'] },
+    promised: { counter: 1, proposerId: 'p' },
+    accepted: { proposalNumber: { counter: 1, proposerId: 'p' }, value: ['x'] },
   };
-  const opened = Proposer.open(
+  const opened = startProposal(
     'r',
     () => ({ kind: 'keep' }),
     members,
-    [1, 'p'] as ProposalNumber,
+    { counter: 1, proposerId: 'p' },
     'q',
   );
-  const first = Proposer.voted(
-    opened.proposal,
-    'a',
-    'd',
-    'prepare',
-    opened.proposal.proposalNumber,
-    {
+  const first = handleVote(opened.proposal, {
+    member: 'a',
+    diskId: 'd',
+    phase: 'prepare',
+    proposalNumber: opened.proposal.proposalNumber,
+    vote: {
       kind: 'yes',
       accepted: held.accepted,
     },
-  );
-  const second = Proposer.voted(
-    first.proposal,
-    'b',
-    'd',
-    'prepare',
-    first.proposal.proposalNumber,
-    {
+  });
+  const second = handleVote(first.proposal, {
+    member: 'b',
+    diskId: 'd',
+    phase: 'prepare',
+    proposalNumber: first.proposal.proposalNumber,
+    vote: {
       kind: 'yes',
       accepted: null,
     },
-  );
+  });
   t.deepEqual(
     second.actions.map((move) => move.kind),
     ['accept', 'accept'],
@@ -254,21 +250,20 @@
 });
 
 test('a promise that comes late is used: one refusal among a bare majority does not leave a ballot hanging', (t) => {
-  const first = Proposer.open('r', append('x'), members, Ballots.none, 'p');
+  const first = startProposal('r', append('x'), members, zeroProposalNumber, 'p');
   let { proposal } = first;
   let moves: readonly ProposerAction[] = [];
   const vote = (member: string, phase: 'prepare' | 'accept', isTaken: boolean): void => {
     const cast = isTaken
       ? ({ kind: 'yes', accepted: null } as const)
-      : ({ kind: 'no', promised: [9, 'q'] } as const);
-    ({ proposal, actions: moves } = Proposer.voted(
-      proposal,
+      : ({ kind: 'no', promised: { counter: 9, proposerId: 'q' } } as const);
+    ({ proposal, actions: moves } = handleVote(proposal, {
       member,
-      `disk-${member}`,
+      diskId: `disk-${member}`,
       phase,
-      proposal.proposalNumber,
-      cast,
-    ));
+      proposalNumber: proposal.proposalNumber,
+      vote: cast,
+    }));
   };
   vote('a', 'prepare', true);
   vote('b', 'prepare', true);
@@ -287,21 +282,20 @@
 });
 
 test('a member that refused either phase counts once; a majority of them ends the ballot', (t) => {
-  const first = Proposer.open('r', append('x'), ['a', 'b', 'c', 'd', 'e'], Ballots.none, 'p');
+  const first = startProposal('r', append('x'), ['a', 'b', 'c', 'd', 'e'], zeroProposalNumber, 'p');
   let { proposal } = first;
   let moves: readonly ProposerAction[] = [];
   const vote = (member: string, phase: 'prepare' | 'accept', isTaken: boolean): void => {
     const cast = isTaken
       ? ({ kind: 'yes', accepted: null } as const)
-      : ({ kind: 'no', promised: [9, 'q'] } as const);
-    ({ proposal, actions: moves } = Proposer.voted(
-      proposal,
+      : ({ kind: 'no', promised: { counter: 9, proposerId: 'q' } } as const);
+    ({ proposal, actions: moves } = handleVote(proposal, {
       member,
-      `disk-${member}`,
+      diskId: `disk-${member}`,
       phase,
-      proposal.proposalNumber,
-      cast,
-    ));
+      proposalNumber: proposal.proposalNumber,
+      vote: cast,
+    }));
   };
   vote('d', 'prepare', false);
   for (const member of ['a', 'b', 'c']) vote(member, 'prepare', true);
--- a/packages/consensus/src/proposer.ts
+++ b/packages/consensus/src/proposer.ts
@@ -1,31 +1,53 @@
-import { Ballots, type ProposalNumber, type Vote } from './acceptor.js';
+/**
+ * The proposer of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs"): one
+ * proposal reads a register from a majority, applies a change to what it read, and writes the
+ * result to a majority.
+ *
+ * It is a state machine without I/O: `startProposal` and `handleVote` return the next state and the
+ * actions to carry out. It trusts acceptors to keep their promises, and its caller to use each
+ * proposal number once and to count only votes of the members' own disks.
+ */
+import {
+  compareProposalNumbers,
+  higherProposalNumber,
+  nextProposalNumber,
+  type ProposalNumber,
+} from './proposal-number.js';
+import type { Vote } from './acceptor.js';
+import { majorityOf } from './quorum.js';
+import type { AcceptedValue } from './register.js';
 
-/** What a change makes of the value it reads: a new one, the same one, or a refusal. */
+/** What a change makes of the value it is applied to. */
 export type ChangeResult =
   | { readonly kind: 'write'; readonly value: unknown }
+  /** The value stays, and is known to be committed once the proposal ends. */
   | { readonly kind: 'keep' }
   | { readonly kind: 'refuse'; readonly reason: string };
 
 /**
- * A change is applied again on each try, so it must know its own earlier work by an id in the
- * value.
+ * A change of a register. It is applied again in each proposal that is made for it, so it must know
+ * its own earlier work by an id in the value.
  */
 export type Change = (current: unknown) => ChangeResult;
 
-/** One replica as a member; disk names the life of its data, so votes of a wiped one never mix. */
+/** A member by its slot in the membership. */
 export type MemberName = string;
 
+/** A member's promise, with the disk that made it: the second phase goes to that disk alone. */
+type PrepareResponse = { readonly diskId: string; readonly vote: Vote };
+
+/** One proposal under way, under one proposal number. */
 export type Proposal = {
+  /** The register's key. */
   readonly key: string;
   readonly change: Change;
   readonly members: readonly MemberName[];
   readonly proposalNumber: ProposalNumber;
+  /** The highest number seen in any response. */
   readonly highestSeen: ProposalNumber;
   readonly phase: 'prepare' | 'accept' | 'done';
-  readonly prepareResponses: Readonly<
-    Record<MemberName, { readonly diskId: string; readonly vote: Vote }>
-  >;
-  /** Members that promised a higher ballot, in either phase. */
+  readonly prepareResponses: Readonly<Record<MemberName, PrepareResponse>>;
+  /** Members that promised a higher number, in either phase. */
   readonly rejectedBy: readonly MemberName[];
   /** What the change was applied to; known once a majority has promised. */
   readonly valueRead: unknown;
@@ -34,7 +56,7 @@
   readonly acceptedBy: readonly MemberName[];
 };
 
-/** What the proposer wants sent, or how it ended. */
+/** What the caller is to send, or how the proposal ended. */
 export type ProposerAction =
   | {
       readonly kind: 'prepare';
@@ -50,200 +72,239 @@
     }
   | {
       readonly kind: 'chosen';
+      /** The number that the value was chosen under; null for an empty register. */
       readonly proposalNumber: ProposalNumber | null;
       readonly value: unknown;
+      /** Whether this proposal wrote it; else it was found. */
       readonly isWrite: boolean;
-      /** What the change was applied to. */ readonly valueRead: unknown;
+      /** What the change was applied to. */
+      readonly valueRead: unknown;
     }
   | { readonly kind: 'refused'; readonly reason: string; readonly value: unknown }
+  /** Higher numbers leave no majority for this proposal; the caller may start another one. */
   | { readonly kind: 'preempted' };
 
+/** A proposal after an event, and what follows from it. */
 export type ProposalTransition = {
   readonly proposal: Proposal;
   readonly actions: readonly ProposerAction[];
 };
 
-/** @example majorityOf(5) // 3 */
-export const majorityOf = (count: number): number => Math.floor(count / 2) + 1;
+/** A member that promised, and the value that it had accepted before. */
+type PrepareGranted = {
+  readonly member: MemberName;
+  readonly diskId: string;
+  readonly accepted: AcceptedValue | null;
+};
+
+const withoutActions = (proposal: Proposal): ProposalTransition => ({ proposal, actions: [] });
 
-const still = (proposal: Proposal): ProposalTransition => ({ proposal, actions: [] });
-const ended = (proposal: Proposal, move: ProposerAction): ProposalTransition => ({
+const endWith = (proposal: Proposal, action: ProposerAction): ProposalTransition => ({
   proposal: { ...proposal, phase: 'done' },
-  actions: [move],
+  actions: [action],
 });
 
-const toAccept = (proposal: Proposal): ProposalTransition => {
-  const promises = Object.entries(proposal.prepareResponses).flatMap(
-    ([member, { diskId: disk, vote }]) =>
-      vote.kind === 'yes' ? [{ member, disk, accepted: vote.accepted }] : [],
-  );
-  if (promises.length < majorityOf(proposal.members.length)) return still(proposal);
-  const newest = promises.reduce<{ proposalNumber: ProposalNumber; value: unknown } | null>(
-    (best, { accepted }) =>
-      accepted !== null &&
-      (best === null || Ballots.compare(accepted.proposalNumber, best.proposalNumber) > 0)
-        ? accepted
-        : best,
-    null,
+const promisesOf = (proposal: Proposal): readonly PrepareGranted[] =>
+  Object.entries(proposal.prepareResponses).flatMap(([member, { diskId, vote }]) =>
+    vote.kind === 'yes' ? [{ member, diskId, accepted: vote.accepted }] : [],
   );
+
+const newestAccepted = (promises: readonly PrepareGranted[]): AcceptedValue | null =>
+  promises.reduce<AcceptedValue | null>((newest, { accepted }) => {
+    if (accepted === null) return newest;
+    const isNewer =
+      newest === null || compareProposalNumbers(accepted.proposalNumber, newest.proposalNumber) > 0;
+    return isNewer ? accepted : newest;
+  }, null);
+
+/** Whether a majority is seen to have voted for the newest value, so that it is chosen already. */
+const isSeenChosen = (
+  proposal: Proposal,
+  promises: readonly PrepareGranted[],
+  newest: AcceptedValue | null,
+): boolean => {
+  const votes =
+    newest === null
+      ? promises
+      : promises.filter(
+          ({ accepted }) =>
+            accepted !== null &&
+            accepted.copied !== true &&
+            compareProposalNumbers(accepted.proposalNumber, newest.proposalNumber) === 0,
+        );
+  return votes.length >= majorityOf(proposal.members.length);
+};
+
+/** Ends a proposal that writes nothing, since the value that it read is seen to be chosen. */
+const endWithValueRead = (
+  proposal: Proposal,
+  newest: AcceptedValue | null,
+  result: Exclude<ChangeResult, { readonly kind: 'write' }>,
+): ProposalTransition => {
+  const value = newest === null ? null : newest.value;
+  const ended = { ...proposal, valueRead: value };
+  if (result.kind === 'refuse')
+    return endWith(ended, { kind: 'refused', reason: result.reason, value });
+  return endWith(ended, {
+    kind: 'chosen',
+    proposalNumber: newest?.proposalNumber ?? null,
+    value,
+    isWrite: false,
+    valueRead: value,
+  });
+};
+
+/** Begins the second phase once a majority has promised, or ends where there is nothing to write. */
+const acceptIfPromised = (proposal: Proposal): ProposalTransition => {
+  const promises = promisesOf(proposal);
+  if (promises.length < majorityOf(proposal.members.length)) return withoutActions(proposal);
+  const newest = newestAccepted(promises);
   const current = newest === null ? null : newest.value;
-  const changed = proposal.change(current);
-  if (changed.kind !== 'write') {
-    const held =
-      newest === null
-        ? promises.length
-        : promises.filter(
-            ({ accepted }) =>
-              accepted !== null &&
-              accepted.copied !== true &&
-              Ballots.compare(accepted.proposalNumber, newest.proposalNumber) === 0,
-          ).length;
-    if (held >= majorityOf(proposal.members.length)) {
-      return ended(
-        { ...proposal, valueRead: current },
-        changed.kind === 'keep'
-          ? {
-              kind: 'chosen',
-              proposalNumber: newest === null ? null : newest.proposalNumber,
-              value: current,
-              isWrite: false,
-              valueRead: current,
-            }
-          : { kind: 'refused', reason: changed.reason, value: current },
-      );
-    }
-  }
-  // A kept or refused value that no majority is seen to hold is written again first: only then is it true.
-  const proposed = changed.kind === 'write' ? changed.value : current;
+  const result = proposal.change(current);
+  if (result.kind !== 'write' && isSeenChosen(proposal, promises, newest))
+    return endWithValueRead(proposal, newest, result);
+  // A value that is kept, or that a refusal rests on, may have reached a minority alone: it counts
+  // only once a majority has accepted it, so it is written again.
+  const proposedValue = result.kind === 'write' ? result.value : current;
   return {
     proposal: {
       ...proposal,
       phase: 'accept',
       valueRead: current,
-      proposedValue: proposed,
-      changeResult: changed,
+      proposedValue,
+      changeResult: result,
     },
-    actions: promises.map(({ member, disk }) => ({
+    actions: promises.map(({ member, diskId }) => ({
       kind: 'accept',
       to: member,
       proposalNumber: proposal.proposalNumber,
-      value: proposed,
-      diskId: disk,
+      value: proposedValue,
+      diskId,
     })),
   };
 };
 
-/**
- * A member promised a higher proposalNumber: without it, and others like it, there may be no majority left.
- */
-const refused = (
+/** A member promised a higher number: without it, and others like it, no majority may be left. */
+const handleRejection = (
   proposal: Proposal,
   member: MemberName,
   promised: ProposalNumber,
 ): ProposalTransition => {
-  const highest =
-    Ballots.compare(promised, proposal.highestSeen) > 0 ? promised : proposal.highestSeen;
-  const refusedBy = proposal.rejectedBy.includes(member)
+  const highestSeen = higherProposalNumber(proposal.highestSeen, promised);
+  const rejectedBy = proposal.rejectedBy.includes(member)
     ? proposal.rejectedBy
     : [...proposal.rejectedBy, member];
-  const next = { ...proposal, highestSeen: highest, rejectedBy: refusedBy };
-  const isOutvoted =
-    refusedBy.length > proposal.members.length - majorityOf(proposal.members.length);
-  return isOutvoted ? { proposal: next, actions: [{ kind: 'preempted' }] } : still(next);
+  const next = { ...proposal, highestSeen, rejectedBy };
+  const memberCount = proposal.members.length;
+  const isPreempted = rejectedBy.length > memberCount - majorityOf(memberCount);
+  return isPreempted ? { proposal: next, actions: [{ kind: 'preempted' }] } : withoutActions(next);
 };
 
 /**
- * A promise that comes after the second phase has begun: the member may take the value as well.
- * Without it the refusal of one of a bare majority would leave the ballot hanging.
+ * A promise that comes after the second phase has begun: the member may accept the value as well.
+ * Without it the rejection by one of a bare majority would leave the proposal hanging.
  */
-const lateToAccept = (
+const handleLatePromise = (
   proposal: Proposal,
   member: MemberName,
-  disk: string,
-  vote: Vote,
+  response: PrepareResponse,
 ): ProposalTransition => {
-  if (proposal.prepareResponses[member] !== undefined) return still(proposal);
-  const promises = { ...proposal.prepareResponses, [member]: { diskId: disk, vote } };
+  if (proposal.prepareResponses[member] !== undefined) return withoutActions(proposal);
   const { proposalNumber, proposedValue: value } = proposal;
   return {
-    proposal: { ...proposal, prepareResponses: promises },
-    actions: [{ kind: 'accept', to: member, proposalNumber, value, diskId: disk }],
+    proposal: addPromise(proposal, member, response),
+    actions: [{ kind: 'accept', to: member, proposalNumber, value, diskId: response.diskId }],
+  };
+};
+
+const addPromise = (
+  proposal: Proposal,
+  member: MemberName,
+  response: PrepareResponse,
+): Proposal => ({
+  ...proposal,
+  prepareResponses: { ...proposal.prepareResponses, [member]: response },
+});
+
+const handleAcceptance = (proposal: Proposal, member: MemberName): ProposalTransition => {
+  if (proposal.acceptedBy.includes(member)) return withoutActions(proposal);
+  const next = { ...proposal, acceptedBy: [...proposal.acceptedBy, member] };
+  if (next.acceptedBy.length < majorityOf(next.members.length)) return withoutActions(next);
+  const value = next.proposedValue;
+  if (next.changeResult?.kind === 'refuse')
+    return endWith(next, { kind: 'refused', reason: next.changeResult.reason, value });
+  return endWith(next, {
+    kind: 'chosen',
+    proposalNumber: next.proposalNumber,
+    value,
+    isWrite: true,
+    valueRead: next.valueRead,
+  });
+};
+
+/**
+ * Starts a proposal over a register, under a number above any that was seen.
+ *
+ * @param above the highest number that the proposer has seen
+ * @param proposerId the proposer and its incarnation
+ * @example
+ * startProposal('config', () => ({ kind: 'write', value: 1 }), ['a', 'b', 'c'], zeroProposalNumber, 'agent').actions.length // 3
+ */
+export const startProposal = (
+  key: string,
+  change: Change,
+  members: readonly MemberName[],
+  above: ProposalNumber,
+  proposerId: string,
+): ProposalTransition => {
+  const proposalNumber = nextProposalNumber(above, proposerId);
+  const proposal: Proposal = {
+    key,
+    change,
+    members,
+    proposalNumber,
+    highestSeen: proposalNumber,
+    phase: 'prepare',
+    prepareResponses: {},
+    rejectedBy: [],
+    valueRead: undefined,
+    proposedValue: undefined,
+    changeResult: null,
+    acceptedBy: [],
+  };
+  return {
+    proposal,
+    actions: members.map((to) => ({ kind: 'prepare', to, proposalNumber })),
   };
 };
 
-export const Proposer = {
-  /**
-   * Opens a proposal over a register with a ballot above any seen.
-   *
-   * @example
-   * Proposer.open('policy', () => ({ kind: 'write', value: 1 }), ['a', 'b', 'c'], [0, ''], 'agent').moves.length // 3
-   */
-  open: (
-    key: string,
-    change: Change,
-    members: readonly MemberName[],
-    above: ProposalNumber,
-    proposer: string,
-  ): ProposalTransition => {
-    const proposalNumber = Ballots.after(above, proposer);
-    return {
-      proposal: {
-        key,
-        change,
-        members,
-        proposalNumber,
-        highestSeen: proposalNumber,
-        phase: 'prepare',
-        prepareResponses: {},
-        rejectedBy: [],
-        valueRead: undefined,
-        proposedValue: undefined,
-        changeResult: null,
-        acceptedBy: [],
-      },
-      actions: members.map((to) => ({ kind: 'prepare', to, proposalNumber })),
-    };
-  },
-
-  /**
-   * Takes in a vote; a vote of an earlier try is passed over.
-   *
-   * @example
-   * Proposer.voted(proposal, 'a', 'disk-1', 'prepare', [1, 'agent'], { kind: 'yes', accepted: null })
-   */
-  voted: (
-    proposal: Proposal,
-    member: MemberName,
-    disk: string,
-    phase: 'prepare' | 'accept',
-    proposalNumber: ProposalNumber,
-    vote: Vote,
-  ): ProposalTransition => {
-    if (proposal.phase === 'done' || Ballots.compare(proposalNumber, proposal.proposalNumber) !== 0)
-      return still(proposal);
-    if (proposal.phase === 'prepare' && phase === 'accept') return still(proposal);
-    if (vote.kind === 'no') return refused(proposal, member, vote.promised);
-    if (phase === 'prepare' && proposal.phase === 'accept')
-      return lateToAccept(proposal, member, disk, vote);
-    if (phase === 'prepare')
-      return toAccept({
-        ...proposal,
-        prepareResponses: { ...proposal.prepareResponses, [member]: { diskId: disk, vote } },
-      });
-    if (proposal.acceptedBy.includes(member)) return still(proposal);
-    const next = { ...proposal, acceptedBy: [...proposal.acceptedBy, member] };
-    if (next.acceptedBy.length < majorityOf(next.members.length)) return still(next);
-    return ended(
-      next,
-      next.changeResult?.kind === 'refuse'
-        ? { kind: 'refused', reason: next.changeResult.reason, value: next.proposedValue }
-        : {
-            kind: 'chosen',
-            proposalNumber: next.proposalNumber,
-            value: next.proposedValue,
-            isWrite: true,
-            valueRead: next.valueRead,
-          },
-    );
-  },
-} as const;
+/** A member's vote, as it came back to the proposer. */
+export type VoteReceived = {
+  readonly member: MemberName;
+  /** The disk that voted. */
+  readonly diskId: string;
+  readonly phase: 'prepare' | 'accept';
+  readonly proposalNumber: ProposalNumber;
+  readonly vote: Vote;
+};
+
+/**
+ * Handles a vote. A vote under another proposal number is ignored.
+ *
+ * @example
+ * handleVote(proposal, { member: 'a', diskId: 'disk-1', phase: 'prepare', proposalNumber, vote: { kind: 'yes', accepted: null } })
+ */
+export const handleVote = (
+  proposal: Proposal,
+  { member, diskId, phase, proposalNumber, vote }: VoteReceived,
+): ProposalTransition => {
+  if (proposal.phase === 'done') return withoutActions(proposal);
+  if (compareProposalNumbers(proposalNumber, proposal.proposalNumber) !== 0)
+    return withoutActions(proposal);
+  if (proposal.phase === 'prepare' && phase === 'accept') return withoutActions(proposal);
+  if (vote.kind === 'no') return handleRejection(proposal, member, vote.promised);
+  if (phase === 'accept') return handleAcceptance(proposal, member);
+  const response = { diskId, vote };
+  if (proposal.phase === 'accept') return handleLatePromise(proposal, member, response);
+  return acceptIfPromised(addPromise(proposal, member, response));
+};
--- a/packages/replica/src/core.ts
+++ b/packages/replica/src/core.ts
@@ -1,20 +1,20 @@
-import { Map as Table, Set as Group } from 'immutable';
+import { Set as Group, Map as Table } from 'immutable';
+import { accept, emptyRegister, prepare, type RegisterState } from '@reedyard/consensus';
 import { Limits, Sizes } from '@reedyard/constants';
-import { Acceptor, emptyRegister, type RegisterState } from '@reedyard/consensus';
 import type { Step } from '@reedyard/task-loop';
 import { keepFacts, pulled } from './journal.js';
 import { adopt } from './membership.js';
 import {
+  type BootstrapSettings,
+  type CommittedMembership,
   isNewerMembership,
+  type Membership,
   membershipKey,
-  type ReplicaRequest,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaRecord,
   type ReplicaReply,
-  type BootstrapSettings,
-  type Membership,
-  type CommittedMembership,
+  type ReplicaRequest,
 } from './messages.js';
 import { away, dumped, rejoin, returned, takeRestored } from './recovery.js';
 import { claimPrefix, minuteOf, vote, withoutClaim } from './registers.js';
@@ -22,11 +22,11 @@
 import {
   isInMembership,
   isVotingMember,
-  update,
   membersOf,
   type ReplicaState,
   type RetainedEntry,
   type Transition,
+  update,
 } from './state.js';
 
 const asked = (transition: Transition, id: number, ask: ReplicaRequest, now: number): void => {
@@ -88,7 +88,7 @@
         transition,
         id,
         body.key,
-        Acceptor.prepare(state.registers.get(body.key) ?? emptyRegister, body.proposalNumber),
+        prepare(state.registers.get(body.key) ?? emptyRegister, body.proposalNumber),
         now,
       );
       return;
@@ -101,11 +101,7 @@
         transition,
         id,
         body.key,
-        Acceptor.accept(
-          state.registers.get(body.key) ?? emptyRegister,
-          body.proposalNumber,
-          body.value,
-        ),
+        accept(state.registers.get(body.key) ?? emptyRegister, body.proposalNumber, body.value),
         now,
       );
       return;
--- a/packages/replica/src/history.test.ts
+++ b/packages/replica/src/history.test.ts
@@ -126,7 +126,7 @@
   /** Writes a register by a majority; tells whether one was reached. */
   async write(key: string, value: unknown): Promise<boolean> {
     this.#round += 1;
-    const proposalNumber = [this.#round, proposer] as const;
+    const proposalNumber = { counter: this.#round, proposerId: proposer };
     const promised = await this.#askAll(() => ({ kind: 'prepare', key, proposalNumber }));
     const disks = promised.flatMap(([name, reply]) =>
       reply.kind === 'vote' && reply.vote.kind === 'yes' ? [[name, reply.diskId] as const] : [],
--- a/packages/replica/src/members.test.ts
+++ b/packages/replica/src/members.test.ts
@@ -1,23 +1,24 @@
 import test from 'ava';
 import {
-  Ballots,
-  Proposer,
-  type ProposalNumber,
   type Change,
+  compareProposalNumbers,
+  handleVote,
   type Proposal,
+  type ProposalNumber,
   type ProposalTransition,
+  startProposal,
 } from '@reedyard/consensus';
 import { Replica } from './core.js';
 import {
+  type BootstrapSettings,
+  type CommittedMembership,
+  type Membership,
   membershipKey,
-  type ReplicaRequest,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaRecord,
   type ReplicaReply,
-  type BootstrapSettings,
-  type Membership,
-  type CommittedMembership,
+  type ReplicaRequest,
 } from './messages.js';
 import type { ReplicaState } from './state.js';
 
@@ -263,7 +264,7 @@
 const told = (
   epoch: number,
   disks: Readonly<Record<string, string>>,
-  proposalNumber: ProposalNumber = [epoch, 'agent'],
+  proposalNumber: ProposalNumber = { counter: epoch, proposerId: 'agent' },
 ): CommittedMembership => ({
   proposalNumber,
   value: {
@@ -279,7 +280,7 @@
   state: () => ReplicaState;
   records: () => readonly ReplicaRecord[];
 } => {
-  const first = told(1, { a: 'A', b: 'B', c: 'C' }, [1, 'founding']);
+  const first = told(1, { a: 'A', b: 'B', c: 'C' }, { counter: 1, proposerId: 'founding' });
   const records: ReplicaRecord[] = [
     { kind: 'disk-named', diskId: 'A' },
     {
@@ -317,15 +318,19 @@
     records: () => records,
   };
 };
-const first = told(1, { a: 'A', b: 'B', c: 'C' }, [1, 'founding']);
-const second = told(2, { a: 'A', b: 'B', d: 'D' }, [2, 'p']);
+const first = told(1, { a: 'A', b: 'B', c: 'C' }, { counter: 1, proposerId: 'founding' });
+const second = told(2, { a: 'A', b: 'B', d: 'D' }, { counter: 2, proposerId: 'p' });
 
 test('members that a replica accepted count only once it is told that they are chosen', (t) => {
   const replica = member();
   t.is(
     replica.ask({
       membership: first,
-      operation: { kind: 'prepare', key: membershipKey, proposalNumber: [2, 'p'] },
+      operation: {
+        kind: 'prepare',
+        key: membershipKey,
+        proposalNumber: { counter: 2, proposerId: 'p' },
+      },
     })?.kind,
     'vote',
   );
@@ -335,7 +340,7 @@
       operation: {
         kind: 'accept',
         key: membershipKey,
-        proposalNumber: [2, 'p'],
+        proposalNumber: { counter: 2, proposerId: 'p' },
         value: second.value,
         diskId: 'A',
       },
@@ -350,7 +355,11 @@
   t.is(
     replica.ask({
       membership: first,
-      operation: { kind: 'prepare', key: membershipKey, proposalNumber: [9, 'q'] },
+      operation: {
+        kind: 'prepare',
+        key: membershipKey,
+        proposalNumber: { counter: 9, proposerId: 'q' },
+      },
     })?.kind,
     'newer-membership',
   );
@@ -360,7 +369,7 @@
       operation: {
         kind: 'accept',
         key: membershipKey,
-        proposalNumber: [9, 'q'],
+        proposalNumber: { counter: 9, proposerId: 'q' },
         value: second.value,
         diskId: 'A',
       },
@@ -371,11 +380,17 @@
 
 test('a later epoch under a lower ballot is newer, and stays so', (t) => {
   const replica = member();
-  const third = told(3, { a: 'A', d: 'D', e: 'E' }, [3, 'p']);
-  replica.ask({ membership: { ...second, proposalNumber: [9, 'q'] }, operation: pull });
+  const third = told(3, { a: 'A', d: 'D', e: 'E' }, { counter: 3, proposerId: 'p' });
+  replica.ask({
+    membership: { ...second, proposalNumber: { counter: 9, proposerId: 'q' } },
+    operation: pull,
+  });
   replica.ask({ membership: third, operation: pull });
   t.is(replica.state().committedMembership?.value.epoch, 3);
-  replica.ask({ membership: { ...second, proposalNumber: [10, 'q'] }, operation: pull });
+  replica.ask({
+    membership: { ...second, proposalNumber: { counter: 10, proposerId: 'q' } },
+    operation: pull,
+  });
   t.is(replica.state().committedMembership?.value.epoch, 3);
   t.is((replica.state().registers.get(membershipKey)?.accepted?.value as Membership).epoch, 3);
 });
@@ -401,7 +416,7 @@
   const chosen = new Map<number, string>();
   const counted = new Set<number>();
   const founders = { a: 'disk-1', b: 'disk-2', c: 'disk-3' };
-  const founding = told(1, founders, [1, 'founding']);
+  const founding = told(1, founders, { counter: 1, proposerId: 'founding' });
   for (const [place, disk] of Object.entries(founders)) {
     bench.disks.set(place, [
       { kind: 'disk-named', diskId: disk },
@@ -429,7 +444,7 @@
   const askers: Asker[] = ['p', 'q', 'r'].map((name) => ({
     name,
     members: founding,
-    highest: [1, ''],
+    highest: { counter: 1, proposerId: '' },
     proposal: null,
     goal: 'count',
     since: 0,
@@ -467,7 +482,7 @@
     if (
       next.value.epoch < asker.members.value.epoch ||
       (next.value.epoch === asker.members.value.epoch &&
-        Ballots.compare(next.proposalNumber, asker.members.proposalNumber) <= 0)
+        compareProposalNumbers(next.proposalNumber, asker.members.proposalNumber) <= 0)
     )
       return;
     const text = JSON.stringify(Object.entries(next.value.disks).sort());
@@ -496,7 +511,7 @@
           diskId: move.diskId,
         });
       else {
-        if (Ballots.compare(turn.proposal.highestSeen, asker.highest) > 0)
+        if (compareProposalNumbers(turn.proposal.highestSeen, asker.highest) > 0)
           asker.highest = turn.proposal.highestSeen;
         asker.proposal = null;
         if (move.kind !== 'chosen' || move.proposalNumber === null) continue;
@@ -526,14 +541,13 @@
       return;
     play(
       asker,
-      Proposer.voted(
-        asker.proposal,
-        call.member,
-        reply.diskId,
-        call.phase,
-        call.proposalNumber,
-        reply.vote,
-      ),
+      handleVote(asker.proposal, {
+        member: call.member,
+        diskId: reply.diskId,
+        phase: call.phase,
+        proposalNumber: call.proposalNumber,
+        vote: reply.vote,
+      }),
     );
   };
   const open = (asker: Asker): void => {
@@ -585,7 +599,7 @@
               },
             };
           };
-    const turn = Proposer.open(
+    const turn = startProposal(
       asker.goal === 'count' ? 'count' : membershipKey,
       change,
       places,
--- a/packages/replica/src/membership.ts
+++ b/packages/replica/src/membership.ts
@@ -1,21 +1,21 @@
 import { Map as Table } from 'immutable';
+import { compareProposalNumbers, emptyRegister } from '@reedyard/consensus';
 import { Limits } from '@reedyard/constants';
-import { Ballots, emptyRegister } from '@reedyard/consensus';
 import {
+  type CommittedMembership,
   isNewerMembership,
+  type Membership,
   membershipKey,
   type Predecessor,
-  type Membership,
-  type CommittedMembership,
 } from './messages.js';
 import { keepCell } from './registers.js';
 import {
   isInMembership,
   isRetired,
-  slotOf,
-  update,
   type ReplicaState,
+  slotOf,
   type Transition,
+  update,
 } from './state.js';
 
 /**
@@ -103,7 +103,7 @@
       membershipKey,
       {
         promised:
-          Ballots.compare(register.promised, committed.proposalNumber) > 0
+          compareProposalNumbers(register.promised, committed.proposalNumber) > 0
             ? register.promised
             : committed.proposalNumber,
         accepted: committed,
--- a/packages/replica/src/messages.ts
+++ b/packages/replica/src/messages.ts
@@ -1,4 +1,9 @@
-import { Ballots, type ProposalNumber, type RegisterState, type Vote } from '@reedyard/consensus';
+import {
+  compareProposalNumbers,
+  type ProposalNumber,
+  type RegisterState,
+  type Vote,
+} from '@reedyard/consensus';
 
 /** What a replica is asked, answers, writes to disk and does: the types of its messages. */
 
@@ -58,7 +63,7 @@
   known === null ||
   told.value.epoch > known.value.epoch ||
   (told.value.epoch === known.value.epoch &&
-    Ballots.compare(told.proposalNumber, known.proposalNumber) > 0);
+    compareProposalNumbers(told.proposalNumber, known.proposalNumber) > 0);
 
 /** Where members found themselves from seeds: what one replica is told by its settings. */
 export type BootstrapSettings = {
--- a/packages/replica/src/recovery.ts
+++ b/packages/replica/src/recovery.ts
@@ -1,31 +1,32 @@
-import { Beats, Limits, Sizes } from '@reedyard/constants';
 import {
-  Acceptor,
-  Ballots,
+  compareProposalNumbers,
+  copyRegister,
   emptyRegister,
   majorityOf,
+  mergeRegisters,
   type ProposalNumber,
 } from '@reedyard/consensus';
+import { Beats, Limits, Sizes } from '@reedyard/constants';
 import { keepFacts } from './journal.js';
 import { adopt, mayFound, othersOf, predecessorOf } from './membership.js';
 import {
+  type BootstrapSettings,
+  type Membership,
   membershipKey,
   type ReplicaOperation,
   type ReplicaReply,
-  type BootstrapSettings,
-  type Membership,
 } from './messages.js';
 import { keepCell } from './registers.js';
 import {
   isInMembership,
   isRetired,
   isVotingMember,
-  slotOf,
-  update,
   membersOf,
-  type ReplicaState,
   type PeerRead,
+  type ReplicaState,
+  slotOf,
   type Transition,
+  update,
 } from './state.js';
 
 /** Recovery: how a replica that may not vote yet reads the others, and how it is read by them. */
@@ -95,13 +96,13 @@
     if (
       key === membershipKey ||
       (mine.accepted !== null &&
-        Ballots.compare(accepted.proposalNumber, mine.accepted.proposalNumber) <= 0)
+        compareProposalNumbers(accepted.proposalNumber, mine.accepted.proposalNumber) <= 0)
     )
       continue;
     keepCell(
       transition,
       key,
-      Acceptor.merge(mine, { promised: accepted.proposalNumber, accepted }),
+      mergeRegisters(mine, { promised: accepted.proposalNumber, accepted }),
       now,
     );
     news = true;
@@ -252,7 +253,10 @@
       known !== null &&
       names.length === Object.keys(known.value.disks).length &&
       names.every((name) => known.value.disks[name] === disks[name as keyof typeof disks]);
-    const proposalNumber: ProposalNumber = [(known?.proposalNumber[0] ?? 0) + 1, 'founding'];
+    const proposalNumber: ProposalNumber = {
+      counter: (known?.proposalNumber.counter ?? 0) + 1,
+      proposerId: 'founding',
+    };
     // Another may have founded the very same just before: then that epoch stands.
     const epoch = (known?.value.epoch ?? 0) + 1;
     if (!founded)
@@ -285,7 +289,7 @@
 const forgetVotes = (transition: Transition, now: number): void => {
   for (const [key, register] of transition.state.registers) {
     const isVote = register.accepted !== null && register.accepted.copied !== true;
-    if (key !== membershipKey && isVote) keepCell(transition, key, Acceptor.copyOf(register), now);
+    if (key !== membershipKey && isVote) keepCell(transition, key, copyRegister(register), now);
   }
 };
 
@@ -336,7 +340,10 @@
   // All that found at once come to the same members under the same ballot.
   adopt(
     transition,
-    { proposalNumber: [1, 'founding'], value: { epoch: 1, disks, addresses } },
+    {
+      proposalNumber: { counter: 1, proposerId: 'founding' },
+      value: { epoch: 1, disks, addresses },
+    },
     now,
   );
   beginVoting(transition, 'found', now);
@@ -386,15 +393,18 @@
     body.diskId === predecessorOf(transition.state)?.disk;
   for (const [key, shown] of body.registers) {
     // Only the predecessor's votes were cast in this place.
-    const register = isPredecessor ? shown : Acceptor.copyOf(shown);
+    const register = isPredecessor ? shown : copyRegister(shown);
     const mine = transition.state.registers.get(key) ?? emptyRegister;
     // Members that another accepted need not be chosen: of that register only what was promised is
     // taken over.
     const merged =
       key === membershipKey
-        ? { ...mine, promised: Acceptor.merge(mine, register).promised }
-        : Acceptor.merge(mine, register);
-    if (Ballots.compare(merged.promised, mine.promised) !== 0 || merged.accepted !== mine.accepted)
+        ? { ...mine, promised: mergeRegisters(mine, register).promised }
+        : mergeRegisters(mine, register);
+    if (
+      compareProposalNumbers(merged.promised, mine.promised) !== 0 ||
+      merged.accepted !== mine.accepted
+    )
       keepCell(transition, key, merged, now);
   }
   keepFacts(transition, body.entries, now);
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -18,7 +18,7 @@
 const folder = 'model';
 const diskName = 'disk-a';
 const members: CommittedMembership = {
-  proposalNumber: [1, 'founding'],
+  proposalNumber: { counter: 1, proposerId: 'founding' },
   value: { epoch: 1, disks: { a: diskName, b: 'disk-b', c: 'disk-c' } },
 };
 
@@ -79,14 +79,18 @@
   }
 
   prepare(round: number, key = 'config'): Promise<ReplicaReply> {
-    return this.ask({ kind: 'prepare', key, proposalNumber: [round, 'proposer'] });
+    return this.ask({
+      kind: 'prepare',
+      key,
+      proposalNumber: { counter: round, proposerId: 'proposer' },
+    });
   }
 
   accept(round: number, value: unknown, key = 'config'): Promise<ReplicaReply> {
     return this.ask({
       kind: 'accept',
       key,
-      proposalNumber: [round, 'proposer'],
+      proposalNumber: { counter: round, proposerId: 'proposer' },
       value,
       diskId: diskName,
     });
@@ -135,11 +139,11 @@
     (await bed.ask({ kind: 'append-entries', entries: [{ key: 'f', value: 1 }] })).kind,
     'unavailable',
   );
-  t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   t.deepEqual(await bed.ask({ kind: 'read-register', key: 'config' }), {
     kind: 'register-read',
     diskId: diskName,
-    accepted: { proposalNumber: [1, 'proposer'], value: 'first' },
+    accepted: { proposalNumber: { counter: 1, proposerId: 'proposer' }, value: 'first' },
   });
   for (let each = 0; each < 100; each += 1) {
     await bed.tick(200);
@@ -178,11 +182,11 @@
     answers.map((answer) => answer.kind),
     ['unavailable', 'unavailable', 'polled'],
   );
-  t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   bed.disk.hook = () => null;
   await bed.tick(Limits.call);
   t.true(bed.host.available);
-  t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   // The promise of ballot 9 was never given, so a lower one may be.
   const vote = await bed.prepare(2, 'zone');
   t.deepEqual(vote.kind === 'vote' ? vote.vote.kind : vote.kind, 'yes');
@@ -202,7 +206,7 @@
   t.is((await bed.pull()).kind, 'unavailable');
   disk.hook = () => null;
   await bed.tick(5_000);
-  t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   t.is((await bed.accept(2, 'second')).kind, 'vote');
   t.deepEqual(bed.events, ['disk.unavailable', 'disk.available']);
 });
@@ -282,7 +286,7 @@
   t.true(bed.events.includes('snapshot.failed'));
   t.true(bed.events.includes('disk.unavailable'));
   t.is(bed.events.filter((event) => event === 'snapshot.failed').length, 1);
-  t.deepEqual(ballotShown(await bed.pull()), [round - 1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: round - 1, proposerId: 'proposer' });
   t.false([...disk.files().keys()].some((name) => name.startsWith('snapshot')));
   disk.capacity = 30 * megabyte;
   for (let each = 0; each < 5; each += 1) await bed.tick(5_000);
@@ -306,13 +310,13 @@
       : null;
   const hanging = bed.accept(2, 'second');
   // Before it counts as stalled, and after.
-  t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   await bed.tick(Limits.ballotPhase + 1);
   t.deepEqual(bed.events, ['disk.stalled']);
   for (let each = 0; each < 10_000; each += 1) {
     t.is((await bed.prepare(10 + each)).kind, 'unavailable');
   }
-  t.deepEqual(ballotShown(await bed.pull()), [1, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   // Its caller has gone by now.
   await bed.tick(Limits.call);
   t.is((await hanging).kind, 'unavailable');
@@ -320,7 +324,7 @@
   for (const release of released) release();
   await settle();
   t.deepEqual(bed.events, ['disk.stalled', 'disk.resumed']);
-  t.deepEqual(ballotShown(await bed.pull()), [2, 'proposer']);
+  t.deepEqual(ballotShown(await bed.pull()), { counter: 2, proposerId: 'proposer' });
   t.is((await bed.accept(3, 'third')).kind, 'vote');
 });
 
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -164,7 +164,7 @@
   for (let each = 0; each < 600; each += 1) bench.tick(0.1);
   t.false(bench.states.get('c')?.isVoting);
   const told = {
-    proposalNumber: [9, 'agent'] as const,
+    proposalNumber: { counter: 9, proposerId: 'agent' } as const,
     value: {
       epoch: (before?.epoch ?? 0) + 1,
       disks: { ...before?.disks, c: bench.states.get('c')?.diskId ?? '' },
@@ -269,7 +269,7 @@
   for (let each = 0; each < 600; each += 1) bench.tick(0);
   const [members] = bench.members();
   const proposalNumber = bench.states.get('a')?.registers.get(membershipKey)?.accepted
-    ?.proposalNumber ?? [0, ''];
+    ?.proposalNumber ?? { counter: 0, proposerId: '' };
   const asked = (epoch: number): ReplicaReply | undefined => {
     const state = bench.states.get('a');
     if (state === undefined || members === undefined) return undefined;
@@ -292,7 +292,7 @@
   const bench = new Bench(['a'], chanceFrom(1));
   bench.step('a', { kind: 'tick', now: 100 });
   const members = {
-    proposalNumber: [1, 'founding'] as const,
+    proposalNumber: { counter: 1, proposerId: 'founding' } as const,
     value: bench.members()[0] as Membership,
   };
   const post = (key: string, id: number): void =>
@@ -325,7 +325,7 @@
   const bench = new Bench(['a'], chanceFrom(1));
   bench.step('a', { kind: 'tick', now: 100 });
   const members = {
-    proposalNumber: [1, 'founding'] as const,
+    proposalNumber: { counter: 1, proposerId: 'founding' } as const,
     value: bench.members()[0] as Membership,
   };
   const disk = bench.states.get('a')?.diskId ?? '';
@@ -347,7 +347,7 @@
       {
         kind: 'accept',
         key: `claim/k${index}`,
-        proposalNumber: [1, 'x'],
+        proposalNumber: { counter: 1, proposerId: 'x' },
         value: index,
         diskId: disk,
       },
@@ -396,7 +396,7 @@
       requestId: 1,
       request: {
         membership: members,
-        operation: { kind: 'prepare', key, proposalNumber: [9, 'x'] },
+        operation: { kind: 'prepare', key, proposalNumber: { counter: 9, proposerId: 'x' } },
       },
       now: over,
     }).effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply.kind] : []))[0];
--- a/packages/replica/src/retirement.test.ts
+++ b/packages/replica/src/retirement.test.ts
@@ -18,7 +18,10 @@
   disks: Readonly<Record<string, string>>,
   more: Partial<CommittedMembership['value']> = {},
 ): CommittedMembership => {
-  const proposalNumber: ProposalNumber = [epoch, epoch === 1 ? 'founding' : 'agent'];
+  const proposalNumber: ProposalNumber = {
+    counter: epoch,
+    proposerId: epoch === 1 ? 'founding' : 'agent',
+  };
   const addresses = Object.fromEntries(Object.keys(disks).map((member) => [member, member]));
   return { proposalNumber, value: { epoch, disks, addresses, ...more } };
 };
@@ -35,7 +38,11 @@
 
 const pull: ReplicaOperation = { kind: 'poll', cursor: null, keys: [] };
 const dump: ReplicaOperation = { kind: 'read-page', after: null };
-const prepare: ReplicaOperation = { kind: 'prepare', key: 'config', proposalNumber: [9, 'agent'] };
+const prepare: ReplicaOperation = {
+  kind: 'prepare',
+  key: 'config',
+  proposalNumber: { counter: 9, proposerId: 'agent' },
+};
 const entry: ReplicaOperation = { kind: 'append-entries', entries: [{ key: 'purge/1', value: 1 }] };
 
 /** Records of a replica that voted in the first epoch. */
--- a/packages/replica/src/safeguards.test.ts
+++ b/packages/replica/src/safeguards.test.ts
@@ -13,7 +13,7 @@
 } from './index.js';
 
 const membership: CommittedMembership = {
-  proposalNumber: [1, 'founding'],
+  proposalNumber: { counter: 1, proposerId: 'founding' },
   value: {
     epoch: 1,
     disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' },
@@ -62,7 +62,7 @@
 const acceptBy = (disk: string): ReplicaOperation => ({
   kind: 'accept',
   key: 'policy',
-  proposalNumber: [2, 'p'],
+  proposalNumber: { counter: 2, proposerId: 'p' },
   value: 'new',
   diskId: disk,
 });
