--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -4,14 +4,22 @@
  * The replicas are the product's reducer, opened from the records that their disks kept. A cluster
  * holds only immutable values, so `fork` costs nothing and a search can try every next step.
  */
-import { Replica } from '@reedyard/replica';
-import type { ReplicaEffect, ReplicaEvent, ReplicaRecord, ReplicaState } from '@reedyard/replica';
-import { openClient, reduceClient } from './membership-client.js';
+import {
+  openReplica,
+  reduceReplica,
+  type ReplicaEffect,
+  type ReplicaEvent,
+  type ReplicaRecord,
+  type ReplicaState,
+} from '@reedyard/replica';
 import type { Client, ClientEffect, ClientEvent } from './membership-client-types.js';
+import { openClient, reduceClient } from './membership-client.js';
+import { foundReplicas } from './membership-founding.js';
 import {
   beginHistory,
   checkLease,
   checkQuorums,
+  type History,
   noteAccept,
   noteAppended,
   noteBegun,
@@ -22,8 +30,6 @@
   noteTold,
   noteVoting,
 } from './membership-history.js';
-import type { History } from './membership-history.js';
-import { foundReplicas } from './membership-founding.js';
 import type { Mutation } from './membership-mutations.js';
 import type { Caller, Message, ModelReplica, Told } from './membership-network.js';
 
@@ -165,9 +171,9 @@
     address: string,
     records: readonly ReplicaRecord[],
     life: number = (this.lives += 1),
-    freshDisk = `disk-${life}`,
+    newDiskId = `disk-${life}`,
   ): void {
-    const opened = this.#open(address, records, freshDisk);
+    const opened = this.#open(address, records, newDiskId);
     const appended = opened.effects.flatMap((effect) =>
       effect.kind === 'append-records' ? effect.records : [],
     );
@@ -187,12 +193,19 @@
   #open(
     address: string,
     records: readonly ReplicaRecord[],
-    freshDisk: string,
-  ): ReturnType<typeof Replica.open> {
-    const seeded = { address, seeds: [], isFirstStart: false };
+    newDiskId: string,
+  ): ReturnType<typeof openReplica> {
+    const bootstrap = { address, seeds: [], isFirstStart: false };
     const kept = this.mutation.replays?.(records) ?? records;
-    const parts = { name: address, others: {}, seeded, records: kept, freshDisk, now: this.now };
-    return Replica.open(parts);
+    const parts = {
+      name: address,
+      otherFounders: {},
+      bootstrap,
+      records: kept,
+      newDiskId,
+      now: this.now,
+    };
+    return openReplica(parts);
   }
 
   #put(replica: ModelReplica): void {
@@ -204,7 +217,7 @@
     event: ReplicaEvent,
     request: Extract<Message, { kind: 'request' }> | null,
   ): void {
-    const done = Replica.reduce(replica.state, event);
+    const done = reduceReplica(replica.state, event);
     const after = this.mutation.after?.(replica.state, done) ?? done;
     if (after.state === replica.state && after.effects.length === 0) return;
     const appended = after.effects.flatMap((effect) =>
--- a/packages/agent/src/testing/membership-founding.ts
+++ b/packages/agent/src/testing/membership-founding.ts
@@ -1,11 +1,12 @@
 /** Test support: founders that came to their members by the product's own founding. */
-import { Replica } from '@reedyard/replica';
-import type {
-  ReplicaEffect,
-  ReplicaEvent,
-  ReplicaRecord,
-  ReplicaState,
-  CommittedMembership,
+import {
+  type CommittedMembership,
+  openReplica,
+  reduceReplica,
+  type ReplicaEffect,
+  type ReplicaEvent,
+  type ReplicaRecord,
+  type ReplicaState,
 } from '@reedyard/replica';
 import type { ModelReplica } from './membership-network.js';
 
@@ -28,7 +29,7 @@
   const reduce = (address: string, event: ReplicaEvent): readonly ReplicaEffect[] => {
     const state = states.get(address);
     if (state === undefined) return [];
-    const done = Replica.reduce(state, event);
+    const done = reduceReplica(state, event);
     states.set(address, done.state);
     perform(address, done.effects);
     return done.effects;
@@ -44,10 +45,10 @@
       reduce(from, { kind: 'reply-received', requestId: id, reply: told.reply, now: 0 });
   };
   seeds.forEach((address, index) => {
-    const seeded = { address, seeds, isFirstStart: true };
-    const freshDisk = `disk-${index + 1}`;
-    const parts = { name: address, others: {}, seeded, records: [], freshDisk, now: 0 };
-    const opened = Replica.open(parts);
+    const bootstrap = { address, seeds, isFirstStart: true };
+    const newDiskId = `disk-${index + 1}`;
+    const parts = { name: address, otherFounders: {}, bootstrap, records: [], newDiskId, now: 0 };
+    const opened = openReplica(parts);
     records.set(address, []);
     states.set(address, opened.state);
     perform(address, opened.effects);
@@ -61,9 +62,16 @@
   const replicas = Object.fromEntries(
     seeds.map((address, index) => {
       const durable = records.get(address) ?? [];
-      const seeded = { address, seeds: [], isFirstStart: false };
-      const parts = { name: address, others: {}, seeded, records: durable, freshDisk: '', now: 0 };
-      const { state } = Replica.open(parts);
+      const bootstrap = { address, seeds: [], isFirstStart: false };
+      const parts = {
+        name: address,
+        otherFounders: {},
+        bootstrap,
+        records: durable,
+        newDiskId: '',
+        now: 0,
+      };
+      const { state } = openReplica(parts);
       if (!state.isVoting) throw new Error(`${address} does not vote`);
       const life = index + 1;
       return [address, { ...blankReplica, address, life, state, durable }];
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -10,10 +10,10 @@
   zeroProposalNumber,
 } from '@reedyard/consensus';
 import {
-  isMember,
+  isVotingMember,
   type Membership,
   membershipKey,
-  Replica,
+  reduceReplica,
   type ReplicaState,
 } from '@reedyard/replica';
 import { dataKey } from './membership-goals.js';
@@ -298,7 +298,7 @@
 /** Whether a replica, told of these members by a caller who counts by them, answers as one. */
 const answersAsMember = (state: ReplicaState, members: Membership): boolean => {
   const known = state.committedMembership?.value.epoch ?? 0;
-  if (known >= members.epoch) return known === members.epoch && isMember(state);
+  if (known >= members.epoch) return known === members.epoch && isVotingMember(state);
   const told = {
     proposalNumber: state.committedMembership?.proposalNumber ?? zeroProposalNumber,
     value: members,
@@ -306,7 +306,7 @@
   const operation = { kind: 'poll', cursor: null, keys: [] } as const;
   const request = { membership: told, operation };
   const event = { kind: 'request-received', requestId: 0, request, now: 0 } as const;
-  const { effects } = Replica.reduce(state, event);
+  const { effects } = reduceReplica(state, event);
   return effects.some((effect) => effect.kind === 'send-reply' && effect.reply.kind === 'polled');
 };
 
--- a/packages/agent/src/testing/membership-random.ts
+++ b/packages/agent/src/testing/membership-random.ts
@@ -2,15 +2,13 @@
  * Test support: long random runs of a cluster. Each number of a schedule is one step; the same
  * numbers give the same run.
  */
-import { Replica } from '@reedyard/replica';
-import type { Membership } from '@reedyard/replica';
 import { majorityOf } from '@reedyard/consensus';
-import { Cluster } from './membership-cluster.js';
-import type { Syncing } from './membership-cluster.js';
-import type { ModelReplica } from './membership-network.js';
+import { type Membership, openReplica } from '@reedyard/replica';
+import { Cluster, type Syncing } from './membership-cluster.js';
 import type { Goal } from './membership-goals.js';
 import type { Invariant, Violation } from './membership-history.js';
 import type { Mutation } from './membership-mutations.js';
+import type { ModelReplica } from './membership-network.js';
 
 /**
  * OriginStandIn disks that no membership ever named; those that are blank now, though one may have
@@ -163,9 +161,16 @@
 
   /** Whether a disk holds its place in the newest membership, on what it would be after a crash. */
   isSound({ address, durable }: ModelReplica, members: Membership): boolean {
-    const seeded = { address, seeds: [], isFirstStart: false };
-    const parts = { name: address, others: {}, seeded, records: durable, freshDisk: '', now: 0 };
-    const { state } = Replica.open(parts);
+    const bootstrap = { address, seeds: [], isFirstStart: false };
+    const parts = {
+      name: address,
+      otherFounders: {},
+      bootstrap,
+      records: durable,
+      newDiskId: '',
+      now: 0,
+    };
+    const { state } = openReplica(parts);
     const place = Object.keys(members.disks).find((each) => members.disks[each] === state.diskId);
     return (
       state.isVoting && place !== undefined && (members.joinedIn?.[place] ?? 0) <= state.votingEpoch
--- a/packages/agent/src/testing/membership-search.ts
+++ b/packages/agent/src/testing/membership-search.ts
@@ -10,7 +10,7 @@
 } from '@reedyard/consensus';
 import {
   type CommittedMembership,
-  isMember,
+  isVotingMember,
   type ReplicaRequest,
   type ReplicaState,
 } from '@reedyard/replica';
@@ -127,7 +127,7 @@
 
 const waits = ({ running, state }: ModelReplica): boolean =>
   running &&
-  !isMember(state) &&
+  !isVotingMember(state) &&
   Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId);
 
 const beats = (node: Node, bounds: Bounds): readonly Node[] => {
--- /dev/null
+++ b/packages/replica/src/committed-membership.ts
@@ -0,0 +1,102 @@
+/** The membership as one replica knows it to be committed, and what follows for its disk. */
+import { Map as Table } from 'immutable';
+import { emptyRegister, higherProposalNumber } from '@reedyard/consensus';
+import {
+  type CommittedMembership,
+  isNewerMembership,
+  type Membership,
+  membershipKey,
+} from './membership.js';
+import { writeRegister } from './registers.js';
+import { awaitRestore } from './restore.js';
+import { isInMembership, isRetired, type ReplicaState, type Transition, update } from './state.js';
+
+/** The membership that this replica has accepted, whether or not it is known to be chosen. */
+const acceptedMembership = (state: ReplicaState): CommittedMembership | null => {
+  const accepted = state.registers.get(membershipKey)?.accepted ?? null;
+  if (accepted === null) return null;
+  return { proposalNumber: accepted.proposalNumber, value: accepted.value as Membership };
+};
+
+/** The register must show no older membership than the one that is known to be committed. */
+const raiseMembershipRegister = (
+  transition: Transition,
+  committed: CommittedMembership,
+  now: number,
+): void => {
+  if (!isNewerMembership(committed, acceptedMembership(transition.state))) return;
+  const { promised } = transition.state.registers.get(membershipKey) ?? emptyRegister;
+  const register = {
+    promised: higherProposalNumber(committed.proposalNumber, promised),
+    accepted: committed,
+  };
+  writeRegister(transition, membershipKey, register, now);
+};
+
+/** Adopts a membership that is known to be committed, if it is newer than the one known before. */
+export const adoptMembership = (
+  transition: Transition,
+  committed: CommittedMembership | null,
+  now: number,
+): void => {
+  const before = transition.state.committedMembership;
+  if (committed === null || !isNewerMembership(committed, before)) return;
+  update(transition, { committedMembership: committed });
+  // The register first: after the record of the membership it must show no older one.
+  raiseMembershipRegister(transition, committed, now);
+  transition.effects.push({
+    kind: 'append-records',
+    records: [{ kind: 'membership-committed', membership: committed }],
+  });
+  const { epoch, refounded = 0 } = committed.value;
+  awaitRestore(transition, refounded, now);
+  if (epoch <= (before?.value.epoch ?? 0)) return;
+  transition.effects.push({
+    kind: 'log',
+    event: 'members.learned',
+    fields: { epoch, seated: isInMembership(transition.state) },
+  });
+};
+
+/** A disk that is erased gets a new id: its first one, and the epoch that it was erased in. */
+const idAfterErasing = (diskId: string, epoch: number): string => {
+  const [firstId = ''] = diskId.split('/', 1);
+  return `${firstId}/${epoch}`;
+};
+
+/**
+ * Erases all that this disk voted for, since its successor has it. The replica waits for a slot as
+ * a blank one, under a new disk id.
+ */
+export const eraseDisk = (transition: Transition): void => {
+  const { state } = transition;
+  const { committedMembership: membership, lastSequence: sequence } = state;
+  if (membership === null || !isRetired(state)) return;
+  const { epoch } = membership.value;
+  const diskId = idAfterErasing(state.diskId, epoch);
+  update(transition, {
+    diskId,
+    isVoting: false,
+    votingEpoch: 0,
+    registers: Table(),
+    claimMinuteByKey: Table(),
+    claimKeysByMinute: Table(),
+    openPageReads: {},
+    entries: [],
+    sequenceByEntryKey: Table(),
+    truncatedUpTo: sequence,
+    peerReads: {},
+    retirement: null,
+  });
+  transition.effects.push(
+    {
+      kind: 'append-records',
+      records: [
+        { kind: 'disk-erased', diskId },
+        { kind: 'membership-committed', membership },
+        { kind: 'sequence-reached', sequence },
+      ],
+    },
+    { kind: 'log', event: 'replica.replaced', fields: { epoch, disk: diskId } },
+  );
+};
--- a/packages/replica/src/history.test.ts
+++ b/packages/replica/src/history.test.ts
@@ -1,22 +1,22 @@
 // Three replicas on real logs after many changes: what a restart and a wiped disk read, and what
 // the disk holds.
-import test, { type ExecutionContext } from 'ava';
 import { cpSync, mkdtempSync, readdirSync, rmSync, statSync } from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
+import test, { type ExecutionContext } from 'ava';
 import { stringify } from 'devalue';
 import { Sizes } from '@reedyard/constants';
 import {
-  Replica,
+  type CommittedMembership,
+  type Membership,
   membershipKey,
-  type ReplicaRequest,
-  type ReplicaOperation,
+  openReplicaLog,
   type ReplicaLog,
+  type ReplicaOperation,
   type ReplicaReply,
-  openReplicaLog,
-  type Membership,
-  type CommittedMembership,
+  type ReplicaRequest,
 } from './index.js';
+import { openReplica } from './open.js';
 import { ReplicaHost } from './replica-host.js';
 
 const names = ['a', 'b', 'c'] as const;
@@ -74,11 +74,13 @@
     const log = await openReplicaLog(this.folder(name));
     const records = log.takeRecords();
     this.#lives += 1;
-    const opened = Replica.open({
+    const opened = openReplica({
       name,
-      others: Object.fromEntries(names.filter((each) => each !== name).map((each) => [each, each])),
+      otherFounders: Object.fromEntries(
+        names.filter((each) => each !== name).map((each) => [each, each]),
+      ),
       records,
-      freshDisk: `disk-${name}-${this.#lives}`,
+      newDiskId: `disk-${name}-${this.#lives}`,
       now: this.now,
     });
     const host = new ReplicaHost(opened, log, {
@@ -327,7 +329,13 @@
   for (const image of images) {
     const log = await openReplicaLog(image);
     const records = log.takeRecords();
-    const { state } = Replica.open({ name: 'c', others: {}, records, freshDisk: 'x', now: 0 });
+    const { state } = openReplica({
+      name: 'c',
+      otherFounders: {},
+      records,
+      newDiskId: 'x',
+      now: 0,
+    });
     const held = state.registers.get('config')?.accepted?.value as { readonly version: number };
     t.is(held.version, Number(image.split('-').at(-1)), image);
     await log.close();
--- a/packages/replica/src/index.ts
+++ b/packages/replica/src/index.ts
@@ -1,7 +1,21 @@
-export { Replica } from './core.js';
-export * from './messages.js';
-export type { ReplicaState } from './state.js';
-export { ReplicaHost, type ReplicaShell } from './replica-host.js';
+/** The replica: registers and a journal on a majority of disks, and who votes. */
+export type { ReplicaEffect, ReplicaEvent } from './events.js';
+export {
+  isNewerMembership,
+  membershipKey,
+  type BootstrapSettings,
+  type CommittedMembership,
+  type Membership,
+  type Predecessor,
+} from './membership.js';
+export type {
+  JournalCursor,
+  JournalEntry,
+  ReplicaOperation,
+  ReplicaReply,
+  ReplicaRequest,
+} from './messages.js';
+export { openReplica, snapshotRecords, type ReplicaParts } from './open.js';
 export {
   decodeReplicaReply,
   decodeReplicaRequest,
@@ -9,6 +23,9 @@
   encodeReplicaRequest,
 } from './protocol/codec.js';
 export { ReplicaProtocolError } from './protocol/errors.js';
-export { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
+export { reduceReplica } from './reducer.js';
+export { ReplicaHost, type ReplicaEnvironment } from './replica-host.js';
 export { runReplica, type ReplicaSettings } from './run.js';
-export { isVotingMember as isMember } from './state.js';
+export { isVotingMember, type ReplicaState } from './state.js';
+export type { ReplicaRecord } from './storage/records.js';
+export { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
--- a/packages/replica/src/journal.ts
+++ b/packages/replica/src/journal.ts
@@ -1,70 +1,92 @@
-import { Sizes } from '@reedyard/constants';
-import type { ReplicaReply, JournalCursor, JournalEntry } from './messages.js';
+/**
+ * The journal: entries that are written once under their key, and read by each agent from its
+ * cursor on. Entries are kept for a minute; a reader that was away longer starts anew.
+ */
+import { Limits, Sizes } from '@reedyard/constants';
+import type { JournalCursor, JournalEntry, ReplicaReply } from './messages.js';
 import { update, type ReplicaState, type RetainedEntry, type Transition } from './state.js';
 
-/** The journal: entries written once, read by each agent from its cursor on. */
-
-export const keepFacts = (
+/** Appends the entries whose keys the journal does not hold yet. */
+export const appendEntries = (
   transition: Transition,
   entries: readonly JournalEntry[],
   now: number,
 ): void => {
   const added: RetainedEntry[] = [];
-  let keys = transition.state.sequenceByEntryKey;
-  let sequence = transition.state.lastSequence;
-  for (const entry of entries) {
-    if (keys.has(entry.key)) continue;
-    sequence += 1;
-    keys = keys.set(entry.key, sequence);
-    added.push({ key: entry.key, value: entry.value, sequence, appendedAt: now });
+  let { sequenceByEntryKey, lastSequence } = transition.state;
+  for (const { key, value } of entries) {
+    if (sequenceByEntryKey.has(key)) continue;
+    lastSequence += 1;
+    sequenceByEntryKey = sequenceByEntryKey.set(key, lastSequence);
+    added.push({ key, value, sequence: lastSequence, appendedAt: now });
   }
   if (added.length === 0) return;
   update(transition, {
     entries: [...transition.state.entries, ...added],
-    sequenceByEntryKey: keys,
-    lastSequence: sequence,
+    sequenceByEntryKey,
+    lastSequence,
   });
   transition.effects.push({
     kind: 'append-records',
-    records: added.map((kept) => ({
+    records: added.map(({ key, value, sequence }) => ({
       kind: 'entry-appended',
-      sequence: kept.sequence,
-      entry: { key: kept.key, value: kept.value },
+      sequence,
+      entry: { key, value },
     })),
   });
 };
 
-export const pulled = (
+/** Lets entries go that are older than any cursor needs. */
+export const expireEntries = (transition: Transition, now: number): void => {
+  const { state } = transition;
+  const expired = state.entries.filter(({ appendedAt }) => now - appendedAt > Limits.fact);
+  if (expired.length === 0) return;
+  update(transition, {
+    entries: state.entries.slice(expired.length),
+    sequenceByEntryKey: state.sequenceByEntryKey.deleteAll(expired.map(({ key }) => key)),
+    truncatedUpTo: expired.at(-1)?.sequence ?? state.truncatedUpTo,
+  });
+};
+
+/** A cursor's position, if it was given by this disk and what follows it is still kept. */
+const positionOf = (state: ReplicaState, cursor: JournalCursor | null): number | null => {
+  if (cursor === null || cursor.diskId !== state.diskId) return null;
+  const isKept = cursor.sequence >= state.truncatedUpTo && cursor.sequence <= state.lastSequence;
+  return isKept ? cursor.sequence : null;
+};
+
+/** The proposal numbers under which the values of some registers were accepted. */
+const acceptedNumbersOf = (
   state: ReplicaState,
-  cursor: JournalCursor | null,
   keys: readonly string[],
-): ReplicaReply => {
-  const known =
-    cursor !== null &&
-    cursor.diskId === state.diskId &&
-    cursor.sequence >= state.truncatedUpTo &&
-    cursor.sequence <= state.lastSequence
-      ? cursor.sequence
-      : null;
-  const from = known ?? state.truncatedUpTo;
-  const fresh = state.entries.filter((entry) => entry.sequence > from);
-  const entries = fresh.slice(0, Sizes.purges);
-  const ballots = Object.fromEntries(
+): Extract<ReplicaReply, { kind: 'polled' }>['acceptedNumbers'] =>
+  Object.fromEntries(
     keys.flatMap((key) => {
       const accepted = state.registers.get(key)?.accepted;
       return accepted ? [[key, accepted.proposalNumber]] : [];
     }),
   );
-  const copied = keys.filter((key) => state.registers.get(key)?.accepted?.copied === true);
+
+/** The reply to a poll: the entries that follow the cursor, and what some registers hold. */
+export const pollReply = (
+  state: ReplicaState,
+  cursor: JournalCursor | null,
+  keys: readonly string[],
+): ReplicaReply => {
+  const position = positionOf(state, cursor);
+  const from = position ?? state.truncatedUpTo;
+  const following = state.entries.filter(({ sequence }) => sequence > from);
+  const page = following.slice(0, Sizes.purges);
+  const copiedKeys = keys.filter((key) => state.registers.get(key)?.accepted?.copied === true);
   return {
     kind: 'polled',
     diskId: state.diskId,
-    sequence: entries.at(-1)?.sequence ?? Math.max(from, known ?? state.lastSequence),
-    isReset: cursor !== null && known === null,
-    hasMore: entries.length < fresh.length,
-    entries: entries.map(({ key, value }) => ({ key, value })),
-    acceptedNumbers: ballots,
-    ...(copied.length === 0 ? {} : { copiedKeys: copied }),
+    sequence: page.at(-1)?.sequence ?? Math.max(from, position ?? state.lastSequence),
+    isReset: cursor !== null && position === null,
+    hasMore: page.length < following.length,
+    entries: page.map(({ key, value }) => ({ key, value })),
+    acceptedNumbers: acceptedNumbersOf(state, keys),
+    ...(copiedKeys.length === 0 ? {} : { copiedKeys }),
     ...(state.stopRequestedAt === null ? {} : { isStopping: true as const }),
   };
 };
--- a/packages/replica/src/members.test.ts
+++ b/packages/replica/src/members.test.ts
@@ -8,19 +8,18 @@
   type ProposalTransition,
   startProposal,
 } from '@reedyard/consensus';
-import { Replica } from './core.js';
+import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import {
   type BootstrapSettings,
   type CommittedMembership,
   type Membership,
   membershipKey,
-  type ReplicaEffect,
-  type ReplicaEvent,
-  type ReplicaRecord,
-  type ReplicaReply,
-  type ReplicaRequest,
-} from './messages.js';
+} from './membership.js';
+import type { ReplicaReply, ReplicaRequest } from './messages.js';
+import { openReplica } from './open.js';
+import { reduceReplica } from './reducer.js';
 import type { ReplicaState } from './state.js';
+import type { ReplicaRecord } from './storage/records.js';
 
 // Members that found themselves from seeds, on a bench where any message may come next, or get
 // lost.
@@ -57,12 +56,12 @@
 
   open(address: string, seeded: Omit<BootstrapSettings, 'address'>): void {
     this.lives += 1;
-    const opened = Replica.open({
+    const opened = openReplica({
       name: address,
-      others: {},
-      seeded: { address, ...seeded },
+      otherFounders: {},
+      bootstrap: { address, ...seeded },
       records: this.disks.get(address) ?? [],
-      freshDisk: `disk-${this.lives}`,
+      newDiskId: `disk-${this.lives}`,
       now: this.now,
     });
     this.states.set(address, opened.state);
@@ -97,7 +96,7 @@
   step(address: string, event: ReplicaEvent): void {
     const state = this.states.get(address);
     if (state === undefined) return;
-    const done = Replica.reduce(state, event);
+    const done = reduceReplica(state, event);
     this.states.set(address, done.state);
     this.perform(address, done.effects);
   }
@@ -291,17 +290,17 @@
     { kind: 'membership-committed', membership: first },
     { kind: 'voting-begun' },
   ];
-  let state = Replica.open({
+  let state = openReplica({
     name: 'a',
-    others: {},
-    seeded: { address: 'a', seeds: ['x', 'y', 'z'], isFirstStart: false },
+    otherFounders: {},
+    bootstrap: { address: 'a', seeds: ['x', 'y', 'z'], isFirstStart: false },
     records,
-    freshDisk: 'never',
+    newDiskId: 'never',
     now: 0,
   }).state;
   return {
     ask: (ask) => {
-      const done = Replica.reduce(state, {
+      const done = reduceReplica(state, {
         kind: 'request-received',
         requestId: 1,
         request: ask,
--- a/packages/replica/src/protocol/wire-membership.ts
+++ b/packages/replica/src/protocol/wire-membership.ts
@@ -4,7 +4,7 @@
   encodeProposalNumber,
   type WireProposalNumber,
 } from '@reedyard/consensus';
-import type { CommittedMembership, Membership } from '../messages.js';
+import type { CommittedMembership, Membership } from '../membership.js';
 
 /** A committed membership, with the proposal number that it was committed under. */
 export type WireCommittedMembership = {
--- a/packages/replica/src/registers.ts
+++ b/packages/replica/src/registers.ts
@@ -1,59 +1,66 @@
+/** Registers: what was promised and accepted under each key, and when each claim was last written. */
 import { Set as Group } from 'immutable';
-import type { RegisterState, Vote } from '@reedyard/consensus';
+import type { RegisterState, VoteOutcome } from '@reedyard/consensus';
 import { update, type ReplicaState, type Transition } from './state.js';
 
-/**
- * Registers: what was promised and accepted under each key, and when each claim was last written.
- */
-
+/** Keys of claims begin with this; claims expire, other registers stay. */
 export const claimPrefix = 'claim/';
-export const minuteOf = (now: number): number => Math.floor(now / 60_000);
 
+const millisecondsPerMinute = 60_000;
+
+/** The minute of the replica's clock, which claims are expired by. */
+export const minuteOf = (now: number): number => Math.floor(now / millisecondsPerMinute);
+
+/** The keys of each minute without one claim. */
 export const withoutClaim = (
-  minutes: ReplicaState['claimKeysByMinute'],
+  keysByMinute: ReplicaState['claimKeysByMinute'],
   minute: number,
   key: string,
 ): ReplicaState['claimKeysByMinute'] => {
-  const left = (minutes.get(minute) ?? Group<string>()).delete(key);
-  return left.isEmpty() ? minutes.delete(minute) : minutes.set(minute, left);
+  const remaining = (keysByMinute.get(minute) ?? Group<string>()).delete(key);
+  return remaining.isEmpty() ? keysByMinute.delete(minute) : keysByMinute.set(minute, remaining);
 };
 
-const seeClaim = (transition: Transition, key: string, minute: number): void => {
-  const { claimMinuteByKey: claimsSeen, claimKeysByMinute: claimMinutes } = transition.state;
-  const before = claimsSeen.get(key);
+const noteClaimWritten = (transition: Transition, key: string, minute: number): void => {
+  const { claimMinuteByKey, claimKeysByMinute } = transition.state;
+  const before = claimMinuteByKey.get(key);
   if (before === minute) return;
-  const others = before === undefined ? claimMinutes : withoutClaim(claimMinutes, before, key);
+  const others =
+    before === undefined ? claimKeysByMinute : withoutClaim(claimKeysByMinute, before, key);
   update(transition, {
-    claimMinuteByKey: claimsSeen.set(key, minute),
+    claimMinuteByKey: claimMinuteByKey.set(key, minute),
     claimKeysByMinute: others.set(minute, (others.get(minute) ?? Group<string>()).add(key)),
   });
 };
 
-export const keepCell = (
+/** Writes a register, in the state and to disk. */
+export const writeRegister = (
   transition: Transition,
   key: string,
   register: RegisterState,
   now: number,
 ): void => {
   update(transition, { registers: transition.state.registers.set(key, register) });
-  if (key.startsWith(claimPrefix)) seeClaim(transition, key, minuteOf(now));
+  if (key.startsWith(claimPrefix)) noteClaimWritten(transition, key, minuteOf(now));
   transition.effects.push({
     kind: 'append-records',
     records: [{ kind: 'register-written', key, register }],
   });
 };
 
-export const vote = (
+/** Replies with a vote; a register that changed by it is written first. */
+export const replyWithVote = (
   transition: Transition,
-  id: number,
+  requestId: number,
   key: string,
-  outcome: { readonly register: RegisterState; readonly vote: Vote },
+  outcome: VoteOutcome,
   now: number,
 ): void => {
-  if (outcome.vote.kind === 'yes') keepCell(transition, key, outcome.register, now);
+  const { vote, register } = outcome;
+  if (vote.kind === 'yes') writeRegister(transition, key, register, now);
   transition.effects.push({
     kind: 'send-reply',
-    requestId: id,
-    reply: { kind: 'vote', diskId: transition.state.diskId, vote: outcome.vote },
+    requestId,
+    reply: { kind: 'vote', diskId: transition.state.diskId, vote },
   });
 };
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -6,12 +6,8 @@
   type DiskOperation,
   ModelDisk,
 } from '@reedyard/write-ahead-log/model-disk';
-import {
-  type CommittedMembership,
-  Replica,
-  type ReplicaOperation,
-  type ReplicaReply,
-} from './index.js';
+import type { CommittedMembership, ReplicaOperation, ReplicaReply } from './index.js';
+import { openReplica } from './open.js';
 import { ReplicaHost } from './replica-host.js';
 import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 
@@ -53,7 +49,13 @@
     log: ReplicaLog,
   ) {
     const records = log.takeRecords();
-    const opened = Replica.open({ name: 'a', others: {}, records, freshDisk: diskName, now: 0 });
+    const opened = openReplica({
+      name: 'a',
+      otherFounders: {},
+      records,
+      newDiskId: diskName,
+      now: 0,
+    });
     this.host = new ReplicaHost(opened, log, {
       now: () => this.now,
       call: () => Promise.reject(new Error('nobody is there')),
@@ -122,7 +124,13 @@
 /** What another process would read, and take part with, now. */
 const acceptedOnDisk = async (disk: ModelDisk): Promise<unknown> => {
   const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
-  const { state } = Replica.open({ name: 'a', others: {}, records, freshDisk: 'another', now: 0 });
+  const { state } = openReplica({
+    name: 'a',
+    otherFounders: {},
+    records,
+    newDiskId: 'another',
+    now: 0,
+  });
   return state.registers.get('config')?.accepted?.value;
 };
 
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -14,19 +14,16 @@
  */
 import { Limits, Sizes } from '@reedyard/constants';
 import type { Step } from '@reedyard/task-loop';
-import { Replica } from './core.js';
-import type {
-  ReplicaRequest,
-  ReplicaEffect,
-  ReplicaEvent,
-  ReplicaRecord,
-  ReplicaReply,
-} from './messages.js';
+import type { ReplicaEffect, ReplicaEvent } from './events.js';
+import type { ReplicaReply, ReplicaRequest } from './messages.js';
+import { snapshotRecords } from './open.js';
+import { reduceReplica } from './reducer.js';
 import type { ReplicaState } from './state.js';
+import type { ReplicaRecord } from './storage/records.js';
 import type { ReplicaLog } from './storage/replica-log.js';
 
 /** What the host does outside. */
-export type ReplicaShell = {
+export type ReplicaEnvironment = {
   readonly now: () => number;
   readonly call: (address: string, body: ReplicaRequest) => Promise<ReplicaReply>;
   /** Ends the process: it was told to stop, and nothing waits for it any more. */
@@ -77,7 +74,7 @@
 
 export class ReplicaHost {
   readonly #log: ReplicaLog;
-  readonly #shell: ReplicaShell;
+  readonly #shell: ReplicaEnvironment;
   readonly #openingRecords: readonly ReplicaRecord[];
   /** With all that was decided, also what is not on disk yet. */
   #state: ReplicaState;
@@ -98,7 +95,11 @@
   #snapshotFailureLogged = false;
   #nextAsk = 1;
 
-  constructor(opened: Step<ReplicaState, ReplicaEffect>, log: ReplicaLog, shell: ReplicaShell) {
+  constructor(
+    opened: Step<ReplicaState, ReplicaEffect>,
+    log: ReplicaLog,
+    shell: ReplicaEnvironment,
+  ) {
     this.#log = log;
     this.#shell = shell;
     this.#state = opened.state;
@@ -167,7 +168,7 @@
   #readDurable(event: Asked): ReplicaReply | null {
     const { kind } = event.request.operation;
     if (kind !== 'poll' && kind !== 'read-register') return null;
-    const { effects } = Replica.reduce(this.#durable, event);
+    const { effects } = reduceReplica(this.#durable, event);
     if (recordsIn(effects).length > 0) return null;
     const reply = tellIn(effects)?.reply ?? null;
     return reply?.kind === 'polled' && !this.available ? { ...reply, isReadOnly: true } : reply;
@@ -186,7 +187,7 @@
    * Takes an event, or refuses it as if it had never come: if it needs a disk that takes nothing.
    */
   #apply(event: ReplicaEvent, resolve?: (reply: ReplicaReply) => void): boolean {
-    const step = Replica.reduce(this.#state, event);
+    const step = reduceReplica(this.#state, event);
     const records = recordsIn(step.effects);
     if (records.length > 0 && !this.available) return false;
     if (resolve !== undefined && this.#heldAnswers >= mostHeldAnswers) return false;
@@ -364,7 +365,7 @@
     if (this.#log.segmentBytes() <= most && !this.#log.fragmented()) return;
     this.#compacting = true;
     this.#log
-      .compact(() => Replica.records(this.#durable))
+      .compact(() => snapshotRecords(this.#durable))
       .then(
         () => this.#compacted(),
         (thrown: unknown) => this.#compactionFailed(thrown),
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -1,17 +1,13 @@
 import test from 'ava';
 import { Limits, Sizes } from '@reedyard/constants';
-import { Replica } from './core.js';
-import {
-  membershipKey,
-  type ReplicaRequest,
-  type ReplicaEffect,
-  type ReplicaEvent,
-  type ReplicaRecord,
-  type ReplicaReply,
-  type Membership,
-} from './messages.js';
-import { nextStep } from './recovery.js';
+import type { ReplicaEffect, ReplicaEvent } from './events.js';
+import { type Membership, membershipKey } from './membership.js';
+import type { ReplicaReply, ReplicaRequest } from './messages.js';
+import { openReplica, snapshotRecords } from './open.js';
+import { reduceReplica } from './reducer.js';
 import type { ReplicaState } from './state.js';
+import type { ReplicaRecord } from './storage/records.js';
+import { decideVoting } from './voting-decision.js';
 
 const chanceFrom = (seed: number): (() => number) => {
   let state = seed + 1;
@@ -49,11 +45,11 @@
     const others = Object.fromEntries(
       this.names.filter((each) => each !== name).map((each) => [each, each]),
     );
-    const opened = Replica.open({
+    const opened = openReplica({
       name,
-      others,
+      otherFounders: others,
       records: this.disks.get(name) ?? [],
-      freshDisk: `disk-${this.#lives}`,
+      newDiskId: `disk-${this.#lives}`,
       now: this.now,
     });
     this.states.set(name, opened.state);
@@ -81,7 +77,7 @@
   step(name: string, event: ReplicaEvent): void {
     const state = this.states.get(name);
     if (state === undefined) return;
-    const done = Replica.reduce(state, event);
+    const done = reduceReplica(state, event);
     this.states.set(name, done.state);
     this.perform(name, done.effects);
   }
@@ -195,10 +191,10 @@
   });
   const me = (
     name: string,
-    others: Parameters<typeof nextStep>[0]['others'],
+    others: Parameters<typeof decideVoting>[0]['peers'],
     epoch = 2,
-  ): ReturnType<typeof nextStep> =>
-    nextStep({ name: 'a', diskId: name, members: { epoch, disks }, others });
+  ): ReturnType<typeof decideVoting> =>
+    decideVoting({ name: 'a', diskId: name, membership: { epoch, disks }, peers: others });
   t.is(
     me('1', {
       b: other('done', '2'),
@@ -273,7 +269,7 @@
   const asked = (epoch: number): ReplicaReply | undefined => {
     const state = bench.states.get('a');
     if (state === undefined || members === undefined) return undefined;
-    const { effects } = Replica.reduce(state, {
+    const { effects } = reduceReplica(state, {
       kind: 'request-received',
       requestId: 1,
       request: {
@@ -313,9 +309,9 @@
     return;
   }
   // Everything aged away, then a snapshot, then a restart.
-  const aged = Replica.reduce(state, { kind: 'tick', now: 1e9 }).state;
+  const aged = reduceReplica(state, { kind: 'tick', now: 1e9 }).state;
   t.is(aged.entries.length, 0);
-  bench.disks.set('a', [...Replica.records(aged)]);
+  bench.disks.set('a', [...snapshotRecords(aged)]);
   bench.open('a');
   post('purge/3', 3);
   t.is(bench.states.get('a')?.entries[0]?.sequence, 3);
@@ -331,7 +327,7 @@
   const disk = bench.states.get('a')?.diskId ?? '';
   let state = bench.states.get('a') as ReplicaState;
   const act = (event: ReplicaEvent): readonly ReplicaReply[] => {
-    const step = Replica.reduce(state, event);
+    const step = reduceReplica(state, event);
     state = step.state;
     return step.effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []));
   };
@@ -391,7 +387,7 @@
     } as ReplicaState['claimMinuteByKey'],
   };
   const prepared = (key: string): string | undefined =>
-    Replica.reduce(full, {
+    reduceReplica(full, {
       kind: 'request-received',
       requestId: 1,
       request: {
--- a/packages/replica/src/retirement.test.ts
+++ b/packages/replica/src/retirement.test.ts
@@ -1,15 +1,13 @@
 import test from 'ava';
-import { Limits } from '@reedyard/constants';
 import type { ProposalNumber } from '@reedyard/consensus';
-import { Replica } from './core.js';
-import type { ReplicaRequest, ReplicaOperation, ReplicaEffect, ReplicaEvent } from './messages.js';
-import {
-  membershipKey,
-  type ReplicaRecord,
-  type ReplicaReply,
-  type CommittedMembership,
-} from './messages.js';
+import { Limits } from '@reedyard/constants';
+import type { ReplicaEffect, ReplicaEvent } from './events.js';
+import { type CommittedMembership, membershipKey } from './membership.js';
+import type { ReplicaOperation, ReplicaReply, ReplicaRequest } from './messages.js';
+import { openReplica, snapshotRecords } from './open.js';
+import { reduceReplica } from './reducer.js';
 import type { ReplicaState } from './state.js';
+import type { ReplicaRecord } from './storage/records.js';
 
 // What a replica does once its place was given to another disk, or its process was told to stop.
 
@@ -67,11 +65,18 @@
   constructor(
     readonly address: string,
     records: readonly ReplicaRecord[],
-    freshDisk = 'never',
+    newDiskId = 'never',
   ) {
     this.records = [...records];
-    const seeded = { address, seeds: [address], isFirstStart: true };
-    const opened = Replica.open({ name: address, others: {}, seeded, records, freshDisk, now: 0 });
+    const bootstrap = { address, seeds: [address], isFirstStart: true };
+    const opened = openReplica({
+      name: address,
+      otherFounders: {},
+      bootstrap,
+      records,
+      newDiskId,
+      now: 0,
+    });
     this.state = opened.state;
     this.#take(opened.effects);
   }
@@ -88,7 +93,7 @@
   }
 
   step(event: ReplicaEvent): readonly ReplicaReply[] {
-    const done = Replica.reduce(this.state, event);
+    const done = reduceReplica(this.state, event);
     this.state = done.state;
     return this.#take(done.effects);
   }
@@ -152,14 +157,14 @@
     holder.answer('d', fetched('D'));
     const blank = { kind: 'not-a-member', diskId: 'A/2', isBlank: true, knowsMembership: true };
     t.deepEqual(holder.ask(second, pull), blank);
-    for (const records of [holder.records, [...Replica.records(holder.state)]]) {
+    for (const records of [holder.records, [...snapshotRecords(holder.state)]]) {
       const { state } = new ReplicaUnderTest('a', records);
       t.deepEqual(
         [state.diskId, state.isVoting, state.registers.size, state.entries.length],
         ['A/2', false, 0, 0],
       );
       t.is(state.committedMembership?.value.epoch, 2);
-      t.false(Replica.reduce(state, { kind: 'tick', now: 5_000 }).state.isVoting);
+      t.false(reduceReplica(state, { kind: 'tick', now: 5_000 }).state.isVoting);
     }
   }
 });
--- a/packages/replica/src/retirement.ts
+++ b/packages/replica/src/retirement.ts
@@ -1,138 +1,131 @@
-import { Limits } from '@reedyard/constants';
-import { majorityOf } from '@reedyard/consensus';
-import { adopt, blank } from './membership.js';
-import { membershipKey, type ReplicaReply, type Membership } from './messages.js';
-import {
-  isRetired,
-  isVotingMember,
-  update,
-  type ReplicaState,
-  type Retirement,
-  type Transition,
-} from './state.js';
-
 /**
- * Retirement: what a replica does once its place was given to another disk, or its process was told
- * to stop.
+ * Retirement: what a replica does once its slot was given to another disk.
  *
- * A replaced replica votes no more but keeps its data, and lets its successor read it, until that
- * one votes. So a wrong suspicion or a planned leave never removes a copy before there is another
- * in its stead. Only then it forgets its data and waits for a place as a blank replica.
+ * It votes no more but keeps its data, and lets its successor read it, until that one votes. So a
+ * wrong suspicion or a planned shutdown never removes a copy before there is another in its stead.
+ * Only then it erases its data and waits for a slot as a blank replica.
  */
+import { majorityOf } from '@reedyard/consensus';
+import { Limits } from '@reedyard/constants';
+import { adoptMembership, eraseDisk } from './committed-membership.js';
+import { type CommittedMembership, type Membership, membershipKey } from './membership.js';
+import type { ReplicaReply, ReplicaRequest } from './messages.js';
+import { isRetired, type ReplicaState, type Retirement, type Transition, update } from './state.js';
+
+const beginRetirement = (now: number): Retirement => ({
+  startedAt: now,
+  pendingPolls: {},
+  lastVotingAt: {},
+});
 
-const begin = (now: number): Retirement => ({ startedAt: now, pendingPolls: {}, lastVotingAt: {} });
+/** The disk that took this one's slot, while it is still a member. */
+const successorOf = (membership: Membership, diskId: string): string | undefined => {
+  const [slot] =
+    Object.entries(membership.predecessors ?? {}).find(([, each]) => each.disk === diskId) ?? [];
+  return slot === undefined ? undefined : membership.disks[slot];
+};
 
-/** The disk that took this one's place, while it is still a member. */
-const successorOf = (members: Membership, disk: string): string | undefined => {
-  const [member] =
-    Object.entries(members.predecessors ?? {}).find(([, each]) => each.disk === disk) ?? [];
-  return member === undefined ? undefined : members.disks[member];
+const isMajoritySeenVoting = (
+  membership: Membership,
+  { lastVotingAt }: Retirement,
+  now: number,
+): boolean => {
+  const diskIds = Object.values(membership.disks);
+  const voting = diskIds.filter(
+    (diskId) => now - (lastVotingAt[diskId] ?? -Infinity) < Limits.retentionProof,
+  );
+  return voting.length >= majorityOf(diskIds.length);
 };
 
 /**
- * Whether nothing is lost if this replica forgets its data: its successor votes; or, where that one
- * was replaced in its turn or has not come to vote for long, a majority of the members votes
+ * Whether nothing is lost if this replica erases its data: its successor votes; or, where that one
+ * was replaced in its turn or has not begun to vote for long, a majority of the members votes
  * without it.
  */
-const mayForget = (state: ReplicaState, retirement: Retirement, now: number): boolean => {
-  const members = state.committedMembership?.value;
-  if (members === undefined) return false;
-  const successor = successorOf(members, state.diskId);
+const mayErase = (state: ReplicaState, retirement: Retirement, now: number): boolean => {
+  const membership = state.committedMembership?.value;
+  if (membership === undefined) return false;
+  const successor = successorOf(membership, state.diskId);
   if (successor !== undefined && retirement.lastVotingAt[successor] !== undefined) return true;
   if (successor !== undefined && now - retirement.startedAt < Limits.retention) return false;
-  const disks = Object.values(members.disks);
-  const votes = (disk: string): boolean =>
-    now - (retirement.lastVotingAt[disk] ?? -Infinity) < Limits.retentionProof;
-  return disks.filter(votes).length >= majorityOf(disks.length);
+  return isMajoritySeenVoting(membership, retirement, now);
 };
 
-/** Asks the members, whom it no longer belongs to, whether they vote. */
-const poll = (transition: Transition, retirement: Retirement): void => {
-  const { committedMembership: committed } = transition.state;
-  if (committed === null) return;
-  const calls: Record<number, string> = {};
-  let id = transition.state.nextRequestId;
-  for (const [member, address] of Object.entries(committed.value.addresses ?? {})) {
-    calls[id] = member;
-    const request = {
-      membership: committed,
-      operation: { kind: 'read-register', key: membershipKey },
-    } as const;
-    transition.effects.push({ kind: 'send-request', requestId: id, to: address, request });
-    id += 1;
+/** A member answers this only while it may vote. */
+const votingPoll = (membership: CommittedMembership): ReplicaRequest => ({
+  membership,
+  operation: { kind: 'read-register', key: membershipKey },
+});
+
+/** Asks the members, whom this replica no longer belongs to, whether they vote. */
+export const pollMembers = (transition: Transition): void => {
+  const { retirement, committedMembership: membership } = transition.state;
+  if (retirement === null || membership === null) return;
+  const slotByRequestId: Record<number, string> = {};
+  let { nextRequestId } = transition.state;
+  for (const [slot, address] of Object.entries(membership.value.addresses ?? {})) {
+    slotByRequestId[nextRequestId] = slot;
+    transition.effects.push({
+      kind: 'send-request',
+      requestId: nextRequestId,
+      to: address,
+      request: votingPoll(membership),
+    });
+    nextRequestId += 1;
   }
-  // Only the answers to the last two rounds are waited for.
-  const recent = Object.entries(retirement.pendingPolls).slice(-Object.keys(calls).length);
+  // Only the replies to the last two rounds of polls are waited for.
+  const pollCount = Object.keys(slotByRequestId).length;
+  const lastRound = Object.fromEntries(Object.entries(retirement.pendingPolls).slice(-pollCount));
   update(transition, {
-    nextRequestId: id,
-    retirement: { ...retirement, pendingPolls: { ...Object.fromEntries(recent), ...calls } },
+    nextRequestId,
+    retirement: { ...retirement, pendingPolls: { ...lastRound, ...slotByRequestId } },
+  });
+};
+
+const retire = (transition: Transition, now: number): Retirement => {
+  const retirement = beginRetirement(now);
+  update(transition, { retirement, peerReads: {} });
+  const { committedMembership, diskId } = transition.state;
+  transition.effects.push({
+    kind: 'log',
+    event: 'replica.retired',
+    fields: { epoch: committedMembership?.value.epoch ?? 0, disk: diskId },
   });
+  return retirement;
 };
 
-/** Looks after a replica whose place was given away; called at each interval and after each ask. */
+/** Begins or ends retirement, by the membership in force; called after whatever may change it. */
 export const tendRetirement = (transition: Transition, now: number): void => {
   const { state } = transition;
   if (!isRetired(state)) {
     if (state.retirement !== null) update(transition, { retirement: null });
     return;
   }
-  if (state.retirement === null) {
-    update(transition, { retirement: begin(now), peerReads: {} });
-    transition.effects.push({
-      kind: 'log',
-      event: 'replica.retired',
-      fields: { epoch: state.committedMembership?.value.epoch ?? 0, disk: state.diskId },
-    });
-  }
-  const retirement = transition.state.retirement ?? begin(now);
-  if (mayForget(transition.state, retirement, now)) blank(transition);
+  const retirement = state.retirement ?? retire(transition, now);
+  if (mayErase(transition.state, retirement, now)) eraseDisk(transition);
 };
 
-/** At each interval: the members are asked anew. */
-export const pollMembers = (transition: Transition): void => {
-  const { retirement } = transition.state;
-  if (retirement !== null) poll(transition, retirement);
-};
-
-/** Whether a call was one of those to the members that go on without it. */
-export const isPolled = (state: ReplicaState, id: number): boolean =>
-  state.retirement?.pendingPolls[id] !== undefined;
+/** Whether a request was one of those that ask members whether they vote. */
+export const isPollOfMember = (state: ReplicaState, requestId: number): boolean =>
+  state.retirement?.pendingPolls[requestId] !== undefined;
 
-/** Takes in what a member answered, or that it did not (null). */
-export const notePoll = (
+/** Notes a member's reply to a poll; null where none came. */
+export const handlePollReply = (
   transition: Transition,
-  id: number,
-  body: ReplicaReply | null,
+  requestId: number,
+  reply: ReplicaReply | null,
   now: number,
 ): void => {
-  const { retirement, committedMembership: committed } = transition.state;
-  const member = retirement?.pendingPolls[id];
-  if (retirement === null || committed === null || member === undefined) return;
-  const { [id]: _answered, ...calls } = retirement.pendingPolls;
-  const votes = body?.kind === 'register-read' && body.diskId === committed.value.disks[member];
-  const votingAt = votes
-    ? { ...retirement.lastVotingAt, [body.diskId]: now }
+  const { retirement, committedMembership } = transition.state;
+  const slot = retirement?.pendingPolls[requestId];
+  if (retirement === null || committedMembership === null || slot === undefined) return;
+  const { [requestId]: _answered, ...pendingPolls } = retirement.pendingPolls;
+  const isVoting =
+    reply?.kind === 'register-read' && reply.diskId === committedMembership.value.disks[slot];
+  const lastVotingAt = isVoting
+    ? { ...retirement.lastVotingAt, [reply.diskId]: now }
     : retirement.lastVotingAt;
-  update(transition, {
-    retirement: { ...retirement, pendingPolls: calls, lastVotingAt: votingAt },
-  });
-  if (body?.kind === 'newer-membership') adopt(transition, body.membership, now);
+  update(transition, { retirement: { ...retirement, pendingPolls, lastVotingAt } });
+  if (reply?.kind === 'newer-membership') adoptMembership(transition, reply.membership, now);
   tendRetirement(transition, now);
 };
-
-/**
- * Whether a replica that was told to stop should still run: a member while a blank replica could
- * take its place, a replaced one until its successor has read it.
- */
-const isAwaited = (state: ReplicaState, now: number): boolean => {
-  const since = now - (state.stopRequestedAt ?? now);
-  if (isRetired(state)) return since < Limits.retention;
-  const spareIsLive = now - state.spareSeenAt < Limits.lease;
-  return isVotingMember(state) && spareIsLive && since < Limits.handover;
-};
-
-/** Lets the process end, once it was told to stop and nothing waits for it. */
-export const tendStop = (transition: Transition, now: number): void => {
-  if (transition.state.stopRequestedAt === null || isAwaited(transition.state, now)) return;
-  transition.effects.push({ kind: 'exit' });
-};
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -2,22 +2,22 @@
 import { randomUUID } from 'node:crypto';
 import path from 'node:path';
 import { performance } from 'node:perf_hooks';
-import type { Step } from '@reedyard/task-loop';
 import { Beats, Limits } from '@reedyard/constants';
 import { openScribe, type Scribe } from '@reedyard/logging';
-import { call, serveCalls, speakFrom, type Listening } from '@reedyard/rpc';
+import { call, type Listening, serveCalls, speakFrom } from '@reedyard/rpc';
 import type { Settings } from '@reedyard/settings';
-import { Replica } from './core.js';
-import type { ReplicaEffect } from './messages.js';
+import type { Step } from '@reedyard/task-loop';
+import type { ReplicaEffect } from './events.js';
+import { openReplica } from './open.js';
 import {
   decodeReplicaReply,
   decodeReplicaRequest,
   encodeReplicaReply,
   encodeReplicaRequest,
 } from './protocol/codec.js';
-import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
+import { type ReplicaEnvironment, ReplicaHost } from './replica-host.js';
 import type { ReplicaState } from './state.js';
-import { ReplicaHost, type ReplicaShell } from './replica-host.js';
+import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 
 export type ReplicaSettings = Settings & { readonly replica: NonNullable<Settings['replica']> };
 
@@ -33,13 +33,20 @@
   const { founders = {}, voting, name, host } = settings;
   const others = Object.fromEntries(Object.entries(founders).filter(([each]) => each !== name));
   const address = `${host}:${settings.replica.port}`;
-  const seeded =
+  const bootstrap =
     voting === undefined ? null : { address, seeds: voting.seeds, isFirstStart: voting.firstStart };
   const records = log.takeRecords();
-  return Replica.open({ name, others, seeded, records, freshDisk: randomUUID(), now: now() });
+  return openReplica({
+    name,
+    otherFounders: others,
+    bootstrap,
+    records,
+    newDiskId: randomUUID(),
+    now: now(),
+  });
 };
 
-const shellOf = (scribe: Scribe, end: () => void): ReplicaShell => ({
+const shellOf = (scribe: Scribe, end: () => void): ReplicaEnvironment => ({
   now,
   end,
   call: async (address, body) =>
--- a/packages/replica/src/safeguards.test.ts
+++ b/packages/replica/src/safeguards.test.ts
@@ -3,14 +3,15 @@
  */
 import test from 'ava';
 import {
-  Replica,
+  type CommittedMembership,
   membershipKey,
   type ReplicaOperation,
   type ReplicaRecord,
   type ReplicaReply,
   type ReplicaState,
-  type CommittedMembership,
 } from './index.js';
+import { openReplica } from './open.js';
+import { reduceReplica } from './reducer.js';
 
 const membership: CommittedMembership = {
   proposalNumber: { counter: 1, proposerId: 'founding' },
@@ -32,8 +33,15 @@
 ];
 
 const opened = (records: readonly ReplicaRecord[]): ReplicaState => {
-  const seeded = { address: 'a', seeds: ['a', 'b', 'c'], isFirstStart: false };
-  return Replica.open({ name: 'a', others: {}, seeded, records, freshDisk: 'never', now: 0 }).state;
+  const bootstrap = { address: 'a', seeds: ['a', 'b', 'c'], isFirstStart: false };
+  return openReplica({
+    name: 'a',
+    otherFounders: {},
+    bootstrap,
+    records,
+    newDiskId: 'never',
+    now: 0,
+  }).state;
 };
 
 type Answered = {
@@ -44,7 +52,7 @@
 
 const asked = (state: ReplicaState, call: ReplicaOperation): Answered => {
   const body = { membership, operation: call };
-  const done = Replica.reduce(state, {
+  const done = reduceReplica(state, {
     kind: 'request-received',
     requestId: 1,
     request: body,
--- a/packages/replica/src/storage/record-codec.ts
+++ b/packages/replica/src/storage/record-codec.ts
@@ -6,7 +6,6 @@
  * data of an earlier version (`stored-data.test.ts`).
  */
 import { decodeRegister, encodeRegister, type WireRegister } from '@reedyard/consensus';
-import type { ReplicaRecord } from '../messages.js';
 import { ReplicaProtocolError } from '../protocol/errors.js';
 import type { WireEntry } from '../protocol/wire-format.js';
 import {
@@ -14,6 +13,7 @@
   encodeMembership,
   type WireCommittedMembership,
 } from '../protocol/wire-membership.js';
+import type { ReplicaRecord } from './records.js';
 
 /** A record as it is on disk. */
 export type StoredRecord =
--- a/packages/replica/src/storage/replica-log.ts
+++ b/packages/replica/src/storage/replica-log.ts
@@ -1,11 +1,11 @@
 /** The replica's records on a write-ahead log: typed inside, in their stored form on disk. */
 import {
-  openWriteAheadLog,
   type LogFileSystem,
+  openWriteAheadLog,
   type WriteAheadLog,
 } from '@reedyard/write-ahead-log';
-import type { ReplicaRecord } from '../messages.js';
 import { decodeReplicaRecord, encodeReplicaRecord } from './record-codec.js';
+import type { ReplicaRecord } from './records.js';
 
 /** Where a replica keeps its records; see `WriteAheadLog` for what each operation guarantees. */
 export type ReplicaLog = Pick<
--- a/packages/replica/src/stored-data.test.ts
+++ b/packages/replica/src/stored-data.test.ts
@@ -1,11 +1,11 @@
-import test from 'ava';
 import { cpSync, mkdtempSync, readdirSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
+import test from 'ava';
 import { encodeRecord } from '@reedyard/write-ahead-log';
-import { Replica } from './core.js';
-import type { BootstrapSettings } from './messages.js';
+import type { BootstrapSettings } from './membership.js';
+import { openReplica, snapshotRecords } from './open.js';
 import type { ReplicaState } from './state.js';
 import { encodeReplicaRecord } from './storage/record-codec.js';
 import { openReplicaLog } from './storage/replica-log.js';
@@ -45,16 +45,16 @@
     const log = await openReplicaLog(folder);
     const records = log.takeRecords();
     await log.close();
-    const { state } = Replica.open({
+    const { state } = openReplica({
       name: expected.name,
-      others: expected.others,
-      seeded: expected.seeded,
+      otherFounders: expected.others,
+      bootstrap: expected.seeded,
       records,
-      freshDisk: 'unused',
+      newDiskId: 'unused',
       now: 0,
     });
     t.deepEqual(summaryOf(state), expected.summary);
-    const written = [...Replica.records(state)].map((record) =>
+    const written = [...snapshotRecords(state)].map((record) =>
       encodeRecord(encodeReplicaRecord(record)).toString(),
     );
     t.deepEqual(written, [...expected.records]);
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,51 +1,53 @@
 import {
-  Replica,
-  type ReplicaRequest,
-  type ReplicaEffect,
-  type ReplicaEvent,
-  type ReplicaRecord,
-  type ReplicaState,
-} from '@reedyard/replica';
-import { Beats, Limits } from '@reedyard/constants';
-import {
-  Agent,
   type Action,
-  type ClaimReply,
-  type Feed,
-  type FeedTold,
+  Agent,
   type AgentEffect,
   type AgentEvent,
   type AgentState,
+  type ClaimReply,
+  type Feed,
+  type FeedTold,
 } from '@reedyard/agent';
+import { Cache } from '@reedyard/cache';
+import { Beats, Limits } from '@reedyard/constants';
 import {
-  Feeds,
-  ProxyCore,
-  type HeldFeed,
   type Answer,
   type Asked,
+  type AttemptAnswer,
+  Feeds,
+  type HeldFeed,
+  ProxyCore,
   type ProxyEffect,
   type ProxyEvent,
   type ProxyState,
-  type AttemptAnswer,
   type Target,
 } from '@reedyard/proxy';
-import { Cache } from '@reedyard/cache';
+import {
+  openReplica,
+  reduceReplica,
+  type ReplicaEffect,
+  type ReplicaEvent,
+  type ReplicaRecord,
+  type ReplicaRequest,
+  type ReplicaState,
+  snapshotRecords,
+} from '@reedyard/replica';
 import type { Description, Policy } from '@reedyard/schemas';
 import type { Deployment, Machine } from '@reedyard/topology';
 import { Clockwork } from './clockwork.js';
-import type { CalledFleet, StageOrigin } from './scenarios.js';
 import type { Entry, SimBody } from './history.js';
-import { Reach } from './reach.js';
 import {
+  type Plant,
   plantedAgent,
   plantedClaim,
   plantedFeed,
   plantedGrant,
   plantedReply,
   selected,
-  type Plant,
   type Selection,
 } from './plants.js';
+import { Reach } from './reach.js';
+import type { CalledFleet, StageOrigin } from './scenarios.js';
 
 type Program = 'agent' | 'proxy' | 'replica';
 type Reducers = {
@@ -316,7 +318,7 @@
         ? Agent.reduce
         : process.program === 'proxy'
           ? ProxyCore.reduce
-          : Replica.reduce
+          : reduceReplica
     ) as (
       state: unknown,
       event: unknown,
@@ -430,7 +432,7 @@
         : box.disk.synced;
     let effects: readonly ReplicaEffect[] = [];
     const process = this.#make('replica', machine, (now) => {
-      const seeded =
+      const bootstrap =
         this.tuning.voting === undefined
           ? null
           : {
@@ -438,12 +440,12 @@
               seeds: this.#replicaSeeds(),
               isFirstStart: this.firstStart,
             };
-      const opened = Replica.open({
+      const opened = openReplica({
         name: box.as,
-        others,
-        seeded,
+        otherFounders: others,
+        bootstrap,
         records,
-        freshDisk: `disk-${this.#lives}`,
+        newDiskId: `disk-${this.#lives}`,
         now,
       });
       effects = opened.effects;
@@ -460,7 +462,7 @@
   /** Compaction rewrites the disk from the state, as the real log does. */
   #compact(box: Box, process: Process<'replica'>): void {
     if (box.disk.synced.length > 4_000 && box.disk.unsynced.length === 0)
-      box.disk.synced = [...Replica.records(process.state)];
+      box.disk.synced = [...snapshotRecords(process.state)];
   }
 
   #startAgent(box: Box): void {
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -27,13 +27,15 @@
   decodeReplicaRequest,
   encodeReplicaReply,
   encodeReplicaRequest,
+  openReplica,
   openReplicaLog,
-  Replica,
+  reduceReplica,
   type ReplicaEffect,
   type ReplicaEvent,
   type ReplicaLog,
   type ReplicaReply,
   type ReplicaState,
+  snapshotRecords,
 } from '@reedyard/replica';
 import { call, type Listening, serveCalls } from '@reedyard/rpc';
 
@@ -434,7 +436,7 @@
       event.kind === 'request-received'
         ? `asked.${kindOf(encodeReplicaRequest(event.request))}`
         : event.kind;
-    const step = this.#timed('replica', label, () => Replica.reduce(node.state, event));
+    const step = this.#timed('replica', label, () => reduceReplica(node.state, event));
     node.state = step.state;
     for (const effect of step.effects) this.#performReplica(node, effect);
   }
@@ -452,7 +454,7 @@
         ) {
           node.compacting = true;
           this.#during(
-            node.log.compact(() => Replica.records(node.state)),
+            node.log.compact(() => snapshotRecords(node.state)),
             () => {
               node.compacting = false;
             },
@@ -500,11 +502,11 @@
   async replicas(specs: readonly ReplicaSpec[]): Promise<void> {
     for (const spec of specs) {
       const log = await openReplicaLog(path.join(this.#folder, spec.name));
-      const opened = Replica.open({
+      const opened = openReplica({
         name: spec.name,
-        others: spec.others,
+        otherFounders: spec.others,
         records: log.takeRecords(),
-        freshDisk: `disk-of-${spec.name}`,
+        newDiskId: `disk-of-${spec.name}`,
         now: this.#now,
       });
       const node: ReplicaNode = {
