--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -5,10 +5,10 @@
 import { Schemas, type Description } from '@reedyard/schemas';
 import { Changes, type RegisterChange } from './changes.js';
 import { Agent } from './core.js';
-import { boundsOf, learn, originRows, originsOf } from './network.js';
+import { serviceRateLimits, learnRecords, originEndpoints, originsOf } from './network.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, Watched, Work } from './state.js';
-import type { Action, ZonesValue, AgentEffect, PolicyValue } from './terms.js';
+import type { AgentState, WatchedRegister, Transition } from './state.js';
+import type { Action, ZonesRegister, AgentEffect, PolicyRegister } from './terms.js';
 
 const self = {
   id: 'n',
@@ -31,10 +31,15 @@
   const done = change(current);
   return done.kind === 'write' ? done.value : done.kind;
 };
-const learnt = (state: AgentState, key: Watched, round: number, value: unknown): AgentState => {
-  const work: Work = { state, effects: [] };
-  learnRegister(work, key, { counter: round, proposerId: 'x' }, value);
-  return work.state;
+const learnt = (
+  state: AgentState,
+  key: WatchedRegister,
+  round: number,
+  value: unknown,
+): AgentState => {
+  const transition: Transition = { state, effects: [] };
+  learnRegister(transition, key, { counter: round, proposerId: 'x' }, value);
+  return transition.state;
 };
 const acted = (
   state: AgentState,
@@ -42,7 +47,7 @@
   now: number,
 ): { readonly state: AgentState; readonly effects: readonly AgentEffect[] } =>
   Agent.reduce(state, { kind: 'operator', id: 1, action, now });
-const policyValue = (services: object, more: object = {}): PolicyValue => ({
+const policyValue = (services: object, more: object = {}): PolicyRegister => ({
   revision: 1,
   document: Schemas.policy({ services, routes: [], ...more }),
   changes: [],
@@ -91,15 +96,15 @@
     const end = order.reduce<unknown>((current, version, index) => {
       const next = written(put(version, `c-${index}`), current);
       return next === 'keep' ? current : next;
-    }, null) as PolicyValue;
+    }, null) as PolicyRegister;
     t.is(end.document.version, 7, order.join());
   }
-  const seven = written(put(7, 'a'), null) as PolicyValue;
+  const seven = written(put(7, 'a'), null) as PolicyRegister;
   t.is(written(put(7, 'b'), seven), 'keep');
-  t.is((written(put(8, 'b'), seven) as PolicyValue).revision, 2);
-  const plain = written(put(undefined, 'b'), seven) as PolicyValue;
+  t.is((written(put(8, 'b'), seven) as PolicyRegister).revision, 2);
+  const plain = written(put(undefined, 'b'), seven) as PolicyRegister;
   t.deepEqual([plain.revision, plain.document.version], [2, undefined]);
-  t.is((written(put(1, 'c'), plain) as PolicyValue).document.version, 1);
+  t.is((written(put(1, 'c'), plain) as PolicyRegister).document.version, 1);
 });
 
 test('orders for the origins of a zone leave its nodes alone', (t) => {
@@ -108,11 +113,11 @@
     what: 'empty' | 'take-back',
     of: 'all' | 'origins',
     id: string,
-  ): ZonesValue =>
+  ): ZonesRegister =>
     written(
       Changes.zone({ zone: 'west', order: what, of, changeId: id, lapsed: 0 }),
       current,
-    ) as ZonesValue;
+    ) as ZonesRegister;
   const closed = order(null, 'empty', 'origins', '1');
   t.deepEqual([closed.emptied, closed.closedOrigins, closed.reopened], [[], ['west'], {}]);
   const whole = order(closed, 'empty', 'all', '2');
@@ -125,7 +130,7 @@
   const older = order({ revision: 3, emptied: ['west'], changes: [] }, 'take-back', 'all', '5');
   t.deepEqual([older.emptied, older.closedOrigins, older.reopened], [[], [], { west: 4 }]);
   t.deepEqual(
-    originRows(
+    originEndpoints(
       learnt(
         learnt(
           acted(opened(), { kind: 'describe', description: told() }, 1).state,
@@ -159,17 +164,20 @@
   const hear = (now: number, sequence: number): void => {
     state = acted(state, { kind: 'describe', description: told({ sequence }) }, now).state;
   };
-  const colds = (): readonly boolean[] => originRows(state).map((row) => row.cold);
+  const colds = (): readonly boolean[] => originEndpoints(state).map((row) => row.cold);
   hear(10, 1);
   t.deepEqual(colds(), [false]);
   state = learnt({ ...state, now: 20 }, 'zones', 1, zones(1, ['west'], {}));
-  t.deepEqual([colds(), originsOf(state)[0]?.barred], [[], 'the origins of its zone get nothing']);
+  t.deepEqual(
+    [colds(), originsOf(state)[0]?.exclusionReason],
+    [[], 'the origins of its zone get nothing'],
+  );
   state = learnt({ ...state, now: 2_000 }, 'zones', 2, zones(2, [], { west: 2 }));
-  t.deepEqual([colds(), originRows(state)[0]?.rate], [[true], 4 * Weights.coldShare]);
+  t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[true], 4 * Weights.coldShare]);
   hear(2_000 + Limits.warmDoubt - 1, 2);
   t.deepEqual(colds(), [true]);
   hear(2_000 + Limits.warmDoubt, 3);
-  t.deepEqual([colds(), originRows(state)[0]?.rate], [[false], Infinity]);
+  t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[false], Infinity]);
   state = learnt({ ...state, now: 3_000 }, 'zones', 3, zones(3, ['east'], { west: 2 }));
   t.deepEqual(colds(), [false]);
 });
@@ -188,18 +196,18 @@
     2,
   );
   t.deepEqual([answers(late.effects), known(late.state)], [[200], known(state)]);
-  const work: Work = { state, effects: [] };
-  learn(work, { [key]: { revision: 99, value: told({ sequence: 4 }) } });
+  const transition: Transition = { state, effects: [] };
+  learnRecords(transition, { [key]: { revision: 99, value: told({ sequence: 4 }) } });
   t.deepEqual(
     [
-      known(work.state).sequence,
-      work.state.gossip.records[key]?.revision,
-      work.state.gossip.records[key]?.seenAt,
+      known(transition.state).sequence,
+      transition.state.gossip.records[key]?.revision,
+      transition.state.gossip.records[key]?.seenAt,
     ],
     [5, 100, 1],
   );
-  learn(work, { [key]: { revision: 101, value: told({ sequence: 6 }) } });
-  t.is(known(work.state).sequence, 6);
+  learnRecords(transition, { [key]: { revision: 101, value: told({ sequence: 6 }) } });
+  t.is(known(transition.state).sequence, 6);
   // The same words again are told only now and then; other ones at once.
   const revision = (): number | undefined => state.gossip.records[key]?.revision;
   const before = revision() ?? 0;
@@ -222,7 +230,7 @@
 test('a withdrawn instance gets nothing, and the notice is posted once', (t) => {
   let state = learnt(opened(), 'policy', 1, policyValue({ s: {} }));
   state = acted(state, { kind: 'describe', description: told() }, 1).state;
-  t.is(originRows(state).length, 1);
+  t.is(originEndpoints(state).length, 1);
   const asked = acted(state, { kind: 'withdraw', instance: 'i' }, 2);
   t.deepEqual(answers(asked.effects), []);
   t.deepEqual(
@@ -237,14 +245,19 @@
   );
   const posted: AgentState = {
     ...state,
-    factKeys: { 'withdrawn/i': true },
-    posted: { 'withdrawn/i': true },
+    entryKeys: { 'withdrawn/i': true },
+    committedEntryKeys: { 'withdrawn/i': true },
   };
-  t.deepEqual([originRows(posted).length, originsOf(posted)[0]?.barred], [0, 'withdrawn']);
+  t.deepEqual(
+    [originEndpoints(posted).length, originsOf(posted)[0]?.exclusionReason],
+    [0, 'withdrawn'],
+  );
   t.deepEqual(answers(acted(posted, { kind: 'withdraw', instance: 'i' }, 3).effects), [200]);
   // Seen on one disk alone it is not acknowledged yet.
   t.deepEqual(
-    answers(acted({ ...posted, posted: {} }, { kind: 'withdraw', instance: 'i' }, 3).effects),
+    answers(
+      acted({ ...posted, committedEntryKeys: {} }, { kind: 'withdraw', instance: 'i' }, 3).effects,
+    ),
     [],
   );
 });
@@ -265,8 +278,8 @@
     },
     1,
   ).state;
-  t.deepEqual(boundsOf(state), { s: Infinity });
-  const rows = originRows(state);
+  t.deepEqual(serviceRateLimits(state), { s: Infinity });
+  const rows = originEndpoints(state);
   t.deepEqual(
     rows.map((row) => [row.slots, row.conns, row.capacity, row.rate]),
     [
@@ -304,9 +317,9 @@
   );
   // A cold one whose service sets no cold rate is bound by nothing either, also without a share.
   t.deepEqual(
-    originRows(learnt(learnt(state, 'policy', 2, policyValue({ s: {} })), 'plan', 2, plan({}))).map(
-      (row) => row.rate,
-    ),
+    originEndpoints(
+      learnt(learnt(state, 'policy', 2, policyValue({ s: {} })), 'plan', 2, plan({})),
+    ).map((row) => row.rate),
     [Infinity, Infinity],
   );
 });
@@ -335,7 +348,7 @@
           { term: 1, holder: 'n', beat: 1, slices: {}, seated: nodes },
         );
         return (
-          originRows(
+          originEndpoints(
             acted(state, { kind: 'describe', description: told({ instance, state: 'cold' }) }, 1)
               .state,
           )[0]?.rate ?? NaN
@@ -347,8 +360,9 @@
   // Without a division it is not known who else there is: nothing goes to it.
   const alone = learnt(opened(), 'policy', 1, policyValue({ s: { coldRate: 20 } }));
   t.is(
-    originRows(acted(alone, { kind: 'describe', description: told({ state: 'cold' }) }, 1).state)[0]
-      ?.rate,
+    originEndpoints(
+      acted(alone, { kind: 'describe', description: told({ state: 'cold' }) }, 1).state,
+    )[0]?.rate,
     0,
   );
 });
@@ -365,7 +379,7 @@
           seed: 1,
           now: 0,
         }),
-        lease: 1_500,
+        leaseUntil: 1_500,
       },
       'policy',
       1,
--- a/packages/agent/src/answered-pulls.fixture.ts
+++ b/packages/agent/src/answered-pulls.fixture.ts
@@ -5,7 +5,7 @@
 import type { ReplicaReply, Membership } from '@reedyard/replica';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, Work } from './state.js';
+import type { AgentState, Transition } from './state.js';
 import type { AgentEffect } from './terms.js';
 
 export const self = {
@@ -33,9 +33,9 @@
   epoch: number,
   disks: Membership['disks'],
 ): AgentState => {
-  const work: Work = { state, effects: [] };
-  learnRegister(work, 'members', { counter: epoch, proposerId: 'x' }, { epoch, disks });
-  return work.state;
+  const transition: Transition = { state, effects: [] };
+  learnRegister(transition, 'members', { counter: epoch, proposerId: 'x' }, { epoch, disks });
+  return transition.state;
 };
 
 export const pulled = (disk: string): ReplicaReply => ({
@@ -59,8 +59,8 @@
   const seen: AgentEffect[] = [];
   const state = step.effects.reduce((reached, effect) => {
     if (effect.kind !== 'call') return reached;
-    const pending = step.state.pending[effect.id];
-    if (pending?.kind !== 'pull') return reached;
+    const pending = step.state.pendingRequests[effect.id];
+    if (pending?.kind !== 'poll') return reached;
     const body = replyOf(pending.replica);
     const next = Agent.reduce(
       reached,
--- a/packages/agent/src/ballots.test.ts
+++ b/packages/agent/src/ballots.test.ts
@@ -5,7 +5,7 @@
 import { Schemas } from '@reedyard/schemas';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, Work } from './state.js';
+import type { AgentState, Transition } from './state.js';
 import type { Action, AgentEffect, AgentEvent } from './terms.js';
 
 const replicas = ['a', 'b', 'c'];
@@ -26,10 +26,10 @@
   constructor(life = 'l') {
     const founders = Object.fromEntries(replicas.map((name) => [name, name]));
     const opened = Agent.open({ self, life, seeds: [], founders, seed: 1, now: 0 });
-    const work: Work = { state: opened, effects: [] };
+    const transition: Transition = { state: opened, effects: [] };
     const disks = Object.fromEntries(replicas.map((name) => [name, `disk-${name}`]));
-    learnRegister(work, 'members', { counter: 1, proposerId: 'x' }, { epoch: 1, disks });
-    this.state = work.state;
+    learnRegister(transition, 'members', { counter: 1, proposerId: 'x' }, { epoch: 1, disks });
+    this.state = transition.state;
   }
 
   step(event: AgentEvent): void {
@@ -153,8 +153,8 @@
     (id) => (bench.answers.get(id)?.body as { readonly revision: number }).revision,
   );
   t.deepEqual(revisions, [1, 2, 3, 4, 5, 6, 7, 8]);
-  t.deepEqual(bench.state.runs, {});
-  t.deepEqual(bench.state.proposalRuns, {});
+  t.deepEqual(bench.state.activeProposals, {});
+  t.deepEqual(bench.state.pendingChanges, {});
 });
 
 test('changes of one ballot are made in the order in which they came, and each is told its own end', (t) => {
@@ -219,7 +219,7 @@
   bench.now = 5_000;
   bench.step({ kind: 'woken', now: bench.now });
   t.deepEqual(bench.ballots('prepare'), []);
-  t.deepEqual([bench.state.runs, bench.state.proposalRuns], [{}, {}]);
+  t.deepEqual([bench.state.activeProposals, bench.state.pendingChanges], [{}, {}]);
 });
 
 test('an order that was outvoted by a later one for its zone is not made after it', (t) => {
--- a/packages/agent/src/ballots.ts
+++ b/packages/agent/src/ballots.ts
@@ -18,27 +18,27 @@
 } from '@reedyard/consensus';
 import { Limits } from '@reedyard/constants';
 import { membershipKey, type ReplicaReply } from '@reedyard/replica';
-import type { Reading, RegisterChange } from './changes.js';
-import { finish, type Outcome } from './completion.js';
+import type { ReadHistory, RegisterChange } from './changes.js';
+import { completeChange, type Outcome } from './completion.js';
 import { learnRegister } from './pulls.js';
-import { isStranded } from './reachability.js';
+import { isChangeIsolated } from './reachability.js';
 import {
   type AgentState,
-  type BallotRun,
-  chance,
-  counts,
+  type ActiveProposal,
+  nextRandom,
+  isDiskOfMember,
   type IncludedChange,
   log,
-  type ProposalRun,
+  type PendingChange,
   type Purpose,
   type Retries,
   sendToReplica,
-  set,
-  takeId,
-  watched,
-  type Watched,
+  update,
+  takeRequestId,
+  watchedRegisters,
+  type WatchedRegister,
   without,
-  type Work,
+  type Transition,
 } from './state.js';
 
 /**
@@ -48,19 +48,20 @@
  */
 const Backoff = { leastExchange: 4, firstExchanges: 4, mostExchanges: 32, longest: 640 } as const;
 
-const noRetries: Retries = { outvoted: 0, timedOut: 0 };
+const noRetryYet: Retries = { preempted: 0, timedOut: 0 };
 
-const isWatched = (key: string): key is Watched => (watched as readonly string[]).includes(key);
+const isWatched = (key: string): key is WatchedRegister =>
+  (watchedRegisters as readonly string[]).includes(key);
 
 /** The changes that wait for a ballot on a register, the oldest first. */
 const waitingFor = (state: AgentState, key: string): readonly IncludedChange[] =>
-  Object.entries(state.proposalRuns).flatMap(([id, proposalRun]) =>
-    proposalRun.key === key ? [{ id: Number(id), proposalRun }] : [],
+  Object.entries(state.pendingChanges).flatMap(([id, pendingChange]) =>
+    pendingChange.key === key ? [{ id: Number(id), pendingChange }] : [],
   );
 
 /** The changes of a ballot that are still wanted. */
-const wantedOf = (state: AgentState, run: BallotRun): readonly IncludedChange[] =>
-  run.included.filter(({ id }) => state.proposalRuns[id] !== undefined);
+const wantedOf = (state: AgentState, active: ActiveProposal): readonly IncludedChange[] =>
+  active.included.filter(({ id }) => state.pendingChanges[id] !== undefined);
 
 /** What a change made of the value it was applied to, and what it left. */
 type Applied = IncludedChange & { readonly changed: ChangeResult; readonly value: unknown };
@@ -71,14 +72,14 @@
  */
 const applyAll = (included: readonly IncludedChange[], read: unknown): readonly Applied[] => {
   let current = read;
-  return included.map(({ id, proposalRun }) => {
-    const reading: Reading | undefined =
-      proposalRun.firstRead === null
+  return included.map(({ id, pendingChange }) => {
+    const reading: ReadHistory | undefined =
+      pendingChange.firstRead === null
         ? undefined
-        : { first: proposalRun.firstRead.value, now: read };
-    const changed = proposalRun.change(current, reading);
+        : { first: pendingChange.firstRead.value, now: read };
+    const changed = pendingChange.change(current, reading);
     if (changed.kind === 'write') current = changed.value;
-    return { id, proposalRun, changed, value: current };
+    return { id, pendingChange, changed, value: current };
   });
 };
 
@@ -97,80 +98,93 @@
       : { kind: 'keep' };
   };
 
-const setRun = (work: Work, key: string, run: BallotRun): void => {
-  set(work, { runs: { ...work.state.runs, [key]: run } });
+const setActiveProposal = (transition: Transition, key: string, active: ActiveProposal): void => {
+  update(transition, { activeProposals: { ...transition.state.activeProposals, [key]: active } });
 };
 
-const sendMoves = (work: Work, turn: ProposalTransition): void => {
-  const { key } = turn.proposal;
-  for (const move of turn.actions) {
-    if (move.kind !== 'prepare' && move.kind !== 'accept') continue;
-    const replica = work.state.replicas[move.to];
+const sendActions = (transition: Transition, proposalTransition: ProposalTransition): void => {
+  const { key } = proposalTransition.proposal;
+  for (const action of proposalTransition.actions) {
+    if (action.kind !== 'prepare' && action.kind !== 'accept') continue;
+    const replica = transition.state.replicas[action.to];
     if (replica === undefined) continue;
-    const { proposalNumber } = move;
+    const { proposalNumber } = action;
     const call =
-      move.kind === 'prepare'
+      action.kind === 'prepare'
         ? ({ kind: 'prepare', key, proposalNumber } as const)
         : ({
             kind: 'accept',
             key,
             proposalNumber,
-            value: move.value,
-            diskId: move.diskId,
+            value: action.value,
+            diskId: action.diskId,
           } as const);
-    sendToReplica(work, replica.address, call, {
+    sendToReplica(transition, replica.address, call, {
       kind: 'vote',
       key,
-      replica: move.to,
-      phase: move.kind,
+      replica: action.to,
+      phase: action.kind,
       proposalNumber,
     });
   }
 };
 
 /** Drops the changes of a register whose callers are gone. */
-const dropAbandoned = (work: Work, key: string): void => {
-  for (const { id, proposalRun } of waitingFor(work.state, key)) {
-    if (proposalRun.isAbandoned) set(work, { proposalRuns: without(work.state.proposalRuns, id) });
+const dropAbandoned = (transition: Transition, key: string): void => {
+  for (const { id, pendingChange } of waitingFor(transition.state, key)) {
+    if (pendingChange.isAbandoned)
+      update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
   }
 };
 
 /** Opens a ballot for all changes that wait for a register. */
-const openRun = (work: Work, key: string, retries: Retries = noRetries): void => {
-  dropAbandoned(work, key);
-  const waiting = waitingFor(work.state, key);
+const startProposalFor = (
+  transition: Transition,
+  key: string,
+  retries: Retries = noRetryYet,
+): void => {
+  dropAbandoned(transition, key);
+  const waiting = waitingFor(transition.state, key);
   if (waiting.length === 0) {
-    set(work, { runs: without(work.state.runs, key) });
+    update(transition, { activeProposals: without(transition.state.activeProposals, key) });
     return;
   }
-  const { state } = work;
+  const { state } = transition;
   const members = Object.keys(state.replicas);
   // A ballot belongs to one life of a process: a new one does not know which ballots the last one
   // opened.
-  const proposer = `${state.self.id}/${state.life}`;
-  const turn = startProposal(key, combine(waiting), members, state.highestBallot, proposer);
-  set(work, { highestBallot: turn.proposal.proposalNumber });
-  setRun(work, key, {
-    proposal: turn.proposal,
+  const proposer = `${state.self.id}/${state.incarnation}`;
+  const proposalTransition = startProposal(
+    key,
+    combine(waiting),
+    members,
+    state.highestProposalNumber,
+    proposer,
+  );
+  update(transition, { highestProposalNumber: proposalTransition.proposal.proposalNumber });
+  setActiveProposal(transition, key, {
+    proposal: proposalTransition.proposal,
     included: waiting,
-    phaseAt: state.now,
-    sentAt: state.now,
-    resends: 0,
+    phaseStartedAt: state.now,
+    lastSentAt: state.now,
+    resendCount: 0,
     retries,
     retryAt: null,
   });
-  sendMoves(work, turn);
-  work.effects.push({ kind: 'wake', inMs: Limits.resend });
+  sendActions(transition, proposalTransition);
+  transition.effects.push({ kind: 'wake', inMs: Limits.resend });
 };
 
 /** Notes what the register held when changes were first applied. */
-const noteFirstRead = (work: Work, run: BallotRun, read: unknown): void => {
-  const noted = wantedOf(work.state, run).flatMap(({ id, proposalRun }) =>
-    proposalRun.firstRead === null
-      ? [[id, { ...proposalRun, firstRead: { value: read } }] as const]
+const noteFirstRead = (transition: Transition, active: ActiveProposal, read: unknown): void => {
+  const noted = wantedOf(transition.state, active).flatMap(({ id, pendingChange }) =>
+    pendingChange.firstRead === null
+      ? [[id, { ...pendingChange, firstRead: { value: read } }] as const]
       : [],
   );
-  set(work, { proposalRuns: { ...work.state.proposalRuns, ...Object.fromEntries(noted) } });
+  update(transition, {
+    pendingChanges: { ...transition.state.pendingChanges, ...Object.fromEntries(noted) },
+  });
 };
 
 const outcomeOf = ({ changed, value }: Applied): Outcome =>
@@ -179,100 +193,117 @@
     : { kind: 'chosen', value };
 
 /** Takes in what a ballot chose, and tells each of its changes how it ended. */
-const conclude = (
-  work: Work,
-  run: BallotRun,
+const concludeProposal = (
+  transition: Transition,
+  active: ActiveProposal,
   chosen: {
     readonly proposalNumber: ProposalNumber | null;
     readonly value: unknown;
     readonly valueRead: unknown;
   },
 ): void => {
-  const { key } = run.proposal;
-  const isWanted = ({ id }: Applied): boolean => work.state.proposalRuns[id] !== undefined;
-  const applied = applyAll(run.included, chosen.valueRead).filter(isWanted);
-  const proposalRuns = applied.reduce((left, { id }) => without(left, id), work.state.proposalRuns);
-  set(work, { proposalRuns, runs: without(work.state.runs, key) });
-  if (chosen.proposalNumber !== null) learnChosen(work, key, chosen.proposalNumber, chosen.value);
-  for (const each of applied) finish(work, each.proposalRun.purpose, outcomeOf(each));
-  if (work.state.runs[key] === undefined) openRun(work, key);
+  const { key } = active.proposal;
+  const isWanted = ({ id }: Applied): boolean => transition.state.pendingChanges[id] !== undefined;
+  const applied = applyAll(active.included, chosen.valueRead).filter(isWanted);
+  const proposalRuns = applied.reduce(
+    (left, { id }) => without(left, id),
+    transition.state.pendingChanges,
+  );
+  update(transition, {
+    pendingChanges: proposalRuns,
+    activeProposals: without(transition.state.activeProposals, key),
+  });
+  if (chosen.proposalNumber !== null)
+    learnChosen(transition, key, chosen.proposalNumber, chosen.value);
+  for (const each of applied)
+    completeChange(transition, each.pendingChange.purpose, outcomeOf(each));
+  if (transition.state.activeProposals[key] === undefined) startProposalFor(transition, key);
 };
 
 const learnChosen = (
-  work: Work,
+  transition: Transition,
   key: string,
   proposalNumber: ProposalNumber,
   value: unknown,
 ): void => {
   if (isWatched(key)) {
-    learnRegister(work, key, proposalNumber, value);
+    learnRegister(transition, key, proposalNumber, value);
     return;
   }
-  const [newest, ...older] = work.state.claims;
+  const [newest, ...older] = transition.state.claimSpans;
   if (newest !== undefined)
-    set(work, { claims: [newest.set(key, { proposalNumber, value }), ...older] });
+    update(transition, { claimSpans: [newest.set(key, { proposalNumber, value }), ...older] });
 };
 
 /**
  * Waits before the next ballot, at random and longer each time, so that proposers don't outvote
  * each other for ever.
  */
-const backOff = (work: Work, run: BallotRun): void => {
-  const exchange = Math.max(Backoff.leastExchange, work.state.now - run.phaseAt);
+const backOff = (transition: Transition, active: ActiveProposal): void => {
+  const exchange = Math.max(Backoff.leastExchange, transition.state.now - active.phaseStartedAt);
   const exchanges = Math.min(
     Backoff.mostExchanges,
-    Backoff.firstExchanges * 2 ** run.retries.outvoted,
+    Backoff.firstExchanges * 2 ** active.retries.preempted,
   );
-  const wait = Math.min(Backoff.longest, exchange * exchanges) * chance(work);
-  setRun(work, run.proposal.key, { ...run, retryAt: work.state.now + wait });
-  work.effects.push({ kind: 'wake', inMs: wait });
+  const wait = Math.min(Backoff.longest, exchange * exchanges) * nextRandom(transition);
+  setActiveProposal(transition, active.proposal.key, {
+    ...active,
+    retryAt: transition.state.now + wait,
+  });
+  transition.effects.push({ kind: 'wake', inMs: wait });
 };
 
 /** Proposes a change of a register; what becomes of it is told by its purpose. */
 export const propose = (
-  work: Work,
+  transition: Transition,
   key: string,
   change: RegisterChange,
   purpose: Purpose,
 ): void => {
-  const id = takeId(work);
-  const proposalRun: ProposalRun = {
+  const id = takeRequestId(transition);
+  const pendingChange: PendingChange = {
     key,
     change,
     purpose,
-    openedAt: work.state.now,
+    requestedAt: transition.state.now,
     firstRead: null,
     isAbandoned: false,
   };
-  set(work, { proposalRuns: { ...work.state.proposalRuns, [id]: proposalRun } });
-  if (work.state.runs[key] === undefined) openRun(work, key);
+  update(transition, {
+    pendingChanges: { ...transition.state.pendingChanges, [id]: pendingChange },
+  });
+  if (transition.state.activeProposals[key] === undefined) startProposalFor(transition, key);
 };
 
-export const tookVote = (
-  work: Work,
+export const handleVoteReply = (
+  transition: Transition,
   key: string,
   replica: string,
   phase: 'prepare' | 'accept',
   proposalNumber: ProposalNumber,
   reply: ReplicaReply,
 ): void => {
-  const run = work.state.runs[key];
-  if (run === undefined) return;
+  const active = transition.state.activeProposals[key];
+  if (active === undefined) return;
   if (reply.kind === 'too-many-claims') {
     // There is no room for another key: told at once, not after its whole limit.
-    for (const { id, proposalRun } of wantedOf(work.state, run)) giveUp(work, id, proposalRun);
-    openRun(work, key);
+    for (const { id, pendingChange } of wantedOf(transition.state, active))
+      failChange(transition, id, pendingChange);
+    startProposalFor(transition, key);
     return;
   }
-  if (reply.kind !== 'vote' || !counts(work.state, replica, reply.diskId)) return;
+  if (reply.kind !== 'vote' || !isDiskOfMember(transition.state, replica, reply.diskId)) return;
   const { vote } = reply;
-  if (vote.kind === 'no' && compareProposalNumbers(vote.promised, work.state.highestBallot) > 0) {
-    set(work, { highestBallot: vote.promised });
+  if (
+    vote.kind === 'no' &&
+    compareProposalNumbers(vote.promised, transition.state.highestProposalNumber) > 0
+  ) {
+    update(transition, { highestProposalNumber: vote.promised });
   }
   advance(
-    work,
-    run,
-    handleVote(run.proposal, {
+    transition,
+    active,
+    handleVote(active.proposal, {
       member: replica,
       diskId: reply.diskId,
       phase,
@@ -283,60 +314,64 @@
 };
 
 /** Goes on with a ballot after a vote. */
-const advance = (work: Work, run: BallotRun, turn: ProposalTransition): void => {
-  const { now } = work.state;
-  const isNewPhase = turn.proposal.phase !== run.proposal.phase;
-  const next: BallotRun = {
-    ...run,
-    proposal: turn.proposal,
-    phaseAt: isNewPhase ? now : run.phaseAt,
-    sentAt: isNewPhase ? now : run.sentAt,
-    resends: isNewPhase ? 0 : run.resends,
+const advance = (
+  transition: Transition,
+  active: ActiveProposal,
+  proposalTransition: ProposalTransition,
+): void => {
+  const { now } = transition.state;
+  const isNewPhase = proposalTransition.proposal.phase !== active.proposal.phase;
+  const next: ActiveProposal = {
+    ...active,
+    proposal: proposalTransition.proposal,
+    phaseStartedAt: isNewPhase ? now : active.phaseStartedAt,
+    lastSentAt: isNewPhase ? now : active.lastSentAt,
+    resendCount: isNewPhase ? 0 : active.resendCount,
   };
-  setRun(work, turn.proposal.key, next);
-  if (isNewPhase && run.proposal.phase === 'prepare')
-    noteFirstRead(work, next, turn.proposal.valueRead);
-  sendMoves(work, turn);
-  if (isNewPhase && turn.proposal.phase === 'accept')
-    work.effects.push({ kind: 'wake', inMs: Limits.resend });
-  for (const move of turn.actions) {
-    if (move.kind === 'preempted' && next.retryAt === null) backOff(work, next);
-    if (move.kind === 'chosen') conclude(work, next, move);
+  setActiveProposal(transition, proposalTransition.proposal.key, next);
+  if (isNewPhase && active.proposal.phase === 'prepare')
+    noteFirstRead(transition, next, proposalTransition.proposal.valueRead);
+  sendActions(transition, proposalTransition);
+  if (isNewPhase && proposalTransition.proposal.phase === 'accept')
+    transition.effects.push({ kind: 'wake', inMs: Limits.resend });
+  for (const action of proposalTransition.actions) {
+    if (action.kind === 'preempted' && next.retryAt === null) backOff(transition, next);
+    if (action.kind === 'chosen') concludeProposal(transition, next, action);
   }
 };
 
 const timeoutOf = (purpose: Purpose): number =>
   purpose.kind === 'zone' ? Limits.zoneOrder : Limits.proposal;
 
-const giveUp = (work: Work, id: number, proposalRun: ProposalRun): void => {
-  set(work, { proposalRuns: without(work.state.proposalRuns, id) });
-  finish(work, proposalRun.purpose, { kind: 'unknown' });
+const failChange = (transition: Transition, id: number, pendingChange: PendingChange): void => {
+  update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+  completeChange(transition, pendingChange.purpose, { kind: 'unknown' });
 };
 
 /**
  * Leaves out of a ballot's first phase what is no longer wanted; without anything left it is not
  * gone on with.
  */
-const leaveOut = (work: Work, key: string): void => {
-  const run = work.state.runs[key];
-  if (run === undefined) return;
-  const included = wantedOf(work.state, run);
-  if (included.length === run.included.length) return;
+const withdrawUnwanted = (transition: Transition, key: string): void => {
+  const active = transition.state.activeProposals[key];
+  if (active === undefined) return;
+  const included = wantedOf(transition.state, active);
+  if (included.length === active.included.length) return;
   if (included.length === 0) {
-    openRun(work, key);
+    startProposalFor(transition, key);
     return;
   }
   // The second phase is out and can't be recalled.
-  if (run.proposal.phase === 'accept') return;
-  const proposal = { ...run.proposal, change: combine(included) };
-  setRun(work, key, { ...run, proposal, included });
+  if (active.proposal.phase === 'accept') return;
+  const proposal = { ...active.proposal, change: combine(included) };
+  setActiveProposal(transition, key, { ...active, proposal, included });
 };
 
 /**
  * Prepares for replicas that have not answered, and accepts for those that have promised and not
  * accepted.
  */
-const unanswered = ({ proposal }: BallotRun): ProposalTransition['actions'] => {
+const unansweredActions = ({ proposal }: ActiveProposal): ProposalTransition['actions'] => {
   const { proposalNumber, prepareResponses: promises, proposedValue: value } = proposal;
   return proposal.members.flatMap((to): ProposalTransition['actions'] => {
     const promise = promises[to];
@@ -349,11 +384,11 @@
 };
 
 /** ms that one phase of a ballot may take at most: little at first where members change. */
-const longestPhaseOf = (run: BallotRun, now: number): number => {
-  const [oldest] = run.included;
+const phaseTimeoutMs = (active: ActiveProposal, now: number): number => {
+  const [oldest] = active.included;
   const isYoung =
-    oldest !== undefined && now - oldest.proposalRun.openedAt < Limits.membershipHaste;
-  return isYoung && run.proposal.key === membershipKey
+    oldest !== undefined && now - oldest.pendingChange.requestedAt < Limits.membershipHaste;
+  return isYoung && active.proposal.key === membershipKey
     ? Limits.membershipPhase
     : Limits.ballotPhase;
 };
@@ -362,34 +397,42 @@
  * ms after which the calls of a ballot are sent again: longer each time, since a slow replica is
  * not helped by more.
  */
-const resendAfter = (run: BallotRun): number => Limits.resend * 2 ** run.resends;
-
-const resend = (work: Work, run: BallotRun): void => {
-  const next = { ...run, sentAt: work.state.now, resends: run.resends + 1 };
-  setRun(work, run.proposal.key, next);
-  sendMoves(work, { proposal: run.proposal, actions: unanswered(run) });
-  work.effects.push({ kind: 'wake', inMs: resendAfter(next) });
+const resendIntervalMs = (active: ActiveProposal): number =>
+  Limits.resend * 2 ** active.resendCount;
+
+const resend = (transition: Transition, active: ActiveProposal): void => {
+  const next = {
+    ...active,
+    lastSentAt: transition.state.now,
+    resendCount: active.resendCount + 1,
+  };
+  setActiveProposal(transition, active.proposal.key, next);
+  sendActions(transition, { proposal: active.proposal, actions: unansweredActions(active) });
+  transition.effects.push({ kind: 'wake', inMs: resendIntervalMs(next) });
 };
 
-const tendRun = (work: Work, key: string, run: BallotRun): void => {
-  const { now } = work.state;
-  const { outvoted, timedOut } = run.retries;
-  if (run.retryAt !== null) {
-    if (now >= run.retryAt) openRun(work, key, { outvoted: outvoted + 1, timedOut });
-  } else if (now - run.phaseAt > longestPhaseOf(run, now))
-    openRun(work, key, { outvoted, timedOut: timedOut + 1 });
-  else if (now - run.sentAt >= resendAfter(run)) resend(work, run);
+const tendProposal = (transition: Transition, key: string, active: ActiveProposal): void => {
+  const { now } = transition.state;
+  const { preempted: outvoted, timedOut } = active.retries;
+  if (active.retryAt !== null) {
+    if (now >= active.retryAt)
+      startProposalFor(transition, key, { preempted: outvoted + 1, timedOut });
+  } else if (now - active.phaseStartedAt > phaseTimeoutMs(active, now))
+    startProposalFor(transition, key, { preempted: outvoted, timedOut: timedOut + 1 });
+  else if (now - active.lastSentAt >= resendIntervalMs(active)) resend(transition, active);
 };
 
 /** Looks after ballots that wait or hang, and changes that have taken too long. */
-export const tendProposalRuns = (work: Work): void => {
-  for (const [id, proposalRun] of Object.entries(work.state.proposalRuns)) {
-    const isOverdue = work.state.now - proposalRun.openedAt > timeoutOf(proposalRun.purpose);
-    if (!isOverdue && !isStranded(work.state, proposalRun)) continue;
-    giveUp(work, Number(id), proposalRun);
-    leaveOut(work, proposalRun.key);
+export const tendProposals = (transition: Transition): void => {
+  for (const [id, pendingChange] of Object.entries(transition.state.pendingChanges)) {
+    const isOverdue =
+      transition.state.now - pendingChange.requestedAt > timeoutOf(pendingChange.purpose);
+    if (!isOverdue && !isChangeIsolated(transition.state, pendingChange)) continue;
+    failChange(transition, Number(id), pendingChange);
+    withdrawUnwanted(transition, pendingChange.key);
   }
-  for (const [key, run] of Object.entries(work.state.runs)) tendRun(work, key, run);
+  for (const [key, active] of Object.entries(transition.state.activeProposals))
+    tendProposal(transition, key, active);
 };
 
 const isCallersPurpose = (purpose: Purpose, caller: number): boolean =>
@@ -401,53 +444,56 @@
  * been proposed yet is dropped, and what is being proposed gets no further ballot, so that it can't
  * undo an order that follows.
  */
-export const dropCaller = (work: Work, caller: number): void => {
-  for (const [id, proposalRun] of Object.entries(work.state.proposalRuns)) {
-    if (!isCallersPurpose(proposalRun.purpose, caller)) continue;
-    if (isProposed(work.state, Number(id))) {
-      set(work, {
-        proposalRuns: { ...work.state.proposalRuns, [id]: { ...proposalRun, isAbandoned: true } },
+export const abandonCaller = (transition: Transition, caller: number): void => {
+  for (const [id, pendingChange] of Object.entries(transition.state.pendingChanges)) {
+    if (!isCallersPurpose(pendingChange.purpose, caller)) continue;
+    if (isProposed(transition.state, Number(id))) {
+      update(transition, {
+        pendingChanges: {
+          ...transition.state.pendingChanges,
+          [id]: { ...pendingChange, isAbandoned: true },
+        },
       });
       continue;
     }
-    set(work, { proposalRuns: without(work.state.proposalRuns, id) });
-    log(work, 'order.dropped', { kind: proposalRun.purpose.kind });
-    leaveOut(work, proposalRun.key);
+    update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+    log(transition, 'order.dropped', { kind: pendingChange.purpose.kind });
+    withdrawUnwanted(transition, pendingChange.key);
   }
 };
 
 /** Whether a change is part of a ballot whose second phase is out. */
 const isProposed = (state: AgentState, id: number): boolean =>
-  Object.values(state.runs).some(
-    (run) =>
-      run.proposal.phase === 'accept' &&
-      run.retryAt === null &&
-      run.included.some((each) => each.id === id),
+  Object.values(state.activeProposals).some(
+    (active) =>
+      active.proposal.phase === 'accept' &&
+      active.retryAt === null &&
+      active.included.some((each) => each.id === id),
   );
 
 /**
  * Under new members nothing counts that was counted by the old ones: all that is under way begins
  * again.
  */
-export const countAnew = (work: Work): void => {
-  const { state } = work;
-  const runs = Object.entries(state.runs).map(
-    ([key, run]) =>
+export const restartUnderNewMembership = (transition: Transition): void => {
+  const { state } = transition;
+  const runs = Object.entries(state.activeProposals).map(
+    ([key, active]) =>
       [
         key,
-        { ...run, retryAt: state.now, proposal: { ...run.proposal, phase: 'done' as const } },
+        { ...active, retryAt: state.now, proposal: { ...active.proposal, phase: 'done' as const } },
       ] as const,
   );
-  const postings = Object.entries(state.postings).map(
-    ([which, posting]) => [which, { ...posting, acks: [], sentAt: -Infinity }] as const,
+  const postings = Object.entries(state.pendingAppends).map(
+    ([which, posting]) => [which, { ...posting, acknowledgedBy: [], lastSentAt: -Infinity }] as const,
   );
   const replicas = Object.entries(state.replicas).map(
-    ([name, view]) => [name, { ...view, pulled: null }] as const,
+    ([name, view]) => [name, { ...view, countedPolls: null }] as const,
   );
-  set(work, {
-    runs: Object.fromEntries(runs),
-    postings: Object.fromEntries(postings),
+  update(transition, {
+    activeProposals: Object.fromEntries(runs),
+    pendingAppends: Object.fromEntries(postings),
     replicas: Object.fromEntries(replicas),
   });
-  if (runs.length > 0) work.effects.push({ kind: 'wake', inMs: 0 });
+  if (runs.length > 0) transition.effects.push({ kind: 'wake', inMs: 0 });
 };
--- a/packages/agent/src/change-ids.ts
+++ b/packages/agent/src/change-ids.ts
@@ -6,7 +6,7 @@
  * started has learnt nothing long ago, and lets nothing go.
  */
 import { Limits, Sizes } from '@reedyard/constants';
-import { zonesOf, policyOf, set, type AgentState, type Work } from './state.js';
+import { zonesOf, policyOf, update, type AgentState, type Transition } from './state.js';
 
 /** A change that was made, and the revision that it made. */
 export type MadeChange = { readonly id: string; readonly revision: number };
@@ -28,15 +28,15 @@
  * Notes revisions that are new since the last time; of those that are over the window the newest
  * one is enough.
  */
-export const noteRevisions = (work: Work): void => {
-  const { now } = work.state;
+export const noteRevisions = (transition: Transition): void => {
+  const { now } = transition.state;
   for (const key of identified) {
-    const learnt = work.state.learntRevisions[key];
-    const revision = revisionOf(work.state, key);
+    const learnt = transition.state.learntRevisions[key];
+    const revision = revisionOf(transition.state, key);
     if (revision === (learnt.at(-1)?.revision ?? 0)) continue;
     const over = learnt.filter((each) => now - each.at > Limits.repeatWindow);
     const kept = [...over.slice(-1), ...learnt.slice(over.length), { revision, at: now }];
-    set(work, { learntRevisions: { ...work.state.learntRevisions, [key]: kept } });
+    update(transition, { learntRevisions: { ...transition.state.learntRevisions, [key]: kept } });
   }
 };
 
--- a/packages/agent/src/changes.test.ts
+++ b/packages/agent/src/changes.test.ts
@@ -6,8 +6,8 @@
 import { hasSameContent } from './content.js';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
-import { zonesValueOf, type AgentState, type Work } from './state.js';
-import type { PolicyValue } from './terms.js';
+import { zonesValueOf, type AgentState, type Transition } from './state.js';
+import type { PolicyRegister } from './terms.js';
 
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
 const document = (version: number | undefined, note: string): Policy =>
@@ -33,15 +33,15 @@
 };
 
 test('only the content that is held is acknowledged under its version', (t) => {
-  const held = after(put(document(7, 'x'), 'a'), null) as PolicyValue;
+  const held = after(put(document(7, 'x'), 'a'), null) as PolicyRegister;
   t.deepEqual(put(document(7, 'x'), 'b')(held), { kind: 'keep' });
   t.deepEqual(put(document(7, 'y'), 'b')(held), { kind: 'refuse', reason: 'version-taken' });
   t.deepEqual(put(document(6, 'y'), 'b')(held), { kind: 'keep' });
-  t.is((after(put(document(8, 'y'), 'b'), held) as PolicyValue).document.version, 8);
+  t.is((after(put(document(8, 'y'), 'b'), held) as PolicyRegister).document.version, 8);
 });
 
 test('a configuration that was taken under If-Match is acknowledged again, also under another id', (t) => {
-  const first = after(put(document(undefined, 'x'), 'a', 0), null) as PolicyValue;
+  const first = after(put(document(undefined, 'x'), 'a', 0), null) as PolicyRegister;
   t.deepEqual(put(document(undefined, 'x'), 'b', 0)(first), { kind: 'keep' });
   t.deepEqual(put(document(undefined, 'y'), 'b', 0)(first), {
     kind: 'refuse',
@@ -121,14 +121,14 @@
 test('a revision counts as lapsed once this node has known it for the repeat window, by its own clock', (t) => {
   let state: AgentState = Agent.open({ self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 });
   const learn = (revision: number, now: number): void => {
-    const work: Work = { state: { ...state, now }, effects: [] };
+    const transition: Transition = { state: { ...state, now }, effects: [] };
     learnRegister(
-      work,
+      transition,
       'zones',
       { counter: revision, proposerId: 'x' },
       { ...zonesValueOf(null), revision },
     );
-    state = Agent.reduce(work.state, { kind: 'beat', now }).state;
+    state = Agent.reduce(transition.state, { kind: 'beat', now }).state;
   };
   const at = (now: number): number => lapsedRevision({ ...state, now }, 'zones');
   for (let index = 1; index <= 500; index += 1) learn(index, 100 * index);
--- a/packages/agent/src/changes.ts
+++ b/packages/agent/src/changes.ts
@@ -10,15 +10,15 @@
 import { findChange, rememberChange } from './change-ids.js';
 import { hasSameContent } from './content.js';
 import { zonesValueOf, without } from './state.js';
-import type { ClaimState, ClaimValue, ZonesValue, PolicyValue } from './terms.js';
+import type { ClaimState, ClaimRegister, ZonesRegister, PolicyRegister } from './terms.js';
 
 /**
  * What the register held when a change was first applied, and what it holds in the present ballot.
  */
-export type Reading = { readonly first: unknown; readonly now: unknown };
+export type ReadHistory = { readonly first: unknown; readonly now: unknown };
 
 /** A change of a register; `reading` is given from the second ballot on. */
-export type RegisterChange = (current: unknown, reading?: Reading) => ChangeResult;
+export type RegisterChange = (current: unknown, reading?: ReadHistory) => ChangeResult;
 
 /** Why an operator's change was refused. */
 export const Refusals = {
@@ -56,7 +56,7 @@
 const policy =
   ({ document, ifMatch, changeId, lapsed }: PolicyOrder): RegisterChange =>
   (current) => {
-    const old = current as PolicyValue | null;
+    const old = current as PolicyRegister | null;
     if (findChange(old?.changes ?? [], changeId) !== undefined) return keep;
     const order = old === null ? 'newer' : compareVersions(old.document, document);
     const revision = old?.revision ?? 0;
@@ -72,7 +72,7 @@
     const changes = rememberChange(old?.changes ?? [], made, lapsed);
     return {
       kind: 'write',
-      value: { revision: made.revision, document, changes } satisfies PolicyValue,
+      value: { revision: made.revision, document, changes } satisfies PolicyRegister,
     };
   };
 
@@ -88,9 +88,9 @@
 
 /** The lists of zones after an order. */
 const zonesAfter = (
-  old: ZonesValue,
+  old: ZonesRegister,
   { zone, order, of }: ZoneOrderChange,
-): Pick<ZonesValue, 'emptied' | 'closedOrigins'> => {
+): Pick<ZonesRegister, 'emptied' | 'closedOrigins'> => {
   const others = (zones: readonly string[]): readonly string[] =>
     zones.filter((each) => each !== zone);
   const withZone = (zones: readonly string[], isIn: boolean): readonly string[] =>
@@ -105,15 +105,15 @@
 };
 
 const isInForce = (
-  old: ZonesValue,
-  next: Pick<ZonesValue, 'emptied' | 'closedOrigins'>,
+  old: ZonesRegister,
+  next: Pick<ZonesRegister, 'emptied' | 'closedOrigins'>,
   zone: string,
 ): boolean =>
   old.emptied.includes(zone) === next.emptied.includes(zone) &&
   old.closedOrigins.includes(zone) === next.closedOrigins.includes(zone);
 
 /** Whether another order for the zone was chosen since this one first read the register. */
-const isOvertaken = (reading: Reading | undefined, zone: string): boolean =>
+const isOvertaken = (reading: ReadHistory | undefined, zone: string): boolean =>
   reading !== undefined &&
   zonesValueOf(reading.first).lastOrders[zone] !== zonesValueOf(reading.now).lastOrders[zone];
 
@@ -134,7 +134,7 @@
     }
     const revision = old.revision + 1;
     const isReopened = old.closedOrigins.includes(zone) && !next.closedOrigins.includes(zone);
-    const value: ZonesValue = {
+    const value: ZonesRegister = {
       ...next,
       revision,
       reopened: isReopened ? { ...old.reopened, [zone]: revision } : old.reopened,
@@ -148,12 +148,12 @@
 const claim =
   (token: string, node: string, life: string, digest: string): RegisterChange =>
   (current) => {
-    const old = current as ClaimValue | null;
+    const old = current as ClaimRegister | null;
     if (old !== null && old.digest !== digest) return { kind: 'refuse', reason: 'other' };
     if (old === null || (old.state === 'not-run' && old.token !== token)) {
       return {
         kind: 'write',
-        value: { token, state: 'pending', node, life, digest } satisfies ClaimValue,
+        value: { token, state: 'pending', node, life, digest } satisfies ClaimRegister,
       };
     }
     return old.token === token && old.state === 'pending'
@@ -165,9 +165,9 @@
 const settle =
   (token: string, state: ClaimState): RegisterChange =>
   (current) => {
-    const old = current as ClaimValue | null;
+    const old = current as ClaimRegister | null;
     if (old === null || old.token !== token || old.state === state) return keep;
-    return { kind: 'write', value: { ...old, state } satisfies ClaimValue };
+    return { kind: 'write', value: { ...old, state } satisfies ClaimRegister };
   };
 
 /** A quota leader's next allocation, fenced by its term. */
--- a/packages/agent/src/core.ts
+++ b/packages/agent/src/core.ts
@@ -5,88 +5,111 @@
 import { Gossip } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
-import { dropCaller, tendProposalRuns, tookVote } from './ballots.js';
+import { abandonCaller, tendProposals, handleVoteReply } from './ballots.js';
 import { noteRevisions } from './change-ids.js';
-import { fed } from './feed.js';
-import { pullInterval, renewLease } from './lease.js';
-import { awaitOwnReplica, tendMembership } from './membership.js';
-import { computeSplit, gossip, heartbeat, isJoining, learn, pingAll, tookPing } from './network.js';
+import { handleProxyRequest } from './feed.js';
+import { pollIntervalMs, renewLease } from './lease.js';
+import { lookUpOwnReplica, tendMembership } from './membership.js';
+import {
+  computeRoutingTable,
+  exchangeGossip,
+  heartbeat,
+  isJoining,
+  learnRecords,
+  pingPeers,
+  handlePingReply,
+} from './network.js';
 import { operator } from './operators.js';
-import { tendPostings, tookPost } from './postings.js';
+import { tendAppends, handleAppendReply } from './postings.js';
 import {
-  lostPull,
-  pullAll,
-  pullOverdue,
-  tookFetch,
-  tookLook,
-  tookPull,
-  tookRestored,
+  handlePollFailure,
+  pollAll,
+  pollEarly,
+  handleRegisterRead,
+  handleLookUpReply,
+  handlePollReply,
+  handleRestored,
 } from './pulls.js';
 import { tendQuotaLeadership } from './quota-leadership.js';
-import { noteAnswer, noteLeaseLost } from './reachability.js';
-import { type AgentState, noteBeat, replicaView, send, set, without, type Work } from './state.js';
-import { sweep } from './sweep.js';
-import type { AgentCall, AgentEffect, AgentEvent, AgentReply, AgentVoting, Self } from './terms.js';
+import { noteReply, noteLeaseLost } from './reachability.js';
+import {
+  type AgentState,
+  noteTick,
+  newReplicaView,
+  sendToAgent,
+  update,
+  without,
+  type Transition,
+} from './state.js';
+import { expireState } from './sweep.js';
+import type {
+  AgentCall,
+  AgentEffect,
+  AgentEvent,
+  AgentReply,
+  AgentBootstrap,
+  Self,
+} from './terms.js';
 
 type ExchangeCall = Extract<AgentCall, { kind: 'exchange' }>;
 
-const tookExchange = (work: Work, { exchange }: ExchangeCall): AgentReply => {
+const answerExchange = (transition: Transition, { exchange }: ExchangeCall): AgentReply => {
   const { from, digest, sample } = exchange;
-  const { self, gossip, now } = work.state;
+  const { self, gossip, now } = transition.state;
   const mine = Gossip.sample(gossip.view, { id: self.id, address: self.address }, (now % 97) / 97);
   const compared = Gossip.compare(gossip, digest);
   const view = Gossip.shuffle(gossip.view, self.id, [...sample, { ...from, age: 0 }], mine);
-  set(work, { gossip: { ...gossip, view } });
+  update(transition, { gossip: { ...gossip, view } });
   return { kind: 'exchanged', exchanged: { ...compared, sample: mine } };
 };
 
-const asked = (work: Work, id: number, body: AgentCall): void => {
+const handleAgentRequest = (transition: Transition, id: number, body: AgentCall): void => {
   const tell = (reply: AgentReply): void => {
-    work.effects.push({ kind: 'tell', id, body: reply });
+    transition.effects.push({ kind: 'tell', id, body: reply });
   };
   switch (body.kind) {
     case 'ping':
       tell({ kind: 'ok' });
       return;
     case 'push':
-      learn(work, body.tellings);
+      learnRecords(transition, body.tellings);
       tell({ kind: 'ok' });
       return;
     case 'exchange':
-      tell(tookExchange(work, body));
+      tell(answerExchange(transition, body));
       return;
   }
 };
 
-const tookExchanged = (work: Work, to: string, reply: AgentReply): void => {
+const handleExchangeReply = (transition: Transition, to: string, reply: AgentReply): void => {
   if (reply.kind !== 'exchanged') return;
-  learn(work, reply.exchanged.newer);
-  const { self, gossip } = work.state;
+  learnRecords(transition, reply.exchanged.newer);
+  const { self, gossip } = transition.state;
   const view = Gossip.shuffle(gossip.view, self.id, reply.exchanged.sample, []);
-  set(work, { gossip: { ...gossip, view } });
-  const wanted = Gossip.pick(work.state.gossip, reply.exchanged.wants);
+  update(transition, { gossip: { ...gossip, view } });
+  const wanted = Gossip.pick(transition.state.gossip, reply.exchanged.wants);
   if (Object.keys(wanted).length > 0)
-    send(work, to, { kind: 'push', tellings: wanted }, { kind: 'push' });
+    sendToAgent(transition, to, { kind: 'push', tellings: wanted }, { kind: 'push' });
 };
 
-const returned = (work: Work, id: number, body: ReplicaReply | AgentReply): void => {
-  const pending = work.state.pending[id];
+const handleReply = (transition: Transition, id: number, body: ReplicaReply | AgentReply): void => {
+  const pending = transition.state.pendingRequests[id];
   if (pending === undefined) return;
-  set(work, { pending: without(work.state.pending, id) });
-  if ('replica' in pending) noteAnswer(work, pending.replica);
+  update(transition, { pendingRequests: without(transition.state.pendingRequests, id) });
+  if ('replica' in pending) noteReply(transition, pending.replica);
   switch (pending.kind) {
-    case 'pull':
-      tookPull(work, pending.replica, pending.sentAt, body as ReplicaReply);
+    case 'poll':
+      handlePollReply(transition, pending.replica, pending.sentAt, body as ReplicaReply);
       return;
-    case 'look':
-      tookLook(work, pending.address, body as ReplicaReply);
+    case 'look-up':
+      handleLookUpReply(transition, pending.address, body as ReplicaReply);
       return;
-    case 'fetch':
-      tookFetch(work, pending.key, body as ReplicaReply);
+    case 'read-register':
+      handleRegisterRead(transition, pending.key, body as ReplicaReply);
       return;
     case 'vote':
-      tookVote(
-        work,
+      handleVoteReply(
+        transition,
         pending.key,
         pending.replica,
         pending.phase,
@@ -94,62 +117,70 @@
         body as ReplicaReply,
       );
       return;
-    case 'post':
-      tookPost(work, pending.posting, pending.replica, body as ReplicaReply);
+    case 'append-entries':
+      handleAppendReply(transition, pending.appendId, pending.replica, body as ReplicaReply);
       return;
     case 'ping':
-      tookPing(work, pending.edge, (work.state.now - pending.sentAt) / 1_000);
+      handlePingReply(transition, pending.peerId, (transition.state.now - pending.sentAt) / 1_000);
       return;
     case 'push':
       return;
     case 'restore':
-      tookRestored(work, pending.replica, pending.epoch, pending.upTo, body as ReplicaReply);
+      handleRestored(
+        transition,
+        pending.replica,
+        pending.epoch,
+        pending.restoredCount,
+        body as ReplicaReply,
+      );
       return;
     case 'exchange':
-      tookExchanged(work, pending.to, body as AgentReply);
+      handleExchangeReply(transition, pending.to, body as AgentReply);
       return;
   }
 };
 
-const lost = (work: Work, id: number): void => {
-  const pending = work.state.pending[id];
+const handleFailure = (transition: Transition, id: number): void => {
+  const pending = transition.state.pendingRequests[id];
   if (pending === undefined) return;
-  set(work, { pending: without(work.state.pending, id) });
-  if (pending.kind === 'pull') lostPull(work, pending.replica);
+  update(transition, { pendingRequests: without(transition.state.pendingRequests, id) });
+  if (pending.kind === 'poll') handlePollFailure(transition, pending.replica);
   if (pending.kind === 'exchange' && pending.peer !== null) {
-    const { gossip } = work.state;
+    const { gossip } = transition.state;
     const view = gossip.view.filter((each) => each.id !== pending.peer);
-    set(work, { gossip: { ...gossip, view } });
+    update(transition, { gossip: { ...gossip, view } });
   }
 };
 
-const beat = (work: Work): void => {
-  const { now } = work.state;
-  const due = (name: keyof AgentState['due'], every: number, act: () => void): void => {
-    if (now < work.state.due[name]) return;
-    set(work, { due: { ...work.state.due, [name]: now + every } });
+const tick = (transition: Transition): void => {
+  const { now } = transition.state;
+  const due = (name: keyof AgentState['nextDueAt'], every: number, act: () => void): void => {
+    if (now < transition.state.nextDueAt[name]) return;
+    update(transition, { nextDueAt: { ...transition.state.nextDueAt, [name]: now + every } });
     act();
   };
-  const { beatAt } = work.state;
-  noteBeat(work);
-  noteLeaseLost(work, beatAt);
-  noteRevisions(work);
-  tendProposalRuns(work);
-  tendPostings(work);
-  due('pull', pullInterval(work.state), () => {
-    pullAll(work);
-    if (work.state.self.replica === null) tendMembership(work);
+  const { lastTickAt: beatAt } = transition.state;
+  noteTick(transition);
+  noteLeaseLost(transition, beatAt);
+  noteRevisions(transition);
+  tendProposals(transition);
+  tendAppends(transition);
+  due('pull', pollIntervalMs(transition.state), () => {
+    pollAll(transition);
+    if (transition.state.self.replica === null) tendMembership(transition);
   });
-  awaitOwnReplica(work);
-  if (work.state.self.replica !== null) tendMembership(work);
-  pullOverdue(work);
-  due('heartbeat', Beats.heartbeat, () => heartbeat(work));
-  due('gossip', isJoining(work.state) ? Beats.lapsed : Beats.gossip, () => gossip(work));
-  due('ping', Beats.pingDraw, () => pingAll(work));
-  due('sweep', Beats.heartbeat, () => sweep(work));
-  due('division', Beats.division, () => tendQuotaLeadership(work));
-  computeSplit(work);
-  renewLease(work);
+  lookUpOwnReplica(transition);
+  if (transition.state.self.replica !== null) tendMembership(transition);
+  pollEarly(transition);
+  due('heartbeat', Beats.heartbeat, () => heartbeat(transition));
+  due('gossip', isJoining(transition.state) ? Beats.lapsed : Beats.gossip, () =>
+    exchangeGossip(transition),
+  );
+  due('ping', Beats.pingDraw, () => pingPeers(transition));
+  due('sweep', Beats.heartbeat, () => expireState(transition));
+  due('division', Beats.division, () => tendQuotaLeadership(transition));
+  computeRoutingTable(transition);
+  renewLease(transition);
 };
 
 export const Agent = {
@@ -167,92 +198,95 @@
     readonly seed: number;
     readonly now: number;
     /** Where members found themselves from seeds; `founders` is then not looked at. */
-    readonly voting?: AgentVoting | null;
+    readonly voting?: AgentBootstrap | null;
   }): AgentState => {
     const founders = parts.voting ? [] : Object.entries(parts.founders);
     const { self, life, seeds, seed, now } = parts;
     return {
       self,
-      life,
+      incarnation: life,
       seeds,
-      seed,
+      randomSeed: seed,
       now,
-      nextId: 1,
-      pending: {},
-      voting: parts.voting ?? null,
-      openedAt: now,
+      nextRequestId: 1,
+      pendingRequests: {},
+      bootstrap: parts.voting ?? null,
+      startedAt: now,
       ownReplica: null,
       spares: {},
       replicas: Object.fromEntries(
-        founders.map(([name, address]) => [name, replicaView(address, now)]),
+        founders.map(([name, address]) => [name, newReplicaView(address, now)]),
       ),
       registers: {},
-      highestBallot: zeroProposalNumber,
-      candidates: {},
-      hanging: {},
-      lease: 0,
-      beatAt: now,
-      lateAt: now,
-      returnedAt: now,
-      flushes: 0,
-      facts: [],
-      factKeys: {},
-      factSeq: 0,
-      posted: {},
-      reopened: {},
-      claims: [Table(), Table(), Table()],
-      claimsFrom: now,
-      proposalRuns: {},
-      runs: {},
+      highestProposalNumber: zeroProposalNumber,
+      fetchedValues: {},
+      incompleteWrites: {},
+      leaseUntil: 0,
+      lastTickAt: now,
+      lastLateTickAt: now,
+      lastReplicaReturnAt: now,
+      cacheFlushCount: 0,
+      entries: [],
+      entryKeys: {},
+      lastEntrySequence: 0,
+      committedEntryKeys: {},
+      zonesRestoredAt: {},
+      claimSpans: [Table(), Table(), Table()],
+      claimSpanStartedAt: now,
+      pendingChanges: {},
+      activeProposals: {},
       learntRevisions: { policy: [], zones: [] },
-      postings: {},
+      pendingAppends: {},
       gossip: Gossip.empty,
-      delays: {},
-      report: null,
-      fedParts: {},
-      sent: null,
-      sentAt: 0,
-      notices: 0,
-      split: {},
-      splitAt: 0,
-      splitStale: true,
-      splitOver: '',
-      splits: 0,
-      planSeen: { term: 0, beat: 0, at: now },
+      delaysByPeer: {},
+      proxyReport: null,
+      lastFeedParts: {},
+      announcedVector: null,
+      vectorAnnouncedAt: 0,
+      vectorAnnouncementCount: 0,
+      routingTable: {},
+      routingTableCheckedAt: 0,
+      isRoutingTableStale: true,
+      routingTableNodes: '',
+      routingTableCount: 0,
+      allocationSeen: { term: 0, beat: 0, at: now },
       quotaLeadership: null,
-      due: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
+      nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
     };
   },
 
   /** @example Agent.reduce(state, { kind: 'beat', now: 50 }).effects */
   reduce: (state: AgentState, event: AgentEvent): Step<AgentState, AgentEffect> => {
-    const work: Work = { state: { ...state, now: Math.max(state.now, event.now) }, effects: [] };
+    const transition: Transition = {
+      state: { ...state, now: Math.max(state.now, event.now) },
+      effects: [],
+    };
     switch (event.kind) {
       case 'beat':
-        beat(work);
+        tick(transition);
         break;
       case 'asked':
-        asked(work, event.id, event.body);
+        handleAgentRequest(transition, event.id, event.body);
         break;
       case 'fed':
-        fed(work, event.id, event.body);
+        handleProxyRequest(transition, event.id, event.body);
         break;
       case 'operator':
-        operator(work, event.id, event.action);
+        operator(transition, event.id, event.action);
         break;
       case 'returned':
-        returned(work, event.id, event.body);
+        handleReply(transition, event.id, event.body);
         break;
       case 'lost':
-        lost(work, event.id);
+        handleFailure(transition, event.id);
         break;
       case 'caller-gone':
-        dropCaller(work, event.id);
+        abandonCaller(transition, event.id);
         break;
       case 'woken':
-        tendProposalRuns(work);
+        tendProposals(transition);
         break;
     }
-    return { state: work.state, effects: work.effects };
+    return { state: transition.state, effects: transition.effects };
   },
 } as const;
--- a/packages/agent/src/feed.test.ts
+++ b/packages/agent/src/feed.test.ts
@@ -48,7 +48,7 @@
   const same = ask(first.state, holding);
   t.deepEqual(parts(same.told), []);
   t.is(same.told.life, 'j1');
-  const split = ask({ ...same.state, split: { sheets: [['front-1', 1]] } }, holding);
+  const split = ask({ ...same.state, routingTable: { sheets: [['front-1', 1]] } }, holding);
   t.deepEqual(parts(split.told), ['split']);
   t.deepEqual(split.told.split, { sheets: [['front-1', 1]] });
   // Its answer got lost: the proxy still holds the former one, and is told again.
@@ -56,7 +56,10 @@
   t.deepEqual(parts(ask(split.state, { life: 'j1', revisions: split.told.revisions }).told), []);
   // And back to what it was: that is a change too.
   t.deepEqual(
-    parts(ask({ ...split.state, split: {} }, { life: 'j1', revisions: split.told.revisions }).told),
+    parts(
+      ask({ ...split.state, routingTable: {} }, { life: 'j1', revisions: split.told.revisions })
+        .told,
+    ),
     ['split'],
   );
 });
--- a/packages/agent/src/feed.ts
+++ b/packages/agent/src/feed.ts
@@ -3,16 +3,22 @@
 import type { Purge } from '@reedyard/schemas';
 import { propose } from './ballots.js';
 import { Changes } from './changes.js';
-import { boundsOf, heartbeat, originRows, peerRows, tookMeasure } from './network.js';
-import { isUnreachable, mayActFor } from './reachability.js';
 import {
-  bearsLosses,
+  serviceRateLimits,
+  heartbeat,
+  originEndpoints,
+  peerEndpoints,
+  noteMeasurement,
+} from './network.js';
+import { isUnreachable, actingAllowanceMs } from './reachability.js';
+import {
+  toleratesLosses,
   zonesOf,
-  planOf,
+  quotaAllocationOf,
   policyOf,
-  set,
+  update,
   type AgentState,
-  type Work,
+  type Transition,
 } from './state.js';
 import {
   feedParts,
@@ -26,9 +32,9 @@
 } from './terms.js';
 
 const purgesAfter = (state: AgentState, seq: number): Feed['purges'] =>
-  state.facts.flatMap((fact) =>
-    fact.seq > seq && fact.key.startsWith('purge/')
-      ? [{ seq: fact.seq, purge: fact.value as Purge }]
+  state.entries.flatMap((entry) =>
+    entry.seq > seq && entry.key.startsWith('purge/')
+      ? [{ seq: entry.seq, purge: entry.value as Purge }]
       : [],
   );
 
@@ -36,13 +42,13 @@
  * Whether the division has given this node most of its slices; without services there is nothing to
  * divide.
  */
-export const isSeated = (state: AgentState): boolean =>
+export const hasMostQuotas = (state: AgentState): boolean =>
   Object.keys(policyOf(state)?.document.services ?? {}).length === 0 ||
-  planOf(state)?.seated.includes(state.self.id) === true;
+  quotaAllocationOf(state)?.seated.includes(state.self.id) === true;
 
 const slicesOf = (state: AgentState): Feed['slices'] => {
-  const plan = planOf(state);
-  const rates = Object.entries(boundsOf(state)).map(
+  const plan = quotaAllocationOf(state);
+  const rates = Object.entries(serviceRateLimits(state)).map(
     ([name, bound]) => [name, rateOf(plan?.slices[name] ?? {}, state.self.id, bound)] as const,
   );
   return Object.fromEntries(rates);
@@ -52,26 +58,26 @@
   const policy = policyOf(state);
   const isNew = policy !== null && policy.revision !== report.policyRevision;
   return {
-    leaseMs: mayActFor(state),
-    life: state.life,
-    flushes: state.flushes,
+    leaseMs: actingAllowanceMs(state),
+    life: state.incarnation,
+    flushes: state.cacheFlushCount,
     policy: isNew ? { revision: policy.revision, document: policy.document } : null,
     policyRevision: policy?.revision ?? 0,
-    origins: originRows(state),
-    peers: peerRows(state),
+    origins: originEndpoints(state),
+    peers: peerEndpoints(state),
     emptied: zonesOf(state)?.emptied ?? [],
-    split: state.split,
+    split: state.routingTable,
     slices: slicesOf(state),
-    seated: isSeated(state),
-    purges: purgesAfter(state, report.life === state.life ? report.purgeSeq : 0),
-    purgeSeq: state.factSeq,
+    seated: hasMostQuotas(state),
+    purges: purgesAfter(state, report.life === state.incarnation ? report.purgeSeq : 0),
+    purgeSeq: state.lastEntrySequence,
   };
 };
 
-type FedParts = Required<AgentState['fedParts']>;
+type FedParts = Required<AgentState['lastFeedParts']>;
 
 /** The parts of a feed with their revisions; one that changed gets a new one. */
-const revisedParts = (before: AgentState['fedParts'], whole: Feed): FedParts => {
+const revisedParts = (before: AgentState['lastFeedParts'], whole: Feed): FedParts => {
   const parts = feedParts.map((part) => {
     const value = whole[part];
     const known = before[part];
@@ -84,12 +90,12 @@
 };
 
 /** The feed without the parts that the proxy holds as they are. */
-const feedFor = (work: Work, report: Report, held: Holding | null): FeedTold => {
-  const whole = feed(work.state, report);
-  const now = revisedParts(work.state.fedParts, whole);
-  set(work, { fedParts: now });
+const feedReplyFor = (transition: Transition, report: Report, held: Holding | null): FeedTold => {
+  const whole = feed(transition.state, report);
+  const now = revisedParts(transition.state.lastFeedParts, whole);
+  update(transition, { lastFeedParts: now });
   const isHeld = (part: FeedPart): boolean =>
-    held?.life === work.state.life && held.revisions[part] === now[part].revision;
+    held?.life === transition.state.incarnation && held.revisions[part] === now[part].revision;
   const told = Object.entries(whole).filter(
     ([name]) => now[name as FeedPart] === undefined || !isHeld(name as FeedPart),
   );
@@ -99,36 +105,40 @@
   return { ...(Object.fromEntries(told) as Omit<FeedTold, 'revisions'>), revisions };
 };
 
-const tookReport = (work: Work, report: Report): void => {
-  const before = work.state.report?.report;
+const noteReport = (transition: Transition, report: Report): void => {
+  const before = transition.state.proxyReport?.proxyReport;
   const isChanged =
     before === undefined ||
     before.proxyLife !== report.proxyLife ||
     before.stopping !== report.stopping;
-  set(work, { report: { report, at: work.state.now } });
-  if (isChanged) heartbeat(work);
-  if (report.measure !== null) tookMeasure(work, report.measure);
+  update(transition, { proxyReport: { proxyReport: report, at: transition.state.now } });
+  if (isChanged) heartbeat(transition);
+  if (report.measure !== null) noteMeasurement(transition, report.measure);
 };
 
 /** Takes a call of this machine's proxy. */
-export const fed = (work: Work, id: number, body: ProxyCall): void => {
+export const handleProxyRequest = (transition: Transition, id: number, body: ProxyCall): void => {
   switch (body.kind) {
     case 'feed':
-      tookReport(work, body.report);
-      work.effects.push({ kind: 'tell', id, body: feedFor(work, body.report, body.held) });
+      noteReport(transition, body.report);
+      transition.effects.push({
+        kind: 'tell',
+        id,
+        body: feedReplyFor(transition, body.report, body.held),
+      });
       return;
     case 'claim': {
-      if (!bearsLosses(work.state) || isUnreachable(work.state)) {
-        work.effects.push({ kind: 'tell', id, body: { kind: 'unreached' } });
+      if (!toleratesLosses(transition.state) || isUnreachable(transition.state)) {
+        transition.effects.push({ kind: 'tell', id, body: { kind: 'unreached' } });
         return;
       }
-      const change = Changes.claim(body.token, work.state.self.id, body.life, body.digest);
-      propose(work, `claim/${body.key}`, change, { kind: 'claim', id });
+      const change = Changes.claim(body.token, transition.state.self.id, body.life, body.digest);
+      propose(transition, `claim/${body.key}`, change, { kind: 'claim', id });
       return;
     }
     case 'settle':
-      propose(work, `claim/${body.key}`, Changes.settle(body.token, body.state), {
-        kind: 'settle',
+      propose(transition, `claim/${body.key}`, Changes.settle(body.token, body.state), {
+        kind: 'settle-claim',
         id,
       });
       return;
--- a/packages/agent/src/lease.test.ts
+++ b/packages/agent/src/lease.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { Limits } from '@reedyard/constants';
-import { isLow } from './lease.js';
+import { isLeaseLow } from './lease.js';
 import { AgentUnderTest, ballotOf, pulledReply, type AddressedCall } from './replicas.fixture.js';
 
 const pullsIn = (calls: readonly AddressedCall[]): readonly AddressedCall[] =>
@@ -35,7 +35,7 @@
   const agent = new AgentUnderTest();
   const first = pullsIn(agent.beat(100));
   const fetch = fetchIn(answerAll(agent, first, 1, 150));
-  t.is(agent.state.lease, 0, 'the plan is not known yet');
+  t.is(agent.state.leaseUntil, 0, 'the plan is not known yet');
   // Before it is fetched, the next pull shows a newer plan: the register is written all the time.
   answerAll(agent, pullsIn(agent.beat(700)), 2, 750);
   if (fetch === undefined) {
@@ -51,7 +51,7 @@
     },
     760,
   );
-  t.is(agent.state.lease, 100 + Limits.lease);
+  t.is(agent.state.leaseUntil, 100 + Limits.lease);
 });
 
 test('a fetched value that is newer than what pulls show is learned once they show it, and not fetched twice', (t) => {
@@ -81,7 +81,7 @@
   t.is(agent.state.registers.plan, undefined, 'one of three shows it');
   t.is(fetchIn(answerAll(agent, [two], 2, 750)), undefined);
   t.deepEqual(agent.state.registers.plan?.proposalNumber, ballotOf(2));
-  t.is(agent.state.lease, 700 + Limits.lease);
+  t.is(agent.state.leaseUntil, 700 + Limits.lease);
 });
 
 test('each register may be proven by another majority, and none by less than one', (t) => {
@@ -93,7 +93,7 @@
   };
   for (const call of pullsIn(agent.beat(100)))
     agent.answer(call, pulledReply(call.replica, shown[call.replica] as never), 150);
-  t.is(agent.state.lease, 100 + Limits.lease);
+  t.is(agent.state.leaseUntil, 100 + Limits.lease);
   const other = new AgentUnderTest();
   for (const call of pullsIn(other.beat(100)))
     other.answer(
@@ -101,13 +101,13 @@
       pulledReply(call.replica, call.replica === 'c' ? {} : { policy: ballotOf(9) }),
       150,
     );
-  t.is(other.state.lease, 0, 'two of three show a policy that is not known here');
+  t.is(other.state.leaseUntil, 0, 'two of three show a policy that is not known here');
 });
 
 test('a lease that runs low asks those again that do not carry it; at rest nobody is asked more often', (t) => {
   const agent = new AgentUnderTest();
   /** Beats until a moment, and counts the pulls of each replica. */
-  const run = (
+  const active = (
     until: number,
     answers: (replica: string, now: number) => boolean,
   ): Readonly<Record<string, number>> => {
@@ -119,28 +119,28 @@
     });
     return counts;
   };
-  run(1_000, () => true);
+  active(1_000, () => true);
   t.deepEqual(
-    run(11_000, () => true),
+    active(11_000, () => true),
     { a: 20, b: 20, c: 20 },
     'at rest, twice a second',
   );
   t.deepEqual(
-    run(21_000, (replica) => replica !== 'c'),
+    active(21_000, (replica) => replica !== 'c'),
     { a: 20, b: 20, c: 20 },
     'one replica is away',
   );
   // Two pulls in turn are lost: it is borne.
   const from = agent.state.now;
-  run(from + 5_000, (_replica, now) => now < from + 700 || now > from + 1_700);
-  t.false(isLow(agent.state));
-  t.true(agent.state.lease > agent.state.now);
+  active(from + 5_000, (_replica, now) => now < from + 700 || now > from + 1_700);
+  t.false(isLeaseLow(agent.state));
+  t.true(agent.state.leaseUntil > agent.state.now);
   // A replica that carries the lease is left alone; the others are asked five times a second.
   // The regular turn comes 0.2 to 0.3 s from now, so that it meets none of the turns looked at.
-  const untilTurn = (): number => agent.state.due.pull - agent.state.now;
-  while (untilTurn() <= 200 || untilTurn() > 300) run(agent.state.now + 100, () => true);
+  const untilTurn = (): number => agent.state.nextDueAt.pull - agent.state.now;
+  while (untilTurn() <= 200 || untilTurn() > 300) active(agent.state.now + 100, () => true);
   const low = agent.state.now;
-  run(low + 600, () => false);
+  active(low + 600, () => false);
   const asked = [700, 800, 900, 1_000].map((ms) => {
     const calls = agent.beat(low + ms);
     for (const call of calls) {
@@ -148,7 +148,7 @@
     }
     return calls.map(({ replica }) => replica).join(' ');
   });
-  t.true(isLow(agent.state));
+  t.true(isLeaseLow(agent.state));
   // All three are asked by their regular turn, once in this time, and a once to carry the lease.
   t.true(asked.includes('b c'), asked.join(', '));
   t.true(asked.filter((each) => each.includes('a')).length <= 2, asked.join(', '));
--- a/packages/agent/src/lease.ts
+++ b/packages/agent/src/lease.ts
@@ -8,13 +8,13 @@
 import {
   type AgentState,
   log,
-  type Pulled,
-  type PullSeen,
+  type CountedPolls,
+  type PollSnapshot,
   type ReplicaView,
-  set,
-  watched,
-  type Watched,
-  type Work,
+  update,
+  watchedRegisters,
+  type WatchedRegister,
+  type Transition,
 } from './state.js';
 
 /**
@@ -24,8 +24,8 @@
  */
 
 /** What a lease proves to be known: the newest value of each register, and all facts. */
-type Subject = Watched | 'facts';
-const subjects: readonly Subject[] = [...watched, 'facts'];
+type Subject = WatchedRegister | 'facts';
+const subjects: readonly Subject[] = [...watchedRegisters, 'facts'];
 
 /**
  * Whether all that a pull showed of a subject is known here. Once true it stays true: registers
@@ -33,7 +33,7 @@
  */
 const isKnown = (
   state: AgentState,
-  { more, acceptedNumbers: ballots }: PullSeen,
+  { hasMoreEntries: more, acceptedNumbers: ballots }: PollSnapshot,
   subject: Subject,
 ): boolean => {
   if (subject === 'facts') return !more;
@@ -42,11 +42,11 @@
   return compareProposalNumbers(shown, known) <= 0;
 };
 
-const isWhollyKnown = (state: AgentState, seen: PullSeen): boolean =>
+const isFullyKnown = (state: AgentState, seen: PollSnapshot): boolean =>
   subjects.every((subject) => isKnown(state, seen, subject));
 
 /** The pulls of one replica, the newest first. */
-const pullsOf = (pulled: Pulled | null): readonly PullSeen[] =>
+const pollsOf = (pulled: CountedPolls | null): readonly PollSnapshot[] =>
   pulled === null ? [] : [pulled, ...pulled.earlier];
 
 /**
@@ -54,12 +54,16 @@
  * register that is being written shows a ballot that is not known here yet in nearly every pull,
  * and a pull whose ballots are learned later counts from then on.
  */
-export const stackPull = (state: AgentState, before: Pulled | null, newest: PullSeen): Pulled => {
-  const live = pullsOf(before).filter((each) => state.now - each.sentAt < Limits.lease);
-  const known = live.findIndex((each) => isWhollyKnown(state, each));
+export const addPoll = (
+  state: AgentState,
+  before: CountedPolls | null,
+  newest: PollSnapshot,
+): CountedPolls => {
+  const live = pollsOf(before).filter((each) => state.now - each.sentAt < Limits.lease);
+  const known = live.findIndex((each) => isFullyKnown(state, each));
   const earlier = live
     .slice(0, known < 0 ? live.length : known + 1)
-    .map(({ earlier: _earlier, ...seen }: PullSeen & Partial<Pulled>) => seen);
+    .map(({ earlier: _earlier, ...seen }: PollSnapshot & Partial<CountedPolls>) => seen);
   return { ...newest, earlier };
 };
 
@@ -68,18 +72,18 @@
  */
 export const hasAccepted = (
   view: ReplicaView,
-  key: Watched,
+  key: WatchedRegister,
   proposalNumber: ProposalNumber,
 ): boolean =>
-  pullsOf(view.pulled).some(
+  pollsOf(view.countedPolls).some(
     (each) =>
-      each.copied?.includes(key) !== true &&
+      each.copiedKeys?.includes(key) !== true &&
       compareProposalNumbers(each.acceptedNumbers[key] ?? zeroProposalNumber, proposalNumber) === 0,
   );
 
 /** When the newest pull that shows nothing unknown of a subject was sent to a replica. */
 const knownSince = (state: AgentState, view: ReplicaView, subject: Subject): number | undefined =>
-  pullsOf(view.pulled).find((each) => isKnown(state, each, subject))?.sentAt;
+  pollsOf(view.countedPolls).find((each) => isKnown(state, each, subject))?.sentAt;
 
 /** The sending of the oldest of a majority of pulls that show nothing unknown of a subject. */
 const provenSince = (state: AgentState, subject: Subject): number => {
@@ -96,25 +100,28 @@
  * then has a member among them, so that value is known. The lease is the shortest of these; the
  * majorities need not be the same replicas.
  */
-export const renewLease = (work: Work): void => {
-  const { state } = work;
+export const renewLease = (transition: Transition): void => {
+  const { state } = transition;
   const lease = Limits.lease + Math.min(...subjects.map((each) => provenSince(state, each)));
-  if (lease <= state.lease) return;
+  if (lease <= state.leaseUntil) return;
   // Purges stay on the board for a minute; a node that was away half that long trusts no copy.
-  const missed = state.lease > 0 && lease - state.lease > Limits.fact / 2;
-  if (missed) log(work, 'lease.back', { awayMs: Math.round(lease - state.lease) });
-  set(work, { lease, flushes: state.flushes + (missed ? 1 : 0) });
+  const missed = state.leaseUntil > 0 && lease - state.leaseUntil > Limits.fact / 2;
+  if (missed) log(transition, 'lease.back', { awayMs: Math.round(lease - state.leaseUntil) });
+  update(transition, {
+    leaseUntil: lease,
+    cacheFlushCount: state.cacheFlushCount + (missed ? 1 : 0),
+  });
 };
 
 /** Whether the lease still holds, but a renewal that was due did not come. */
-export const isLow = (state: AgentState): boolean => {
-  const left = state.lease - state.now;
+export const isLeaseLow = (state: AgentState): boolean => {
+  const left = state.leaseUntil - state.now;
   return left > 0 && left < Limits.leaseLow;
 };
 
 /** Whether a replica is to be asked again before its turn, to renew a lease that runs low. */
-export const isOverdue = (state: AgentState, view: ReplicaView): boolean => {
-  if (state.now - view.askedAt < Beats.leaseLow) return false;
+export const isPollOverdue = (state: AgentState, view: ReplicaView): boolean => {
+  if (state.now - view.lastPolledAt < Beats.leaseLow) return false;
   const fresh = state.now - Beats.pull;
   return subjects.some((subject) => (knownSince(state, view, subject) ?? -Infinity) <= fresh);
 };
@@ -124,9 +131,9 @@
  * lease ran out and after a replica that had been silent answers again; not for longer, since then
  * a majority is really away, and a large fleet that asks so often would only hinder its return.
  */
-export const pullInterval = (state: AgentState): number => {
-  if (state.now < state.lease) return Beats.pull;
-  const since = Math.max(state.lease, state.openedAt, state.returnedAt);
+export const pollIntervalMs = (state: AgentState): number => {
+  if (state.now < state.leaseUntil) return Beats.pull;
+  const since = Math.max(state.leaseUntil, state.startedAt, state.lastReplicaReturnAt);
   return state.now - since < Limits.eager ? Beats.lapsed : Beats.pull;
 };
 
@@ -134,5 +141,5 @@
  * ms after which a pull without an answer is sent again. Sooner while this node asks eagerly: a few
  * lost messages must not pass for silence.
  */
-export const pullPatience = (state: AgentState): number =>
-  pullInterval(state) === Beats.lapsed ? Beats.leaseLow : Limits.pull;
+export const pollTimeoutMs = (state: AgentState): number =>
+  pollIntervalMs(state) === Beats.lapsed ? Beats.leaseLow : Limits.pull;
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -2,20 +2,20 @@
 import type { ReplicaReply, Membership } from '@reedyard/replica';
 import { propose } from './ballots.js';
 import { Changes } from './changes.js';
-import { replicasHeard, heartbeat, nodesOf, type ReplicaHeard } from './network.js';
-import { pullNow } from './pulls.js';
+import { replicasKnown, heartbeat, nodesOf, type KnownReplica } from './network.js';
+import { pollNow } from './pulls.js';
 import {
-  bearsLosses,
-  chance,
+  toleratesLosses,
+  nextRandom,
   liveSpares,
   log,
   sendToReplica,
-  set,
-  membersOf,
+  update,
+  committedMembershipOf,
   without,
   type ReplicaView,
   type AgentState,
-  type Work,
+  type Transition,
 } from './state.js';
 
 /**
@@ -26,23 +26,23 @@
  */
 
 /** How likely an agent on a machine with a replica opens a due change at one of its intervals. */
-const proposeChance = 0.5;
+const proposeProbability = 0.5;
 /** The same for agents of other machines, which only help out; each at one of its pulls. */
-const helpChance = 0.05;
+const helpProbability = 0.05;
 
 /**
  * A member is suspected only after this many pulls without an answer, so that a lost message or two
  * are none.
  */
-const pullsToSuspect = 4;
+const pollsToSuspect = 4;
 
 /** A change of the membership that is due. */
 type MembershipChange = {
   readonly member: string;
-  readonly disk: string;
+  readonly diskId: string;
   readonly address: string;
   /** The member that gives up its place, where another machine takes it. */
-  readonly instead?: string;
+  readonly replacedMember?: string;
 };
 
 const hasReplica = (state: AgentState): boolean => state.self.replica !== null;
@@ -52,8 +52,8 @@
  * half the time to catch up after the join itself. Not told how long that is, an agent waits as if
  * there were no spare.
  */
-export const suspicionMs = (state: AgentState): number => {
-  const catchUpMs = state.voting?.catchUpMs;
+export const suspicionTimeoutMs = (state: AgentState): number => {
+  const catchUpMs = state.bootstrap?.catchUpMs;
   if (catchUpMs === undefined) return Limits.memberSilence;
   const left = catchUpMs / 2 - Limits.joinBudget;
   return Math.min(Limits.memberSilence, Math.max(Limits.leastSuspicion, left));
@@ -62,26 +62,31 @@
 // What this agent finds out about replicas
 // -----------------------------------------------------------
 
-const look = (work: Work, address: string): void => {
-  sendToReplica(work, address, { kind: 'poll', cursor: null, keys: [] }, { kind: 'look', address });
+const requestMembership = (transition: Transition, address: string): void => {
+  sendToReplica(
+    transition,
+    address,
+    { kind: 'poll', cursor: null, keys: [] },
+    { kind: 'look-up', address },
+  );
 };
 
 /**
  * An agent without a lease asks the seeds' replicas, and those it heard of, for the membership. Its
  * own it asks always, to tell by gossip which disk waits for a place.
  */
-export const discoverMembers = (work: Work): void => {
-  const { state } = work;
-  if (state.voting === null) return;
+export const discoverMembers = (transition: Transition): void => {
+  const { state } = transition;
+  if (state.bootstrap === null) return;
   const own = state.self.replica?.address;
   const heard = nodesOf(state).flatMap(({ record }) =>
     record.replica === null ? [] : [record.replica.address],
   );
   const known = Object.values(state.replicas).map((view) => view.address);
-  const wanted = state.now < state.lease ? [] : [...state.voting.seeds, ...heard];
+  const wanted = state.now < state.leaseUntil ? [] : [...state.bootstrap.seeds, ...heard];
   const others = wanted.filter((each) => !known.includes(each));
   for (const address of new Set([...others, ...(own === undefined ? [] : [own])])) {
-    look(work, address);
+    requestMembership(transition, address);
   }
 };
 
@@ -89,68 +94,76 @@
  * Until this machine's own replica has answered once it is asked at each interval: it may wait for
  * a place.
  */
-export const awaitOwnReplica = (work: Work): void => {
-  const { voting, self, ownReplica } = work.state;
+export const lookUpOwnReplica = (transition: Transition): void => {
+  const { bootstrap: voting, self, ownReplica } = transition.state;
   if (voting !== null && self.replica !== null && ownReplica === null)
-    look(work, self.replica.address);
+    requestMembership(transition, self.replica.address);
 };
 
 /** What this machine's own replica tells of itself; news of it goes out by gossip at once. */
-export const noteOwnReplica = (work: Work, reply: ReplicaReply): void => {
+export const noteOwnReplica = (transition: Transition, reply: ReplicaReply): void => {
   if (reply.kind === 'newer-membership') return;
   const fresh = reply.kind === 'not-a-member' && reply.isBlank;
-  const before = work.state.ownReplica;
-  set(work, { ownReplica: { disk: reply.diskId, fresh, at: work.state.now } });
-  if (before !== null && before.disk === reply.diskId && before.fresh === fresh) return;
-  heartbeat(work);
-  if (fresh) set(work, { due: { ...work.state.due, gossip: work.state.now } });
+  const before = transition.state.ownReplica;
+  update(transition, {
+    ownReplica: { diskId: reply.diskId, isBlank: fresh, at: transition.state.now },
+  });
+  if (before !== null && before.diskId === reply.diskId && before.isBlank === fresh) return;
+  heartbeat(transition);
+  if (fresh)
+    update(transition, {
+      nextDueAt: { ...transition.state.nextDueAt, gossip: transition.state.now },
+    });
 };
 
 /** Whether the replica that was asked waits for a place. */
-export const noteSpare = (work: Work, address: string, reply: ReplicaReply): void => {
-  const { spares, now } = work.state;
+export const noteSpare = (transition: Transition, address: string, reply: ReplicaReply): void => {
+  const { spares, now } = transition.state;
   if (reply.kind === 'not-a-member' && reply.isBlank) {
-    set(work, {
-      spares: { ...liveSpares(work.state), [address]: { disk: reply.diskId, at: now } },
+    update(transition, {
+      spares: { ...liveSpares(transition.state), [address]: { diskId: reply.diskId, at: now } },
     });
-  } else if (spares[address] !== undefined) set(work, { spares: without(spares, address) });
+  } else if (spares[address] !== undefined)
+    update(transition, { spares: without(spares, address) });
 };
 
-const isAlive = (state: AgentState, each: ReplicaHeard): boolean =>
+const isAlive = (state: AgentState, each: KnownReplica): boolean =>
   each.id === state.self.id || state.now - each.seenAt < Limits.peerSilence;
 
 /**
  * OriginStandIn replicas that gossip tells of and that have no place, nor stand at the address of
  * one.
  */
-const sparesHeard = (state: AgentState, members: Membership): readonly ReplicaHeard[] => {
+const sparesHeard = (state: AgentState, members: Membership): readonly KnownReplica[] => {
   const disks = Object.values(members.disks);
   const addresses = Object.values(members.addresses ?? {});
-  return replicasHeard(state).filter(
+  return replicasKnown(state).filter(
     (each) =>
       isAlive(state, each) &&
-      each.fresh &&
-      !disks.includes(each.disk) &&
+      each.isBlank &&
+      !disks.includes(each.diskId) &&
       !addresses.includes(each.address),
   );
 };
 
-const isSilent = (state: AgentState, view: ReplicaView, ms: number): boolean =>
-  state.now - view.heardAt > ms;
+const isUnresponsive = (state: AgentState, view: ReplicaView, ms: number): boolean =>
+  state.now - view.lastMemberReplyAt > ms;
 
 /**
  * Keeps an eye on spares, and, while one is live, on members that have not answered the last pull.
  */
-const probe = (work: Work, members: Membership): void => {
-  const spares = sparesHeard(work.state, members);
+const checkHealth = (transition: Transition, members: Membership): void => {
+  const spares = sparesHeard(transition.state, members);
   if (spares.length === 0) return;
   for (const { address } of spares) {
-    const heardAt = work.state.spares[address]?.at ?? -Infinity;
-    if (work.state.now - heardAt >= Limits.spareHeard / 2) look(work, address);
+    const heardAt = transition.state.spares[address]?.at ?? -Infinity;
+    if (transition.state.now - heardAt >= Limits.spareHeard / 2)
+      requestMembership(transition, address);
   }
-  for (const [name, view] of Object.entries(work.state.replicas)) {
-    const askedLately = work.state.now - view.askedAt < Beats.agent;
-    if (isSilent(work.state, view, Limits.probing) && !askedLately) pullNow(work, name);
+  for (const [name, view] of Object.entries(transition.state.replicas)) {
+    const askedLately = transition.state.now - view.lastPolledAt < Beats.agent;
+    if (isUnresponsive(transition.state, view, Limits.probing) && !askedLately)
+      pollNow(transition, name);
   }
 };
 
@@ -159,11 +172,11 @@
 
 /** A member's disk that gossip tells of at another address than the membership does. */
 const movedMember = (state: AgentState, members: Membership): MembershipChange | null => {
-  for (const each of replicasHeard(state).filter((heard) => isAlive(state, heard))) {
-    const { disk, address } = each;
+  for (const each of replicasKnown(state).filter((heard) => isAlive(state, heard))) {
+    const { diskId: disk, address } = each;
     const member = Object.keys(members.disks).find((name) => members.disks[name] === disk);
     if (member !== undefined && members.addresses?.[member] !== address) {
-      return { member, disk, address };
+      return { member, diskId: disk, address };
     }
   }
   return null;
@@ -176,11 +189,11 @@
 const bestSpare = (
   state: AgentState,
   members: Membership,
-  spares: readonly ReplicaHeard[],
-): ReplicaHeard | undefined => {
+  spares: readonly KnownReplica[],
+): KnownReplica | undefined => {
   const disks = Object.values(members.disks);
-  const living = replicasHeard(state).filter(
-    (each) => isAlive(state, each) && disks.includes(each.disk),
+  const living = replicasKnown(state).filter(
+    (each) => isAlive(state, each) && disks.includes(each.diskId),
   );
   const inZone = (zone: string): number => living.filter((each) => each.zone === zone).length;
   return [...spares].sort((a, b) => inZone(a.zone) - inZone(b.zone) || (a.id < b.id ? -1 : 1))[0];
@@ -190,7 +203,7 @@
  * Whether neither gossip nor any answer has told of a member's machine for long. Another member's
  * disk that came to its address is no word of it; a blank one is, and gets the place by itself.
  */
-const isGone = (state: AgentState, member: string, members: Membership): boolean => {
+const isMachineGone = (state: AgentState, member: string, members: Membership): boolean => {
   const disk = members.disks[member];
   const address = members.addresses?.[member];
   const heard = nodesOf(state).flatMap(({ record, seenAt }) => {
@@ -200,7 +213,7 @@
     const tells = replica.disk === disk || (replica.address === address && isBlank);
     return tells ? [record.id === state.self.id ? state.now : seenAt] : [];
   });
-  const answered = state.replicas[member]?.heardAt ?? state.now;
+  const answered = state.replicas[member]?.lastMemberReplyAt ?? state.now;
   return state.now - Math.max(answered, ...heard) > Limits.memberSilence;
 };
 
@@ -211,33 +224,37 @@
  * silent must be seen voting.
  */
 const memberToReplace = (state: AgentState): string | null => {
-  const silence = suspicionMs(state);
+  const silence = suspicionTimeoutMs(state);
   if (!hasReplica(state) || silence >= Limits.memberSilence) return null;
   const views = Object.entries(state.replicas);
   const silent = views.filter(
-    ([, view]) => isSilent(state, view, silence) && view.unanswered >= pullsToSuspect,
+    ([, view]) => isUnresponsive(state, view, silence) && view.unansweredPolls >= pollsToSuspect,
   );
   const settled = views.every(
-    ([, view]) => isSilent(state, view, Limits.probing) || view.pulled !== null,
+    ([, view]) => isUnresponsive(state, view, Limits.probing) || view.countedPolls !== null,
   );
   if (!settled) return null;
-  const wasHeldUp = state.now - Math.max(state.lateAt, state.openedAt) < silence;
-  const [longest] = wasHeldUp ? [] : silent.sort(([, a], [, b]) => a.heardAt - b.heardAt);
-  const leaving = views.find(([, view]) => view.leaving && !isSilent(state, view, Limits.probing));
+  const wasHeldUp = state.now - Math.max(state.lastLateTickAt, state.startedAt) < silence;
+  const [longest] = wasHeldUp
+    ? []
+    : silent.sort(([, a], [, b]) => a.lastMemberReplyAt - b.lastMemberReplyAt);
+  const leaving = views.find(
+    ([, view]) => view.isStopping && !isUnresponsive(state, view, Limits.probing),
+  );
   return (longest ?? leaving)?.[0] ?? null;
 };
 
 const changeForSpare = (
   members: Membership,
-  spare: ReplicaHeard,
+  spare: KnownReplica,
   instead?: string,
 ): MembershipChange => {
   const taken = Object.keys(members.disks).includes(spare.address);
   return {
     member: taken ? `${spare.address}/${members.epoch + 1}` : spare.address,
-    disk: spare.disk,
+    diskId: spare.diskId,
     address: spare.address,
-    ...(instead === undefined ? {} : { instead }),
+    ...(instead === undefined ? {} : { replacedMember: instead }),
   };
 };
 
@@ -248,80 +265,85 @@
   const spares = sparesHeard(state, members);
   const spare = bestSpare(state, members, spares);
   if (spare === undefined) return null;
-  if (!bearsLosses(state)) return changeForSpare(members, spare);
+  if (!toleratesLosses(state)) return changeForSpare(members, spare);
   const live = liveSpares(state);
-  const answering = spares.filter((each) => live[each.address]?.disk === each.disk);
+  const answering = spares.filter((each) => live[each.address]?.diskId === each.diskId);
   const liveSpare = bestSpare(state, members, answering);
   const suspected = memberToReplace(state);
   if (liveSpare !== undefined && suspected !== null) {
     return changeForSpare(members, liveSpare, suspected);
   }
-  const gone = Object.keys(members.disks).find((member) => isGone(state, member, members));
+  const gone = Object.keys(members.disks).find((member) => isMachineGone(state, member, members));
   return gone === undefined ? null : changeForSpare(members, spare, gone);
 };
 
 // Opening a ballot
 // -----------------------------------------------------------------------------------
 
-const isBusy = (state: AgentState): boolean =>
-  Object.values(state.proposalRuns).some((each) => each.purpose.kind === 'seat');
+const isChangeUnderWay = (state: AgentState): boolean =>
+  Object.values(state.pendingChanges).some((each) => each.purpose.kind === 'change-membership');
 
-const drawsToPropose = (work: Work): boolean =>
-  chance(work) < (hasReplica(work.state) ? proposeChance : helpChance);
+const shouldProposeNow = (transition: Transition): boolean =>
+  nextRandom(transition) < (hasReplica(transition.state) ? proposeProbability : helpProbability);
 
 /**
  * A place at the member's own address is offered with a pull, at another moment by each agent:
  * hardly two meet.
  */
-const drawsToOffer = (work: Work): boolean => hasReplica(work.state) || chance(work) < helpChance;
+const shouldOfferNow = (transition: Transition): boolean =>
+  hasReplica(transition.state) || nextRandom(transition) < helpProbability;
 
-const proposeChange = (work: Work, members: Membership, change: MembershipChange): void => {
-  const { member, disk, address, instead } = change;
-  const named = { kind: 'seat', replica: member, disk } as const;
-  log(work, 'membership.proposed', { member, disk, instead: instead ?? '' });
+const proposeChange = (
+  transition: Transition,
+  members: Membership,
+  change: MembershipChange,
+): void => {
+  const { member, diskId: disk, address, replacedMember: instead } = change;
+  const purpose = { kind: 'change-membership', member, diskId: disk } as const;
+  log(transition, 'membership.proposed', { member, disk, instead: instead ?? '' });
   if (instead === undefined) {
-    propose(work, 'members', Changes.seat(members, member, disk, address), named);
+    propose(transition, 'members', Changes.seat(members, member, disk, address), purpose);
   } else {
     const register = Changes.replace(members, instead, member, disk, address);
-    propose(work, 'members', register, { ...named, instead });
+    propose(transition, 'members', register, { ...purpose, replacedMember: instead });
   }
 };
 
 /** Opens the change that is due, if any: one at a time, and only by an agent with a lease. */
-export const tendMembership = (work: Work): void => {
-  const { state } = work;
-  const members = membersOf(state)?.value;
-  if (state.voting === null || members?.addresses === undefined) return;
-  if (state.now >= state.lease) return;
-  if (hasReplica(state)) probe(work, members);
-  if (isBusy(work.state) || !drawsToPropose(work)) return;
-  const change = dueChange(work.state, members);
-  if (change !== null) proposeChange(work, members, change);
+export const tendMembership = (transition: Transition): void => {
+  const { state } = transition;
+  const members = committedMembershipOf(state)?.value;
+  if (state.bootstrap === null || members?.addresses === undefined) return;
+  if (state.now >= state.leaseUntil) return;
+  if (hasReplica(state)) checkHealth(transition, members);
+  if (isChangeUnderWay(transition.state) || !shouldProposeNow(transition)) return;
+  const change = dueChange(transition.state, members);
+  if (change !== null) proposeChange(transition, members, change);
 };
 
 /**
  * Whether a member's disk lives at another address. An agent that only just began to hear may not
  * have heard of it yet. The last record of a dead disk at its own address tells nothing.
  */
-const livesElsewhere = (state: AgentState, member: string, disk: string): boolean => {
-  if (state.voting === null) return false;
+const isLiveElsewhere = (state: AgentState, member: string, disk: string): boolean => {
+  if (state.bootstrap === null) return false;
   const own = state.replicas[member]?.address;
-  if (state.now - state.openedAt < suspicionMs(state)) return true;
-  return replicasHeard(state).some(
+  if (state.now - state.startedAt < suspicionTimeoutMs(state)) return true;
+  return replicasKnown(state).some(
     (each) =>
-      each.disk === disk && each.address !== own && state.now - each.seenAt < Limits.peerSilence,
+      each.diskId === disk && each.address !== own && state.now - each.seenAt < Limits.peerSilence,
   );
 };
 
 /** A blank disk that answers at a member's own address gets its place back. */
-export const offerOwnPlace = (work: Work, member: string, disk: string): void => {
-  const members = membersOf(work.state)?.value;
+export const offerOwnSlot = (transition: Transition, member: string, disk: string): void => {
+  const members = committedMembershipOf(transition.state)?.value;
   const held = members?.disks[member];
-  if (members === undefined || held === disk || isBusy(work.state)) return;
-  if (livesElsewhere(work.state, member, held ?? '') || !drawsToOffer(work)) return;
-  propose(work, 'members', Changes.seat(members, member, disk), {
-    kind: 'seat',
-    replica: member,
-    disk,
+  if (members === undefined || held === disk || isChangeUnderWay(transition.state)) return;
+  if (isLiveElsewhere(transition.state, member, held ?? '') || !shouldOfferNow(transition)) return;
+  propose(transition, 'members', Changes.seat(members, member, disk), {
+    kind: 'change-membership',
+    member: member,
+    diskId: disk,
   });
 };
--- a/packages/agent/src/network.ts
+++ b/packages/agent/src/network.ts
@@ -4,26 +4,26 @@
 import { holderOf, mixed, mustSend, splitFor, type Vector } from '@reedyard/server-selection';
 import type { Description } from '@reedyard/schemas';
 import {
-  chance,
-  closedOf,
+  nextRandom,
+  zonesWithClosedOrigins,
   zonesOf,
   log,
-  planOf,
+  quotaAllocationOf,
   policyOf,
-  send,
-  set,
-  membersOf,
+  sendToAgent,
+  update,
+  committedMembershipOf,
   type AgentState,
-  type Work,
+  type Transition,
 } from './state.js';
-import { mayActFor } from './reachability.js';
+import { actingAllowanceMs } from './reachability.js';
 import type { AgentCall, Measure, NodeRecord, OriginRow, PeerRow } from './terms.js';
 
 /**
  * What is wanted, as it was told before where it is still about that: a record that changes is told
  * whole.
  */
-const steady = (
+const steadyDemand = (
   wants: Readonly<Record<string, number>>,
   told: Readonly<Record<string, number>>,
 ): Readonly<Record<string, number>> =>
@@ -42,11 +42,11 @@
  * Tells this node's own record again; each new revision is a heartbeat. It is told whole where it
  * changed, where a life begins and now and then.
  */
-export const heartbeat = (work: Work, whole = false): void => {
-  const { self, report, now } = work.state;
-  const own = work.state.ownReplica;
+export const heartbeat = (transition: Transition, whole = false): void => {
+  const { self, proxyReport: report, now } = transition.state;
+  const own = transition.state.ownReplica;
   const key = `node/${self.id}`;
-  const told = Gossip.get(work.state.gossip, key) as NodeRecord | null | undefined;
+  const told = Gossip.get(transition.state.gossip, key) as NodeRecord | null | undefined;
   const fed = report !== null && now - report.at < Limits.lease;
   const record: NodeRecord = {
     id: self.id,
@@ -57,24 +57,28 @@
     replica:
       self.replica === null || own === null || now - own.at > Limits.lease
         ? self.replica
-        : { ...self.replica, disk: own.disk, fresh: own.fresh },
-    ready: self.proxy !== null && fed && !report.report.stopping && mayActFor(work.state) > 0,
-    staying: self.proxy !== null && fed && !report.report.stopping,
-    proxyLife: report?.report.proxyLife ?? '',
-    wants: fed ? steady(report.report.wants, told?.wants ?? {}) : {},
+        : { ...self.replica, disk: own.diskId, fresh: own.isBlank },
+    ready:
+      self.proxy !== null &&
+      fed &&
+      !report.proxyReport.stopping &&
+      actingAllowanceMs(transition.state) > 0,
+    staying: self.proxy !== null && fed && !report.proxyReport.stopping,
+    proxyLife: report?.proxyReport.proxyLife ?? '',
+    wants: fed ? steadyDemand(report.proxyReport.wants, told?.wants ?? {}) : {},
   };
   if (
     !whole &&
     told &&
-    Gossip.beats(work.state.gossip, key) < Sizes.beatsToWhole &&
+    Gossip.beats(transition.state.gossip, key) < Sizes.beatsToWhole &&
     JSON.stringify(told) === JSON.stringify(record)
   ) {
-    set(work, { gossip: Gossip.beat(work.state.gossip, key, now) });
+    update(transition, { gossip: Gossip.beat(transition.state.gossip, key, now) });
     return;
   }
   // A life begins anywhere, so that the revisions of two lives do not pass for one row.
-  const least = told ? 1 : 1 + Math.floor(chance(work) * Sizes.firstRevision);
-  set(work, { gossip: Gossip.tell(work.state.gossip, key, record, now, least) });
+  const least = told ? 1 : 1 + Math.floor(nextRandom(transition) * Sizes.firstRevision);
+  update(transition, { gossip: Gossip.tell(transition.state.gossip, key, record, now, least) });
 };
 
 /** Every node heard of that is not forgotten. */
@@ -86,7 +90,7 @@
     seenAt,
   }));
 
-const liveNow = (state: AgentState, seenAt: number, id: string): boolean =>
+const isLive = (state: AgentState, seenAt: number, id: string): boolean =>
   id === state.self.id || state.now - seenAt < Limits.peerSilence;
 
 /** Nodes with a proxy that may be given forwarded requests or slices. */
@@ -95,7 +99,7 @@
   return nodesOf(state).flatMap(({ record, seenAt }) =>
     record.proxy !== null &&
     record.ready &&
-    liveNow(state, seenAt, record.id) &&
+    isLive(state, seenAt, record.id) &&
     !emptied.includes(record.zone)
       ? [record]
       : [],
@@ -106,11 +110,11 @@
  * Nodes that hold slices. Those of a zone just emptied keep them while they still answer
  * stragglers.
  */
-export const seatedNodes = (state: AgentState): readonly NodeRecord[] => {
+export const quotaNodes = (state: AgentState): readonly NodeRecord[] => {
   const settled = state.now - (state.registers.zones?.at ?? 0) > Limits.lease + Limits.emptyGrace;
   const emptied = settled ? (zonesOf(state)?.emptied ?? []) : [];
   return nodesOf(state).flatMap(({ record, seenAt }) =>
-    record.staying && liveNow(state, seenAt, record.id) && !emptied.includes(record.zone)
+    record.staying && isLive(state, seenAt, record.id) && !emptied.includes(record.zone)
       ? [record]
       : [],
   );
@@ -121,9 +125,9 @@
  * itself known fast.
  */
 export const isJoining = (state: AgentState): boolean =>
-  state.voting !== null &&
-  state.ownReplica?.fresh === true &&
-  state.now - state.openedAt < Limits.eager;
+  state.bootstrap !== null &&
+  state.ownReplica?.isBlank === true &&
+  state.now - state.startedAt < Limits.eager;
 
 /** Agents of machines with a replica: who may give a blank one its place. */
 const replicaAgents = (state: AgentState): readonly string[] =>
@@ -132,12 +136,12 @@
   );
 
 /** Tells this node's own record to all who may give its replica a place. */
-const announce = (work: Work): void => {
-  const { state } = work;
+const announceSelf = (transition: Transition): void => {
+  const { state } = transition;
   const tellings = Gossip.pick(state.gossip, { [`node/${state.self.id}`]: 0 });
   const seeds = state.seeds.filter((seed) => seed !== state.self.address);
   for (const address of new Set([...replicaAgents(state), ...seeds])) {
-    send(work, address, { kind: 'push', tellings }, { kind: 'push' });
+    sendToAgent(transition, address, { kind: 'push', tellings }, { kind: 'push' });
   }
 };
 
@@ -145,18 +149,18 @@
  * One gossip exchange with a neighbour, a seed, or now and then any node, so that cut parts meet
  * again.
  */
-export const gossip = (work: Work): void => {
-  const { state } = work;
-  const draw = chance(work);
+export const exchangeGossip = (transition: Transition): void => {
+  const { state } = transition;
+  const draw = nextRandom(transition);
   const nodes = nodesOf(state).filter(({ record }) => record.id !== state.self.id);
   const seeds = state.seeds.filter((seed) => seed !== state.self.address);
-  const anySeed = seeds[Math.floor(chance(work) * seeds.length)];
-  const anyNode = nodes[Math.floor(chance(work) * nodes.length)];
+  const anySeed = seeds[Math.floor(nextRandom(transition) * seeds.length)];
+  const anyNode = nodes[Math.floor(nextRandom(transition) * nodes.length)];
   const oldest = state.gossip.view.reduce<Neighbour | null>(
     (best, each) => (best === null || each.age > best.age ? each : best),
     null,
   );
-  if (isJoining(state)) announce(work);
+  if (isJoining(state)) announceSelf(transition);
   const joinTargets = isJoining(state) ? [...replicaAgents(state), ...seeds] : [];
   const joinTarget = joinTargets[Math.floor(draw * joinTargets.length)];
   const target =
@@ -174,18 +178,18 @@
     exchange: {
       from: self,
       digest: Gossip.digest(state.gossip),
-      sample: Gossip.sample(state.gossip.view, self, chance(work)),
+      sample: Gossip.sample(state.gossip.view, self, nextRandom(transition)),
     },
   };
-  send(work, target, body, {
+  sendToAgent(transition, target, body, {
     kind: 'exchange',
     to: target,
     peer: oldest !== null && target === oldest.address ? oldest.id : null,
   });
-  set(work, {
+  update(transition, {
     gossip: {
-      ...work.state.gossip,
-      view: work.state.gossip.view.map((each) =>
+      ...transition.state.gossip,
+      view: transition.state.gossip.view.map((each) =>
         oldest !== null && each.id === oldest.id
           ? { ...each, age: 0 }
           : { ...each, age: each.age + 1 },
@@ -195,58 +199,66 @@
 };
 
 /** Takes in tellings; one's own that came back with a higher revision are told again above it. */
-export const learn = (work: Work, tellings: Exchanged['newer']): void => {
-  const before = work.state;
+export const learnRecords = (transition: Transition, tellings: Exchanged['newer']): void => {
+  const before = transition.state;
   const learned = Gossip.learn(before.gossip, tellings, before.now);
-  set(work, { gossip: learned.state });
+  update(transition, { gossip: learned.state });
   // Two nodes may each have heard an origin without the other: what it said later is told again
   // above.
   for (const key of learned.news) {
     const told = tellings[key]?.value as Description | null | undefined;
     const held = before.gossip.records[key];
-    if (key.startsWith('origin/') && told && held !== undefined && isOld(before, told))
-      set(work, { gossip: Gossip.tell(work.state.gossip, key, held.value, held.seenAt) });
+    if (key.startsWith('origin/') && told && held !== undefined && isOutdated(before, told))
+      update(transition, {
+        gossip: Gossip.tell(transition.state.gossip, key, held.value, held.seenAt),
+      });
   }
-  const own = [`node/${work.state.self.id}`, `vector/${work.state.self.id}`];
-  if (learned.news.includes(own[0] ?? '')) heartbeat(work, true);
-  if (learned.news.includes(own[1] ?? '') && work.state.sent !== null) {
-    set(work, {
-      gossip: Gossip.tell(work.state.gossip, own[1] ?? '', work.state.sent, work.state.now),
+  const own = [`node/${transition.state.self.id}`, `vector/${transition.state.self.id}`];
+  if (learned.news.includes(own[0] ?? '')) heartbeat(transition, true);
+  if (learned.news.includes(own[1] ?? '') && transition.state.announcedVector !== null) {
+    update(transition, {
+      gossip: Gossip.tell(
+        transition.state.gossip,
+        own[1] ?? '',
+        transition.state.announcedVector,
+        transition.state.now,
+      ),
     });
   }
-  if (learned.news.some((key) => key.startsWith('vector/'))) set(work, { splitStale: true });
-  if (learned.values.some((key) => key.startsWith('node/'))) adoptReplicas(work);
+  if (learned.news.some((key) => key.startsWith('vector/')))
+    update(transition, { isRoutingTableStale: true });
+  if (learned.values.some((key) => key.startsWith('node/'))) followMovedReplicas(transition);
 };
 
 /** A replica as gossip tells of it. */
-export type ReplicaHeard = {
+export type KnownReplica = {
   readonly id: string;
   readonly zone: string;
   readonly address: string;
-  readonly disk: string;
-  readonly fresh: boolean;
+  readonly diskId: string;
+  readonly isBlank: boolean;
   readonly seenAt: number;
 };
 
-const findReplicas = (state: AgentState): readonly ReplicaHeard[] => {
+const findReplicas = (state: AgentState): readonly KnownReplica[] => {
   const heard = nodesOf(state).flatMap(({ record: { id, zone, replica }, seenAt }) => {
     if (replica?.disk === undefined) return [];
     const { address, disk, fresh = false } = replica;
-    return [{ id, zone, address, disk, fresh, seenAt }];
+    return [{ id, zone, address, diskId: disk, isBlank: fresh, seenAt }];
   });
-  const isOutdated = (each: ReplicaHeard): boolean =>
-    heard.some((other) => other.disk === each.disk && other.seenAt > each.seenAt);
+  const isOutdated = (each: KnownReplica): boolean =>
+    heard.some((other) => other.diskId === each.diskId && other.seenAt > each.seenAt);
   return heard.filter((each) => !isOutdated(each));
 };
 
 /** Found once for each table of records, since agents of members look ten times a second. */
-const heardByRecords = new WeakMap<AgentState['gossip']['records'], readonly ReplicaHeard[]>();
+const heardByRecords = new WeakMap<AgentState['gossip']['records'], readonly KnownReplica[]>();
 
 /**
  * Replicas whose disk is known by gossip, each disk once: where it was heard of last. Where members
  * found themselves.
  */
-export const replicasHeard = (state: AgentState): readonly ReplicaHeard[] => {
+export const replicasKnown = (state: AgentState): readonly KnownReplica[] => {
   const { records } = state.gossip;
   const known = heardByRecords.get(records);
   if (known !== undefined) return known;
@@ -260,26 +272,26 @@
  * Where members found themselves from seeds its disk tells its place, and a ballot then notes the
  * address.
  */
-const adoptReplicas = (work: Work): void => {
-  const disks = membersOf(work.state)?.value.disks ?? {};
+const followMovedReplicas = (transition: Transition): void => {
+  const disks = committedMembershipOf(transition.state)?.value.disks ?? {};
   const heard =
-    work.state.voting === null
-      ? nodesOf(work.state).flatMap(({ record }) =>
+    transition.state.bootstrap === null
+      ? nodesOf(transition.state).flatMap(({ record }) =>
           record.replica === null ? [] : [{ place: record.id, address: record.replica.address }],
         )
-      : replicasHeard(work.state).flatMap((each) =>
+      : replicasKnown(transition.state).flatMap((each) =>
           Object.keys(disks)
-            .filter((place) => disks[place] === each.disk)
+            .filter((place) => disks[place] === each.diskId)
             .map((place) => ({ place, address: each.address })),
         );
   for (const { place, address } of heard) {
-    const view = work.state.replicas[place];
+    const view = transition.state.replicas[place];
     if (view !== undefined && address !== view.address) {
-      log(work, 'replica.moved', { replica: place, address });
-      set(work, {
+      log(transition, 'replica.moved', { replica: place, address });
+      update(transition, {
         replicas: {
-          ...work.state.replicas,
-          [place]: { ...view, address, call: null, pulled: null },
+          ...transition.state.replicas,
+          [place]: { ...view, address, pollId: null, countedPolls: null },
         },
       });
     }
@@ -287,33 +299,36 @@
 };
 
 /** Pings peers that were not yet measured, and a drawn few of the others. */
-export const pingAll = (work: Work): void => {
-  if (work.state.self.proxy === null) return;
-  for (const { record } of nodesOf(work.state)) {
-    if (record.id === work.state.self.id || record.proxy === null) continue;
-    if (work.state.delays[record.id] !== undefined && chance(work) >= Beats.pingDraw / Beats.ping)
+export const pingPeers = (transition: Transition): void => {
+  if (transition.state.self.proxy === null) return;
+  for (const { record } of nodesOf(transition.state)) {
+    if (record.id === transition.state.self.id || record.proxy === null) continue;
+    if (
+      transition.state.delaysByPeer[record.id] !== undefined &&
+      nextRandom(transition) >= Beats.pingDraw / Beats.ping
+    )
       continue;
-    send(
-      work,
+    sendToAgent(
+      transition,
       record.address,
       { kind: 'ping' },
-      { kind: 'ping', edge: record.id, sentAt: work.state.now },
+      { kind: 'ping', peerId: record.id, sentAt: transition.state.now },
     );
   }
 };
 
-export const tookPing = (work: Work, edge: string, seconds: number): void => {
-  set(work, {
-    delays: {
-      ...work.state.delays,
-      [edge]: [...(work.state.delays[edge] ?? []), seconds].slice(-2),
+export const handlePingReply = (transition: Transition, edge: string, seconds: number): void => {
+  update(transition, {
+    delaysByPeer: {
+      ...transition.state.delaysByPeer,
+      [edge]: [...(transition.state.delaysByPeer[edge] ?? []), seconds].slice(-2),
     },
   });
 };
 
 /** s. The least of the last two pings: what the path takes without the machine's own noise. */
 export const delayTo = (state: AgentState, edge: string): number | null => {
-  const known = state.delays[edge];
+  const known = state.delaysByPeer[edge];
   return known === undefined || known.length === 0 ? null : Math.min(...known);
 };
 
@@ -327,7 +342,7 @@
     utilisation: capacity > 0 ? measure.servedBps / capacity : 0,
     offered: capacity > 0 ? asked / capacity : 0,
     delays: Object.fromEntries(
-      Object.keys(state.delays).flatMap((edge) => {
+      Object.keys(state.delaysByPeer).flatMap((edge) => {
         const delay = delayTo(state, edge);
         return delay === null ? [] : [[edge, delay]];
       }),
@@ -338,16 +353,16 @@
 };
 
 /** A new measurement: told to all only on a marked change, or when the slow refresh is due. */
-export const tookMeasure = (work: Work, measure: Measure): void => {
-  const vector = vectorOf(work.state, measure);
-  const { sent, sentAt, now } = work.state;
+export const noteMeasurement = (transition: Transition, measure: Measure): void => {
+  const vector = vectorOf(transition.state, measure);
+  const { announcedVector: sent, vectorAnnouncedAt: sentAt, now } = transition.state;
   if (!mustSend(vector, sent) && now - sentAt < Beats.refresh) return;
-  set(work, {
-    sent: vector,
-    sentAt: now,
-    notices: work.state.notices + 1,
-    splitStale: true,
-    gossip: Gossip.tell(work.state.gossip, `vector/${work.state.self.id}`, vector, now),
+  update(transition, {
+    announcedVector: vector,
+    vectorAnnouncedAt: now,
+    vectorAnnouncementCount: transition.state.vectorAnnouncementCount + 1,
+    isRoutingTableStale: true,
+    gossip: Gossip.tell(transition.state.gossip, `vector/${transition.state.self.id}`, vector, now),
   });
 };
 
@@ -356,7 +371,7 @@
  * that each is fetched once for a zone and few bytes leave it; where none there may serve the
  * route, at those of another one.
  */
-const placesOf = (
+const placementFor = (
   allowed: readonly { readonly id: string; readonly zone: string }[],
   members: readonly { readonly id: string; readonly zone: string }[],
 ): ((client: string) => readonly string[]) => {
@@ -370,13 +385,13 @@
 };
 
 /** Computes this edge's rows from the vectors it holds, once something they rest on has changed. */
-export const computeSplit = (work: Work): void => {
-  const { state } = work;
-  if (state.self.proxy === null || state.now - state.splitAt < Beats.pull) return;
+export const computeRoutingTable = (transition: Transition): void => {
+  const { state } = transition;
+  if (state.self.proxy === null || state.now - state.routingTableCheckedAt < Beats.pull) return;
   const serving = new Map(servingNodes(state).map((record) => [record.id, record]));
   const over = [...serving.keys()].sort().join(' ');
-  if (!state.splitStale && over === state.splitOver) {
-    set(work, { splitAt: state.now });
+  if (!state.isRoutingTableStale && over === state.routingTableNodes) {
+    update(transition, { routingTableCheckedAt: state.now });
     return;
   }
   const policy = policyOf(state);
@@ -413,32 +428,32 @@
           return route.cache.keep === 'always'
             ? {
                 servers,
-                placed: placesOf(
+                placed: placementFor(
                   members.filter(({ id }) => servers(id)),
                   members,
                 ),
               }
             : { servers };
         });
-  set(work, {
-    split: split.split,
-    splitAt: state.now,
-    splitStale: false,
-    splitOver: over,
-    splits: state.splits + 1,
+  update(transition, {
+    routingTable: split.split,
+    routingTableCheckedAt: state.now,
+    isRoutingTableStale: false,
+    routingTableNodes: over,
+    routingTableCount: state.routingTableCount + 1,
   });
 };
 
 /** Why an origin gets no traffic, or null if it does. */
-export const barred = (state: AgentState, description: Description): string | null => {
+export const exclusionReason = (state: AgentState, description: Description): string | null => {
   const service = policyOf(state)?.document.services[description.service];
   if (service === undefined) return 'no policy allows this service';
   if (service.instances !== undefined && !service.instances.includes(description.instance))
     return 'the policy does not name this instance';
-  if (state.factKeys[withdrawnKey(description.instance)] !== undefined) return 'withdrawn';
-  if (description.draining || state.factKeys[drainKey(description)] !== undefined)
+  if (state.entryKeys[withdrawnKey(description.instance)] !== undefined) return 'withdrawn';
+  if (description.draining || state.entryKeys[drainKey(description)] !== undefined)
     return 'draining';
-  if (closedOf(state).includes(description.zone))
+  if (zonesWithClosedOrigins(state).includes(description.zone))
     return zonesOf(state)?.emptied.includes(description.zone) === true
       ? 'its zone is emptied'
       : 'the origins of its zone get nothing';
@@ -455,8 +470,8 @@
  * Whether what an origin of a zone said at some time is too old to be trusted as warm: its zone was
  * taken back since.
  */
-export const inDoubt = (state: AgentState, zone: string, heardAt: number): boolean =>
-  heardAt < (state.reopened[zone] ?? -Infinity) + Limits.warmDoubt;
+export const isWarmthInDoubt = (state: AgentState, zone: string, heardAt: number): boolean =>
+  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + Limits.warmDoubt;
 
 const isOlder = (told: Description, known: Description): boolean =>
   told.incarnation < known.incarnation ||
@@ -466,7 +481,7 @@
     told.sequence < known.sequence);
 
 /** Whether a description is older than the one known of the same origin. */
-export const isOld = (state: AgentState, description: Description): boolean => {
+export const isOutdated = (state: AgentState, description: Description): boolean => {
   const known = Gossip.get(state.gossip, originKey(description)) as Description | null | undefined;
   return known !== undefined && known !== null && isOlder(description, known);
 };
@@ -480,7 +495,7 @@
 ): readonly {
   readonly description: Description;
   readonly heardAt: number;
-  readonly barred: string | null;
+  readonly exclusionReason: string | null;
 }[] => {
   const all = Gossip.all(state.gossip, 'origin/').map(([, value, seenAt]) => ({
     description: value as Description,
@@ -489,7 +504,7 @@
   return all.map(({ description, seenAt }) => ({
     description,
     heardAt: seenAt,
-    barred: all.some(
+    exclusionReason: all.some(
       (other) =>
         other.description.address === description.address &&
         other.seenAt > seenAt &&
@@ -497,7 +512,7 @@
           other.description.instance !== description.instance),
     )
       ? 'another origin has taken its address'
-      : barred(state, description),
+      : exclusionReason(state, description),
   }));
 };
 
@@ -506,8 +521,8 @@
  * rendezvous hashing names for it: every node for itself comes to the same ones, as far as it knows
  * the same nodes.
  */
-const coldPartOf = (state: AgentState, instance: string, rate: number): number => {
-  const plan = planOf(state);
+const slowStartRate = (state: AgentState, instance: string, rate: number): number => {
+  const plan = quotaAllocationOf(state);
   // A node that has only just come knows few others: the division names them all.
   if (plan === null) return 0;
   const names = [
@@ -525,44 +540,51 @@
 };
 
 /** Instances that take work, each with this node's slice of what it carries. */
-export const originRows = (state: AgentState): readonly OriginRow[] => {
-  const slices = planOf(state)?.slices ?? {};
+export const originEndpoints = (state: AgentState): readonly OriginRow[] => {
+  const slices = quotaAllocationOf(state)?.slices ?? {};
   const services = policyOf(state)?.document.services ?? {};
-  return originsOf(state).flatMap(({ description, heardAt, barred: why }): readonly OriginRow[] => {
-    if (why !== null) return [];
-    const cold = description.state === 'cold' || inDoubt(state, description.zone, heardAt);
-    const mine = slices[description.service] ?? {};
-    const carried = rateOf(mine, state.self.id, description.capacity ?? Infinity);
-    const service = services[description.service];
-    const bearable =
-      service?.coldRate === undefined
-        ? Infinity
-        : coldPartOf(state, `${description.instance}/${description.incarnation}`, service.coldRate);
-    return [
-      {
-        service: description.service,
-        instance: description.instance,
-        incarnation: description.incarnation,
-        address: description.address,
-        zone: description.zone,
-        region: description.region,
-        capacity: description.capacity ?? description.slots ?? 1,
-        slots: description.slots ?? null,
-        conns: service?.instanceConns ?? null,
-        cold,
-        rate: cold ? Math.min(carried, bearable) : carried,
-      },
-    ];
-  });
+  return originsOf(state).flatMap(
+    ({ description, heardAt, exclusionReason: why }): readonly OriginRow[] => {
+      if (why !== null) return [];
+      const cold =
+        description.state === 'cold' || isWarmthInDoubt(state, description.zone, heardAt);
+      const mine = slices[description.service] ?? {};
+      const carried = rateOf(mine, state.self.id, description.capacity ?? Infinity);
+      const service = services[description.service];
+      const bearable =
+        service?.coldRate === undefined
+          ? Infinity
+          : slowStartRate(
+              state,
+              `${description.instance}/${description.incarnation}`,
+              service.coldRate,
+            );
+      return [
+        {
+          service: description.service,
+          instance: description.instance,
+          incarnation: description.incarnation,
+          address: description.address,
+          zone: description.zone,
+          region: description.region,
+          capacity: description.capacity ?? description.slots ?? 1,
+          slots: description.slots ?? null,
+          conns: service?.instanceConns ?? null,
+          cold,
+          rate: cold ? Math.min(carried, bearable) : carried,
+        },
+      ];
+    },
+  );
 };
 
 /**
  * What each service of the policy may get in all: its ceiling, or less where its instances carry
  * less.
  */
-export const boundsOf = (state: AgentState): Readonly<Record<string, number>> => {
+export const serviceRateLimits = (state: AgentState): Readonly<Record<string, number>> => {
   const admitted = originsOf(state)
-    .filter((each) => each.barred === null)
+    .filter((each) => each.exclusionReason === null)
     .map((each) => each.description);
   return Object.fromEntries(
     Object.entries(policyOf(state)?.document.services ?? {}).map(([name, service]) => [
@@ -575,7 +597,7 @@
   );
 };
 
-export const peerRows = (state: AgentState): readonly PeerRow[] =>
+export const peerEndpoints = (state: AgentState): readonly PeerRow[] =>
   servingNodes(state)
     .flatMap((record) =>
       record.id === state.self.id || record.proxy === null
--- a/packages/agent/src/operators.ts
+++ b/packages/agent/src/operators.ts
@@ -10,43 +10,43 @@
 import { propose } from './ballots.js';
 import { lapsedRevision } from './change-ids.js';
 import { Changes } from './changes.js';
-import { isSeated } from './feed.js';
+import { hasMostQuotas } from './feed.js';
 import {
-  barred,
-  boundsOf,
+  exclusionReason,
+  serviceRateLimits,
   delayTo,
   drainKey,
-  inDoubt,
-  isOld,
+  isWarmthInDoubt,
+  isOutdated,
   nodesOf,
   originKey,
   withdrawnKey,
 } from './network.js';
-import { post } from './postings.js';
-import { isUnreachable, mayActFor, unreachableAnswer } from './reachability.js';
+import { appendToJournal } from './postings.js';
+import { isUnreachable, actingAllowanceMs, unreachableAnswer } from './reachability.js';
 import { nodeStatus } from './status.js';
 import {
-  bearsLosses,
+  toleratesLosses,
   zonesOf,
-  planOf,
+  quotaAllocationOf,
   policyOf,
-  set,
+  update,
   type AgentState,
-  type Work,
+  type Transition,
 } from './state.js';
 import type { Action } from './terms.js';
 
 type ActionOf<K extends Action['kind']> = Extract<Action, { kind: K }>;
 
-const answer = (work: Work, id: number, given: ApiAnswer): void => {
-  work.effects.push({ kind: 'answer', id, ...given });
+const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
+  transition.effects.push({ kind: 'answer', id, ...given });
 };
 
 /** Whether all of a description but its number was told already, lately enough. */
 const isTold = (state: AgentState, key: string, told: Description): boolean => {
   const held = state.gossip.records[key];
   if (held === undefined || held.forgotten) return false;
-  if (state.now - held.seenAt >= Beats.originTold || inDoubt(state, told.zone, held.seenAt))
+  if (state.now - held.seenAt >= Beats.originTold || isWarmthInDoubt(state, told.zone, held.seenAt))
     return false;
   const known = held.value as Description;
   const fields = new Set([...Object.keys(told), ...Object.keys(known)] as (keyof Description)[]);
@@ -54,9 +54,10 @@
 };
 
 /** Posts a fact, unless a majority of disks is known to hold it. */
-const postOnce = (work: Work, key: string, id: number, done: unknown): void => {
-  if (work.state.posted[key] === true) answer(work, id, { status: 200, body: done });
-  else post(work, [{ key, value: true }], id, done);
+const postOnce = (transition: Transition, key: string, id: number, done: unknown): void => {
+  if (transition.state.committedEntryKeys[key] === true)
+    answer(transition, id, { status: 200, body: done });
+  else appendToJournal(transition, [{ key, value: true }], id, done);
 };
 
 const olderIncarnation = (known: Description): ApiAnswer => ({
@@ -79,29 +80,33 @@
   return { ...sent, draining: sent.draining || drainsOn };
 };
 
-const describe = (work: Work, id: number, description: Description): void => {
+const describe = (transition: Transition, id: number, description: Description): void => {
   const key = originKey(description);
-  const known = (Gossip.get(work.state.gossip, key) as Description | null | undefined) ?? null;
+  const known =
+    (Gossip.get(transition.state.gossip, key) as Description | null | undefined) ?? null;
   if (known !== null && known.incarnation > description.incarnation) {
-    answer(work, id, olderIncarnation(known));
+    answer(transition, id, olderIncarnation(known));
     return;
   }
-  const isLate = known !== null && isOld(work.state, description);
+  const isLate = known !== null && isOutdated(transition.state, description);
   const told = toldOf(known, description, isLate);
   if (!isLate) {
-    const { gossip, now } = work.state;
-    const next = isTold(work.state, key, told)
+    const { gossip, now } = transition.state;
+    const next = isTold(transition.state, key, told)
       ? Gossip.note(gossip, key, told)
       : Gossip.tell(gossip, key, told, now, told.sequence);
-    set(work, { gossip: next });
+    update(transition, { gossip: next });
   }
-  const why = barred(work.state, told);
+  const why = exclusionReason(transition.state, told);
   const done = { recorded: true, admitted: why === null, ...(why === null ? {} : { reason: why }) };
-  if (!told.draining) answer(work, id, { status: 200, body: done });
-  else if (!bearsLosses(work.state)) answer(work, id, tooFewMembers);
-  else if (isUnreachable(work.state) && work.state.posted[drainKey(told)] !== true)
-    answer(work, id, unreachableAnswer);
-  else postOnce(work, drainKey(told), id, done);
+  if (!told.draining) answer(transition, id, { status: 200, body: done });
+  else if (!toleratesLosses(transition.state)) answer(transition, id, tooFewMembers);
+  else if (
+    isUnreachable(transition.state) &&
+    transition.state.committedEntryKeys[drainKey(told)] !== true
+  )
+    answer(transition, id, unreachableAnswer);
+  else postOnce(transition, drainKey(told), id, done);
 };
 
 const whyNoLease = (state: AgentState): string =>
@@ -113,13 +118,13 @@
 const notReady = (state: AgentState): string | null => {
   const policy = policyOf(state);
   if (state.self.proxy === null) return 'this machine has no proxy';
-  if (mayActFor(state) <= 0) return whyNoLease(state);
+  if (actingAllowanceMs(state) <= 0) return whyNoLease(state);
   if (policy === null) return 'no policy is known';
-  if (state.report === null || state.now - state.report.at >= Limits.lease)
+  if (state.proxyReport === null || state.now - state.proxyReport.at >= Limits.lease)
     return 'its proxy does not ask for news';
-  if (state.report.report.stopping) return 'its proxy is leaving';
+  if (state.proxyReport.proxyReport.stopping) return 'its proxy is leaving';
   if (zonesOf(state)?.emptied.includes(state.self.zone) === true) return 'its zone is emptied';
-  return isSeated(state) ? null : 'the division has not given it its slices yet';
+  return hasMostQuotas(state) ? null : 'the division has not given it its slices yet';
 };
 
 const readiness = (state: AgentState): ApiAnswer => {
@@ -131,9 +136,9 @@
 
 const shares = (state: AgentState): ApiAnswer => {
   if (isUnreachable(state)) return unreachableAnswer;
-  if (state.now >= state.lease) return unreached('The read');
-  const plan = planOf(state);
-  const services = Object.entries(boundsOf(state)).map(([name, bound]) => {
+  if (state.now >= state.leaseUntil) return unreached('The read');
+  const plan = quotaAllocationOf(state);
+  const services = Object.entries(serviceRateLimits(state)).map(([name, bound]) => {
     const slices = plan?.slices[name] ?? {};
     const rates = Object.keys(slices).map((edge) => [edge, rateOf(slices, edge, bound)] as const);
     const ceiling = policyOf(state)?.document.services[name]?.ceiling ?? null;
@@ -155,23 +160,23 @@
 };
 
 const putPolicy = (
-  work: Work,
+  transition: Transition,
   id: number,
   { document, ifMatch, changeId }: ActionOf<'put-policy'>,
 ): void => {
-  const lapsed = lapsedRevision(work.state, 'policy');
+  const lapsed = lapsedRevision(transition.state, 'policy');
   const change = Changes.policy({ document, ifMatch, changeId, lapsed });
-  propose(work, 'policy', change, { kind: 'put-policy', id, changeId });
+  propose(transition, 'policy', change, { kind: 'put-policy', id, changeId });
 };
 
 const orderZone = (
-  work: Work,
+  transition: Transition,
   id: number,
   { zone, order, of, changeId }: ActionOf<'zone'>,
 ): void => {
-  const lapsed = lapsedRevision(work.state, 'zones');
+  const lapsed = lapsedRevision(transition.state, 'zones');
   const change = Changes.zone({ zone, order, of, changeId, lapsed });
-  propose(work, 'zones', change, { kind: 'zone', id, changeId });
+  propose(transition, 'zones', change, { kind: 'zone', id, changeId });
 };
 
 /** Whether an action changes what must survive the loss of disks. */
@@ -190,58 +195,58 @@
     case 'purge':
       return true;
     case 'withdraw':
-      return state.posted[withdrawnKey(action.instance)] !== true;
+      return state.committedEntryKeys[withdrawnKey(action.instance)] !== true;
     default:
       return false;
   }
 };
 
 /** Takes a call of an operator or an origin. */
-export const operator = (work: Work, id: number, action: Action): void => {
-  const { state } = work;
-  if (isOrder(action) && !bearsLosses(state)) {
-    answer(work, id, tooFewMembers);
+export const operator = (transition: Transition, id: number, action: Action): void => {
+  const { state } = transition;
+  if (isOrder(action) && !toleratesLosses(state)) {
+    answer(transition, id, tooFewMembers);
     return;
   }
   if (needsMajority(state, action) && isUnreachable(state)) {
-    answer(work, id, unreachableAnswer);
+    answer(transition, id, unreachableAnswer);
     return;
   }
   switch (action.kind) {
     case 'put-policy':
-      putPolicy(work, id, action);
+      putPolicy(transition, id, action);
       return;
     case 'get-policy':
-      propose(work, 'policy', () => ({ kind: 'keep' }), { kind: 'get-policy', id });
+      propose(transition, 'policy', () => ({ kind: 'keep' }), { kind: 'get-policy', id });
       return;
     case 'zone':
-      orderZone(work, id, action);
+      orderZone(transition, id, action);
       return;
     case 'purge': {
       const { changeId, purge } = action;
-      post(work, [{ key: `purge/${changeId}`, value: purge }], id, { changeId });
+      appendToJournal(transition, [{ key: `purge/${changeId}`, value: purge }], id, { changeId });
       return;
     }
     case 'withdraw':
-      postOnce(work, withdrawnKey(action.instance), id, { withdrawn: action.instance });
+      postOnce(transition, withdrawnKey(action.instance), id, { withdrawn: action.instance });
       return;
     case 'describe':
-      describe(work, id, action.description);
+      describe(transition, id, action.description);
       return;
     case 'status':
-      answer(work, id, { status: 200, body: nodeStatus(state) });
+      answer(transition, id, { status: 200, body: nodeStatus(state) });
       return;
     case 'shares':
-      answer(work, id, shares(state));
+      answer(transition, id, shares(state));
       return;
     case 'peers':
-      answer(work, id, peers(state));
+      answer(transition, id, peers(state));
       return;
     case 'ready':
-      answer(work, id, readiness(state));
+      answer(transition, id, readiness(state));
       return;
     case 'live':
-      answer(work, id, { status: 200, body: { live: true } });
+      answer(transition, id, { status: 200, body: { live: true } });
       return;
   }
 };
--- a/packages/agent/src/orders.model.test.ts
+++ b/packages/agent/src/orders.model.test.ts
@@ -7,7 +7,7 @@
 import { Schemas, type Policy } from '@reedyard/schemas';
 import { Changes, type RegisterChange } from './changes.js';
 import { zonesValueOf } from './state.js';
-import type { PolicyValue } from './terms.js';
+import type { PolicyRegister } from './terms.js';
 
 /**
  * What an operator wants, and how it is changed into a change of the register; each attempt has an
@@ -223,7 +223,7 @@
   Changes.policy({ document: sent, ifMatch: null, changeId, lapsed: 0 });
 /** The fault: whatever is not above the version held is acknowledged. */
 const keepsAnyContent: PolicyChange = (sent, id) => (current) => {
-  const held = (current as PolicyValue | null)?.document.version ?? -1;
+  const held = (current as PolicyRegister | null)?.document.version ?? -1;
   return sent.version !== undefined && sent.version <= held
     ? { kind: 'keep' }
     : sound(sent, id)(current);
@@ -241,7 +241,7 @@
 });
 
 const heldIn = (world: World): Policy | null =>
-  (world.value as PolicyValue | null)?.document ?? null;
+  (world.value as PolicyRegister | null)?.document ?? null;
 
 const wrongPolicy =
   (sent: readonly Policy[]) =>
--- a/packages/agent/src/postings.ts
+++ b/packages/agent/src/postings.ts
@@ -6,58 +6,99 @@
 import { majorityOf } from '@reedyard/consensus';
 import type { ReplicaReply, JournalEntry } from '@reedyard/replica';
 import { unreached } from './answers.js';
-import { isPostingStranded } from './reachability.js';
-import { counts, sendToReplica, set, takeId, without, type Work } from './state.js';
+import { isAppendIsolated } from './reachability.js';
+import {
+  isDiskOfMember,
+  sendToReplica,
+  update,
+  takeRequestId,
+  without,
+  type Transition,
+} from './state.js';
 
 /** Posts facts; the waiting caller is answered with `done` once a majority has them on disk. */
-export const post = (
-  work: Work,
-  facts: readonly JournalEntry[],
+export const appendToJournal = (
+  transition: Transition,
+  entries: readonly JournalEntry[],
   id: number,
   done: unknown,
 ): void => {
-  const which = takeId(work);
-  const posting = { facts, acks: [], id, openedAt: work.state.now, sentAt: -Infinity, done };
-  set(work, { postings: { ...work.state.postings, [which]: posting } });
-  tendPostings(work);
+  const which = takeRequestId(transition);
+  const posting = {
+    entries,
+    acknowledgedBy: [],
+    callerId: id,
+    requestedAt: transition.state.now,
+    lastSentAt: -Infinity,
+    answerBody: done,
+  };
+  update(transition, { pendingAppends: { ...transition.state.pendingAppends, [which]: posting } });
+  tendAppends(transition);
 };
 
-export const tookPost = (work: Work, which: number, replica: string, reply: ReplicaReply): void => {
-  const posting = work.state.postings[which];
+export const handleAppendReply = (
+  transition: Transition,
+  which: number,
+  replica: string,
+  reply: ReplicaReply,
+): void => {
+  const posting = transition.state.pendingAppends[which];
   if (posting === undefined || reply.kind !== 'entries-appended') return;
-  if (posting.acks.includes(replica) || !counts(work.state, replica, reply.diskId)) return;
-  const acks = [...posting.acks, replica];
-  if (acks.length < majorityOf(Object.keys(work.state.replicas).length)) {
-    set(work, { postings: { ...work.state.postings, [which]: { ...posting, acks } } });
+  if (
+    posting.acknowledgedBy.includes(replica) ||
+    !isDiskOfMember(transition.state, replica, reply.diskId)
+  )
+    return;
+  const acks = [...posting.acknowledgedBy, replica];
+  if (acks.length < majorityOf(Object.keys(transition.state.replicas).length)) {
+    update(transition, {
+      pendingAppends: {
+        ...transition.state.pendingAppends,
+        [which]: { ...posting, acknowledgedBy: acks },
+      },
+    });
     return;
   }
-  const posted = Object.fromEntries(posting.facts.map((fact) => [fact.key, true as const]));
-  set(work, {
-    postings: without(work.state.postings, which),
-    posted: { ...work.state.posted, ...posted },
+  const posted = Object.fromEntries(posting.entries.map((entry) => [entry.key, true as const]));
+  update(transition, {
+    pendingAppends: without(transition.state.pendingAppends, which),
+    committedEntryKeys: { ...transition.state.committedEntryKeys, ...posted },
+  });
+  transition.effects.push({
+    kind: 'answer',
+    id: posting.callerId,
+    status: 200,
+    body: posting.answerBody,
   });
-  work.effects.push({ kind: 'answer', id: posting.id, status: 200, body: posting.done });
 };
 
 /**
  * Sends facts again to replicas that did not answer; gives a posting up that has taken too long.
  */
-export const tendPostings = (work: Work): void => {
-  const { now } = work.state;
-  for (const [name, posting] of Object.entries(work.state.postings)) {
+export const tendAppends = (transition: Transition): void => {
+  const { now } = transition.state;
+  for (const [name, posting] of Object.entries(transition.state.pendingAppends)) {
     const which = Number(name);
-    if (now - posting.openedAt > Limits.proposal || isPostingStranded(work.state, posting)) {
-      set(work, { postings: without(work.state.postings, which) });
-      work.effects.push({ kind: 'answer', id: posting.id, ...unreached('The order') });
-    } else if (now - posting.sentAt >= Limits.resend) {
-      set(work, { postings: { ...work.state.postings, [which]: { ...posting, sentAt: now } } });
-      for (const [replica, view] of Object.entries(work.state.replicas)) {
-        if (posting.acks.includes(replica)) continue;
-        const pending = { kind: 'post', posting: which, replica } as const;
+    if (
+      now - posting.requestedAt > Limits.proposal ||
+      isAppendIsolated(transition.state, posting)
+    ) {
+      update(transition, { pendingAppends: without(transition.state.pendingAppends, which) });
+      transition.effects.push({ kind: 'answer', id: posting.callerId, ...unreached('The order') });
+    } else if (now - posting.lastSentAt >= Limits.resend) {
+      update(transition, {
+        pendingAppends: {
+          ...transition.state.pendingAppends,
+          [which]: { ...posting, lastSentAt: now },
+        },
+      });
+      for (const [replica, view] of Object.entries(transition.state.replicas)) {
+        if (posting.acknowledgedBy.includes(replica)) continue;
+        const pending = { kind: 'append-entries', appendId: which, replica } as const;
         sendToReplica(
-          work,
+          transition,
           view.address,
-          { kind: 'append-entries', entries: posting.facts },
+          { kind: 'append-entries', entries: posting.entries },
           pending,
         );
       }
--- a/packages/agent/src/quota-leadership.ts
+++ b/packages/agent/src/quota-leadership.ts
@@ -11,26 +11,28 @@
 import { Routes } from '@reedyard/schemas';
 import { propose } from './ballots.js';
 import { Changes } from './changes.js';
-import { chance, log, planOf, policyOf, set, type Work } from './state.js';
-import { boundsOf, seatedNodes } from './network.js';
+import { nextRandom, log, quotaAllocationOf, policyOf, update, type Transition } from './state.js';
+import { serviceRateLimits, quotaNodes } from './network.js';
 
-const busy = (work: Work): boolean =>
-  Object.values(work.state.proposalRuns).some((proposalRun) => proposalRun.purpose.kind === 'plan');
+const busy = (transition: Transition): boolean =>
+  Object.values(transition.state.pendingChanges).some(
+    (pendingChange) => pendingChange.purpose.kind === 'publish-allocation',
+  );
 
 /** The holder's beat: renew the term and move slices to where the demand is. */
-const renew = (work: Work, current: Plan): void => {
-  const { state } = work;
+const renew = (transition: Transition, current: Plan): void => {
+  const { state } = transition;
   const quotaLeadership = state.quotaLeadership;
   if (quotaLeadership === null) return;
-  const held = quotaLeadership.held.filter((each) => each.until > state.now);
-  const nodes = seatedNodes(state);
+  const held = quotaLeadership.precedingAllocations.filter((each) => each.until > state.now);
+  const nodes = quotaNodes(state);
   const seats: readonly Seat[] = nodes.map((record) => ({
     edge: record.id,
     zone: record.zone,
     region: record.region,
   }));
   const policy = policyOf(state)?.document;
-  const bounds = boundsOf(state);
+  const bounds = serviceRateLimits(state);
   const goals = Object.fromEntries(
     Object.entries(bounds).map(([name, bound]): readonly [string, Slices] => {
       const homes = Routes.homesOf(policy?.routes ?? [], name);
@@ -67,7 +69,7 @@
     seated.length === current.seated.length &&
     seated.every((edge) => current.seated.includes(edge));
   // Half a division's beat early, since the last one was chosen a little after it was looked at.
-  if (still && state.now - state.planSeen.at < Beats.renewal - Beats.division / 2) return;
+  if (still && state.now - state.allocationSeen.at < Beats.renewal - Beats.division / 2) return;
   const goal: Plan = {
     term: current.term,
     holder: state.self.id,
@@ -76,39 +78,42 @@
     seated,
   };
   // What is in force now may be held by others for a lease after its successor is chosen.
-  set(work, {
+  update(transition, {
     quotaLeadership: {
       ...quotaLeadership,
-      held: [
+      precedingAllocations: [
         ...held,
         { slices: current.slices, until: state.now + Limits.regrant + Limits.proposal },
       ],
     },
   });
-  propose(work, 'plan', Changes.plan(goal), { kind: 'plan', goal });
+  propose(transition, 'plan', Changes.plan(goal), { kind: 'publish-allocation', goal });
 };
 
 /** Renews the quota leadership where this node has it, and takes it where nobody does. */
-export const tendQuotaLeadership = (work: Work): void => {
-  const { state } = work;
-  if (state.now >= state.lease || busy(work)) return;
-  const current = planOf(state);
+export const tendQuotaLeadership = (transition: Transition): void => {
+  const { state } = transition;
+  if (state.now >= state.leaseUntil || busy(transition)) return;
+  const current = quotaAllocationOf(state);
   if (
     state.quotaLeadership !== null &&
     current !== null &&
     current.holder === state.self.id &&
     current.term === state.quotaLeadership.term
   ) {
-    renew(work, current);
+    renew(transition, current);
     return;
   }
   if (state.quotaLeadership !== null) {
-    log(work, 'quota-leadership.lost', { term: state.quotaLeadership.term, how: 'another holder' });
-    set(work, { quotaLeadership: null });
+    log(transition, 'quota-leadership.lost', {
+      term: state.quotaLeadership.term,
+      how: 'another holder',
+    });
+    update(transition, { quotaLeadership: null });
   }
   if (policyOf(state) === null) return;
-  const vacant = current === null || state.now - state.planSeen.at > Limits.vacancy;
-  if (!vacant || chance(work) > 0.3) return;
+  const vacant = current === null || state.now - state.allocationSeen.at > Limits.vacancy;
+  if (!vacant || nextRandom(transition) > 0.3) return;
   const goal: Plan = {
     term: (current?.term ?? 0) + 1,
     holder: state.self.id,
@@ -116,5 +121,8 @@
     slices: current?.slices ?? {},
     seated: current?.seated ?? [],
   };
-  propose(work, 'plan', Changes.takeQuotaLeadership(current, goal), { kind: 'plan', goal });
+  propose(transition, 'plan', Changes.takeQuotaLeadership(current, goal), {
+    kind: 'publish-allocation',
+    goal,
+  });
 };
--- a/packages/agent/src/reachability.test.ts
+++ b/packages/agent/src/reachability.test.ts
@@ -3,7 +3,7 @@
 import { Beats, Limits } from '@reedyard/constants';
 import { Agent } from './core.js';
 import { drainKey } from './network.js';
-import { isUnreachable, mayActFor } from './reachability.js';
+import { isUnreachable, actingAllowanceMs } from './reachability.js';
 import { AgentUnderTest, ballotOf, pulledReply, type AddressedCall } from './replicas.fixture.js';
 import type { Action } from './terms.js';
 
@@ -75,38 +75,38 @@
 for (const [what, reply] of Object.entries(refusals)) {
   test(`a node whose replicas answer is in touch, though none counts: ${what}`, (t) => {
     const agent = afterwards(({ replica, call }) => (call.kind === 'poll' ? reply(replica) : null));
-    t.true(agent.state.lease < agent.state.now);
-    t.is(mayActFor(agent.state), 0);
+    t.true(agent.state.leaseUntil < agent.state.now);
+    t.is(actingAllowanceMs(agent.state), 0);
     t.false(isUnreachable(agent.state));
     // A minority that answers is no majority.
     const other = afterwards(({ replica, call }) =>
       call.kind === 'poll' && replica === 'a' ? reply(replica) : null,
     );
-    t.is(mayActFor(other.state), Limits.cutOffLease);
+    t.is(actingAllowanceMs(other.state), Limits.cutOffLease);
     t.true(isUnreachable(other.state));
   });
 }
 
 test('a cut is known when the lease runs out, and is over with the first answers of a majority', (t) => {
   const agent = afterwards(silent, 3_000);
-  const over = agent.state.lease;
+  const over = agent.state.leaseUntil;
   // The feed just before has it last until the next one: no caller is refused in between.
   agent.run(over - 4 * Beats.agent, silent);
-  t.is(mayActFor(agent.state), over - agent.state.now);
+  t.is(actingAllowanceMs(agent.state), over - agent.state.now);
   agent.run(over - Beats.agent, silent);
-  t.is(mayActFor(agent.state), Limits.cutOffLease);
+  t.is(actingAllowanceMs(agent.state), Limits.cutOffLease);
   t.false(isUnreachable(agent.state));
   agent.run(over, silent);
-  t.is(mayActFor(agent.state), Limits.cutOffLease);
+  t.is(actingAllowanceMs(agent.state), Limits.cutOffLease);
   t.true(isUnreachable(agent.state));
   agent.run(30_000, silent);
-  t.is(mayActFor(agent.state), Limits.cutOffLease);
+  t.is(actingAllowanceMs(agent.state), Limits.cutOffLease);
   // What the answers show is not known here yet: in touch, and without a lease.
   const news = ({ replica, call }: AddressedCall): ReplicaReply | null =>
     call.kind === 'poll' ? pulledReply(replica, { policy: ballotOf(7) }) : null;
   agent.run(30_600, news);
-  t.is(mayActFor(agent.state), 0);
-  t.true(agent.state.lease < agent.state.now);
+  t.is(actingAllowanceMs(agent.state), 0);
+  t.true(agent.state.leaseUntil < agent.state.now);
 });
 
 test('a replica that answers again is asked ten times a second for a while, and only then', (t) => {
@@ -149,7 +149,7 @@
   const agent = afterwards(silent);
   agent.operate({ kind: 'describe', description }, agent.state.now);
   t.deepEqual(agent.answers(), [200]);
-  agent.state = { ...agent.state, posted: { [drainKey(draining)]: true } };
+  agent.state = { ...agent.state, committedEntryKeys: { [drainKey(draining)]: true } };
   agent.operate({ kind: 'describe', description: draining }, agent.state.now);
   t.deepEqual(agent.answers(), [200]);
 });
--- a/packages/agent/src/replicas.fixture.ts
+++ b/packages/agent/src/replicas.fixture.ts
@@ -3,7 +3,7 @@
 import { Beats } from '@reedyard/constants';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, Watched, Work } from './state.js';
+import type { AgentState, WatchedRegister, Transition } from './state.js';
 import type { Action, AgentEffect } from './terms.js';
 
 /**
@@ -68,10 +68,10 @@
   }
 
   /** Lets it know a value as chosen. */
-  learn(key: Watched, round: number, value: unknown): void {
-    const work: Work = { state: this.state, effects: [] };
-    learnRegister(work, key, ballotOf(round), value);
-    this.state = work.state;
+  learn(key: WatchedRegister, round: number, value: unknown): void {
+    const transition: Transition = { state: this.state, effects: [] };
+    learnRegister(transition, key, ballotOf(round), value);
+    this.state = transition.state;
   }
 
   /** Lets a beat come at a moment, and tells what was asked of replicas in it. */
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -20,13 +20,18 @@
 import { Changes } from './changes.js';
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, Watched, Work } from './state.js';
+import type { AgentState, WatchedRegister, Transition } from './state.js';
 import type { AgentEffect, NodeRecord } from './terms.js';
 
-const learnt = (state: AgentState, key: Watched, round: number, value: unknown): AgentState => {
-  const work: Work = { state, effects: [] };
-  learnRegister(work, key, { counter: round, proposerId: 'x' }, value);
-  return work.state;
+const learnt = (
+  state: AgentState,
+  key: WatchedRegister,
+  round: number,
+  value: unknown,
+): AgentState => {
+  const transition: Transition = { state, effects: [] };
+  learnRegister(transition, key, { counter: round, proposerId: 'x' }, value);
+  return transition.state;
 };
 
 type AddressedCall = { readonly id: number; readonly call: ReplicaOperation };
@@ -48,16 +53,16 @@
 test('the lease runs from the sending of the pulls, however late their answers come', (t) => {
   const beat = Agent.reduce(founded(), { kind: 'beat', now: 100 });
   const { state } = answeredPulls(beat, 900, (name) => pulled(`${name}/a`));
-  t.is(state.lease, 100 + Limits.lease);
+  t.is(state.leaseUntil, 100 + Limits.lease);
 });
 
 test('pulls answered by other disks than the members have, or by a minority, bring no lease', (t) => {
-  t.is(asked(founded(), 100, (name) => pulled(`${name}/other`)).lease, 0);
+  t.is(asked(founded(), 100, (name) => pulled(`${name}/other`)).leaseUntil, 0);
   const minority = names.slice(0, 2);
   const some = asked(founded(), 100, (name) =>
     minority.includes(name) ? pulled(`${name}/a`) : null,
   );
-  t.is(some.lease, 0);
+  t.is(some.leaseUntil, 0);
 });
 
 test('a pull that shows a value or journal entries not known here brings no lease until they are', (t) => {
@@ -66,23 +71,23 @@
     ({ ...pulled(`${name}/a`), acceptedNumbers: shown }) as ReplicaReply;
   const beat = Agent.reduce(founded(), { kind: 'beat', now: 100 });
   const answered = answeredPulls(beat, 110, replyOf);
-  t.is(answered.state.lease, 0);
+  t.is(answered.state.leaseUntil, 0);
   const fetch = replicaCalls(answered.effects).find(({ call }) => call.kind === 'read-register');
   const value = { term: 1, holder: 'core-2', beat: 1, slices: {}, seated: [] };
   const accepted = { proposalNumber: shown.plan, value };
   const reply = { kind: 'register-read', diskId: 'core-1/a', accepted } as const;
-  t.is(returned(answered.state, fetch?.id ?? -1, reply, 120).state.lease, 100 + Limits.lease);
+  t.is(returned(answered.state, fetch?.id ?? -1, reply, 120).state.leaseUntil, 100 + Limits.lease);
   const partial = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), hasMore: true }) as ReplicaReply;
-  t.is(asked(founded(), 100, partial).lease, 0);
+  t.is(asked(founded(), 100, partial).leaseUntil, 0);
 });
 
 test('a node that was away for half of what the journal keeps drops its copies; after less it keeps them', (t) => {
   const held = allAnswer(founded(), 100);
   const soon = allAnswer(held, 100 + Limits.fact / 2 - 1_000);
-  t.is(soon.flushes, held.flushes);
+  t.is(soon.cacheFlushCount, held.cacheFlushCount);
   const late = allAnswer(held, 100 + Limits.fact / 2 + 1_000);
-  t.is(late.flushes, held.flushes + 1);
+  t.is(late.cacheFlushCount, held.cacheFlushCount + 1);
 });
 
 test('a purge is acknowledged once a majority of the very disks of the members has it, not before', (t) => {
@@ -122,7 +127,11 @@
   });
   const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
   const leader = learnt(known, 'plan', 2, allocation(1, 'core-1'));
-  const leased: AgentState = { ...leader, lease: 1e6, quotaLeadership: { term: 1, held: [] } };
+  const leased: AgentState = {
+    ...leader,
+    leaseUntil: 1e6,
+    quotaLeadership: { term: 1, precedingAllocations: [] },
+  };
   const beat = Agent.reduce(leased, { kind: 'beat', now: 2_000 });
   const prepares = replicaCalls(beat.effects).filter(
     ({ call }) => call.kind === 'prepare' && call.key === 'plan',
@@ -160,7 +169,7 @@
     seated: [],
   });
   const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
-  let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), lease: 1e9 };
+  let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
   let prepares: readonly AddressedCall[] = [];
   for (let now = 2 * Limits.vacancy; prepares.length === 0 && now < 1e5; now += 500) {
     const step = Agent.reduce(state, { kind: 'beat', now });
@@ -236,8 +245,8 @@
   const leader = {
     ...learnt(known, 'plan', 2, plan),
     gossip: told,
-    lease: 1e6,
-    quotaLeadership: { term: 1, held },
+    leaseUntil: 1e6,
+    quotaLeadership: { term: 1, precedingAllocations: held },
   };
   const beat = Agent.reduce(leader, { kind: 'beat', now });
   let { state } = beat;
--- a/packages/agent/src/status.test.ts
+++ b/packages/agent/src/status.test.ts
@@ -15,7 +15,7 @@
 import { Agent } from './core.js';
 import { learnRegister } from './pulls.js';
 import { controlStatus, nodeStatus } from './status.js';
-import type { Work } from './state.js';
+import type { Transition } from './state.js';
 
 test('the status shows epoch, quorum, and how many more losses are borne', (t) => {
   const control = controlStatus(allAnswer(founded(), 100));
@@ -138,11 +138,11 @@
   const before = controlStatus(state);
   t.deepEqual([before.epoch, before.members.length, before.wantedMembers], [0, 0, 5]);
   t.true(before.lossesBorne < 0);
-  const work: Work = { state, effects: [] };
+  const transition: Transition = { state, effects: [] };
   const disks = { a: 'da', b: 'db', c: 'dc' };
   const places = { a: seeds[0] ?? '', b: seeds[1] ?? '', c: seeds[2] ?? '' };
   const members = { epoch: 1, disks, addresses: places };
-  learnRegister(work, 'members', { counter: 1, proposerId: 'founding' }, members);
-  const control = controlStatus(work.state);
+  learnRegister(transition, 'members', { counter: 1, proposerId: 'founding' }, members);
+  const control = controlStatus(transition.state);
   t.deepEqual([control.members.length, control.quorum, control.wantedMembers], [3, 2, 5]);
 });
--- a/packages/agent/src/status.ts
+++ b/packages/agent/src/status.ts
@@ -10,19 +10,19 @@
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Split } from '@reedyard/server-selection';
 import type { Description } from '@reedyard/schemas';
-import { replicasHeard, nodesOf, originsOf } from './network.js';
+import { replicasKnown, nodesOf, originsOf } from './network.js';
 import { isUnreachable } from './reachability.js';
 import {
-  closedOf,
-  counts,
+  zonesWithClosedOrigins,
+  isDiskOfMember,
   zonesOf,
-  planOf,
+  quotaAllocationOf,
   policyOf,
-  membersOf,
+  committedMembershipOf,
   type ReplicaView,
   type AgentState,
-  type ReplicaAnswer,
-  type ReplicaOutcome,
+  type PollReplySeen,
+  type PollOutcome,
 } from './state.js';
 
 /**
@@ -45,7 +45,7 @@
   readonly zone: string | null;
   readonly state: MemberState;
   /** What its last answer was, and null where it never answered this node. */
-  readonly outcome: ReplicaOutcome | null;
+  readonly outcome: PollOutcome | null;
   readonly lastAnswerAgeMs: number | null;
   /** Whether it was told to stop: it votes until it has gone. */
   readonly leaving: boolean;
@@ -100,18 +100,18 @@
   readonly split: Split;
 };
 
-const awayOutcome = (named: boolean, blank: boolean): ReplicaOutcome => {
+const awayOutcome = (named: boolean, blank: boolean): PollOutcome => {
   if (named) return 'recovering';
   return blank ? 'blank' : 'not-a-member';
 };
 
-const pulledOutcome = (named: boolean, readOnly: boolean): ReplicaOutcome => {
+const pulledOutcome = (named: boolean, readOnly: boolean): PollOutcome => {
   if (!named) return 'not-a-member';
   return readOnly ? 'read-only' : 'counted';
 };
 
 /** What an answer to a pull tells of the replica that gave it. */
-const outcomeOf = (reply: ReplicaReply, named: boolean): ReplicaOutcome => {
+const outcomeOf = (reply: ReplicaReply, named: boolean): PollOutcome => {
   switch (reply.kind) {
     case 'polled':
       return pulledOutcome(named, reply.isReadOnly === true);
@@ -136,18 +136,18 @@
   state: AgentState,
   name: string,
   reply: ReplicaReply,
-): ReplicaAnswer => ({
+): PollReplySeen => ({
   at: state.now,
-  disk: reply.diskId,
-  outcome: outcomeOf(reply, counts(state, name, reply.diskId)),
+  diskId: reply.diskId,
+  outcome: outcomeOf(reply, isDiskOfMember(state, name, reply.diskId)),
 });
 
 const stateOf = (view: ReplicaView, disk: string | null, now: number): MemberState => {
-  const { answered } = view;
+  const { lastPollReply: answered } = view;
   if (answered === null || now - answered.at >= Limits.lease) return 'silent';
   switch (answered.outcome) {
     case 'counted':
-      return answered.disk === disk ? 'answering' : 'refusing';
+      return answered.diskId === disk ? 'answering' : 'refusing';
     case 'recovering':
     case 'blank':
       return 'recovering';
@@ -167,13 +167,13 @@
   return (
     records.find((record) => member.disk !== null && record.replica?.disk === member.disk) ??
     records.find((record) => record.replica?.address === member.address) ??
-    records.find((record) => state.voting === null && record.id === member.name) ??
+    records.find((record) => state.bootstrap === null && record.id === member.name) ??
     null
   );
 };
 
 const memberOf = (state: AgentState, name: string, view: ReplicaView): MemberStatus => {
-  const disk = membersOf(state)?.value.disks[name] ?? null;
+  const disk = committedMembershipOf(state)?.value.disks[name] ?? null;
   const machine = machineOf(state, { name, disk, address: view.address });
   return {
     name,
@@ -182,18 +182,19 @@
     disk,
     zone: machine?.zone ?? null,
     state: stateOf(view, disk, state.now),
-    outcome: view.answered?.outcome ?? null,
-    lastAnswerAgeMs: view.answered === null ? null : Math.round(state.now - view.answered.at),
-    leaving: view.leaving,
+    outcome: view.lastPollReply?.outcome ?? null,
+    lastAnswerAgeMs:
+      view.lastPollReply === null ? null : Math.round(state.now - view.lastPollReply.at),
+    leaving: view.isStopping,
   };
 };
 
 const sparesOf = (state: AgentState): readonly SpareStatus[] => {
-  const disks = Object.values(membersOf(state)?.value.disks ?? {});
+  const disks = Object.values(committedMembershipOf(state)?.value.disks ?? {});
   const isLive = (id: string, seenAt: number): boolean =>
     id === state.self.id || state.now - seenAt < Limits.peerSilence;
-  return replicasHeard(state)
-    .filter((each) => each.fresh && !disks.includes(each.disk) && isLive(each.id, each.seenAt))
+  return replicasKnown(state)
+    .filter((each) => each.isBlank && !disks.includes(each.diskId) && isLive(each.id, each.seenAt))
     .map((each) => ({ node: each.id, address: each.address, zone: each.zone }));
 };
 
@@ -201,7 +202,7 @@
  * Losses that the settings want borne: told where members found themselves, else what they allow.
  */
 const configuredLossesOf = (state: AgentState): number =>
-  state.voting?.losses ?? Math.floor((Object.keys(state.replicas).length - 1) / 2);
+  state.bootstrap?.losses ?? Math.floor((Object.keys(state.replicas).length - 1) / 2);
 
 /**
  * The membership of the control state as this node sees it.
@@ -215,7 +216,7 @@
   const quorum = majorityOf(members.length);
   const configuredLosses = configuredLossesOf(state);
   return {
-    epoch: membersOf(state)?.value.epoch ?? 0,
+    epoch: committedMembershipOf(state)?.value.epoch ?? 0,
     members,
     recovering: members
       .filter((member) => member.state === 'recovering')
@@ -223,13 +224,13 @@
     quorum,
     lossesBorne: answering - quorum,
     configuredLosses,
-    wantedMembers: state.voting === null ? members.length : 2 * configuredLosses + 1,
+    wantedMembers: state.bootstrap === null ? members.length : 2 * configuredLosses + 1,
     spares: sparesOf(state),
   };
 };
 
 const originStatuses = (state: AgentState): readonly OriginStatus[] =>
-  originsOf(state).map(({ description, barred }) => ({
+  originsOf(state).map(({ description, exclusionReason: barred }) => ({
     ...description,
     admitted: barred === null,
     ...(barred === null ? {} : { reason: barred }),
@@ -242,22 +243,22 @@
  * nodeStatus(state).leaseMs // 1_240
  */
 export const nodeStatus = (state: AgentState): NodeStatus => {
-  const plan = planOf(state);
+  const plan = quotaAllocationOf(state);
   return {
     node: state.self.id,
     zone: state.self.zone,
     region: state.self.region,
-    leaseMs: Math.max(0, Math.round(state.lease - state.now)),
+    leaseMs: Math.max(0, Math.round(state.leaseUntil - state.now)),
     unreachable: isUnreachable(state),
     policyRevision: policyOf(state)?.revision ?? 0,
     emptiedZones: zonesOf(state)?.emptied ?? [],
-    closedOrigins: closedOf(state),
+    closedOrigins: zonesWithClosedOrigins(state),
     control: controlStatus(state),
     quotaLeadership: plan === null ? null : { holder: plan.holder, term: plan.term },
     origins: originStatuses(state),
-    proxy: state.report?.report.counters ?? null,
-    notices: state.notices,
-    splits: state.splits,
-    split: state.split,
+    proxy: state.proxyReport?.proxyReport.counters ?? null,
+    notices: state.vectorAnnouncementCount,
+    splits: state.routingTableCount,
+    split: state.routingTable,
   };
 };
--- a/packages/agent/src/terms.ts
+++ b/packages/agent/src/terms.ts
@@ -20,7 +20,7 @@
 };
 
 /** Where members found themselves from seeds: what an agent is told by its settings. */
-export type AgentVoting = {
+export type AgentBootstrap = {
   /** Lost disks that must be borne: there are to be 2 × losses + 1 members. */
   readonly losses: number;
   /**
@@ -59,14 +59,14 @@
 };
 
 /** What the policy register holds. */
-export type PolicyValue = {
+export type PolicyRegister = {
   readonly revision: number;
   readonly document: Policy;
   readonly changes: readonly { readonly id: string; readonly revision: number }[];
 };
 
 /** What the zones register holds. */
-export type ZonesValue = {
+export type ZonesRegister = {
   readonly revision: number;
   readonly emptied: readonly string[];
   /** Zones whose origins get nothing: the emptied ones, and those of which only the origins are. */
@@ -80,7 +80,7 @@
 
 /** What a claim's register holds: never a body. */
 export type ClaimState = 'pending' | 'ran' | 'not-run' | 'unknown';
-export type ClaimValue = {
+export type ClaimRegister = {
   readonly token: string;
   readonly state: ClaimState;
   readonly node: string;
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -74,7 +74,7 @@
   const own = sumOf(fleet, 'requests');
   const waits = fleet.waits.filter((wait) => wait.at > 10_000).map((wait) => wait.ms);
   const notices = [...fleet.boxes.values()].reduce(
-    (sum, box) => sum + (box.agent?.state.notices ?? 0),
+    (sum, box) => sum + (box.agent?.state.vectorAnnouncementCount ?? 0),
     0,
   );
   const part = (counter: string): string => `${((100 * sumOf(fleet, counter)) / own).toFixed(1)}%`;
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -352,7 +352,7 @@
   }
 
   #tookStep(process: Process<'agent'>): void {
-    if (process.state.lease > this.#now(process)) this.#reach.tookLease(process.machine.name);
+    if (process.state.leaseUntil > this.#now(process)) this.#reach.tookLease(process.machine.name);
   }
 
   #make<P extends Program>(
@@ -895,7 +895,7 @@
           (body) => {
             const held = Feeds.merge(this.#held.get(process) ?? null, body as FeedTold);
             const agent = box?.agent;
-            if (agent && held.feed.leaseMs > 0 && agent.state.lease <= this.#now(agent))
+            if (agent && held.feed.leaseMs > 0 && agent.state.leaseUntil <= this.#now(agent))
               this.history.push({
                 kind: 'served-on',
                 at: this.clock.now(),
--- a/packages/simulator/src/order-trial.test.ts
+++ b/packages/simulator/src/order-trial.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import type { Action, ZonesValue } from '@reedyard/agent';
+import type { Action, ZonesRegister } from '@reedyard/agent';
 import { SimFleet } from './fleet.js';
 import { sendOrder } from './order-client.js';
 import { runOrderTrial } from './order-trial.js';
@@ -56,7 +56,7 @@
   );
   fleet.clock.runUntil(25_000);
   const zones = fleet.boxes.get('core-1')?.agent?.state.registers.zones?.value as
-    ZonesValue | undefined;
+    ZonesRegister | undefined;
   return isTakenBack && zones !== undefined && !zones.closedOrigins.includes('west');
 };
 
--- a/packages/simulator/src/order-trial.ts
+++ b/packages/simulator/src/order-trial.ts
@@ -5,7 +5,7 @@
  * it and takes it back in turn.
  */
 import { Limits } from '@reedyard/constants';
-import type { Action, ZonesValue, PolicyValue } from '@reedyard/agent';
+import type { Action, ZonesRegister, PolicyRegister } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import { SimFleet } from './fleet.js';
 import { sendOrder, type OrderOutcome } from './order-client.js';
@@ -144,11 +144,11 @@
   }
 
   /** Agents that may act, with what they know of the zones. */
-  #informed(): readonly ZonesValue[] {
+  #informed(): readonly ZonesRegister[] {
     return [...this.fleet.boxes.values()].flatMap(({ agent }) => {
-      if (agent === null || agent.frozen || agent.state.now >= agent.state.lease) return [];
+      if (agent === null || agent.frozen || agent.state.now >= agent.state.leaseUntil) return [];
       const zones = agent.state.registers.zones;
-      return zones === undefined ? [] : [zones.value as ZonesValue];
+      return zones === undefined ? [] : [zones.value as ZonesRegister];
     });
   }
 
@@ -203,7 +203,7 @@
   }
 
   /** What is read back at the end. */
-  checkEnd(policy: PolicyValue['document'] | null): void {
+  checkEnd(policy: PolicyRegister['document'] | null): void {
     const acknowledged = this.policies.filter((each) => each.outcome.kind === 'acknowledged');
     const newest = Math.max(0, ...acknowledged.map((each) => each.version));
     const [version, content] = [policy?.version ?? 0, policy?.notes?.content];
@@ -240,7 +240,7 @@
   });
   clock.runUntil(endMs + settleMs);
   trial.checkPolicies();
-  let read: PolicyValue['document'] | null = null;
+  let read: PolicyRegister['document'] | null = null;
   sendOrder(
     trial.fleet,
     { patienceMs, action: () => ({ kind: 'get-policy' }) },
--- a/packages/simulator/src/plants.ts
+++ b/packages/simulator/src/plants.ts
@@ -211,24 +211,24 @@
     case 'answers-ignored':
       return {
         ...state,
-        replicas: mapViews(state.replicas, (view) => ({ ...view, answeredAt: -Infinity })),
+        replicas: mapViews(state.replicas, (view) => ({ ...view, lastReplyAt: -Infinity })),
       };
     // Silence is not noticed: calls wait for their limit.
     case 'answers-assumed':
       return {
         ...state,
-        replicas: mapViews(state.replicas, (view) => ({ ...view, answeredAt: now })),
+        replicas: mapViews(state.replicas, (view) => ({ ...view, lastReplyAt: now })),
       };
     // Replicas that are silent do not count as members.
     case 'quorum-of-the-reached': {
       const reached = Object.entries(state.replicas).filter(
-        ([, view]) => now - view.answeredAt < Limits.replicaSilence,
+        ([, view]) => now - view.lastReplyAt < Limits.replicaSilence,
       );
       return reached.length === 0 ? state : { ...state, replicas: Object.fromEntries(reached) };
     }
     // A replica that answers again is not asked more often.
     case 'no-return':
-      return { ...state, returnedAt: -Infinity };
+      return { ...state, lastReplicaReturnAt: -Infinity };
     default:
       return state;
   }
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -384,7 +384,7 @@
   #reduceAgent(node: AgentNode, event: AgentEvent): void {
     const label =
       event.kind === 'returned'
-        ? `returned.${node.state.pending[event.id]?.kind ?? 'late'}`
+        ? `returned.${node.state.pendingRequests[event.id]?.kind ?? 'late'}`
         : event.kind === 'asked' || event.kind === 'fed'
           ? `${event.kind}.${event.body.kind}`
           : event.kind;
@@ -705,9 +705,9 @@
             ? ((state.registers.policy?.value as { readonly revision: number } | undefined)
                 ?.revision ?? 0) >= Number(watch.key)
             : watch.what === 'purge'
-              ? state.factKeys[`purge/${watch.key}`] !== undefined
+              ? state.entryKeys[`purge/${watch.key}`] !== undefined
               : watch.what === 'drain'
-                ? Object.keys(state.factKeys).some(
+                ? Object.keys(state.entryKeys).some(
                     (key) => key.startsWith('drain/') && key.split('/')[2] === watch.key,
                   )
                 : state.gossip.records[`node/${watch.key}`] !== undefined;
