--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
 import { parse, stringify } from 'devalue';
 import { Beats, Limits, Weights } from '@reedyard/constants';
-import { Gossip } from '@reedyard/gossip';
-import { Schemas, type Description } from '@reedyard/schemas';
-import { Changes, type RegisterChange } from './changes.js';
-import { Agent } from './core.js';
-import { serviceRateLimits, learnRecords, originEndpoints, originsOf } from './network.js';
+import { recordValue } from '@reedyard/gossip';
+import { type Description, Schemas } from '@reedyard/schemas';
+import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
+import { openAgent, reduceAgent } from './core.js';
+import { learnRecords, originEndpoints, originsOf, serviceRateLimits } from './network.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, WatchedRegister, Transition } from './state.js';
-import type { Action, ZonesRegister, AgentEffect, PolicyRegister } from './terms.js';
+import type { AgentState, Transition, WatchedRegister } from './state.js';
+import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './terms.js';
 
 const self = {
   id: 'n',
@@ -19,7 +19,7 @@
   replica: null,
 };
 const opened = (now = 0): AgentState =>
-  Agent.open({
+  openAgent({
     self,
     life: 'l',
     seeds: [],
@@ -43,10 +43,10 @@
 };
 const acted = (
   state: AgentState,
-  action: Action,
+  action: ApiAction,
   now: number,
 ): { readonly state: AgentState; readonly effects: readonly AgentEffect[] } =>
-  Agent.reduce(state, { kind: 'operator', id: 1, action, now });
+  reduceAgent(state, { kind: 'action-received', requestId: 1, action, now });
 const policyValue = (services: object, more: object = {}): PolicyRegister => ({
   revision: 1,
   document: Schemas.policy({ services, routes: [], ...more }),
@@ -73,11 +73,11 @@
   seated: [],
 });
 const answers = (effects: readonly AgentEffect[]): readonly number[] =>
-  effects.flatMap((effect) => (effect.kind === 'answer' ? [effect.status] : []));
+  effects.flatMap((effect) => (effect.kind === 'send-answer' ? [effect.status] : []));
 
 test('of two policies with a version the higher one stays, in whatever order they are written', (t) => {
   const put = (version: number | undefined, id: string) =>
-    Changes.policy({
+    putPolicyChange({
       document: Schemas.policy({
         services: {},
         routes: [],
@@ -115,7 +115,7 @@
     id: string,
   ): ZonesRegister =>
     written(
-      Changes.zone({ zone: 'west', order: what, of, changeId: id, lapsed: 0 }),
+      zoneOrderChange({ zone: 'west', order: what, of, changeId: id, lapsed: 0 }),
       current,
     ) as ZonesRegister;
   const closed = order(null, 'empty', 'origins', '1');
@@ -184,7 +184,7 @@
 
 test('an older description changes nothing, here and in what is heard from others', (t) => {
   const key = 'origin/s/i';
-  const known = (state: AgentState): Description => Gossip.get(state.gossip, key) as Description;
+  const known = (state: AgentState): Description => recordValue(state.gossip, key) as Description;
   let state = acted(
     opened(),
     { kind: 'describe', description: told({ sequence: 5, state: 'cold' }) },
@@ -235,10 +235,10 @@
   t.deepEqual(answers(asked.effects), []);
   t.deepEqual(
     asked.effects.flatMap((effect) =>
-      effect.kind === 'call' &&
-      'operation' in effect.body &&
-      effect.body.operation.kind === 'append-entries'
-        ? [effect.body.operation.entries[0]?.key]
+      effect.kind === 'send-request' &&
+      'operation' in effect.request &&
+      effect.request.operation.kind === 'append-entries'
+        ? [effect.request.operation.entries[0]?.key]
         : [],
     ),
     ['withdrawn/i', 'withdrawn/i', 'withdrawn/i'],
@@ -288,11 +288,11 @@
     ],
   );
   t.deepEqual(parse(stringify(rows)), rows);
-  const fed = Agent.reduce(state, {
-    kind: 'fed',
-    id: 9,
+  const fed = reduceAgent(state, {
+    kind: 'proxy-request-received',
+    requestId: 9,
     now: 2,
-    body: {
+    request: {
       kind: 'feed',
       held: null,
       report: {
@@ -309,8 +309,8 @@
   });
   t.deepEqual(
     fed.effects.flatMap((effect) =>
-      effect.kind === 'tell' && effect.body !== undefined && 'slices' in effect.body
-        ? [effect.body.slices]
+      effect.kind === 'send-reply' && effect.reply !== undefined && 'slices' in effect.reply
+        ? [effect.reply.slices]
         : [],
     ),
     [{ s: Infinity }],
@@ -333,7 +333,7 @@
   ] as const)
     for (const instance of ['i', 'j', 'k']) {
       const rates = nodes.map((id) => {
-        const opening = Agent.open({
+        const opening = openAgent({
           self: { ...self, id },
           life: 'l',
           seeds: [],
@@ -371,7 +371,7 @@
   const cut = (servesOn: boolean, beats: readonly number[], now: number): number => {
     let state = learnt(
       {
-        ...Agent.open({
+        ...openAgent({
           self: { ...self, servesOn },
           life: 'l',
           seeds: [],
@@ -385,12 +385,12 @@
       1,
       policyValue({}),
     );
-    for (const beat of beats) state = Agent.reduce(state, { kind: 'beat', now: beat }).state;
-    const { effects } = Agent.reduce(state, {
-      kind: 'fed',
-      id: 9,
+    for (const beat of beats) state = reduceAgent(state, { kind: 'tick', now: beat }).state;
+    const { effects } = reduceAgent(state, {
+      kind: 'proxy-request-received',
+      requestId: 9,
       now,
-      body: {
+      request: {
         kind: 'feed',
         held: null,
         report: {
@@ -407,8 +407,8 @@
     });
     return (
       effects.flatMap((effect) =>
-        effect.kind === 'tell' && effect.body !== undefined && 'leaseMs' in effect.body
-          ? [effect.body.leaseMs]
+        effect.kind === 'send-reply' && effect.reply !== undefined && 'leaseMs' in effect.reply
+          ? [effect.reply.leaseMs]
           : [],
       )[0] ?? NaN
     );
--- a/packages/agent/src/answered-pulls.fixture.ts
+++ b/packages/agent/src/answered-pulls.fixture.ts
@@ -2,8 +2,8 @@
  * An agent with five founders, whose pulls are answered at once: for tests of what it makes of
  * them.
  */
-import type { ReplicaReply, Membership } from '@reedyard/replica';
-import { Agent } from './core.js';
+import type { Membership, ReplicaReply } from '@reedyard/replica';
+import { openAgent, reduceAgent } from './core.js';
 import { learnRegister } from './pulls.js';
 import type { AgentState, Transition } from './state.js';
 import type { AgentEffect } from './terms.js';
@@ -25,7 +25,7 @@
   Object.fromEntries(names.map((name) => [name, `${name}/${suffix}`] as const));
 
 export const opened = (): AgentState =>
-  Agent.open({ self, life: 'l', seeds: [], founders: addresses, seed: 1, now: 0 });
+  openAgent({ self, life: 'l', seeds: [], founders: addresses, seed: 1, now: 0 });
 
 /** The agent after it learnt of a membership. */
 export const withMembers = (
@@ -58,15 +58,15 @@
 ): Step => {
   const seen: AgentEffect[] = [];
   const state = step.effects.reduce((reached, effect) => {
-    if (effect.kind !== 'call') return reached;
-    const pending = step.state.pendingRequests[effect.id];
+    if (effect.kind !== 'send-request') return reached;
+    const pending = step.state.pendingRequests[effect.requestId];
     if (pending?.kind !== 'poll') return reached;
     const body = replyOf(pending.replica);
-    const next = Agent.reduce(
+    const next = reduceAgent(
       reached,
       body === null
-        ? { kind: 'lost', id: effect.id, now }
-        : { kind: 'returned', id: effect.id, body, now },
+        ? { kind: 'request-failed', requestId: effect.requestId, now }
+        : { kind: 'reply-received', requestId: effect.requestId, reply: body, now },
     );
     seen.push(...next.effects);
     return next.state;
@@ -80,7 +80,7 @@
   now: number,
   replyOf: (name: string) => ReplicaReply | null,
 ): AgentState => {
-  const beat = Agent.reduce(before, { kind: 'beat', now });
+  const beat = reduceAgent(before, { kind: 'tick', now });
   return answeredPulls(beat, now, replyOf).state;
 };
 
--- a/packages/agent/src/api.ts
+++ b/packages/agent/src/api.ts
@@ -3,7 +3,7 @@
 import { Limits, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
 import { Schemas, SchemaError } from '@reedyard/schemas';
-import type { Action } from './terms.js';
+import type { ApiAction } from './terms.js';
 
 /** A request to the operators' and origins' API that can't be taken. */
 export class ApiError extends LayerError {
@@ -18,14 +18,14 @@
 }
 
 /** What is to be answered. */
-export type Reply = {
+export type ApiReply = {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfter?: number;
 };
 
 /** Performs an action; the signal tells that its caller is gone. */
-export type Act = (action: Action, signal?: AbortSignal) => Promise<Reply>;
+export type PerformAction = (action: ApiAction, signal?: AbortSignal) => Promise<ApiReply>;
 
 /**
  * A signal for the connection of a request: it is aborted where the caller closes before the answer
@@ -86,7 +86,7 @@
   return Number(found[1]);
 };
 
-const gets: Readonly<Record<string, Action['kind']>> = {
+const gets: Readonly<Record<string, ApiAction['kind']>> = {
   '/v1/policy': 'get-policy',
   '/v1/status': 'status',
   '/v1/shares': 'shares',
@@ -95,7 +95,7 @@
   '/live': 'live',
 };
 
-const actionOf = async (request: http.IncomingMessage): Promise<Action> => {
+const actionOf = async (request: http.IncomingMessage): Promise<ApiAction> => {
   const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
   const method = request.method ?? 'GET';
   const wanted = (allowed: readonly string[]): void => {
@@ -143,10 +143,10 @@
       ifMatch: ifMatchOf(request),
       changeId: changeIdOf(request),
     };
-  return { kind: read } as Action;
+  return { kind: read } as ApiAction;
 };
 
-const problemOf = (thrown: unknown): Reply => {
+const problemOf = (thrown: unknown): ApiReply => {
   if (thrown instanceof ApiError)
     return {
       status: thrown.status,
@@ -181,7 +181,7 @@
  * @example
  * const server = apiServer((action) => perform(action));
  */
-export const apiServer = (act: Act): http.Server => {
+export const apiServer = (act: PerformAction): http.Server => {
   const server = http.createServer(
     { maxHeaderSize: Sizes.callerHead, headersTimeout: Limits.callerHead, requestTimeout: 30_000 },
     (request, response) => {
@@ -222,9 +222,9 @@
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 };
-export type Api = {
+export type TranslatedApi = {
   /** Bytes that the body of a request may have; a larger one is answered with 413. */
-  readonly mostBytes: (method: string, target: string) => number;
+  readonly maxBodyBytes: (method: string, target: string) => number;
   readonly answer: (request: ApiRequest) => Promise<ApiResponse>;
 };
 
@@ -234,7 +234,7 @@
  * @example
  * translatedServer({ mostBytes: () => 1_024, answer: async () => ({ status: 204, headers: {}, body: '' }) }).listen(8080);
  */
-export const translatedServer = (api: Api): http.Server => {
+export const translatedServer = (api: TranslatedApi): http.Server => {
   const server = http.createServer(
     { maxHeaderSize: Sizes.callerHead, headersTimeout: Limits.callerHead, requestTimeout: 30_000 },
     (request, response) => {
@@ -248,7 +248,7 @@
           body: JSON.stringify(body),
         };
       };
-      void readBytes(request, api.mostBytes(method, target))
+      void readBytes(request, api.maxBodyBytes(method, target))
         .then((body) => api.answer({ method, target, headers: request.headers, body, signal }))
         .catch(failed)
         .then(({ status, headers, body }) => {
--- a/packages/agent/src/ballots.test.ts
+++ b/packages/agent/src/ballots.test.ts
@@ -3,10 +3,10 @@
 import { Limits } from '@reedyard/constants';
 import type { ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
-import { Agent } from './core.js';
+import { openAgent, reduceAgent } from './core.js';
 import { learnRegister } from './pulls.js';
 import type { AgentState, Transition } from './state.js';
-import type { Action, AgentEffect, AgentEvent } from './terms.js';
+import type { AgentEffect, AgentEvent, ApiAction } from './terms.js';
 
 const replicas = ['a', 'b', 'c'];
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
@@ -25,7 +25,7 @@
 
   constructor(life = 'l') {
     const founders = Object.fromEntries(replicas.map((name) => [name, name]));
-    const opened = Agent.open({ self, life, seeds: [], founders, seed: 1, now: 0 });
+    const opened = openAgent({ self, life, seeds: [], founders, seed: 1, now: 0 });
     const transition: Transition = { state: opened, effects: [] };
     const disks = Object.fromEntries(replicas.map((name) => [name, `disk-${name}`]));
     learnRegister(transition, 'members', { counter: 1, proposerId: 'x' }, { epoch: 1, disks });
@@ -33,22 +33,22 @@
   }
 
   step(event: AgentEvent): void {
-    const { state, effects } = Agent.reduce(this.state, event);
+    const { state, effects } = reduceAgent(this.state, event);
     this.state = state;
     for (const effect of effects) this.#take(effect);
   }
 
   #take(effect: AgentEffect): void {
-    if (effect.kind === 'call' && effect.path === '/replica') {
-      this.calls.push({ id: effect.id, to: effect.to, call: effect.body.operation });
+    if (effect.kind === 'send-request' && effect.path === '/replica') {
+      this.calls.push({ id: effect.requestId, to: effect.to, call: effect.request.operation });
     }
-    if (effect.kind === 'answer') this.answers.set(effect.id, effect);
-    if (effect.kind === 'wake') this.wakes.push(this.now + effect.inMs);
+    if (effect.kind === 'send-answer') this.answers.set(effect.requestId, effect);
+    if (effect.kind === 'schedule-wake-up') this.wakes.push(this.now + effect.delayMs);
   }
 
-  order(action: Action): number {
+  order(action: ApiAction): number {
     this.#caller += 1;
-    this.step({ kind: 'operator', id: this.#caller, action, now: this.now });
+    this.step({ kind: 'action-received', requestId: this.#caller, action, now: this.now });
     return this.#caller;
   }
 
@@ -65,7 +65,7 @@
         diskId: `disk-${to}`,
         vote: { kind: 'yes', accepted },
       };
-      this.step({ kind: 'returned', id, body, now: this.now });
+      this.step({ kind: 'reply-received', requestId: id, reply: body, now: this.now });
     }
   }
 
@@ -78,7 +78,7 @@
         diskId: `disk-${to}`,
         vote: { kind: 'no', promised },
       };
-      this.step({ kind: 'returned', id, body, now: this.now });
+      this.step({ kind: 'reply-received', requestId: id, reply: body, now: this.now });
     }
   }
 
@@ -99,14 +99,14 @@
   }
 }
 
-const zoneOrder = (zone: string, order: 'empty' | 'take-back', changeId: string): Action => ({
+const zoneOrder = (zone: string, order: 'empty' | 'take-back', changeId: string): ApiAction => ({
   kind: 'zone',
   zone,
   order,
   of: 'origins',
   changeId,
 });
-const put = (version: number, changeId: string, note = ''): Action => ({
+const put = (version: number, changeId: string, note = ''): ApiAction => ({
   kind: 'put-policy',
   ifMatch: null,
   changeId,
@@ -201,7 +201,7 @@
     bench.order(zoneOrder('west', 'empty', '1')),
     bench.order(zoneOrder('east', 'empty', '2')),
   ];
-  bench.step({ kind: 'caller-gone', id: gone, now: 0 });
+  bench.step({ kind: 'caller-disconnected', requestId: gone, now: 0 });
   bench.vote('prepare');
   bench.vote('accept');
   bench.vote('prepare');
@@ -214,10 +214,10 @@
   const bench = new Bench();
   const gone = bench.order(zoneOrder('west', 'empty', '1'));
   bench.vote('prepare');
-  bench.step({ kind: 'caller-gone', id: gone, now: 0 });
+  bench.step({ kind: 'caller-disconnected', requestId: gone, now: 0 });
   bench.refuse('accept', { counter: 9, proposerId: 'z' });
   bench.now = 5_000;
-  bench.step({ kind: 'woken', now: bench.now });
+  bench.step({ kind: 'wake-up-due', now: bench.now });
   t.deepEqual(bench.ballots('prepare'), []);
   t.deepEqual([bench.state.activeProposals, bench.state.pendingChanges], [{}, {}]);
 });
@@ -228,7 +228,7 @@
   bench.vote('prepare');
   bench.refuse('accept', { counter: 9, proposerId: 'z' });
   bench.now = 300;
-  bench.step({ kind: 'woken', now: bench.now });
+  bench.step({ kind: 'wake-up-due', now: bench.now });
   const value = {
     revision: 5,
     emptied: [],
@@ -253,7 +253,7 @@
       : null;
   bench.calls = [];
   bench.now = Limits.ballotPhase + 1;
-  bench.step({ kind: 'woken', now: bench.now });
+  bench.step({ kind: 'wake-up-due', now: bench.now });
   bench.vote('prepare', accepted);
   t.is(bench.statusOf(order), 200);
   t.deepEqual(closedIn(bench.answers.get(order)?.body), ['west']);
@@ -267,7 +267,7 @@
   bench.calls = [];
   t.deepEqual(bench.wakes, [Limits.resend, Limits.resend]);
   bench.now = Limits.resend;
-  bench.step({ kind: 'woken', now: bench.now });
+  bench.step({ kind: 'wake-up-due', now: bench.now });
   t.deepEqual(bench.ballots('accept'), proposalNumber === undefined ? [] : [proposalNumber]);
   t.deepEqual(bench.ballots('prepare'), []);
 });
@@ -279,7 +279,7 @@
   bench.calls = bench.calls.filter(({ to }) => to === 'a');
   bench.vote('prepare');
   bench.now = Limits.resend;
-  bench.step({ kind: 'woken', now: bench.now });
+  bench.step({ kind: 'wake-up-due', now: bench.now });
   t.deepEqual(
     bench.calls.map(({ to, call }) => [to, call.kind]),
     [
@@ -317,7 +317,7 @@
     const wake = bench.wakes.at(-1) ?? 0;
     waits.push(wake - bench.now);
     bench.now = wake;
-    bench.step({ kind: 'woken', now: bench.now });
+    bench.step({ kind: 'wake-up-due', now: bench.now });
   }
   t.true(Math.max(...waits.slice(0, 2)) < Math.max(...waits.slice(4)));
   t.true(
--- a/packages/agent/src/ballots.ts
+++ b/packages/agent/src/ballots.ts
@@ -172,7 +172,7 @@
     retryAt: null,
   });
   sendActions(transition, proposalTransition);
-  transition.effects.push({ kind: 'wake', inMs: Limits.resend });
+  transition.effects.push({ kind: 'schedule-wake-up', delayMs: Limits.resend });
 };
 
 /** Notes what the register held when changes were first applied. */
@@ -250,7 +250,7 @@
     ...active,
     retryAt: transition.state.now + wait,
   });
-  transition.effects.push({ kind: 'wake', inMs: wait });
+  transition.effects.push({ kind: 'schedule-wake-up', delayMs: wait });
 };
 
 /** Proposes a change of a register; what becomes of it is told by its purpose. */
@@ -333,7 +333,7 @@
     noteFirstRead(transition, next, proposalTransition.proposal.valueRead);
   sendActions(transition, proposalTransition);
   if (isNewPhase && proposalTransition.proposal.phase === 'accept')
-    transition.effects.push({ kind: 'wake', inMs: Limits.resend });
+    transition.effects.push({ kind: 'schedule-wake-up', delayMs: Limits.resend });
   for (const action of proposalTransition.actions) {
     if (action.kind === 'preempted' && next.retryAt === null) backOff(transition, next);
     if (action.kind === 'chosen') concludeProposal(transition, next, action);
@@ -408,7 +408,7 @@
   };
   setActiveProposal(transition, active.proposal.key, next);
   sendActions(transition, { proposal: active.proposal, actions: unansweredActions(active) });
-  transition.effects.push({ kind: 'wake', inMs: resendIntervalMs(next) });
+  transition.effects.push({ kind: 'schedule-wake-up', delayMs: resendIntervalMs(next) });
 };
 
 const tendProposal = (transition: Transition, key: string, active: ActiveProposal): void => {
@@ -485,7 +485,8 @@
       ] as const,
   );
   const postings = Object.entries(state.pendingAppends).map(
-    ([which, posting]) => [which, { ...posting, acknowledgedBy: [], lastSentAt: -Infinity }] as const,
+    ([which, posting]) =>
+      [which, { ...posting, acknowledgedBy: [], lastSentAt: -Infinity }] as const,
   );
   const replicas = Object.entries(state.replicas).map(
     ([name, view]) => [name, { ...view, countedPolls: null }] as const,
@@ -495,5 +496,5 @@
     pendingAppends: Object.fromEntries(postings),
     replicas: Object.fromEntries(replicas),
   });
-  if (runs.length > 0) transition.effects.push({ kind: 'wake', inMs: 0 });
+  if (runs.length > 0) transition.effects.push({ kind: 'schedule-wake-up', delayMs: 0 });
 };
--- a/packages/agent/src/changes.test.ts
+++ b/packages/agent/src/changes.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import { Limits, Sizes } from '@reedyard/constants';
-import { Schemas, type Policy } from '@reedyard/schemas';
+import { type Policy, Schemas } from '@reedyard/schemas';
 import { lapsedRevision } from './change-ids.js';
-import { Changes, type RegisterChange } from './changes.js';
+import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
 import { hasSameContent } from './content.js';
-import { Agent } from './core.js';
+import { openAgent, reduceAgent } from './core.js';
 import { learnRegister } from './pulls.js';
-import { zonesValueOf, type AgentState, type Transition } from './state.js';
+import { type AgentState, type Transition, zonesValueOf } from './state.js';
 import type { PolicyRegister } from './terms.js';
 
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
@@ -18,13 +18,13 @@
     notes: { note },
   });
 const put = (sent: Policy, changeId: string, ifMatch: number | null = null): RegisterChange =>
-  Changes.policy({ document: sent, ifMatch, changeId, lapsed: 0 });
+  putPolicyChange({ document: sent, ifMatch, changeId, lapsed: 0 });
 const zone = (
   zone: string,
   order: 'empty' | 'take-back',
   changeId: string,
   lapsed = 0,
-): RegisterChange => Changes.zone({ zone, order, of: 'origins', changeId, lapsed });
+): RegisterChange => zoneOrderChange({ zone, order, of: 'origins', changeId, lapsed });
 
 /** The value that a change leaves. */
 const after = (change: RegisterChange, current: unknown): unknown => {
@@ -119,7 +119,7 @@
 });
 
 test('a revision counts as lapsed once this node has known it for the repeat window, by its own clock', (t) => {
-  let state: AgentState = Agent.open({ self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 });
+  let state: AgentState = openAgent({ self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 });
   const learn = (revision: number, now: number): void => {
     const transition: Transition = { state: { ...state, now }, effects: [] };
     learnRegister(
@@ -128,7 +128,7 @@
       { counter: revision, proposerId: 'x' },
       { ...zonesValueOf(null), revision },
     );
-    state = Agent.reduce(transition.state, { kind: 'beat', now }).state;
+    state = reduceAgent(transition.state, { kind: 'tick', now }).state;
   };
   const at = (now: number): number => lapsedRevision({ ...state, now }, 'zones');
   for (let index = 1; index <= 500; index += 1) learn(index, 100 * index);
@@ -139,7 +139,7 @@
   // A node that has just started knows nothing to be old.
   t.is(
     lapsedRevision(
-      Agent.open({ self, life: 'm', seeds: [], founders: {}, seed: 1, now: 90_000 }),
+      openAgent({ self, life: 'm', seeds: [], founders: {}, seed: 1, now: 90_000 }),
       'zones',
     ),
     0,
--- a/packages/agent/src/changes.ts
+++ b/packages/agent/src/changes.ts
@@ -53,7 +53,7 @@
  * acknowledged and changes nothing; another content under the version held is refused, since only
  * one may be confirmed under a version.
  */
-const policy =
+export const putPolicyChange =
   ({ document, ifMatch, changeId, lapsed }: PolicyOrder): RegisterChange =>
   (current) => {
     const old = current as PolicyRegister | null;
@@ -122,7 +122,7 @@
  * also one that changes nothing else: an older order that is still being proposed finds then that
  * it was overtaken, and does not undo it.
  */
-const zone =
+export const zoneOrderChange =
   (sent: ZoneOrderChange): RegisterChange =>
   (current, reading) => {
     const old = zonesValueOf(current);
@@ -145,7 +145,7 @@
   };
 
 /** Claims a key for one request. */
-const claim =
+export const claimChange =
   (token: string, node: string, life: string, digest: string): RegisterChange =>
   (current) => {
     const old = current as ClaimRegister | null;
@@ -162,7 +162,7 @@
   };
 
 /** Records what became of a claimed request. */
-const settle =
+export const settleClaimChange =
   (token: string, state: ClaimState): RegisterChange =>
   (current) => {
     const old = current as ClaimRegister | null;
@@ -171,7 +171,7 @@
   };
 
 /** A quota leader's next allocation, fenced by its term. */
-const plan =
+export const publishAllocationChange =
   (goal: Plan): RegisterChange =>
   (current) => {
     const old = current as Plan | null;
@@ -183,7 +183,7 @@
   };
 
 /** Takes the quota leadership where it was found vacant, unless anything moved since. */
-const takeQuotaLeadership =
+export const takeQuotaLeadershipChange =
   (seen: Plan | null, goal: Plan): RegisterChange =>
   (current) => {
     const old = current as Plan | null;
@@ -211,7 +211,7 @@
 };
 
 /** Gives a place to another disk: one at a time, and only by the members just before. */
-const seat =
+export const assignSlotChange =
   (known: Membership, replica: string, disk: string, address?: string): RegisterChange =>
   (current) => {
     const old = current as Membership | null;
@@ -241,7 +241,7 @@
   };
 
 /** Gives a place up, and another, of a disk without one, in its stead. */
-const replace =
+export const replaceMemberChange =
   (
     known: Membership,
     gone: string,
@@ -268,15 +268,3 @@
     const value = { ...old, epoch: old.epoch + 1, disks, addresses, predecessors, joinedIn };
     return { kind: 'write', value: value satisfies Membership };
   };
-
-/** Every change that is made to a register. */
-export const Changes = {
-  policy,
-  zone,
-  claim,
-  settle,
-  plan,
-  takeQuotaLeadership,
-  seat,
-  replace,
-} as const;
--- a/packages/agent/src/completion.ts
+++ b/packages/agent/src/completion.ts
@@ -3,13 +3,13 @@
  * itself.
  */
 import { Limits } from '@reedyard/constants';
-import { Gossip } from '@reedyard/gossip';
+import { recordValue } from '@reedyard/gossip';
 import type { Plan } from '@reedyard/quota-division';
-import { refusal, unavailable, unreached, type ApiAnswer } from './answers.js';
+import { type ApiAnswer, refusal, unavailable, unreached } from './answers.js';
 import { findChange } from './change-ids.js';
 import { Refusals } from './changes.js';
-import { zonesValueOf, log, update, type Purpose, type Transition } from './state.js';
-import type { ClaimReply, ClaimState, ClaimRegister, NodeRecord, PolicyRegister } from './terms.js';
+import { log, type Purpose, type Transition, update, zonesValueOf } from './state.js';
+import type { ClaimRegister, ClaimReply, ClaimState, NodeRecord, PolicyRegister } from './terms.js';
 
 /** How a change of a register ended, and what the register held after it. */
 export type Outcome =
@@ -20,7 +20,7 @@
 type Purposed<K extends Purpose['kind']> = Extract<Purpose, { kind: K }>;
 
 const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
-  transition.effects.push({ kind: 'answer', id, ...given });
+  transition.effects.push({ kind: 'send-answer', requestId: id, ...given });
 };
 
 const refusedPolicy = (reason: string, value: PolicyRegister | null): ApiAnswer => {
@@ -134,7 +134,7 @@
 /** A claim that is pending in a life that is over has no known outcome any more. */
 const claimState = (transition: Transition, claim: ClaimRegister): ClaimState => {
   if (claim.state !== 'pending') return claim.state;
-  const record = Gossip.get(transition.state.gossip, `node/${claim.node}`) as
+  const record = recordValue(transition.state.gossip, `node/${claim.node}`) as
     NodeRecord | undefined | null;
   return record && record.proxyLife === claim.life ? 'pending' : 'unknown';
 };
@@ -178,15 +178,15 @@
       return;
     case 'claim':
       transition.effects.push({
-        kind: 'tell',
-        id: purpose.id,
-        body: claimReply(transition, outcome),
+        kind: 'send-reply',
+        requestId: purpose.id,
+        reply: claimReply(transition, outcome),
       });
       return;
     case 'settle-claim': {
       const body: ClaimReply =
         outcome.kind === 'unknown' ? { kind: 'unreached' } : { kind: 'granted' };
-      transition.effects.push({ kind: 'tell', id: purpose.id, body });
+      transition.effects.push({ kind: 'send-reply', requestId: purpose.id, reply: body });
       return;
     }
     case 'change-membership':
--- a/packages/agent/src/core.ts
+++ b/packages/agent/src/core.ts
@@ -2,10 +2,10 @@
 import { Map as Table } from 'immutable';
 import { zeroProposalNumber } from '@reedyard/consensus';
 import { Beats } from '@reedyard/constants';
-import { Gossip } from '@reedyard/gossip';
+import { compareDigest, emptyGossip, pickUpdates, sampleView, shuffleView } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
-import { abandonCaller, tendProposals, handleVoteReply } from './ballots.js';
+import { abandonCaller, handleVoteReply, tendProposals } from './ballots.js';
 import { noteRevisions } from './change-ids.js';
 import { handleProxyRequest } from './feed.js';
 import { pollIntervalMs, renewLease } from './lease.js';
@@ -13,59 +13,59 @@
 import {
   computeRoutingTable,
   exchangeGossip,
+  handlePingReply,
   heartbeat,
   isJoining,
   learnRecords,
   pingPeers,
-  handlePingReply,
 } from './network.js';
 import { operator } from './operators.js';
-import { tendAppends, handleAppendReply } from './postings.js';
+import { handleAppendReply, tendAppends } from './postings.js';
 import {
-  handlePollFailure,
-  pollAll,
-  pollEarly,
-  handleRegisterRead,
   handleLookUpReply,
+  handlePollFailure,
   handlePollReply,
+  handleRegisterRead,
   handleRestored,
+  pollAll,
+  pollEarly,
 } from './pulls.js';
 import { tendQuotaLeadership } from './quota-leadership.js';
-import { noteReply, noteLeaseLost } from './reachability.js';
+import { noteLeaseLost, noteReply } from './reachability.js';
 import {
   type AgentState,
-  noteTick,
   newReplicaView,
+  noteTick,
   sendToAgent,
+  type Transition,
   update,
   without,
-  type Transition,
 } from './state.js';
 import { expireState } from './sweep.js';
 import type {
-  AgentCall,
+  AgentBootstrap,
   AgentEffect,
   AgentEvent,
   AgentReply,
-  AgentBootstrap,
-  Self,
+  AgentRequest,
+  NodeIdentity,
 } from './terms.js';
 
-type ExchangeCall = Extract<AgentCall, { kind: 'exchange' }>;
+type ExchangeCall = Extract<AgentRequest, { kind: 'exchange' }>;
 
 const answerExchange = (transition: Transition, { exchange }: ExchangeCall): AgentReply => {
   const { from, digest, sample } = exchange;
   const { self, gossip, now } = transition.state;
-  const mine = Gossip.sample(gossip.view, { id: self.id, address: self.address }, (now % 97) / 97);
-  const compared = Gossip.compare(gossip, digest);
-  const view = Gossip.shuffle(gossip.view, self.id, [...sample, { ...from, age: 0 }], mine);
+  const mine = sampleView(gossip.view, { id: self.id, address: self.address }, (now % 97) / 97);
+  const compared = compareDigest(gossip, digest);
+  const view = shuffleView(gossip.view, self.id, [...sample, { ...from, age: 0 }], mine);
   update(transition, { gossip: { ...gossip, view } });
   return { kind: 'exchanged', exchanged: { ...compared, sample: mine } };
 };
 
-const handleAgentRequest = (transition: Transition, id: number, body: AgentCall): void => {
+const handleAgentRequest = (transition: Transition, id: number, body: AgentRequest): void => {
   const tell = (reply: AgentReply): void => {
-    transition.effects.push({ kind: 'tell', id, body: reply });
+    transition.effects.push({ kind: 'send-reply', requestId: id, reply: reply });
   };
   switch (body.kind) {
     case 'ping':
@@ -85,9 +85,9 @@
   if (reply.kind !== 'exchanged') return;
   learnRecords(transition, reply.exchanged.newer);
   const { self, gossip } = transition.state;
-  const view = Gossip.shuffle(gossip.view, self.id, reply.exchanged.sample, []);
+  const view = shuffleView(gossip.view, self.id, reply.exchanged.sample, []);
   update(transition, { gossip: { ...gossip, view } });
-  const wanted = Gossip.pick(transition.state.gossip, reply.exchanged.wants);
+  const wanted = pickUpdates(transition.state.gossip, reply.exchanged.wants);
   if (Object.keys(wanted).length > 0)
     sendToAgent(transition, to, { kind: 'push', tellings: wanted }, { kind: 'push' });
 };
@@ -183,110 +183,111 @@
   renewLease(transition);
 };
 
-export const Agent = {
-  /**
-   * An agent that knows only itself, its seeds and the founding replicas.
-   *
-   * @example
-   * Agent.open({ self, life: 'l1', seeds: [], founders: { 'core-1': '127.0.0.1:7101' }, seed: 1, now: 0 })
-   */
-  open: (parts: {
-    readonly self: Self;
-    readonly life: string;
-    readonly seeds: readonly string[];
-    readonly founders: Readonly<Record<string, string>>;
-    readonly seed: number;
-    readonly now: number;
-    /** Where members found themselves from seeds; `founders` is then not looked at. */
-    readonly voting?: AgentBootstrap | null;
-  }): AgentState => {
-    const founders = parts.voting ? [] : Object.entries(parts.founders);
-    const { self, life, seeds, seed, now } = parts;
-    return {
-      self,
-      incarnation: life,
-      seeds,
-      randomSeed: seed,
-      now,
-      nextRequestId: 1,
-      pendingRequests: {},
-      bootstrap: parts.voting ?? null,
-      startedAt: now,
-      ownReplica: null,
-      spares: {},
-      replicas: Object.fromEntries(
-        founders.map(([name, address]) => [name, newReplicaView(address, now)]),
-      ),
-      registers: {},
-      highestProposalNumber: zeroProposalNumber,
-      fetchedValues: {},
-      incompleteWrites: {},
-      leaseUntil: 0,
-      lastTickAt: now,
-      lastLateTickAt: now,
-      lastReplicaReturnAt: now,
-      cacheFlushCount: 0,
-      entries: [],
-      entryKeys: {},
-      lastEntrySequence: 0,
-      committedEntryKeys: {},
-      zonesRestoredAt: {},
-      claimSpans: [Table(), Table(), Table()],
-      claimSpanStartedAt: now,
-      pendingChanges: {},
-      activeProposals: {},
-      learntRevisions: { policy: [], zones: [] },
-      pendingAppends: {},
-      gossip: Gossip.empty,
-      delaysByPeer: {},
-      proxyReport: null,
-      lastFeedParts: {},
-      announcedVector: null,
-      vectorAnnouncedAt: 0,
-      vectorAnnouncementCount: 0,
-      routingTable: {},
-      routingTableCheckedAt: 0,
-      isRoutingTableStale: true,
-      routingTableNodes: '',
-      routingTableCount: 0,
-      allocationSeen: { term: 0, beat: 0, at: now },
-      quotaLeadership: null,
-      nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
-    };
-  },
+/**
+ * An agent that knows only itself, its seeds and the founding replicas.
+ *
+ * @example
+ * openAgent({ self, life: 'l1', seeds: [], founders: { 'core-1': '127.0.0.1:7101' }, seed: 1, now: 0 })
+ */
+export const openAgent = (parts: {
+  readonly self: NodeIdentity;
+  readonly life: string;
+  readonly seeds: readonly string[];
+  readonly founders: Readonly<Record<string, string>>;
+  readonly seed: number;
+  readonly now: number;
+  /** Where members found themselves from seeds; `founders` is then not looked at. */
+  readonly voting?: AgentBootstrap | null;
+}): AgentState => {
+  const founders = parts.voting ? [] : Object.entries(parts.founders);
+  const { self, life, seeds, seed, now } = parts;
+  return {
+    self,
+    incarnation: life,
+    seeds,
+    randomSeed: seed,
+    now,
+    nextRequestId: 1,
+    pendingRequests: {},
+    bootstrap: parts.voting ?? null,
+    startedAt: now,
+    ownReplica: null,
+    spares: {},
+    replicas: Object.fromEntries(
+      founders.map(([name, address]) => [name, newReplicaView(address, now)]),
+    ),
+    registers: {},
+    highestProposalNumber: zeroProposalNumber,
+    fetchedValues: {},
+    incompleteWrites: {},
+    leaseUntil: 0,
+    lastTickAt: now,
+    lastLateTickAt: now,
+    lastReplicaReturnAt: now,
+    cacheFlushCount: 0,
+    entries: [],
+    entryKeys: {},
+    lastEntrySequence: 0,
+    committedEntryKeys: {},
+    zonesRestoredAt: {},
+    claimSpans: [Table(), Table(), Table()],
+    claimSpanStartedAt: now,
+    pendingChanges: {},
+    activeProposals: {},
+    learntRevisions: { policy: [], zones: [] },
+    pendingAppends: {},
+    gossip: emptyGossip,
+    delaysByPeer: {},
+    proxyReport: null,
+    lastFeedParts: {},
+    announcedVector: null,
+    vectorAnnouncedAt: 0,
+    vectorAnnouncementCount: 0,
+    routingTable: {},
+    routingTableCheckedAt: 0,
+    isRoutingTableStale: true,
+    routingTableNodes: '',
+    routingTableCount: 0,
+    allocationSeen: { term: 0, beat: 0, at: now },
+    quotaLeadership: null,
+    nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
+  };
+};
 
-  /** @example Agent.reduce(state, { kind: 'beat', now: 50 }).effects */
-  reduce: (state: AgentState, event: AgentEvent): Step<AgentState, AgentEffect> => {
-    const transition: Transition = {
-      state: { ...state, now: Math.max(state.now, event.now) },
-      effects: [],
-    };
-    switch (event.kind) {
-      case 'beat':
-        tick(transition);
-        break;
-      case 'asked':
-        handleAgentRequest(transition, event.id, event.body);
-        break;
-      case 'fed':
-        handleProxyRequest(transition, event.id, event.body);
-        break;
-      case 'operator':
-        operator(transition, event.id, event.action);
-        break;
-      case 'returned':
-        handleReply(transition, event.id, event.body);
-        break;
-      case 'lost':
-        handleFailure(transition, event.id);
-        break;
-      case 'caller-gone':
-        abandonCaller(transition, event.id);
-        break;
-      case 'woken':
-        tendProposals(transition);
-        break;
-    }
-    return { state: transition.state, effects: transition.effects };
-  },
-} as const;
+/** @example reduceAgent(state, { kind: 'beat', now: 50 }).effects */
+export const reduceAgent = (
+  state: AgentState,
+  event: AgentEvent,
+): Step<AgentState, AgentEffect> => {
+  const transition: Transition = {
+    state: { ...state, now: Math.max(state.now, event.now) },
+    effects: [],
+  };
+  switch (event.kind) {
+    case 'tick':
+      tick(transition);
+      break;
+    case 'agent-request-received':
+      handleAgentRequest(transition, event.requestId, event.request);
+      break;
+    case 'proxy-request-received':
+      handleProxyRequest(transition, event.requestId, event.request);
+      break;
+    case 'action-received':
+      operator(transition, event.requestId, event.action);
+      break;
+    case 'reply-received':
+      handleReply(transition, event.requestId, event.reply);
+      break;
+    case 'request-failed':
+      handleFailure(transition, event.requestId);
+      break;
+    case 'caller-disconnected':
+      abandonCaller(transition, event.requestId);
+      break;
+    case 'wake-up-due':
+      tendProposals(transition);
+      break;
+  }
+  return { state: transition.state, effects: transition.effects };
+};
--- a/packages/agent/src/feed.test.ts
+++ b/packages/agent/src/feed.test.ts
@@ -1,5 +1,6 @@
 import test from 'ava';
-import { Agent, type FeedTold, type Holding, type AgentState, type Report } from './index.js';
+import { openAgent, reduceAgent } from './core.js';
+import type { AgentState, FeedPartsHeld, FeedReply, ProxyReport } from './index.js';
 
 const self = {
   id: 'front-1',
@@ -10,8 +11,8 @@
   replica: null,
 };
 const open = (life: string): AgentState =>
-  Agent.open({ self, life, seeds: [], founders: { 'core-1': '127.0.0.2:7101' }, seed: 1, now: 0 });
-const report: Report = {
+  openAgent({ self, life, seeds: [], founders: { 'core-1': '127.0.0.2:7101' }, seed: 1, now: 0 });
+const report: ProxyReport = {
   policyRevision: 0,
   life: '',
   proxyLife: 'l1',
@@ -23,21 +24,21 @@
 };
 const ask = (
   state: AgentState,
-  held: Holding | null,
-): { readonly state: AgentState; readonly told: FeedTold } => {
-  const step = Agent.reduce(state, {
-    kind: 'fed',
-    id: 1,
-    body: { kind: 'feed', report, held },
+  held: FeedPartsHeld | null,
+): { readonly state: AgentState; readonly told: FeedReply } => {
+  const step = reduceAgent(state, {
+    kind: 'proxy-request-received',
+    requestId: 1,
+    request: { kind: 'feed', report, held },
     now: state.now + 250,
   });
-  const told = step.effects.find((effect) => effect.kind === 'tell');
+  const told = step.effects.find((effect) => effect.kind === 'send-reply');
   return {
     state: step.state,
-    told: told?.kind === 'tell' ? (told.body as FeedTold) : ({} as FeedTold),
+    told: told?.kind === 'send-reply' ? (told.reply as FeedReply) : ({} as FeedReply),
   };
 };
-const parts = (told: FeedTold): readonly string[] =>
+const parts = (told: FeedReply): readonly string[] =>
   ['origins', 'peers', 'emptied', 'split', 'slices'].filter((part) => part in told);
 const all = ['origins', 'peers', 'emptied', 'split', 'slices'];
 
--- a/packages/agent/src/feed.ts
+++ b/packages/agent/src/feed.ts
@@ -2,32 +2,32 @@
 import { rateOf } from '@reedyard/quota-division';
 import type { Purge } from '@reedyard/schemas';
 import { propose } from './ballots.js';
-import { Changes } from './changes.js';
+import { claimChange, settleClaimChange } from './changes.js';
 import {
-  serviceRateLimits,
   heartbeat,
+  noteMeasurement,
   originEndpoints,
   peerEndpoints,
-  noteMeasurement,
+  serviceRateLimits,
 } from './network.js';
-import { isUnreachable, actingAllowanceMs } from './reachability.js';
+import { actingAllowanceMs, isUnreachable } from './reachability.js';
 import {
-  toleratesLosses,
-  zonesOf,
-  quotaAllocationOf,
-  policyOf,
-  update,
   type AgentState,
+  policyOf,
+  quotaAllocationOf,
+  toleratesLosses,
   type Transition,
+  update,
+  zonesOf,
 } from './state.js';
 import {
-  feedParts,
   type Feed,
   type FeedPart,
-  type FeedTold,
-  type Holding,
-  type ProxyCall,
-  type Report,
+  feedParts,
+  type FeedPartsHeld,
+  type FeedReply,
+  type ProxyReport,
+  type ProxyQuery,
   type Revisions,
 } from './terms.js';
 
@@ -54,7 +54,7 @@
   return Object.fromEntries(rates);
 };
 
-const feed = (state: AgentState, report: Report): Feed => {
+const feed = (state: AgentState, report: ProxyReport): Feed => {
   const policy = policyOf(state);
   const isNew = policy !== null && policy.revision !== report.policyRevision;
   return {
@@ -90,7 +90,11 @@
 };
 
 /** The feed without the parts that the proxy holds as they are. */
-const feedReplyFor = (transition: Transition, report: Report, held: Holding | null): FeedTold => {
+const feedReplyFor = (
+  transition: Transition,
+  report: ProxyReport,
+  held: FeedPartsHeld | null,
+): FeedReply => {
   const whole = feed(transition.state, report);
   const now = revisedParts(transition.state.lastFeedParts, whole);
   update(transition, { lastFeedParts: now });
@@ -102,10 +106,10 @@
   const revisions = Object.fromEntries(
     feedParts.map((part) => [part, now[part].revision]),
   ) as Revisions;
-  return { ...(Object.fromEntries(told) as Omit<FeedTold, 'revisions'>), revisions };
+  return { ...(Object.fromEntries(told) as Omit<FeedReply, 'revisions'>), revisions };
 };
 
-const noteReport = (transition: Transition, report: Report): void => {
+const noteReport = (transition: Transition, report: ProxyReport): void => {
   const before = transition.state.proxyReport?.proxyReport;
   const isChanged =
     before === undefined ||
@@ -117,27 +121,31 @@
 };
 
 /** Takes a call of this machine's proxy. */
-export const handleProxyRequest = (transition: Transition, id: number, body: ProxyCall): void => {
+export const handleProxyRequest = (transition: Transition, id: number, body: ProxyQuery): void => {
   switch (body.kind) {
     case 'feed':
       noteReport(transition, body.report);
       transition.effects.push({
-        kind: 'tell',
-        id,
-        body: feedReplyFor(transition, body.report, body.held),
+        kind: 'send-reply',
+        requestId: id,
+        reply: feedReplyFor(transition, body.report, body.held),
       });
       return;
     case 'claim': {
       if (!toleratesLosses(transition.state) || isUnreachable(transition.state)) {
-        transition.effects.push({ kind: 'tell', id, body: { kind: 'unreached' } });
+        transition.effects.push({
+          kind: 'send-reply',
+          requestId: id,
+          reply: { kind: 'unreached' },
+        });
         return;
       }
-      const change = Changes.claim(body.token, transition.state.self.id, body.life, body.digest);
+      const change = claimChange(body.token, transition.state.self.id, body.life, body.digest);
       propose(transition, `claim/${body.key}`, change, { kind: 'claim', id });
       return;
     }
     case 'settle':
-      propose(transition, `claim/${body.key}`, Changes.settle(body.token, body.state), {
+      propose(transition, `claim/${body.key}`, settleClaimChange(body.token, body.state), {
         kind: 'settle-claim',
         id,
       });
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,14 +1,14 @@
 export * from './terms.js';
-export { Agent } from './core.js';
+export { openAgent, reduceAgent } from './core.js';
 export type { AgentState } from './state.js';
 export { runAgent, type AgentOptions, type AgentSettings } from './run.js';
 export {
   translatedServer,
-  type Act,
-  type Api,
+  type PerformAction as Act,
+  type TranslatedApi as Api,
   type ApiRequest,
   type ApiResponse,
-  type Reply,
+  type ApiReply as Reply,
 } from './api.js';
 export type {
   ControlStatus,
--- a/packages/agent/src/membership.test.ts
+++ b/packages/agent/src/membership.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { Beats, Limits } from '@reedyard/constants';
-import type { ReplicaReply, CommittedMembership } from '@reedyard/replica';
-import { Agent } from './core.js';
+import type { CommittedMembership, ReplicaReply } from '@reedyard/replica';
+import { openAgent, reduceAgent } from './core.js';
 import type { AgentEffect, AgentEvent, NodeRecord } from './terms.js';
 
 // Which change of the membership an agent opens, and when: its reducer alone, answered by hand.
@@ -34,7 +34,7 @@
   #calls = 0;
 
   constructor(catchUpMs: number | undefined = 4_000) {
-    this.#state = Agent.open({
+    this.#state = openAgent({
       self: {
         id: 'core-a',
         zone: 'zone-1',
@@ -57,13 +57,18 @@
       if (effect.kind === 'log' && effect.event === 'membership.proposed') {
         this.proposals.push(`${String(effect.fields.instead)} by ${String(effect.fields.member)}`);
       }
-      if (effect.kind !== 'call' || effect.path !== '/replica') continue;
-      const { operation: call, membership: members } = effect.body;
+      if (effect.kind !== 'send-request' || effect.path !== '/replica') continue;
+      const { operation: call, membership: members } = effect.request;
       const isBallot = call.kind === 'prepare' && call.key === 'members';
       if (isBallot) this.prepared.push({ at: this.now, to: effect.to });
       const reply = isBallot ? null : this.#replyOf(effect.to, members);
       if (reply !== null)
-        this.step({ kind: 'returned', id: effect.id, body: reply, now: this.now });
+        this.step({
+          kind: 'reply-received',
+          requestId: effect.requestId,
+          reply: reply,
+          now: this.now,
+        });
     }
   }
 
@@ -94,7 +99,7 @@
   }
 
   step(event: AgentEvent): void {
-    const done = Agent.reduce(this.#state, event);
+    const done = reduceAgent(this.#state, event);
     this.#state = done.state;
     this.#take(done.effects);
   }
@@ -116,7 +121,12 @@
     this.#calls += 1;
     const tellings = { [`node/${id}`]: { revision: this.#calls, value: record } };
     const body = { kind: 'push', tellings } as const;
-    this.step({ kind: 'asked', id: this.#calls, body, now: this.now });
+    this.step({
+      kind: 'agent-request-received',
+      requestId: this.#calls,
+      request: body,
+      now: this.now,
+    });
   }
 
   /**
@@ -126,7 +136,7 @@
     for (const end = this.now + ms; this.now < end;) {
       this.now += Beats.agent;
       if (spare) this.hear('core-s', spareAddress, spareDisk, true);
-      this.step({ kind: 'beat', now: this.now });
+      this.step({ kind: 'tick', now: this.now });
     }
   }
 }
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -1,21 +1,21 @@
 import { Beats, Limits } from '@reedyard/constants';
-import type { ReplicaReply, Membership } from '@reedyard/replica';
+import type { Membership, ReplicaReply } from '@reedyard/replica';
 import { propose } from './ballots.js';
-import { Changes } from './changes.js';
-import { replicasKnown, heartbeat, nodesOf, type KnownReplica } from './network.js';
+import { assignSlotChange, replaceMemberChange } from './changes.js';
+import { heartbeat, type KnownReplica, nodesOf, replicasKnown } from './network.js';
 import { pollNow } from './pulls.js';
 import {
-  toleratesLosses,
-  nextRandom,
+  type AgentState,
+  committedMembershipOf,
   liveSpares,
   log,
+  nextRandom,
+  type ReplicaView,
   sendToReplica,
+  toleratesLosses,
+  type Transition,
   update,
-  committedMembershipOf,
   without,
-  type ReplicaView,
-  type AgentState,
-  type Transition,
 } from './state.js';
 
 /**
@@ -302,9 +302,9 @@
   const purpose = { kind: 'change-membership', member, diskId: disk } as const;
   log(transition, 'membership.proposed', { member, disk, instead: instead ?? '' });
   if (instead === undefined) {
-    propose(transition, 'members', Changes.seat(members, member, disk, address), purpose);
+    propose(transition, 'members', assignSlotChange(members, member, disk, address), purpose);
   } else {
-    const register = Changes.replace(members, instead, member, disk, address);
+    const register = replaceMemberChange(members, instead, member, disk, address);
     propose(transition, 'members', register, { ...purpose, replacedMember: instead });
   }
 };
@@ -341,7 +341,7 @@
   const held = members?.disks[member];
   if (members === undefined || held === disk || isChangeUnderWay(transition.state)) return;
   if (isLiveElsewhere(transition.state, member, held ?? '') || !shouldOfferNow(transition)) return;
-  propose(transition, 'members', Changes.seat(members, member, disk), {
+  propose(transition, 'members', assignSlotChange(members, member, disk), {
     kind: 'change-membership',
     member: member,
     diskId: disk,
--- a/packages/agent/src/network.ts
+++ b/packages/agent/src/network.ts
@@ -1,23 +1,41 @@
 import { Beats, Limits, Sizes, Weights } from '@reedyard/constants';
-import { Gossip, type Exchanged, type Neighbour } from '@reedyard/gossip';
+import {
+  digestOf,
+  type GossipExchangeReply,
+  liveRecords,
+  mergeUpdates,
+  type Neighbour,
+  pickUpdates,
+  publishRecord,
+  recordValue,
+  renewalsSinceFull,
+  renewRecord,
+  sampleView,
+} from '@reedyard/gossip';
 import { boundOf, rateOf } from '@reedyard/quota-division';
-import { holderOf, mixed, mustSend, splitFor, type Vector } from '@reedyard/server-selection';
 import type { Description } from '@reedyard/schemas';
+import { holderOf, mixed, mustSend, splitFor, type Vector } from '@reedyard/server-selection';
+import { actingAllowanceMs } from './reachability.js';
 import {
-  nextRandom,
-  zonesWithClosedOrigins,
-  zonesOf,
+  type AgentState,
+  committedMembershipOf,
   log,
-  quotaAllocationOf,
+  nextRandom,
   policyOf,
+  quotaAllocationOf,
   sendToAgent,
-  update,
-  committedMembershipOf,
-  type AgentState,
   type Transition,
+  update,
+  zonesOf,
+  zonesWithClosedOrigins,
 } from './state.js';
-import { actingAllowanceMs } from './reachability.js';
-import type { AgentCall, Measure, NodeRecord, OriginRow, PeerRow } from './terms.js';
+import type {
+  AgentRequest,
+  NodeRecord,
+  OriginEndpoint,
+  PeerEndpoint,
+  TrafficMeasurement,
+} from './terms.js';
 
 /**
  * What is wanted, as it was told before where it is still about that: a record that changes is told
@@ -46,7 +64,7 @@
   const { self, proxyReport: report, now } = transition.state;
   const own = transition.state.ownReplica;
   const key = `node/${self.id}`;
-  const told = Gossip.get(transition.state.gossip, key) as NodeRecord | null | undefined;
+  const told = recordValue(transition.state.gossip, key) as NodeRecord | null | undefined;
   const fed = report !== null && now - report.at < Limits.lease;
   const record: NodeRecord = {
     id: self.id,
@@ -70,22 +88,22 @@
   if (
     !whole &&
     told &&
-    Gossip.beats(transition.state.gossip, key) < Sizes.beatsToWhole &&
+    renewalsSinceFull(transition.state.gossip, key) < Sizes.beatsToWhole &&
     JSON.stringify(told) === JSON.stringify(record)
   ) {
-    update(transition, { gossip: Gossip.beat(transition.state.gossip, key, now) });
+    update(transition, { gossip: renewRecord(transition.state.gossip, key, now) });
     return;
   }
   // A life begins anywhere, so that the revisions of two lives do not pass for one row.
   const least = told ? 1 : 1 + Math.floor(nextRandom(transition) * Sizes.firstRevision);
-  update(transition, { gossip: Gossip.tell(transition.state.gossip, key, record, now, least) });
+  update(transition, { gossip: publishRecord(transition.state.gossip, key, record, now, least) });
 };
 
 /** Every node heard of that is not forgotten. */
 export const nodesOf = (
   state: AgentState,
 ): readonly { readonly record: NodeRecord; readonly seenAt: number }[] =>
-  Gossip.all(state.gossip, 'node/').map(([, value, seenAt]) => ({
+  liveRecords(state.gossip, 'node/').map(([, value, seenAt]) => ({
     record: value as NodeRecord,
     seenAt,
   }));
@@ -138,7 +156,7 @@
 /** Tells this node's own record to all who may give its replica a place. */
 const announceSelf = (transition: Transition): void => {
   const { state } = transition;
-  const tellings = Gossip.pick(state.gossip, { [`node/${state.self.id}`]: 0 });
+  const tellings = pickUpdates(state.gossip, { [`node/${state.self.id}`]: 0 });
   const seeds = state.seeds.filter((seed) => seed !== state.self.address);
   for (const address of new Set([...replicaAgents(state), ...seeds])) {
     sendToAgent(transition, address, { kind: 'push', tellings }, { kind: 'push' });
@@ -173,12 +191,12 @@
           : oldest.address;
   if (target === undefined) return;
   const self = { id: state.self.id, address: state.self.address };
-  const body: AgentCall = {
+  const body: AgentRequest = {
     kind: 'exchange',
     exchange: {
       from: self,
-      digest: Gossip.digest(state.gossip),
-      sample: Gossip.sample(state.gossip.view, self, nextRandom(transition)),
+      digest: digestOf(state.gossip),
+      sample: sampleView(state.gossip.view, self, nextRandom(transition)),
     },
   };
   sendToAgent(transition, target, body, {
@@ -199,9 +217,12 @@
 };
 
 /** Takes in tellings; one's own that came back with a higher revision are told again above it. */
-export const learnRecords = (transition: Transition, tellings: Exchanged['newer']): void => {
+export const learnRecords = (
+  transition: Transition,
+  tellings: GossipExchangeReply['newer'],
+): void => {
   const before = transition.state;
-  const learned = Gossip.learn(before.gossip, tellings, before.now);
+  const learned = mergeUpdates(before.gossip, tellings, before.now);
   update(transition, { gossip: learned.state });
   // Two nodes may each have heard an origin without the other: what it said later is told again
   // above.
@@ -210,14 +231,14 @@
     const held = before.gossip.records[key];
     if (key.startsWith('origin/') && told && held !== undefined && isOutdated(before, told))
       update(transition, {
-        gossip: Gossip.tell(transition.state.gossip, key, held.value, held.seenAt),
+        gossip: publishRecord(transition.state.gossip, key, held.value, held.seenAt),
       });
   }
   const own = [`node/${transition.state.self.id}`, `vector/${transition.state.self.id}`];
   if (learned.news.includes(own[0] ?? '')) heartbeat(transition, true);
   if (learned.news.includes(own[1] ?? '') && transition.state.announcedVector !== null) {
     update(transition, {
-      gossip: Gossip.tell(
+      gossip: publishRecord(
         transition.state.gossip,
         own[1] ?? '',
         transition.state.announcedVector,
@@ -332,7 +353,7 @@
   return known === undefined || known.length === 0 ? null : Math.min(...known);
 };
 
-const vectorOf = (state: AgentState, measure: Measure): Vector => {
+const vectorOf = (state: AgentState, measure: TrafficMeasurement): Vector => {
   const capacity = state.self.proxy?.capacityBps ?? 0;
   const asked = Object.values(measure.demand).reduce((sum, bps) => sum + bps, 0);
   return {
@@ -353,7 +374,7 @@
 };
 
 /** A new measurement: told to all only on a marked change, or when the slow refresh is due. */
-export const noteMeasurement = (transition: Transition, measure: Measure): void => {
+export const noteMeasurement = (transition: Transition, measure: TrafficMeasurement): void => {
   const vector = vectorOf(transition.state, measure);
   const { announcedVector: sent, vectorAnnouncedAt: sentAt, now } = transition.state;
   if (!mustSend(vector, sent) && now - sentAt < Beats.refresh) return;
@@ -362,7 +383,12 @@
     vectorAnnouncedAt: now,
     vectorAnnouncementCount: transition.state.vectorAnnouncementCount + 1,
     isRoutingTableStale: true,
-    gossip: Gossip.tell(transition.state.gossip, `vector/${transition.state.self.id}`, vector, now),
+    gossip: publishRecord(
+      transition.state.gossip,
+      `vector/${transition.state.self.id}`,
+      vector,
+      now,
+    ),
   });
 };
 
@@ -406,7 +432,7 @@
     .map(([id, zone]) => ({ id, zone }))
     .sort((a, b) => (a.id < b.id ? -1 : 1));
   const vectors: Record<string, Vector> = {};
-  for (const [key, value, seenAt] of Gossip.all(state.gossip, 'vector/')) {
+  for (const [key, value, seenAt] of liveRecords(state.gossip, 'vector/')) {
     const edge = key.slice('vector/'.length);
     if (edge === me.id || (serving.has(edge) && state.now - seenAt < 3 * Beats.refresh))
       vectors[edge] = value as Vector;
@@ -482,7 +508,7 @@
 
 /** Whether a description is older than the one known of the same origin. */
 export const isOutdated = (state: AgentState, description: Description): boolean => {
-  const known = Gossip.get(state.gossip, originKey(description)) as Description | null | undefined;
+  const known = recordValue(state.gossip, originKey(description)) as Description | null | undefined;
   return known !== undefined && known !== null && isOlder(description, known);
 };
 
@@ -497,7 +523,7 @@
   readonly heardAt: number;
   readonly exclusionReason: string | null;
 }[] => {
-  const all = Gossip.all(state.gossip, 'origin/').map(([, value, seenAt]) => ({
+  const all = liveRecords(state.gossip, 'origin/').map(([, value, seenAt]) => ({
     description: value as Description,
     seenAt,
   }));
@@ -540,11 +566,11 @@
 };
 
 /** Instances that take work, each with this node's slice of what it carries. */
-export const originEndpoints = (state: AgentState): readonly OriginRow[] => {
+export const originEndpoints = (state: AgentState): readonly OriginEndpoint[] => {
   const slices = quotaAllocationOf(state)?.slices ?? {};
   const services = policyOf(state)?.document.services ?? {};
   return originsOf(state).flatMap(
-    ({ description, heardAt, exclusionReason: why }): readonly OriginRow[] => {
+    ({ description, heardAt, exclusionReason: why }): readonly OriginEndpoint[] => {
       if (why !== null) return [];
       const cold =
         description.state === 'cold' || isWarmthInDoubt(state, description.zone, heardAt);
@@ -597,7 +623,7 @@
   );
 };
 
-export const peerEndpoints = (state: AgentState): readonly PeerRow[] =>
+export const peerEndpoints = (state: AgentState): readonly PeerEndpoint[] =>
   servingNodes(state)
     .flatMap((record) =>
       record.id === state.self.id || record.proxy === null
--- a/packages/agent/src/operators.ts
+++ b/packages/agent/src/operators.ts
@@ -3,49 +3,49 @@
  * itself.
  */
 import { Beats, Limits } from '@reedyard/constants';
+import { publishRecord, recordValue, replaceLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
-import { Gossip } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
-import { tooFewMembers, unreached, type ApiAnswer } from './answers.js';
+import { type ApiAnswer, tooFewMembers, unreached } from './answers.js';
 import { propose } from './ballots.js';
 import { lapsedRevision } from './change-ids.js';
-import { Changes } from './changes.js';
+import { putPolicyChange, zoneOrderChange } from './changes.js';
 import { hasMostQuotas } from './feed.js';
 import {
-  exclusionReason,
-  serviceRateLimits,
   delayTo,
   drainKey,
-  isWarmthInDoubt,
+  exclusionReason,
   isOutdated,
+  isWarmthInDoubt,
   nodesOf,
   originKey,
+  serviceRateLimits,
   withdrawnKey,
 } from './network.js';
 import { appendToJournal } from './postings.js';
-import { isUnreachable, actingAllowanceMs, unreachableAnswer } from './reachability.js';
-import { nodeStatus } from './status.js';
+import { actingAllowanceMs, isUnreachable, unreachableAnswer } from './reachability.js';
 import {
-  toleratesLosses,
-  zonesOf,
-  quotaAllocationOf,
-  policyOf,
-  update,
   type AgentState,
+  policyOf,
+  quotaAllocationOf,
+  toleratesLosses,
   type Transition,
+  update,
+  zonesOf,
 } from './state.js';
-import type { Action } from './terms.js';
+import { nodeStatus } from './status.js';
+import type { ApiAction } from './terms.js';
 
-type ActionOf<K extends Action['kind']> = Extract<Action, { kind: K }>;
+type ActionOf<K extends ApiAction['kind']> = Extract<ApiAction, { kind: K }>;
 
 const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
-  transition.effects.push({ kind: 'answer', id, ...given });
+  transition.effects.push({ kind: 'send-answer', requestId: id, ...given });
 };
 
 /** Whether all of a description but its number was told already, lately enough. */
 const isTold = (state: AgentState, key: string, told: Description): boolean => {
   const held = state.gossip.records[key];
-  if (held === undefined || held.forgotten) return false;
+  if (held === undefined || held.isForgotten) return false;
   if (state.now - held.seenAt >= Beats.originTold || isWarmthInDoubt(state, told.zone, held.seenAt))
     return false;
   const known = held.value as Description;
@@ -83,7 +83,7 @@
 const describe = (transition: Transition, id: number, description: Description): void => {
   const key = originKey(description);
   const known =
-    (Gossip.get(transition.state.gossip, key) as Description | null | undefined) ?? null;
+    (recordValue(transition.state.gossip, key) as Description | null | undefined) ?? null;
   if (known !== null && known.incarnation > description.incarnation) {
     answer(transition, id, olderIncarnation(known));
     return;
@@ -93,8 +93,8 @@
   if (!isLate) {
     const { gossip, now } = transition.state;
     const next = isTold(transition.state, key, told)
-      ? Gossip.note(gossip, key, told)
-      : Gossip.tell(gossip, key, told, now, told.sequence);
+      ? replaceLocally(gossip, key, told)
+      : publishRecord(gossip, key, told, now, told.sequence);
     update(transition, { gossip: next });
   }
   const why = exclusionReason(transition.state, told);
@@ -165,7 +165,7 @@
   { document, ifMatch, changeId }: ActionOf<'put-policy'>,
 ): void => {
   const lapsed = lapsedRevision(transition.state, 'policy');
-  const change = Changes.policy({ document, ifMatch, changeId, lapsed });
+  const change = putPolicyChange({ document, ifMatch, changeId, lapsed });
   propose(transition, 'policy', change, { kind: 'put-policy', id, changeId });
 };
 
@@ -175,19 +175,19 @@
   { zone, order, of, changeId }: ActionOf<'zone'>,
 ): void => {
   const lapsed = lapsedRevision(transition.state, 'zones');
-  const change = Changes.zone({ zone, order, of, changeId, lapsed });
+  const change = zoneOrderChange({ zone, order, of, changeId, lapsed });
   propose(transition, 'zones', change, { kind: 'zone', id, changeId });
 };
 
 /** Whether an action changes what must survive the loss of disks. */
-const isOrder = (action: Action): boolean =>
+const isOrder = (action: ApiAction): boolean =>
   action.kind === 'put-policy' ||
   action.kind === 'zone' ||
   action.kind === 'purge' ||
   action.kind === 'withdraw';
 
 /** Whether an action can be acknowledged by a majority of replicas only. */
-const needsMajority = (state: AgentState, action: Action): boolean => {
+const needsMajority = (state: AgentState, action: ApiAction): boolean => {
   switch (action.kind) {
     case 'put-policy':
     case 'get-policy':
@@ -202,7 +202,7 @@
 };
 
 /** Takes a call of an operator or an origin. */
-export const operator = (transition: Transition, id: number, action: Action): void => {
+export const operator = (transition: Transition, id: number, action: ApiAction): void => {
   const { state } = transition;
   if (isOrder(action) && !toleratesLosses(state)) {
     answer(transition, id, tooFewMembers);
--- a/packages/agent/src/orders.model.test.ts
+++ b/packages/agent/src/orders.model.test.ts
@@ -4,8 +4,8 @@
  * so is shown by the tests of the consensus.
  */
 import test from 'ava';
-import { Schemas, type Policy } from '@reedyard/schemas';
-import { Changes, type RegisterChange } from './changes.js';
+import { type Policy, Schemas } from '@reedyard/schemas';
+import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
 import { zonesValueOf } from './state.js';
 import type { PolicyRegister } from './terms.js';
 
@@ -220,7 +220,7 @@
 
 type PolicyChange = (document: Policy, id: string) => RegisterChange;
 const sound: PolicyChange = (sent, changeId) =>
-  Changes.policy({ document: sent, ifMatch: null, changeId, lapsed: 0 });
+  putPolicyChange({ document: sent, ifMatch: null, changeId, lapsed: 0 });
 /** The fault: whatever is not above the version held is acknowledged. */
 const keepsAnyContent: PolicyChange = (sent, id) => (current) => {
   const held = (current as PolicyRegister | null)?.document.version ?? -1;
@@ -301,7 +301,7 @@
 const zoneChange =
   (order: 'empty' | 'take-back') =>
   (changeId: string): RegisterChange =>
-    Changes.zone({ zone: 'west', order, of: 'origins', changeId, lapsed: 0 });
+    zoneOrderChange({ zone: 'west', order, of: 'origins', changeId, lapsed: 0 });
 
 /**
  * One operator that evacuates a zone and takes it back, each until it is acknowledged or given up.
--- a/packages/agent/src/postings.ts
+++ b/packages/agent/src/postings.ts
@@ -65,8 +65,8 @@
     committedEntryKeys: { ...transition.state.committedEntryKeys, ...posted },
   });
   transition.effects.push({
-    kind: 'answer',
-    id: posting.callerId,
+    kind: 'send-answer',
+    requestId: posting.callerId,
     status: 200,
     body: posting.answerBody,
   });
@@ -84,7 +84,11 @@
       isAppendIsolated(transition.state, posting)
     ) {
       update(transition, { pendingAppends: without(transition.state.pendingAppends, which) });
-      transition.effects.push({ kind: 'answer', id: posting.callerId, ...unreached('The order') });
+      transition.effects.push({
+        kind: 'send-answer',
+        requestId: posting.callerId,
+        ...unreached('The order'),
+      });
     } else if (now - posting.lastSentAt >= Limits.resend) {
       update(transition, {
         pendingAppends: {
--- a/packages/agent/src/quota-leadership.ts
+++ b/packages/agent/src/quota-leadership.ts
@@ -3,16 +3,16 @@
   differs,
   divide,
   isSeated,
-  toward,
   type Plan,
   type Seat,
   type Slices,
+  toward,
 } from '@reedyard/quota-division';
 import { Routes } from '@reedyard/schemas';
 import { propose } from './ballots.js';
-import { Changes } from './changes.js';
-import { nextRandom, log, quotaAllocationOf, policyOf, update, type Transition } from './state.js';
-import { serviceRateLimits, quotaNodes } from './network.js';
+import { publishAllocationChange, takeQuotaLeadershipChange } from './changes.js';
+import { quotaNodes, serviceRateLimits } from './network.js';
+import { log, nextRandom, policyOf, quotaAllocationOf, type Transition, update } from './state.js';
 
 const busy = (transition: Transition): boolean =>
   Object.values(transition.state.pendingChanges).some(
@@ -87,7 +87,7 @@
       ],
     },
   });
-  propose(transition, 'plan', Changes.plan(goal), { kind: 'publish-allocation', goal });
+  propose(transition, 'plan', publishAllocationChange(goal), { kind: 'publish-allocation', goal });
 };
 
 /** Renews the quota leadership where this node has it, and takes it where nobody does. */
@@ -121,7 +121,7 @@
     slices: current?.slices ?? {},
     seated: current?.seated ?? [],
   };
-  propose(transition, 'plan', Changes.takeQuotaLeadership(current, goal), {
+  propose(transition, 'plan', takeQuotaLeadershipChange(current, goal), {
     kind: 'publish-allocation',
     goal,
   });
--- a/packages/agent/src/reachability.test.ts
+++ b/packages/agent/src/reachability.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import type { ReplicaReply } from '@reedyard/replica';
 import { Beats, Limits } from '@reedyard/constants';
-import { Agent } from './core.js';
+import type { ReplicaReply } from '@reedyard/replica';
+import { reduceAgent } from './core.js';
 import { drainKey } from './network.js';
-import { isUnreachable, actingAllowanceMs } from './reachability.js';
-import { AgentUnderTest, ballotOf, pulledReply, type AddressedCall } from './replicas.fixture.js';
-import type { Action } from './terms.js';
+import { actingAllowanceMs, isUnreachable } from './reachability.js';
+import { type AddressedCall, AgentUnderTest, ballotOf, pulledReply } from './replicas.fixture.js';
+import type { ApiAction } from './terms.js';
 
 const members = {
   proposalNumber: ballotOf(1),
@@ -125,7 +125,7 @@
   t.true(pulls(51_000, true) <= 30, 'it goes on refusing');
 });
 
-const needMajority: readonly Action[] = [
+const needMajority: readonly ApiAction[] = [
   { kind: 'put-policy', document, ifMatch: null, changeId: 'one' },
   { kind: 'get-policy' },
   { kind: 'zone', zone: 'west', order: 'empty', of: 'all', changeId: 'two' },
@@ -140,7 +140,7 @@
     const agent = afterwards(silent);
     t.deepEqual(agent.operate(action, agent.state.now), [], action.kind);
     t.deepEqual(agent.answers(), [503], action.kind);
-    const [answer] = agent.effects.filter((effect) => effect.kind === 'answer');
+    const [answer] = agent.effects.filter((effect) => effect.kind === 'send-answer');
     t.is(answer?.retryAfter, Limits.retryElsewhereSeconds);
   }
 });
@@ -217,13 +217,13 @@
 test('a claim is not waited for by a node that is cut off', (t) => {
   const claim = { kind: 'claim', key: 'k', token: 'token', life: 'life', digest: 'd' } as const;
   const told = (agent: AgentUnderTest): unknown => {
-    const step = Agent.reduce(agent.state, {
-      kind: 'fed',
-      id: 9,
+    const step = reduceAgent(agent.state, {
+      kind: 'proxy-request-received',
+      requestId: 9,
       now: agent.state.now,
-      body: claim,
+      request: claim,
     });
-    return step.effects.flatMap((effect) => (effect.kind === 'tell' ? [effect.body] : []));
+    return step.effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []));
   };
   t.deepEqual(told(afterwards(silent)), [{ kind: 'unreached' }]);
   t.deepEqual(told(afterwards(answered)), []);
--- a/packages/agent/src/replicas.fixture.ts
+++ b/packages/agent/src/replicas.fixture.ts
@@ -1,10 +1,10 @@
-import type { ReplicaOperation, ReplicaReply, Membership } from '@reedyard/replica';
 import type { ProposalNumber } from '@reedyard/consensus';
 import { Beats } from '@reedyard/constants';
-import { Agent } from './core.js';
+import type { Membership, ReplicaOperation, ReplicaReply } from '@reedyard/replica';
+import { openAgent, reduceAgent } from './core.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, WatchedRegister, Transition } from './state.js';
-import type { Action, AgentEffect } from './terms.js';
+import type { AgentState, Transition, WatchedRegister } from './state.js';
+import type { AgentEffect, ApiAction } from './terms.js';
 
 /**
  * An agent beside replicas whose answers a test makes up: for tests of leases and of reachability.
@@ -55,7 +55,7 @@
   effects: readonly AgentEffect[] = [];
 
   constructor(servesOn = false) {
-    this.state = Agent.open({
+    this.state = openAgent({
       self: { ...self, servesOn },
       life: 'l',
       seeds: [],
@@ -76,7 +76,7 @@
 
   /** Lets a beat come at a moment, and tells what was asked of replicas in it. */
   beat(now: number): readonly AddressedCall[] {
-    return this.#take(Agent.reduce(this.state, { kind: 'beat', now }));
+    return this.#take(reduceAgent(this.state, { kind: 'tick', now }));
   }
 
   /**
@@ -92,17 +92,21 @@
   /** Gives an answer, or none. */
   answer(call: AddressedCall, body: ReplicaReply | null, now: number): readonly AddressedCall[] {
     if (body === null) return [];
-    return this.#take(Agent.reduce(this.state, { kind: 'returned', id: call.id, body, now }));
+    return this.#take(
+      reduceAgent(this.state, { kind: 'reply-received', requestId: call.id, reply: body, now }),
+    );
   }
 
   /** Asks for something as an operator does. */
-  operate(action: Action, now: number): readonly AddressedCall[] {
-    return this.#take(Agent.reduce(this.state, { kind: 'operator', id: 1, action, now }));
+  operate(action: ApiAction, now: number): readonly AddressedCall[] {
+    return this.#take(
+      reduceAgent(this.state, { kind: 'action-received', requestId: 1, action, now }),
+    );
   }
 
   /** The statuses that the last step answered with. */
   answers(): readonly number[] {
-    return this.effects.flatMap((effect) => (effect.kind === 'answer' ? [effect.status] : []));
+    return this.effects.flatMap((effect) => (effect.kind === 'send-answer' ? [effect.status] : []));
   }
 
   #take(step: {
@@ -112,9 +116,11 @@
     this.state = step.state;
     this.effects = step.effects;
     return step.effects.flatMap((effect) => {
-      if (effect.kind !== 'call' || effect.path !== '/replica') return [];
+      if (effect.kind !== 'send-request' || effect.path !== '/replica') return [];
       const replica = Object.keys(addresses).find((name) => addresses[name] === effect.to);
-      return replica === undefined ? [] : [{ id: effect.id, replica, call: effect.body.operation }];
+      return replica === undefined
+        ? []
+        : [{ id: effect.requestId, replica, call: effect.request.operation }];
     });
   }
 }
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -1,25 +1,31 @@
 import { randomInt, randomUUID } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
 import { Beats, Limits } from '@reedyard/constants';
-import { Task } from '@reedyard/task-loop';
 import { openScribe } from '@reedyard/logging';
-import { call, serveCalls, speakFrom } from '@reedyard/rpc';
 import { decodeReplicaReply, encodeReplicaRequest, type ReplicaReply } from '@reedyard/replica';
+import { call, serveCalls, speakFrom } from '@reedyard/rpc';
 import type { Settings } from '@reedyard/settings';
-import { apiServer, translatedServer, type Act, type Api, type Reply } from './api.js';
-import { Agent } from './core.js';
+import { Task } from '@reedyard/task-loop';
+import {
+  type ApiReply,
+  apiServer,
+  type PerformAction,
+  type TranslatedApi,
+  translatedServer,
+} from './api.js';
+import { openAgent, reduceAgent } from './core.js';
 import type { AgentState } from './state.js';
-import type { AgentCall, AgentEffect, AgentEvent, AgentReply, ProxyCall } from './terms.js';
+import type { AgentEffect, AgentEvent, AgentReply, AgentRequest, ProxyQuery } from './terms.js';
 
 const now = (): number => performance.now();
 
-type CallEffect = Extract<AgentEffect, { kind: 'call' }>;
+type CallEffect = Extract<AgentEffect, { kind: 'send-request' }>;
 
 /** Makes a call; replies of replicas come in the form that their protocol has on the wire. */
 const sendCall = async (effect: CallEffect): Promise<ReplicaReply | AgentReply> => {
   if (effect.path === '/agent')
-    return (await call(effect.to, effect.path, effect.body)) as AgentReply;
-  const body = encodeReplicaRequest(effect.body);
+    return (await call(effect.to, effect.path, effect.request)) as AgentReply;
+  const body = encodeReplicaRequest(effect.request);
   return decodeReplicaReply(await call(effect.to, effect.path, body));
 };
 
@@ -29,7 +35,7 @@
    * Takes requests in another form than this API's; it decides nothing, and hands on what it was
    * asked for.
    */
-  readonly api?: (act: Act) => Api;
+  readonly api?: (act: PerformAction) => TranslatedApi;
 };
 
 /**
@@ -47,26 +53,27 @@
   let next = 1;
   const perform = (effect: AgentEffect, put: (event: AgentEvent) => boolean): void => {
     switch (effect.kind) {
-      case 'call':
+      case 'send-request':
         sendCall(effect).then(
-          (body) => put({ kind: 'returned', id: effect.id, body, now: now() }),
-          () => put({ kind: 'lost', id: effect.id, now: now() }),
+          (body) =>
+            put({ kind: 'reply-received', requestId: effect.requestId, reply: body, now: now() }),
+          () => put({ kind: 'request-failed', requestId: effect.requestId, now: now() }),
         );
         return;
-      case 'tell':
-        asking.get(effect.id)?.(effect.body);
-        asking.delete(effect.id);
+      case 'send-reply':
+        asking.get(effect.requestId)?.(effect.reply);
+        asking.delete(effect.requestId);
         return;
-      case 'answer':
-        asking.get(effect.id)?.({
+      case 'send-answer':
+        asking.get(effect.requestId)?.({
           status: effect.status,
           body: effect.body,
           ...(effect.retryAfter === undefined ? {} : { retryAfter: effect.retryAfter }),
-        } satisfies Reply);
-        asking.delete(effect.id);
+        } satisfies ApiReply);
+        asking.delete(effect.requestId);
         return;
-      case 'wake':
-        setTimeout(() => put({ kind: 'woken', now: now() }), effect.inMs);
+      case 'schedule-wake-up':
+        setTimeout(() => put({ kind: 'wake-up-due', now: now() }), effect.delayMs);
         return;
       case 'log':
         scribe.info(effect.event, effect.fields);
@@ -77,7 +84,7 @@
   const listen = settings.listen ?? host;
   speakFrom(host);
   const task = Task.run<AgentState, AgentEvent, AgentEffect>({
-    initial: Agent.open({
+    initial: openAgent({
       self: {
         servesOn: settings.cutOff === 'serve',
         id: settings.name,
@@ -102,7 +109,7 @@
       seed: randomInt(2 ** 31),
       now: now(),
     }),
-    reduce: Agent.reduce,
+    reduce: reduceAgent,
     perform,
   });
   const ask = <T>(event: (id: number) => AgentEvent, signal?: AbortSignal): Promise<T> =>
@@ -112,7 +119,8 @@
       signal?.addEventListener(
         'abort',
         () => {
-          if (asking.delete(id)) task.put({ kind: 'caller-gone', id, now: now() });
+          if (asking.delete(id))
+            task.put({ kind: 'caller-disconnected', requestId: id, now: now() });
         },
         { once: true },
       );
@@ -130,22 +138,36 @@
   const calls = await serveCalls(
     { host: listen, port: settings.agent.port },
     {
-      '/agent': (body) => ask((id) => ({ kind: 'asked', id, body: body as AgentCall, now: now() })),
+      '/agent': (body) =>
+        ask((id) => ({
+          kind: 'agent-request-received',
+          requestId: id,
+          request: body as AgentRequest,
+          now: now(),
+        })),
     },
   );
   // Only processes of this machine may feed from it.
   const feeds = await serveCalls(
     { host: '127.0.0.1', port: settings.agent.feedPort },
-    { '/feed': (body) => ask((id) => ({ kind: 'fed', id, body: body as ProxyCall, now: now() })) },
+    {
+      '/feed': (body) =>
+        ask((id) => ({
+          kind: 'proxy-request-received',
+          requestId: id,
+          request: body as ProxyQuery,
+          now: now(),
+        })),
+    },
   );
-  const act: Act = (action, signal) =>
-    ask<Reply>((id) => ({ kind: 'operator', id, action, now: now() }), signal);
+  const act: PerformAction = (action, signal) =>
+    ask<ApiReply>((id) => ({ kind: 'action-received', requestId: id, action, now: now() }), signal);
   const api = options.api === undefined ? apiServer(act) : translatedServer(options.api(act));
   await new Promise<void>((resolve, reject) => {
     api.once('error', reject);
     api.listen(settings.agent.apiPort, listen, resolve);
   });
-  setInterval(() => task.put({ kind: 'beat', now: now() }), Beats.agent);
+  setInterval(() => task.put({ kind: 'tick', now: now() }), Beats.agent);
   scribe.info('started', {
     calls: calls.port,
     feed: feeds.port,
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -2,10 +2,10 @@
  * Safeguards of the agent, each at the border of its reducer: red without the one that it names.
  */
 import test, { type ExecutionContext } from 'ava';
-import type { ReplicaOperation, ReplicaReply, Membership } from '@reedyard/replica';
 import { Limits } from '@reedyard/constants';
+import { publishRecord } from '@reedyard/gossip';
 import type { Plan } from '@reedyard/quota-division';
-import { Gossip } from '@reedyard/gossip';
+import type { Membership, ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
 import {
   addresses,
@@ -17,10 +17,10 @@
   names,
   pulled,
 } from './answered-pulls.fixture.js';
-import { Changes } from './changes.js';
-import { Agent } from './core.js';
+import { assignSlotChange, replaceMemberChange } from './changes.js';
+import { reduceAgent } from './core.js';
 import { learnRegister } from './pulls.js';
-import type { AgentState, WatchedRegister, Transition } from './state.js';
+import type { AgentState, Transition, WatchedRegister } from './state.js';
 import type { AgentEffect, NodeRecord } from './terms.js';
 
 const learnt = (
@@ -38,8 +38,8 @@
 
 const replicaCalls = (effects: readonly AgentEffect[]): readonly AddressedCall[] =>
   effects.flatMap((effect) =>
-    effect.kind === 'call' && effect.path === '/replica'
-      ? [{ id: effect.id, call: effect.body.operation }]
+    effect.kind === 'send-request' && effect.path === '/replica'
+      ? [{ id: effect.requestId, call: effect.request.operation }]
       : [],
   );
 
@@ -48,10 +48,11 @@
   id: number,
   body: ReplicaReply,
   now: number,
-): ReturnType<typeof Agent.reduce> => Agent.reduce(state, { kind: 'returned', id, body, now });
+): ReturnType<typeof reduceAgent> =>
+  reduceAgent(state, { kind: 'reply-received', requestId: id, reply: body, now });
 
 test('the lease runs from the sending of the pulls, however late their answers come', (t) => {
-  const beat = Agent.reduce(founded(), { kind: 'beat', now: 100 });
+  const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
   const { state } = answeredPulls(beat, 900, (name) => pulled(`${name}/a`));
   t.is(state.leaseUntil, 100 + Limits.lease);
 });
@@ -69,7 +70,7 @@
   const shown = { plan: { counter: 9, proposerId: 'z' } as const };
   const replyOf = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), acceptedNumbers: shown }) as ReplicaReply;
-  const beat = Agent.reduce(founded(), { kind: 'beat', now: 100 });
+  const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
   const answered = answeredPulls(beat, 110, replyOf);
   t.is(answered.state.leaseUntil, 0);
   const fetch = replicaCalls(answered.effects).find(({ call }) => call.kind === 'read-register');
@@ -93,9 +94,9 @@
 test('a purge is acknowledged once a majority of the very disks of the members has it, not before', (t) => {
   const purge = { objects: ['host.example/x'], tags: [] };
   const action = { kind: 'purge', purge, changeId: 'c' } as const;
-  const opened = Agent.reduce(allAnswer(founded(), 100), {
-    kind: 'operator',
-    id: 7,
+  const opened = reduceAgent(allAnswer(founded(), 100), {
+    kind: 'action-received',
+    requestId: 7,
     action,
     now: 200,
   });
@@ -111,7 +112,7 @@
       210,
     );
     ({ state } = step);
-    return step.effects.some((effect) => effect.kind === 'answer' && effect.status === 200);
+    return step.effects.some((effect) => effect.kind === 'send-answer' && effect.status === 200);
   });
   t.deepEqual(answered, [false, false, false, true]);
 });
@@ -132,7 +133,7 @@
     leaseUntil: 1e6,
     quotaLeadership: { term: 1, precedingAllocations: [] },
   };
-  const beat = Agent.reduce(leased, { kind: 'beat', now: 2_000 });
+  const beat = reduceAgent(leased, { kind: 'tick', now: 2_000 });
   const prepares = replicaCalls(beat.effects).filter(
     ({ call }) => call.kind === 'prepare' && call.key === 'plan',
   );
@@ -172,7 +173,7 @@
   let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
   let prepares: readonly AddressedCall[] = [];
   for (let now = 2 * Limits.vacancy; prepares.length === 0 && now < 1e5; now += 500) {
-    const step = Agent.reduce(state, { kind: 'beat', now });
+    const step = reduceAgent(state, { kind: 'tick', now });
     ({ state } = step);
     prepares = replicaCalls(step.effects).filter(
       ({ call }) => call.kind === 'prepare' && call.key === 'plan',
@@ -203,8 +204,8 @@
 test('a change of members is made from the very epoch that its proposer knew, or not at all', (t) => {
   const known = { epoch: 3, disks: disksOf('a'), addresses };
   const later = { ...known, epoch: 4 };
-  const joins = Changes.seat(known, 'core-1', 'core-1/b', '127.0.0.1:11');
-  const replaces = Changes.replace(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
+  const joins = assignSlotChange(known, 'core-1', 'core-1/b', '127.0.0.1:11');
+  const replaces = replaceMemberChange(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
   for (const change of [joins, replaces]) {
     const made = change(known);
     t.is(made.kind === 'write' ? (made.value as Membership).epoch : made.kind, 4);
@@ -238,7 +239,7 @@
   };
   const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
   const told = [frontRecord('front-1', 0), frontRecord('front-2', 100)].reduce(
-    (gossip, record) => Gossip.tell(gossip, `node/${record.id}`, record, now),
+    (gossip, record) => publishRecord(gossip, `node/${record.id}`, record, now),
     known.gossip,
   );
   const held = [{ slices: { s: { 'front-1': 0.9 } }, until: heldUntil }];
@@ -248,7 +249,7 @@
     leaseUntil: 1e6,
     quotaLeadership: { term: 1, precedingAllocations: held },
   };
-  const beat = Agent.reduce(leader, { kind: 'beat', now });
+  const beat = reduceAgent(leader, { kind: 'tick', now });
   let { state } = beat;
   const accepted = { proposalNumber: { counter: 2, proposerId: 'x' } as const, value: plan };
   const accepts = replicaCalls(beat.effects)
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -17,12 +17,12 @@
 import type {
   FeedPart,
   ZonesRegister,
-  AgentCall,
+  AgentRequest,
   AgentEffect,
   AgentBootstrap,
   PolicyRegister,
-  Report,
-  Self,
+  ProxyReport,
+  NodeIdentity,
 } from './terms.js';
 
 /** The registers that every agent watches. */
@@ -203,7 +203,7 @@
   | { readonly kind: 'ping'; readonly peerId: string; readonly sentAt: number };
 
 export type AgentState = {
-  readonly self: Self;
+  readonly self: NodeIdentity;
   readonly incarnation: string;
   readonly seeds: readonly string[];
   /** Where members found themselves from seeds; null where the settings name every founder. */
@@ -273,7 +273,7 @@
   readonly pendingAppends: Readonly<Record<number, PendingAppend>>;
   readonly gossip: GossipState;
   readonly delaysByPeer: Readonly<Record<string, readonly number[]>>;
-  readonly proxyReport: { readonly proxyReport: Report; readonly at: number } | null;
+  readonly proxyReport: { readonly proxyReport: ProxyReport; readonly at: number } | null;
   /** Parts of the feed as they were last told to the proxy. */
   readonly lastFeedParts: {
     readonly [K in FeedPart]?: {
@@ -331,21 +331,21 @@
   transition: Transition,
   pending: PendingRequest,
   part:
-    | { readonly to: string; readonly path: '/replica'; readonly body: ReplicaRequest }
-    | { readonly to: string; readonly path: '/agent'; readonly body: AgentCall },
+    | { readonly to: string; readonly path: '/replica'; readonly request: ReplicaRequest }
+    | { readonly to: string; readonly path: '/agent'; readonly request: AgentRequest },
 ): number => {
   const id = takeRequestId(transition);
   update(transition, { pendingRequests: { ...transition.state.pendingRequests, [id]: pending } });
-  transition.effects.push({ kind: 'call', id, ...part });
+  transition.effects.push({ kind: 'send-request', requestId: id, ...part });
   return id;
 };
 
 export const sendToAgent = (
   transition: Transition,
   to: string,
-  body: AgentCall,
+  request: AgentRequest,
   pending: PendingRequest,
-): number => sendTo(transition, pending, { to, path: '/agent', body });
+): number => sendTo(transition, pending, { to, path: '/agent', request });
 
 /** Asks a replica, with the members that the answer will be counted by. */
 export const sendToReplica = (
@@ -357,7 +357,7 @@
   sendTo(transition, pending, {
     to,
     path: '/replica',
-    body: {
+    request: {
       membership: committedMembershipOf(transition.state),
       operation: call,
       ...(Object.keys(liveSpares(transition.state)).length > 0
--- a/packages/agent/src/status.test.ts
+++ b/packages/agent/src/status.test.ts
@@ -12,10 +12,10 @@
   self,
   withMembers,
 } from './answered-pulls.fixture.js';
-import { Agent } from './core.js';
+import { openAgent } from './core.js';
 import { learnRegister } from './pulls.js';
-import { controlStatus, nodeStatus } from './status.js';
 import type { Transition } from './state.js';
+import { controlStatus, nodeStatus } from './status.js';
 
 test('the status shows epoch, quorum, and how many more losses are borne', (t) => {
   const control = controlStatus(allAnswer(founded(), 100));
@@ -134,7 +134,7 @@
 test('with too few members found so far, what is wanted is shown beside what votes', (t) => {
   const seeds = ['127.0.0.1:11', '127.0.0.1:12', '127.0.0.1:13'];
   const parts = { self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 };
-  const state = Agent.open({ ...parts, voting: { losses: 2, seeds } });
+  const state = openAgent({ ...parts, voting: { losses: 2, seeds } });
   const before = controlStatus(state);
   t.deepEqual([before.epoch, before.members.length, before.wantedMembers], [0, 0, 5]);
   t.true(before.lossesBorne < 0);
--- a/packages/agent/src/sweep.ts
+++ b/packages/agent/src/sweep.ts
@@ -1,8 +1,8 @@
 /** Lets go what has lapsed: records of gossip, facts, and claims of long ago. */
 import { Map as Table } from 'immutable';
 import { Limits } from '@reedyard/constants';
-import { Gossip } from '@reedyard/gossip';
-import { update, type Transition } from './state.js';
+import { expireRecords } from '@reedyard/gossip';
+import { type Transition, update } from './state.js';
 
 /** Lets go facts that are no longer on the replicas' journals, with what is known of their keys. */
 const expireEntries = (transition: Transition): void => {
@@ -30,7 +30,9 @@
 };
 
 export const expireState = (transition: Transition): void => {
-  update(transition, { gossip: Gossip.sweep(transition.state.gossip, transition.state.now).state });
+  update(transition, {
+    gossip: expireRecords(transition.state.gossip, transition.state.now).state,
+  });
   expireEntries(transition);
   startClaimSpan(transition);
 };
--- a/packages/agent/src/terms.ts
+++ b/packages/agent/src/terms.ts
@@ -1,10 +1,10 @@
 import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
 import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
-import type { Exchange, Exchanged, Telling } from '@reedyard/gossip';
+import type { GossipExchange, GossipExchangeReply, RecordUpdate } from '@reedyard/gossip';
 import type { Split } from '@reedyard/server-selection';
 
 /** Who and where an agent is, and what else runs on its machine. */
-export type Self = {
+export type NodeIdentity = {
   /** Whether it serves on while provably cut off from a majority; left out: it does not. */
   readonly servesOn?: boolean;
   readonly id: string;
@@ -38,13 +38,14 @@
   readonly zone: string;
   readonly region: string;
   readonly address: string;
-  readonly proxy: Self['proxy'];
+  readonly proxy: NodeIdentity['proxy'];
   /**
    * Where its replica is; and where members found themselves from seeds, which disk it told last,
    * and whether that is blank.
    */
   readonly replica:
-    (NonNullable<Self['replica']> & { readonly disk?: string; readonly fresh?: boolean }) | null;
+    | (NonNullable<NodeIdentity['replica']> & { readonly disk?: string; readonly fresh?: boolean })
+    | null;
   /** Whether its proxy takes requests. */
   readonly ready: boolean;
   /**
@@ -89,7 +90,7 @@
 };
 
 /** What a proxy measured over one period. */
-export type Measure = {
+export type TrafficMeasurement = {
   /** bps its own callers asked for, by object key. */
   readonly demand: Readonly<Record<string, number>>;
   readonly copies: readonly string[];
@@ -100,18 +101,18 @@
 };
 
 /** What a proxy tells with each question for news. */
-export type Report = {
+export type ProxyReport = {
   readonly policyRevision: number;
   readonly life: string;
   readonly proxyLife: string;
   readonly purgeSeq: number;
   readonly stopping: boolean;
   readonly wants: Readonly<Record<string, number>>;
-  readonly measure: Measure | null;
+  readonly measure: TrafficMeasurement | null;
   readonly counters: Readonly<Record<string, number>>;
 };
 
-export type OriginRow = {
+export type OriginEndpoint = {
   readonly service: string;
   readonly instance: string;
   readonly incarnation: number;
@@ -128,7 +129,7 @@
   /** Attempts a second that this node may make to it; Infinity where nothing bounds them. */
   readonly rate: number;
 };
-export type PeerRow = {
+export type PeerEndpoint = {
   readonly id: string;
   readonly zone: string;
   readonly region: string;
@@ -146,8 +147,8 @@
   /** Only where the proxy's revision is another. */
   readonly policy: { readonly revision: number; readonly document: Policy } | null;
   readonly policyRevision: number;
-  readonly origins: readonly OriginRow[];
-  readonly peers: readonly PeerRow[];
+  readonly origins: readonly OriginEndpoint[];
+  readonly peers: readonly PeerEndpoint[];
   readonly emptied: readonly string[];
   readonly split: Split;
   /** Attempts a second that this proxy may make, by service; Infinity where nothing bounds them. */
@@ -164,14 +165,14 @@
 /** For each part a number that grows when it changes, within one life of the agent. */
 export type Revisions = Readonly<Record<FeedPart, number>>;
 /** A feed as it goes to the proxy: without the parts that it holds. */
-export type FeedTold = Omit<Feed, FeedPart> &
+export type FeedReply = Omit<Feed, FeedPart> &
   Partial<Pick<Feed, FeedPart>> & { readonly revisions: Revisions };
 /** What a proxy holds, and of which life of the agent. */
-export type Holding = { readonly life: string; readonly revisions: Revisions };
+export type FeedPartsHeld = { readonly life: string; readonly revisions: Revisions };
 
 /** What a proxy asks of its agent. */
-export type ProxyCall =
-  | { readonly kind: 'feed'; readonly report: Report; readonly held: Holding | null }
+export type ProxyQuery =
+  | { readonly kind: 'feed'; readonly report: ProxyReport; readonly held: FeedPartsHeld | null }
   | {
       readonly kind: 'claim';
       readonly key: string;
@@ -194,15 +195,15 @@
   | { readonly kind: 'unreached' };
 
 /** What agents ask of each other. */
-export type AgentCall =
-  | { readonly kind: 'exchange'; readonly exchange: Exchange }
-  | { readonly kind: 'push'; readonly tellings: Readonly<Record<string, Telling>> }
+export type AgentRequest =
+  | { readonly kind: 'exchange'; readonly exchange: GossipExchange }
+  | { readonly kind: 'push'; readonly tellings: Readonly<Record<string, RecordUpdate>> }
   | { readonly kind: 'ping' };
 export type AgentReply =
-  { readonly kind: 'exchanged'; readonly exchanged: Exchanged } | { readonly kind: 'ok' };
+  { readonly kind: 'exchanged'; readonly exchanged: GossipExchangeReply } | { readonly kind: 'ok' };
 
 /** What operators and origins ask. */
-export type Action =
+export type ApiAction =
   | {
       readonly kind: 'put-policy';
       readonly document: Policy;
@@ -223,56 +224,66 @@
   | { readonly kind: 'status' | 'shares' | 'peers' | 'ready' | 'live' };
 
 export type AgentEvent =
-  | { readonly kind: 'beat'; readonly now: number }
-  | { readonly kind: 'asked'; readonly id: number; readonly body: AgentCall; readonly now: number }
-  | { readonly kind: 'fed'; readonly id: number; readonly body: ProxyCall; readonly now: number }
+  | { readonly kind: 'tick'; readonly now: number }
   | {
-      readonly kind: 'operator';
-      readonly id: number;
-      readonly action: Action;
+      readonly kind: 'agent-request-received';
+      readonly requestId: number;
+      readonly request: AgentRequest;
       readonly now: number;
     }
   | {
-      readonly kind: 'returned';
-      readonly id: number;
-      readonly body: ReplicaReply | AgentReply;
+      readonly kind: 'proxy-request-received';
+      readonly requestId: number;
+      readonly request: ProxyQuery;
       readonly now: number;
     }
-  | { readonly kind: 'lost'; readonly id: number; readonly now: number }
+  | {
+      readonly kind: 'action-received';
+      readonly requestId: number;
+      readonly action: ApiAction;
+      readonly now: number;
+    }
+  | {
+      readonly kind: 'reply-received';
+      readonly requestId: number;
+      readonly reply: ReplicaReply | AgentReply;
+      readonly now: number;
+    }
+  | { readonly kind: 'request-failed'; readonly requestId: number; readonly now: number }
   /** The caller of an operator's action closed its connection before it was answered. */
-  | { readonly kind: 'caller-gone'; readonly id: number; readonly now: number }
+  | { readonly kind: 'caller-disconnected'; readonly requestId: number; readonly now: number }
   /** The time that a `wake` effect asked for has come. */
-  | { readonly kind: 'woken'; readonly now: number };
+  | { readonly kind: 'wake-up-due'; readonly now: number };
 
 export type AgentEffect =
   | {
-      readonly kind: 'call';
-      readonly id: number;
+      readonly kind: 'send-request';
+      readonly requestId: number;
       readonly to: string;
       readonly path: '/replica';
-      readonly body: ReplicaRequest;
+      readonly request: ReplicaRequest;
     }
   | {
-      readonly kind: 'call';
-      readonly id: number;
+      readonly kind: 'send-request';
+      readonly requestId: number;
       readonly to: string;
       readonly path: '/agent';
-      readonly body: AgentCall;
+      readonly request: AgentRequest;
     }
   | {
-      readonly kind: 'tell';
-      readonly id: number;
-      readonly body: AgentReply | FeedTold | ClaimReply;
+      readonly kind: 'send-reply';
+      readonly requestId: number;
+      readonly reply: AgentReply | FeedReply | ClaimReply;
     }
   | {
-      readonly kind: 'answer';
-      readonly id: number;
+      readonly kind: 'send-answer';
+      readonly requestId: number;
       readonly status: number;
       readonly body: unknown;
       readonly retryAfter?: number;
     }
   /** Asks for a `woken` event after so many ms. */
-  | { readonly kind: 'wake'; readonly inMs: number }
+  | { readonly kind: 'schedule-wake-up'; readonly delayMs: number }
   | {
       readonly kind: 'log';
       readonly event: string;
--- a/packages/agent/src/testing/membership-goals.ts
+++ b/packages/agent/src/testing/membership-goals.ts
@@ -1,8 +1,7 @@
 /** Test support: what clients of the membership model want, as changes of registers. */
-import { membershipKey } from '@reedyard/replica';
-import type { Membership } from '@reedyard/replica';
 import type { Change } from '@reedyard/consensus';
-import { Changes } from '../changes.js';
+import { type Membership, membershipKey } from '@reedyard/replica';
+import { assignSlotChange, replaceMemberChange } from '../changes.js';
 
 /** The register that clients append to; its value is all ids in the order of their choice. */
 export const dataKey = 'data';
@@ -35,9 +34,9 @@
     case 'append':
       return (current) => appended((current ?? '') as string, goal.id);
     case 'join':
-      return Changes.seat(goal.known, goal.place, goal.disk, goal.address);
+      return assignSlotChange(goal.known, goal.place, goal.disk, goal.address);
     case 'replace':
-      return Changes.replace(goal.known, goal.gone, goal.place, goal.disk, goal.address);
+      return replaceMemberChange(goal.known, goal.gone, goal.place, goal.disk, goal.address);
     case 'repair':
       return () => ({ kind: 'keep' });
   }
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/choice.ts
@@ -2,7 +2,7 @@
 import { groupKey, holderOf, objectKey } from '@reedyard/server-selection';
 import { Routes, type Route } from '@reedyard/schemas';
 import { Attempts } from '@reedyard/attempts';
-import type { OriginRow, PeerRow } from '@reedyard/agent';
+import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import type { Proof } from './dialect.js';
 import {
   set,
@@ -16,7 +16,7 @@
 const suspect = (state: ProxyState, name: string): boolean =>
   (state.suspects[name] ?? 0) > state.now;
 
-export const originName = (row: OriginRow): string =>
+export const originName = (row: OriginEndpoint): string =>
   `${row.service}/${row.instance}/${row.incarnation}`;
 
 /** Whether a route's reports may be fetched and kept here. */
@@ -43,7 +43,7 @@
 };
 
 /** Peers that may be given this request, nearest first. */
-export const allowedPeers = (state: ProxyState, request: ProxyRequest): readonly PeerRow[] => {
+export const allowedPeers = (state: ProxyState, request: ProxyRequest): readonly PeerEndpoint[] => {
   const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
   return (state.feed?.peers ?? []).filter(
     (row) =>
@@ -55,7 +55,10 @@
  * The draw: this edge's row of the split for the object, over those that may serve it now. Without
  * a row the edge serves itself where it may, or else hands on to the nearest that may.
  */
-export const drawServer = (state: ProxyState, request: ProxyRequest): 'self' | PeerRow | null => {
+export const drawServer = (
+  state: ProxyState,
+  request: ProxyRequest,
+): 'self' | PeerEndpoint | null => {
   const home = atHome(request.route.homes, state.self.region);
   if (request.asked.via !== null) return home ? 'self' : null;
   const split = state.feed?.split ?? {};
@@ -67,11 +70,13 @@
       : split[groupKey(name, holder)]) ?? [];
   if (home && row.every(([edge]) => edge === state.self.id)) return 'self';
   const peers = allowedPeers(state, request);
-  const open = row.flatMap(([edge, share]): readonly (readonly ['self' | PeerRow, number])[] => {
-    if (edge === state.self.id) return home ? [['self', share]] : [];
-    const peer = peers.find((each) => each.id === edge);
-    return peer === undefined ? [] : [[peer, share]];
-  });
+  const open = row.flatMap(
+    ([edge, share]): readonly (readonly ['self' | PeerEndpoint, number])[] => {
+      if (edge === state.self.id) return home ? [['self', share]] : [];
+      const peer = peers.find((each) => each.id === edge);
+      return peer === undefined ? [] : [[peer, share]];
+    },
+  );
   let left = (request.draws[0] ?? 0) * open.reduce((sum, [, share]) => sum + share, 0);
   for (const [server, share] of open) {
     left -= share;
@@ -127,7 +132,7 @@
  * Requests that this node may have under way at an origin: its part of what that one works on and
  * lets wait, and of the conns that it accepts.
  */
-export const roomAt = (state: ProxyState, row: OriginRow): number => {
+export const roomAt = (state: ProxyState, row: OriginEndpoint): number => {
   const parts = nodes(state);
   const slots =
     row.slots === null || row.slots === undefined
@@ -156,7 +161,7 @@
 };
 
 /** ms that an origin's answers take; what was met there long ago counts as the mean of all. */
-export const answerMs = (state: ProxyState, row: OriginRow, mean: number): number => {
+export const answerMs = (state: ProxyState, row: OriginEndpoint, mean: number): number => {
   const known = state.standings[originName(row)];
   return known === undefined
     ? mean
@@ -164,7 +169,7 @@
 };
 
 /** ms that the answers of a service's origins take on average here; 0 where none was had. */
-export const meanMs = (state: ProxyState, rows: readonly OriginRow[]): number => {
+export const meanMs = (state: ProxyState, rows: readonly OriginEndpoint[]): number => {
   const known = rows.flatMap((row) => {
     const standing = state.standings[originName(row)];
     return standing === undefined ? [] : [standing.ms];
@@ -176,7 +181,12 @@
  * ms. What an attempt at an origin is likely to cost: its usual time, more where it is nearly full,
  * and the bytes that pass between zones.
  */
-const costOf = (state: ProxyState, row: OriginRow, mean: number, replyBytes: number): number => {
+const costOf = (
+  state: ProxyState,
+  row: OriginEndpoint,
+  mean: number,
+  replyBytes: number,
+): number => {
   const ms = Math.max(1, answerMs(state, row, mean));
   const slots = row.slots ?? Math.max(1, (row.capacity * Math.max(1, mean)) / 1_000);
   const use = (busyAt(state, originName(row)) + 1) / slots;
@@ -197,7 +207,7 @@
   state: ProxyState,
   request: ProxyRequest,
   replyBytes = 0,
-): readonly OriginRow[] => {
+): readonly OriginEndpoint[] => {
   const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
   const rows = (state.feed?.origins ?? []).filter(
     (row) => row.service === request.service && atHome(request.route.homes, row.region),
--- a/packages/proxy/src/conns.ts
+++ b/packages/proxy/src/conns.ts
@@ -6,7 +6,7 @@
 import net from 'node:net';
 import { performance } from 'node:perf_hooks';
 import { Limits } from '@reedyard/constants';
-import type { OriginRow, PeerRow } from '@reedyard/agent';
+import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import { textOf } from '@reedyard/logging';
 import { originName } from './choice.js';
 import type { Dialect, ToOrigin } from './dialect.js';
@@ -96,7 +96,7 @@
   });
 
 /** The name under which connections to a peer are kept. */
-export const peerName = (row: PeerRow): string => `peer ${row.id} ${row.address}`;
+export const peerName = (row: PeerEndpoint): string => `peer ${row.id} ${row.address}`;
 
 /** Connections to origins and peers. */
 export class OriginConns {
@@ -123,7 +123,7 @@
 
   /** Makes one attempt at an origin. */
   send(
-    row: OriginRow,
+    row: OriginEndpoint,
     out: Outgoing,
     attempt: ToOrigin,
     terms: SendTerms,
@@ -141,7 +141,7 @@
   }
 
   /** Hands a request on to a peer. */
-  sendToPeer(row: PeerRow, out: Outgoing, terms: SendTerms, ends: AttemptEnds): Underway {
+  sendToPeer(row: PeerEndpoint, out: Outgoing, terms: SendTerms, ends: AttemptEnds): Underway {
     const judge = ({ headers }: http.IncomingMessage): Judgement => {
       const foreign = headers['reedyard-attempt'] !== out.headers['reedyard-attempt'];
       return { evidence: { unsound: foreign ? 'foreign' : null, anonymous: false } };
--- a/packages/proxy/src/dialect.ts
+++ b/packages/proxy/src/dialect.ts
@@ -1,4 +1,4 @@
-import type { OriginRow } from '@reedyard/agent';
+import type { OriginEndpoint } from '@reedyard/agent';
 import type { Headers } from '@reedyard/cache';
 
 /**
@@ -24,7 +24,7 @@
 
 /** One attempt at an origin. */
 export type ToOrigin = {
-  readonly origin: OriginRow;
+  readonly origin: OriginEndpoint;
   readonly mark: string;
   /** ms that its answer is waited for. */ readonly leftMs: number;
   readonly headers: Headers;
@@ -70,7 +70,7 @@
   };
 };
 
-const origin = (row: OriginRow): string => `${row.service}/${row.instance}/${row.incarnation}`;
+const origin = (row: OriginEndpoint): string => `${row.service}/${row.instance}/${row.incarnation}`;
 
 /** The project's own way (docs/api.md). */
 export const ownDialect: Dialect = {
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -1,6 +1,6 @@
 /** Measures what callers ask for, and reports it to the agent with each question. */
 import { Beats, Sizes } from '@reedyard/constants';
-import type { Measure, Report } from '@reedyard/agent';
+import type { TrafficMeasurement, ProxyReport } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
 import { set } from './state.js';
 import type { Work } from './state.js';
@@ -8,7 +8,7 @@
 /**
  * Closes a period of measuring: what the own callers asked for, object by object for the busiest.
  */
-const measure = (work: Work): Measure | null => {
+const measure = (work: Work): TrafficMeasurement | null => {
   const { state } = work;
   const { period } = state;
   const ms = state.now - period.since;
@@ -70,7 +70,7 @@
   renewWants(work);
   const measurement = measure(work);
   const { state } = work;
-  const report: Report = {
+  const report: ProxyReport = {
     policyRevision: state.policy?.revision ?? 0,
     life: state.life,
     proxyLife: state.self.life,
--- a/packages/proxy/src/run.ts
+++ b/packages/proxy/src/run.ts
@@ -4,7 +4,7 @@
 import type { Readable } from 'node:stream';
 import { Beats, Limits, Sizes } from '@reedyard/constants';
 import { Task, type Inbox } from '@reedyard/task-loop';
-import type { ClaimReply, FeedTold, ProxyCall } from '@reedyard/agent';
+import type { ClaimReply, FeedReply, ProxyQuery } from '@reedyard/agent';
 import { openScribe, type Scribe } from '@reedyard/logging';
 import { call } from '@reedyard/rpc';
 import { Routes } from '@reedyard/schemas';
@@ -45,7 +45,7 @@
 /** What a proxy needs of its surroundings: who answers for its agent, and where its log goes. */
 export type Around = {
   readonly scribe: Scribe;
-  readonly askAgent: (body: ProxyCall, limitMs?: number) => Promise<unknown>;
+  readonly askAgent: (body: ProxyQuery, limitMs?: number) => Promise<unknown>;
 };
 
 /** A proxy without its ports: what takes requests, and what it is doing. */
@@ -238,7 +238,7 @@
         askAgent({ kind: 'feed', report: effect.report, held: Feeds.holding(held) })
           .then(
             (reply) => {
-              held = Feeds.merge(held, reply as FeedTold);
+              held = Feeds.merge(held, reply as FeedReply);
               const { feed } = held;
               put({ kind: 'fed', feed, askedAt, now: now() });
               conns.keepOnly(
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -1,4 +1,11 @@
-import type { ClaimReply, Feed, ProxyCall, OriginRow, PeerRow, Report } from '@reedyard/agent';
+import type {
+  ClaimReply,
+  Feed,
+  ProxyQuery,
+  OriginEndpoint,
+  PeerEndpoint,
+  ProxyReport,
+} from '@reedyard/agent';
 import type { Copy, Headers, CacheState } from '@reedyard/cache';
 import type { Load, Proof } from './dialect.js';
 import type { Policy, Route, RouteTable } from '@reedyard/schemas';
@@ -38,8 +45,8 @@
 };
 
 export type Target =
-  | { readonly kind: 'origin'; readonly row: OriginRow }
-  | { readonly kind: 'peer'; readonly row: PeerRow };
+  | { readonly kind: 'origin'; readonly row: OriginEndpoint }
+  | { readonly kind: 'peer'; readonly row: PeerEndpoint };
 
 export type ProxyRequest = {
   readonly id: number;
@@ -217,8 +224,8 @@
   | { readonly kind: 'answer'; readonly id: number; readonly answer: Answer }
   /** A request is over: nothing more will be said of it. */
   | { readonly kind: 'closed'; readonly id: number }
-  | { readonly kind: 'ask'; readonly id: number; readonly call: ProxyCall }
-  | { readonly kind: 'question'; readonly report: Report }
+  | { readonly kind: 'ask'; readonly id: number; readonly call: ProxyQuery }
+  | { readonly kind: 'question'; readonly report: ProxyReport }
   | {
       readonly kind: 'log';
       readonly event: string;
--- a/packages/proxy/src/testing/proxy-harness.ts
+++ b/packages/proxy/src/testing/proxy-harness.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
-import type { Feed, ProxyCall, OriginRow, PeerRow } from '@reedyard/agent';
+import type { Feed, ProxyQuery, OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import { SettingsReader } from '@reedyard/settings';
 import { ProxyCore } from '../core.js';
@@ -56,7 +56,7 @@
 });
 
 /** An origin at a port. */
-export const originRow = (port: number, instance = 'i1'): OriginRow => ({
+export const originRow = (port: number, instance = 'i1'): OriginEndpoint => ({
   service: SERVICE,
   instance,
   incarnation: 0,
@@ -73,8 +73,8 @@
 /** What the proxy is fed; tests change it as they go. */
 export type FeedParts = {
   policy: { readonly revision: number; readonly document: Policy };
-  origins: readonly OriginRow[];
-  peers: readonly PeerRow[];
+  origins: readonly OriginEndpoint[];
+  peers: readonly PeerEndpoint[];
   split: Feed['split'];
 };
 
@@ -146,7 +146,7 @@
   const log = (event: string, fields: unknown): void => {
     logged.push(`${event} ${JSON.stringify(fields)}`);
   };
-  const askAgent = (call: ProxyCall): Promise<unknown> =>
+  const askAgent = (call: ProxyQuery): Promise<unknown> =>
     Promise.resolve(call.kind === 'feed' ? { ...feedOf(feed), revisions } : { kind: 'granted' });
   const scribe = { info: log, warn: log, error: log };
   const proxy = openProxy(settingsOf(name), namedDialect, { scribe, askAgent });
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
 import { Beats, Limits, Sizes } from '@reedyard/constants';
-import type { Feed, ProxyCall } from '@reedyard/agent';
+import type { Feed, ProxyQuery } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import type { Dialect } from './dialect.js';
 import { openProxy, type ProxySettings } from './run.js';
@@ -107,7 +107,7 @@
     dialect,
     {
       scribe: quiet,
-      askAgent: (asked: ProxyCall) =>
+      askAgent: (asked: ProxyQuery) =>
         Promise.resolve(
           asked.kind === 'feed'
             ? {
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -1,12 +1,13 @@
 import {
-  type Action,
-  Agent,
   type AgentEffect,
   type AgentEvent,
   type AgentState,
+  type ApiAction,
   type ClaimReply,
   type Feed,
-  type FeedTold,
+  type FeedReply,
+  openAgent,
+  reduceAgent,
 } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
 import { Beats, Limits } from '@reedyard/constants';
@@ -315,7 +316,7 @@
     this.counts.events += 1;
     const reduce = (
       process.program === 'agent'
-        ? Agent.reduce
+        ? reduceAgent
         : process.program === 'proxy'
           ? ProxyCore.reduce
           : reduceReplica
@@ -470,7 +471,7 @@
     const { machine } = box;
     const fronts = machine.kind === 'front';
     const process = this.#make('agent', machine, (now) =>
-      Agent.open({
+      openAgent({
         self: {
           id: box.as,
           servesOn: this.tuning.servesOn === true,
@@ -499,7 +500,7 @@
     );
     box.agent = process;
     this.#every(process, Beats.agent, () =>
-      this.#step(process, { kind: 'beat', now: this.#now(process) }),
+      this.#step(process, { kind: 'tick', now: this.#now(process) }),
     );
   }
 
@@ -649,47 +650,57 @@
 
   #agentEffect(process: Process<'agent'>, effect: AgentEffect): void {
     switch (effect.kind) {
-      case 'call':
+      case 'send-request':
         this.#call(
           process,
           effect.to,
           (box, reply) => {
             if (effect.path === '/agent') {
-              const { body } = effect;
+              const { request: body } = effect;
               const target = box.agent;
               if (target !== null)
                 this.#askAgent(
                   target,
-                  (id) => ({ kind: 'asked', id, body, now: this.#now(target) }),
+                  (id) => ({
+                    kind: 'agent-request-received',
+                    requestId: id,
+                    request: body,
+                    now: this.#now(target),
+                  }),
                   reply,
                 );
               return;
             }
             const target = box.replica;
-            if (target !== null) this.#askReplica(target, effect.body, reply);
+            if (target !== null) this.#askReplica(target, effect.request, reply);
           },
           (body) =>
             this.#step(process, {
-              kind: 'returned',
-              id: effect.id,
-              body: body as never,
+              kind: 'reply-received',
+              requestId: effect.requestId,
+              reply: body as never,
+              now: this.#now(process),
+            }),
+          () =>
+            this.#step(process, {
+              kind: 'request-failed',
+              requestId: effect.requestId,
               now: this.#now(process),
             }),
-          () => this.#step(process, { kind: 'lost', id: effect.id, now: this.#now(process) }),
         );
         return;
-      case 'tell':
-        process.asking.get(effect.id)?.(effect.body);
-        process.asking.delete(effect.id);
+      case 'send-reply':
+        process.asking.get(effect.requestId)?.(effect.reply);
+        process.asking.delete(effect.requestId);
         return;
-      case 'answer':
-        process.asking.get(effect.id)?.(effect);
-        process.asking.delete(effect.id);
+      case 'send-answer':
+        process.asking.get(effect.requestId)?.(effect);
+        process.asking.delete(effect.requestId);
         return;
-      case 'wake':
-        this.clock.in(effect.inMs / process.clockRate, () =>
+      case 'schedule-wake-up':
+        this.clock.in(effect.delayMs / process.clockRate, () =>
           this.#inside(process, () =>
-            this.#step(process, { kind: 'woken', now: this.#now(process) }),
+            this.#step(process, { kind: 'wake-up-due', now: this.#now(process) }),
           ),
         );
         return;
@@ -879,9 +890,9 @@
               this.#askAgent(
                 agent,
                 (id) => ({
-                  kind: 'fed',
-                  id,
-                  body: {
+                  kind: 'proxy-request-received',
+                  requestId: id,
+                  request: {
                     kind: 'feed',
                     report: effect.report,
                     held: Feeds.holding(this.#held.get(process) ?? null),
@@ -893,7 +904,7 @@
             }
           },
           (body) => {
-            const held = Feeds.merge(this.#held.get(process) ?? null, body as FeedTold);
+            const held = Feeds.merge(this.#held.get(process) ?? null, body as FeedReply);
             const agent = box?.agent;
             if (agent && held.feed.leaseMs > 0 && agent.state.leaseUntil <= this.#now(agent))
               this.history.push({
@@ -976,7 +987,12 @@
               const agent = box.agent;
               this.#askAgent(
                 agent,
-                (id) => ({ kind: 'fed', id, body: effect.call, now: this.#now(agent) }),
+                (id) => ({
+                  kind: 'proxy-request-received',
+                  requestId: id,
+                  request: effect.call,
+                  now: this.#now(agent),
+                }),
                 reply,
               );
             }
@@ -1469,13 +1485,13 @@
    * A planted fault: an agent goes on for 4 s with an order that it has not acknowledged, though
    * its caller is gone.
    */
-  #goOn(agent: Process<'agent'>, action: Action): void {
+  #goOn(agent: Process<'agent'>, action: ApiAction): void {
     for (let ms = 500; ms < Limits.proposal; ms += 500) {
       this.clock.in(ms, () => {
         if (agent.alive)
           this.#askAgent(
             agent,
-            (id) => ({ kind: 'operator', id, action, now: this.#now(agent) }),
+            (id) => ({ kind: 'action-received', requestId: id, action, now: this.#now(agent) }),
             () => undefined,
           );
       });
@@ -1484,7 +1500,7 @@
 
   /** Sends an action to the API of some live node. The caller may leave before it is answered. */
   operate(
-    action: Action,
+    action: ApiAction,
     done: (reply: { status: number; body: unknown }) => void,
     from = 'outside',
     node?: string,
@@ -1535,14 +1551,18 @@
     const drop = (): void =>
       this.#inside(agent, () => {
         if (askedAs !== null && agent.asking.delete(askedAs))
-          this.#step(agent, { kind: 'caller-gone', id: askedAs, now: this.#now(agent) });
+          this.#step(agent, {
+            kind: 'caller-disconnected',
+            requestId: askedAs,
+            now: this.#now(agent),
+          });
       });
     this.#carry(from, box.machine.name, () => {
       this.#askAgent(
         agent,
         (id) => {
           askedAs = id;
-          return { kind: 'operator', id, action, now: this.#now(agent) };
+          return { kind: 'action-received', requestId: id, action, now: this.#now(agent) };
         },
         (reply) => {
           const told = plantedReply(this.tuning.plant, reply as { status: number; body: unknown });
--- a/packages/simulator/src/order-client.ts
+++ b/packages/simulator/src/order-client.ts
@@ -3,7 +3,7 @@
  * silence or a 5xx it goes on to another node, with a pause that grows, and repeats the order
  * unchanged, as operators do.
  */
-import type { Action } from '@reedyard/agent';
+import type { ApiAction } from '@reedyard/agent';
 import type { SimFleet } from './fleet.js';
 
 /** ms without an answer after which the client gives a node up. */
@@ -31,7 +31,7 @@
   /** ms after which the client no longer repeats the order. */
   readonly patienceMs: number;
   /** The action of each attempt: a repeat without a shared identity gets a new change id. */
-  readonly action: (attempt: number) => Action;
+  readonly action: (attempt: number) => ApiAction;
   /** Whether the answer to this attempt is lost on its way; left out: never. */
   readonly losesAnswer?: (attempt: number) => boolean;
 };
--- a/packages/simulator/src/order-trial.test.ts
+++ b/packages/simulator/src/order-trial.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import type { Action, ZonesRegister } from '@reedyard/agent';
+import type { ApiAction, ZonesRegister } from '@reedyard/agent';
 import { SimFleet } from './fleet.js';
 import { sendOrder } from './order-client.js';
 import { runOrderTrial } from './order-trial.js';
@@ -35,7 +35,7 @@
   fleet.clock.in(500, () => fleet.put(policy));
   fleet.clock.runUntil(8_000);
   const send = (order: 'empty' | 'take-back', firstNode: string, done: () => void): void => {
-    const action = (attempt: number): Action => ({
+    const action = (attempt: number): ApiAction => ({
       kind: 'zone',
       zone: 'west',
       order,
--- a/packages/simulator/src/order-trial.ts
+++ b/packages/simulator/src/order-trial.ts
@@ -5,7 +5,7 @@
  * it and takes it back in turn.
  */
 import { Limits } from '@reedyard/constants';
-import type { Action, ZonesRegister, PolicyRegister } from '@reedyard/agent';
+import type { ApiAction, ZonesRegister, PolicyRegister } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import { SimFleet } from './fleet.js';
 import { sendOrder, type OrderOutcome } from './order-client.js';
@@ -76,7 +76,7 @@
     for (const machine of deployment.machines) this.fleet.start(machine.name);
   }
 
-  #order(action: () => Action, done: (outcome: OrderOutcome) => void): void {
+  #order(action: () => ApiAction, done: (outcome: OrderOutcome) => void): void {
     const losesAnswer = (): boolean => this.fleet.clock.chance() < this.#lostAnswers;
     sendOrder(this.fleet, { patienceMs, action, losesAnswer }, (outcome) => {
       this.outcomes.push(outcome);
@@ -106,7 +106,7 @@
     const contents = this.sentContents.get(version) ?? new Set();
     this.sentContents.set(version, contents.add(content));
     const document = this.#document(version, content);
-    const action = (): Action => ({
+    const action = (): ApiAction => ({
       kind: 'put-policy',
       document,
       ifMatch: null,
@@ -126,7 +126,7 @@
     const ends = this.zoneEnds.get(zone) ?? [];
     this.zoneEnds.set(zone, ends);
     const order = ends.at(-1)?.order === 'empty' ? 'take-back' : 'empty';
-    const action = (): Action => ({
+    const action = (): ApiAction => ({
       kind: 'zone',
       zone: zone,
       order,
--- a/packages/simulator/src/plants.ts
+++ b/packages/simulator/src/plants.ts
@@ -1,4 +1,4 @@
-import type { Feed, AgentState, ProxyCall } from '@reedyard/agent';
+import type { Feed, AgentState, ProxyQuery } from '@reedyard/agent';
 import { Limits } from '@reedyard/constants';
 import type { ProxyState } from '@reedyard/proxy';
 import type { Policy } from '@reedyard/schemas';
@@ -193,7 +193,7 @@
 };
 
 /** Whether a claim is granted without asking. */
-export const plantedClaim = (plant: Plant, call: ProxyCall): boolean =>
+export const plantedClaim = (plant: Plant, call: ProxyQuery): boolean =>
   plant === 'claims-granted' && call.kind === 'claim';
 
 /** What a planted fault makes of an agent's answer to an operator. */
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -4,39 +4,11 @@
 import os from 'node:os';
 import path from 'node:path';
 import { serialize } from 'node:v8';
-import {
-  type Action,
-  Agent,
-  type AgentCall,
-  type AgentEffect,
-  type AgentEvent,
-  type AgentReply,
-  type AgentState,
-  type FeedTold,
-  type Measure,
-  type NodeRecord,
-  type ProxyCall,
-  type Report,
-  type Self,
-} from '@reedyard/agent';
+import { type AgentEffect, type AgentEvent, type AgentReply, type AgentRequest, type AgentState, type ApiAction, type FeedReply, type NodeIdentity, type NodeRecord, openAgent, type ProxyQuery, type ProxyReport, reduceAgent, type TrafficMeasurement } from '@reedyard/agent';
 import { Beats, Hollow, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
 import { Feeds, type HeldFeed } from '@reedyard/proxy';
-import {
-  decodeReplicaReply,
-  decodeReplicaRequest,
-  encodeReplicaReply,
-  encodeReplicaRequest,
-  openReplica,
-  openReplicaLog,
-  reduceReplica,
-  type ReplicaEffect,
-  type ReplicaEvent,
-  type ReplicaLog,
-  type ReplicaReply,
-  type ReplicaState,
-  snapshotRecords,
-} from '@reedyard/replica';
+import { decodeReplicaReply, decodeReplicaRequest, encodeReplicaReply, encodeReplicaRequest, openReplica, openReplicaLog, reduceReplica, type ReplicaEffect, type ReplicaEvent, type ReplicaLog, type ReplicaReply, type ReplicaState, snapshotRecords } from '@reedyard/replica';
 import { call, type Listening, serveCalls } from '@reedyard/rpc';
 
 /** A hollow fleet that can't be run. */
@@ -57,7 +29,7 @@
   readonly others: Readonly<Record<string, string>>;
 };
 export type AgentSpec = {
-  readonly self: Self;
+  readonly self: NodeIdentity;
   readonly role: Role;
   readonly seeds: readonly string[];
   readonly founders: Readonly<Record<string, string>>;
@@ -76,12 +48,12 @@
 };
 export type OriginSpec = {
   readonly node: string;
-  readonly description: Extract<Action, { kind: 'describe' }>['description'];
+  readonly description: Extract<ApiAction, { kind: 'describe' }>['description'];
   readonly startAt: number;
 };
 
 /** What is to be done at a node's API in a step. */
-export type Order = { readonly node: string; readonly tag: string; readonly action: Action };
+export type Order = { readonly node: string; readonly tag: string; readonly action: ApiAction };
 /** Something whose arrival at every node is looked for. */
 export type Watch = {
   readonly tag: string;
@@ -374,8 +346,18 @@
         this.#reduceAgent(
           agent,
           where === 'feed'
-            ? { kind: 'fed', id, body: body as ProxyCall, now: this.#now }
-            : { kind: 'asked', id, body: body as AgentCall, now: this.#now },
+            ? {
+                kind: 'proxy-request-received',
+                requestId: id,
+                request: body as ProxyQuery,
+                now: this.#now,
+              }
+            : {
+                kind: 'agent-request-received',
+                requestId: id,
+                request: body as AgentRequest,
+                now: this.#now,
+              },
         );
       } else reject(new HollowError('unknown', `nobody is at ${address}`));
     });
@@ -383,47 +365,52 @@
 
   #reduceAgent(node: AgentNode, event: AgentEvent): void {
     const label =
-      event.kind === 'returned'
-        ? `returned.${node.state.pendingRequests[event.id]?.kind ?? 'late'}`
-        : event.kind === 'asked' || event.kind === 'fed'
-          ? `${event.kind}.${event.body.kind}`
+      event.kind === 'reply-received'
+        ? `returned.${node.state.pendingRequests[event.requestId]?.kind ?? 'late'}`
+        : event.kind === 'agent-request-received' || event.kind === 'proxy-request-received'
+          ? `${event.kind}.${event.request.kind}`
           : event.kind;
-    const step = this.#timed(node.spec.role, label, () => Agent.reduce(node.state, event));
+    const step = this.#timed(node.spec.role, label, () => reduceAgent(node.state, event));
     node.state = step.state;
     for (const effect of step.effects) this.#performAgent(node, effect);
   }
 
   #performAgent(node: AgentNode, effect: AgentEffect): void {
     switch (effect.kind) {
-      case 'call':
+      case 'send-request':
         this.#call(
           node.spec.role,
           effect.to,
           effect.path,
-          effect.path === '/replica' ? encodeReplicaRequest(effect.body) : effect.body,
+          effect.path === '/replica' ? encodeReplicaRequest(effect.request) : effect.request,
           (body) =>
             this.#reduceAgent(node, {
-              kind: 'returned',
-              id: effect.id,
-              body: effect.path === '/replica' ? decodeReplicaReply(body) : (body as AgentReply),
+              kind: 'reply-received',
+              requestId: effect.requestId,
+              reply: effect.path === '/replica' ? decodeReplicaReply(body) : (body as AgentReply),
+              now: this.#now,
+            }),
+          () =>
+            this.#reduceAgent(node, {
+              kind: 'request-failed',
+              requestId: effect.requestId,
               now: this.#now,
             }),
-          () => this.#reduceAgent(node, { kind: 'lost', id: effect.id, now: this.#now }),
         );
         return;
-      case 'tell':
-        node.asking.get(effect.id)?.(effect.body);
-        node.asking.delete(effect.id);
+      case 'send-reply':
+        node.asking.get(effect.requestId)?.(effect.reply);
+        node.asking.delete(effect.requestId);
         return;
-      case 'answer': {
-        const tag = node.orders.get(effect.id);
-        node.orders.delete(effect.id);
+      case 'send-answer': {
+        const tag = node.orders.get(effect.requestId);
+        node.orders.delete(effect.requestId);
         if (tag !== undefined && tag !== '')
           this.#answers[tag] = { status: effect.status, at: this.#now, body: effect.body };
         return;
       }
-      case 'wake':
-        node.wakeAt = Math.min(node.wakeAt, this.#now + effect.inMs);
+      case 'schedule-wake-up':
+        node.wakeAt = Math.min(node.wakeAt, this.#now + effect.delayMs);
         return;
       case 'log':
         this.#logs[effect.event] = (this.#logs[effect.event] ?? 0) + 1;
@@ -532,7 +519,7 @@
         next: 1,
         asking: new Map(),
         orders: new Map(),
-        state: Agent.open({
+        state: openAgent({
           self: spec.self,
           life: `life-of-${spec.self.id}`,
           seeds: spec.seeds,
@@ -547,9 +534,9 @@
         spec.known.map((record) => [`node/${record.id}`, { revision: 1, value: record }]),
       );
       this.#reduceAgent(node, {
-        kind: 'asked',
-        id: 0,
-        body: { kind: 'push', tellings },
+        kind: 'agent-request-received',
+        requestId: 0,
+        request: { kind: 'push', tellings },
         now: this.#now,
       });
     }
@@ -599,7 +586,7 @@
   }
 
   /** What a proxy tells: wants that move a little, and now and then what its callers asked for. */
-  #reportOf(node: ProxyNode): Report {
+  #reportOf(node: ProxyNode): ProxyReport {
     const { spec } = node;
     const draw = (): number => {
       node.draws += 1;
@@ -618,7 +605,7 @@
         ]),
       );
     }
-    let measure: Measure | null = null;
+    let measure: TrafficMeasurement | null = null;
     if (spec.objects > 0 && this.#now - node.measuredAt >= Beats.measure) {
       node.measuredAt = this.#now;
       const demand = Object.fromEntries(
@@ -667,9 +654,9 @@
         kind: 'feed',
         report: this.#reportOf(node),
         held: Feeds.holding(node.held),
-      } satisfies ProxyCall,
+      } satisfies ProxyQuery,
       (body) => {
-        node.held = Feeds.merge(node.held, body as FeedTold);
+        node.held = Feeds.merge(node.held, body as FeedReply);
         const { feed } = node.held;
         node.asking = false;
         if (feed.policy !== null) node.policy = feed.policy.document;
@@ -730,21 +717,21 @@
     for (const node of this.#agents.values()) {
       if (now >= node.wakeAt) {
         node.wakeAt = Infinity;
-        this.#reduceAgent(node, { kind: 'woken', now });
+        this.#reduceAgent(node, { kind: 'wake-up-due', now });
       }
       if (now < node.beatAt) continue;
       node.beatAt += Beats.agent;
-      this.#reduceAgent(node, { kind: 'beat', now });
+      this.#reduceAgent(node, { kind: 'tick', now });
     }
     for (const node of this.#proxies.values())
       if (now >= node.askAt && !node.asking) this.#ask(node);
-    const order = (to: string, tag: string, action: Action): void => {
+    const order = (to: string, tag: string, action: ApiAction): void => {
       const node = this.#agents.get(to);
       if (node === undefined) return;
       const id = node.next;
       node.next += 1;
       node.orders.set(id, tag);
-      this.#reduceAgent(node, { kind: 'operator', id, action, now });
+      this.#reduceAgent(node, { kind: 'action-received', requestId: id, action, now });
     };
     for (const origin of this.#origins) {
       if (now < origin.at) continue;
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
 import { Hollow } from '@reedyard/constants';
-import type { NodeRecord, Self } from '@reedyard/agent';
+import type { NodeRecord, NodeIdentity } from '@reedyard/agent';
 import { textOf } from '@reedyard/logging';
 import type { Policy } from '@reedyard/schemas';
 import {
@@ -254,7 +254,7 @@
     const ports = new Map(
       await Promise.all(parts.map(async (part) => [part, await part.host.listen()] as const)),
     );
-    const machine = (index: number): Self => {
+    const machine = (index: number): NodeIdentity => {
       const ip = `10.${Math.floor(index / 62_500)}.${Math.floor(index / 250) % 250}.${(index % 250) + 1}`;
       const zone = index % options.zones;
       const core = index < replicas;
--- a/packages/testbed/src/part-costs.ts
+++ b/packages/testbed/src/part-costs.ts
@@ -1,4 +1,4 @@
-import { Agent, type AgentState, type Self } from '@reedyard/agent';
+import { type AgentState, type NodeIdentity, openAgent, reduceAgent } from '@reedyard/agent';
 import { splitFor, type Vector } from '@reedyard/server-selection';
 
 /**
@@ -58,7 +58,7 @@
   }),
 );
 
-const front = (index: number): Self => ({
+const front = (index: number): NodeIdentity => ({
   id: `front-${index}`,
   zone: 'zone-1',
   region: 'region-1',
@@ -81,7 +81,7 @@
       },
     ]),
   );
-  let state: AgentState = Agent.open({
+  let state: AgentState = openAgent({
     self: front(0),
     life: '',
     seeds: [],
@@ -89,10 +89,10 @@
     seed: 1,
     now: 0,
   });
-  state = Agent.reduce(state, {
-    kind: 'asked',
-    id: 0,
-    body: { kind: 'push', tellings },
+  state = reduceAgent(state, {
+    kind: 'agent-request-received',
+    requestId: 0,
+    request: { kind: 'push', tellings },
     now: 0,
   }).state;
   const round = (
@@ -100,20 +100,20 @@
   ): { readonly calls: number; readonly beatMs: number; readonly answersMs: number } => {
     let sent: readonly number[] = [];
     const beatMs = timed(() => {
-      const step = Agent.reduce(state, { kind: 'beat', now });
+      const step = reduceAgent(state, { kind: 'tick', now });
       state = step.state;
       sent = step.effects.flatMap((effect) =>
-        effect.kind === 'call' && effect.path === '/agent' && effect.body.kind === 'ping'
-          ? [effect.id]
+        effect.kind === 'send-request' && effect.path === '/agent' && effect.request.kind === 'ping'
+          ? [effect.requestId]
           : [],
       );
     });
     const answersMs = timed(() => {
       for (const id of sent)
-        state = Agent.reduce(state, {
-          kind: 'returned',
-          id,
-          body: { kind: 'ok' },
+        state = reduceAgent(state, {
+          kind: 'reply-received',
+          requestId: id,
+          reply: { kind: 'ok' },
           now: now + 1,
         }).state;
     });
