--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -3,12 +3,16 @@
 import { Beats, Limits, Weights } from '@reedyard/constants';
 import { recordValue } from '@reedyard/gossip';
 import { type Description, Schemas } from '@reedyard/schemas';
-import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
-import { openAgent, reduceAgent } from './core.js';
-import { learnRecords, originEndpoints, originsOf, serviceRateLimits } from './network.js';
-import { learnRegister } from './pulls.js';
-import type { AgentState, Transition, WatchedRegister } from './state.js';
-import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './terms.js';
+import type { WatchedRegister } from './control/control-state.js';
+import { learnRegister } from './control/polling.js';
+import { learnRecords } from './gossip/gossip-exchange.js';
+import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './messages.js';
+import { originEndpoints, serviceRateLimits } from './origins/origin-endpoints.js';
+import { originsOf } from './origins/origins.js';
+import { putPolicyChange, type RegisterChange, zoneOrderChange } from './proposals/changes.js';
+import { openAgent, reduceAgent } from './reducer.js';
+import type { AgentState } from './state.js';
+import type { Transition } from './transition.js';
 
 const self = {
   id: 'n',
--- a/packages/agent/src/operators.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -6,35 +6,29 @@
 import { publishRecord, recordValue, replaceLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
 import type { Description } from '@reedyard/schemas';
-import { type ApiAnswer, tooFewMembers, unreached } from './answers.js';
-import { propose } from './ballots.js';
-import { lapsedRevision } from './change-ids.js';
-import { putPolicyChange, zoneOrderChange } from './changes.js';
-import { hasMostQuotas } from './feed.js';
+import { actingAllowanceMs, isUnreachable, unreachableAnswer } from '../control/reachability.js';
+import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
+import { hasMostQuotas } from '../feed/feed.js';
+import { nodesOf } from '../gossip/known-nodes.js';
+import type { ApiAction } from '../messages.js';
+import { serviceRateLimits } from '../origins/origin-endpoints.js';
 import {
-  delayTo,
   drainKey,
   exclusionReason,
   isOutdated,
   isWarmthInDoubt,
-  nodesOf,
   originKey,
-  serviceRateLimits,
   withdrawnKey,
-} from './network.js';
-import { appendToJournal } from './postings.js';
-import { actingAllowanceMs, isUnreachable, unreachableAnswer } from './reachability.js';
-import {
-  type AgentState,
-  policyOf,
-  quotaAllocationOf,
-  toleratesLosses,
-  type Transition,
-  update,
-  zonesOf,
-} from './state.js';
+} from '../origins/origins.js';
+import { lapsedRevision } from '../proposals/change-ids.js';
+import { putPolicyChange, zoneOrderChange } from '../proposals/changes.js';
+import { appendToJournal } from '../proposals/journal-appends.js';
+import { propose } from '../proposals/proposals.js';
+import { delayTo } from '../routing/peer-delays.js';
+import type { AgentState } from '../state.js';
+import { type Transition, update } from '../transition.js';
+import { type ApiAnswer, tooFewMembers, unreached } from './api-answers.js';
 import { nodeStatus } from './status.js';
-import type { ApiAction } from './terms.js';
 
 type ActionOf<K extends ApiAction['kind']> = Extract<ApiAction, { kind: K }>;
 
--- a/packages/agent/src/api.ts
+++ b/packages/agent/src/api/api-server.ts
@@ -3,7 +3,7 @@
 import { Limits, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
 import { Schemas, SchemaError } from '@reedyard/schemas';
-import type { ApiAction } from './terms.js';
+import type { ApiAction } from '../messages.js';
 
 /** A request to the operators' and origins' API that can't be taken. */
 export class ApiError extends LayerError {
--- a/packages/agent/src/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -1,6 +1,8 @@
 import test from 'ava';
 import { Limits } from '@reedyard/constants';
 import type { ReplicaReply } from '@reedyard/replica';
+import { learnRegister } from '../control/polling.js';
+import { openAgent } from '../reducer.js';
 import {
   addresses,
   allAnswer,
@@ -11,10 +13,8 @@
   pulled,
   self,
   withMembers,
-} from './answered-pulls.fixture.js';
-import { openAgent } from './core.js';
-import { learnRegister } from './pulls.js';
-import type { Transition } from './state.js';
+} from '../testing/answered-polls.js';
+import type { Transition } from '../transition.js';
 import { controlStatus, nodeStatus } from './status.js';
 
 test('the status shows epoch, quorum, and how many more losses are borne', (t) => {
--- a/packages/agent/src/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -5,25 +5,25 @@
  * state rests on their answers to this node's pulls alone, so two nodes may differ for a moment;
  * only the word of a node with a lease (`leaseMs` above 0) is backed by a majority.
  */
-import { Limits } from '@reedyard/constants';
 import { majorityOf } from '@reedyard/consensus';
+import { Limits } from '@reedyard/constants';
 import type { ReplicaReply } from '@reedyard/replica';
-import type { Split } from '@reedyard/server-selection';
 import type { Description } from '@reedyard/schemas';
-import { replicasKnown, nodesOf, originsOf } from './network.js';
-import { isUnreachable } from './reachability.js';
+import type { Split } from '@reedyard/server-selection';
+import type { PollOutcome, PollReplySeen, ReplicaView } from '../control/control-state.js';
+import { isUnreachable } from '../control/reachability.js';
 import {
-  zonesWithClosedOrigins,
+  committedMembershipOf,
   isDiskOfMember,
-  zonesOf,
-  quotaAllocationOf,
   policyOf,
-  committedMembershipOf,
-  type ReplicaView,
-  type AgentState,
-  type PollReplySeen,
-  type PollOutcome,
-} from './state.js';
+  quotaAllocationOf,
+  zonesOf,
+  zonesWithClosedOrigins,
+} from '../control/registers.js';
+import { nodesOf } from '../gossip/known-nodes.js';
+import { replicasKnown } from '../membership/known-replicas.js';
+import { originsOf } from '../origins/origins.js';
+import type { AgentState } from '../state.js';
 
 /**
  * - `answering`: its answers count, and it votes.
--- a/packages/agent/src/lease.test.ts
+++ b/packages/agent/src/control/lease.test.ts
@@ -1,7 +1,12 @@
 import test from 'ava';
 import { Limits } from '@reedyard/constants';
 import { isLeaseLow } from './lease.js';
-import { AgentUnderTest, ballotOf, pulledReply, type AddressedCall } from './replicas.fixture.js';
+import {
+  AgentUnderTest,
+  ballotOf,
+  pulledReply,
+  type AddressedCall,
+} from '../testing/scripted-replicas.js';
 
 const pullsIn = (calls: readonly AddressedCall[]): readonly AddressedCall[] =>
   calls.filter(({ call }) => call.kind === 'poll');
--- a/packages/agent/src/lease.ts
+++ b/packages/agent/src/control/lease.ts
@@ -5,17 +5,15 @@
   zeroProposalNumber,
 } from '@reedyard/consensus';
 import { Beats, Limits } from '@reedyard/constants';
+import type { AgentState } from '../state.js';
+import { log, type Transition, update } from '../transition.js';
 import {
-  type AgentState,
-  log,
   type CountedPolls,
   type PollSnapshot,
   type ReplicaView,
-  update,
-  watchedRegisters,
   type WatchedRegister,
-  type Transition,
-} from './state.js';
+  watchedRegisters,
+} from './control-state.js';
 
 /**
  * The lease: the proof, from a majority of replicas, that this node knows all that was acknowledged
--- a/packages/agent/src/pulls.ts
+++ b/packages/agent/src/control/polling.ts
@@ -12,36 +12,35 @@
   type Membership,
   type ReplicaReply,
 } from '@reedyard/replica';
-import { restartUnderNewMembership, propose } from './ballots.js';
+import { replicaAnswer } from '../api/status.js';
 import {
+  discoverMembers,
+  noteOwnReplica,
+  noteSpare,
+  offerOwnSlot,
+} from '../membership/membership.js';
+import type { ZonesRegister } from '../messages.js';
+import { propose, restartUnderNewMembership } from '../proposals/proposals.js';
+import type { AgentState } from '../state.js';
+import { without } from '../table.js';
+import { log, nextRandom, sendToReplica, type Transition, update } from '../transition.js';
+import {
+  type ChosenValues,
+  newReplicaView,
+  type ReplicaView,
+  type WatchedRegister,
+  watchedRegisters,
+} from './control-state.js';
+import {
+  addPoll,
   hasAccepted,
   isLeaseLow,
   isPollOverdue,
   pollTimeoutMs,
   renewLease,
-  addPoll,
 } from './lease.js';
-import { discoverMembers, noteOwnReplica, noteSpare, offerOwnSlot } from './membership.js';
 import { isHealthCheckDue, isHealthCheckWanted } from './reachability.js';
-import {
-  type AgentState,
-  nextRandom,
-  isDiskOfMember,
-  log,
-  committedMembershipOf,
-  newReplicaView,
-  type ReplicaView,
-  sendToReplica,
-  update,
-  type ChosenValues,
-  watchedRegisters,
-  type WatchedRegister,
-  without,
-  type Transition,
-  zonesValueOf,
-} from './state.js';
-import { replicaAnswer } from './status.js';
-import type { ZonesRegister } from './terms.js';
+import { committedMembershipOf, isDiskOfMember, zonesValueOf } from './registers.js';
 
 const updateView = (transition: Transition, name: string, part: Partial<ReplicaView>): void => {
   const view = transition.state.replicas[name];
--- a/packages/agent/src/reachability.test.ts
+++ b/packages/agent/src/control/reachability.test.ts
@@ -1,11 +1,16 @@
 import test from 'ava';
 import { Beats, Limits } from '@reedyard/constants';
 import type { ReplicaReply } from '@reedyard/replica';
-import { reduceAgent } from './core.js';
-import { drainKey } from './network.js';
+import type { ApiAction } from '../messages.js';
+import { drainKey } from '../origins/origins.js';
+import { reduceAgent } from '../reducer.js';
+import {
+  type AddressedCall,
+  AgentUnderTest,
+  ballotOf,
+  pulledReply,
+} from '../testing/scripted-replicas.js';
 import { actingAllowanceMs, isUnreachable } from './reachability.js';
-import { type AddressedCall, AgentUnderTest, ballotOf, pulledReply } from './replicas.fixture.js';
-import type { ApiAction } from './terms.js';
 
 const members = {
   proposalNumber: ballotOf(1),
--- a/packages/agent/src/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -1,15 +1,11 @@
-import { Beats, Limits } from '@reedyard/constants';
 import { majorityOf } from '@reedyard/consensus';
-import { unavailable, type ApiAnswer } from './answers.js';
-import { isTickLate, log, update } from './state.js';
-import type {
-  ReplicaView,
-  AgentState,
-  PendingAppend,
-  Purpose,
-  PendingChange,
-  Transition,
-} from './state.js';
+import { Beats, Limits } from '@reedyard/constants';
+import { type ApiAnswer, unavailable } from '../api/api-answers.js';
+import type { PendingAppend, PendingChange, Purpose } from '../proposals/proposal-state.js';
+import type { AgentState } from '../state.js';
+import { isTickLate } from '../tick-delay.js';
+import { log, type Transition, update } from '../transition.js';
+import type { ReplicaView } from './control-state.js';
 
 /**
  * What this node can know of its connection to the replicas. Silence and refusal differ: a replica
--- a/packages/agent/src/sweep.ts
+++ b/packages/agent/src/expiry.ts
@@ -2,7 +2,7 @@
 import { Map as Table } from 'immutable';
 import { Limits } from '@reedyard/constants';
 import { expireRecords } from '@reedyard/gossip';
-import { type Transition, update } from './state.js';
+import { type Transition, update } from './transition.js';
 
 /** Lets go facts that are no longer on the replicas' journals, with what is known of their keys. */
 const expireEntries = (transition: Transition): void => {
--- a/packages/agent/src/feed.test.ts
+++ b/packages/agent/src/feed/feed.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { openAgent, reduceAgent } from './core.js';
-import type { AgentState, FeedPartsHeld, FeedReply, ProxyReport } from './index.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import type { AgentState, FeedPartsHeld, FeedReply, ProxyReport } from '../index.js';
 
 const self = {
   id: 'front-1',
--- a/packages/agent/src/feed.ts
+++ b/packages/agent/src/feed/feed.ts
@@ -1,35 +1,25 @@
 /** What this machine's proxy is told: feeds of what changed, and answers to its claims. */
 import { rateOf } from '@reedyard/quota-division';
 import type { Purge } from '@reedyard/schemas';
-import { propose } from './ballots.js';
-import { claimChange, settleClaimChange } from './changes.js';
-import {
-  heartbeat,
-  noteMeasurement,
-  originEndpoints,
-  peerEndpoints,
-  serviceRateLimits,
-} from './network.js';
-import { actingAllowanceMs, isUnreachable } from './reachability.js';
-import {
-  type AgentState,
-  policyOf,
-  quotaAllocationOf,
-  toleratesLosses,
-  type Transition,
-  update,
-  zonesOf,
-} from './state.js';
+import { actingAllowanceMs, isUnreachable } from '../control/reachability.js';
+import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
+import { heartbeat } from '../gossip/node-record.js';
 import {
   type Feed,
   type FeedPart,
   feedParts,
   type FeedPartsHeld,
   type FeedReply,
-  type ProxyReport,
   type ProxyQuery,
+  type ProxyReport,
   type Revisions,
-} from './terms.js';
+} from '../messages.js';
+import { originEndpoints, serviceRateLimits } from '../origins/origin-endpoints.js';
+import { claimChange, settleClaimChange } from '../proposals/changes.js';
+import { propose } from '../proposals/proposals.js';
+import { noteMeasurement, peerEndpoints } from '../routing/routing-table.js';
+import type { AgentState } from '../state.js';
+import { type Transition, update } from '../transition.js';
 
 const purgesAfter = (state: AgentState, seq: number): Feed['purges'] =>
   state.entries.flatMap((entry) =>
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,5 +1,5 @@
-export * from './terms.js';
-export { openAgent, reduceAgent } from './core.js';
+export * from './messages.js';
+export { openAgent, reduceAgent } from './reducer.js';
 export type { AgentState } from './state.js';
 export { runAgent, type AgentOptions, type AgentSettings } from './run.js';
 export {
@@ -9,7 +9,7 @@
   type ApiRequest,
   type ApiResponse,
   type ApiReply as Reply,
-} from './api.js';
+} from './api/api-server.js';
 export type {
   ControlStatus,
   MemberState,
@@ -17,4 +17,4 @@
   NodeStatus,
   OriginStatus,
   SpareStatus,
-} from './status.js';
+} from './api/status.js';
--- a/packages/agent/src/membership-handover.test.ts
+++ b/packages/agent/src/membership/membership-handover.test.ts
@@ -2,12 +2,12 @@
 // what it holds is taken for more than its predecessor's votes.
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
-import { Cluster } from './testing/membership-cluster.js';
-import type { Goal } from './testing/membership-goals.js';
-import type { Violation } from './testing/membership-history.js';
-import { mutations, sound } from './testing/membership-mutations.js';
-import type { Mutation } from './testing/membership-mutations.js';
-import type { Message } from './testing/membership-network.js';
+import { Cluster } from '../testing/membership-cluster.js';
+import type { Goal } from '../testing/membership-goals.js';
+import type { Violation } from '../testing/membership-history.js';
+import { mutations, sound } from '../testing/membership-mutations.js';
+import type { Mutation } from '../testing/membership-mutations.js';
+import type { Message } from '../testing/membership-network.js';
 
 /** ms after which a replica asks again. */
 const wait = 2_000;
--- a/packages/agent/src/membership-runs.test.ts
+++ b/packages/agent/src/membership/membership-runs.test.ts
@@ -3,12 +3,12 @@
 // found.
 import test from 'ava';
 import fc from 'fast-check';
-import { harm } from './testing/membership-history.js';
-import type { Invariant } from './testing/membership-history.js';
-import { mutations, sound } from './testing/membership-mutations.js';
-import type { Mutation } from './testing/membership-mutations.js';
-import { playRun, shorten } from './testing/membership-random.js';
-import type { RunFigures, RunOptions } from './testing/membership-random.js';
+import { harm } from '../testing/membership-history.js';
+import type { Invariant } from '../testing/membership-history.js';
+import { mutations, sound } from '../testing/membership-mutations.js';
+import type { Mutation } from '../testing/membership-mutations.js';
+import { playRun, shorten } from '../testing/membership-random.js';
+import type { RunFigures, RunOptions } from '../testing/membership-random.js';
 
 const threeMembers: RunOptions = {
   founders: ['a', 'b', 'c'],
--- a/packages/agent/src/membership-search.test.ts
+++ b/packages/agent/src/membership/membership-search.test.ts
@@ -2,19 +2,19 @@
 // reducers: every order of a few messages, and planted faults that the same search must find.
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
-import { harm } from './testing/membership-history.js';
-import type { Invariant } from './testing/membership-history.js';
-import { both, mutations, sound } from './testing/membership-mutations.js';
-import type { Mutation } from './testing/membership-mutations.js';
+import { harm } from '../testing/membership-history.js';
+import type { Invariant } from '../testing/membership-history.js';
+import { both, mutations, sound } from '../testing/membership-mutations.js';
+import type { Mutation } from '../testing/membership-mutations.js';
 import {
   growWhileAppending,
   rejoinAfterWipe,
   replaceTwice,
   replaceWhileAppending,
-} from './testing/membership-scenarios.js';
-import type { Scenario } from './testing/membership-scenarios.js';
-import { explore } from './testing/membership-search.js';
-import type { Bounds, SearchFigures } from './testing/membership-search.js';
+} from '../testing/membership-scenarios.js';
+import type { Scenario } from '../testing/membership-scenarios.js';
+import { explore } from '../testing/membership-search.js';
+import type { Bounds, SearchFigures } from '../testing/membership-search.js';
 
 const mostStates = 250_000;
 const bounds: Bounds = {
--- a/packages/agent/src/membership.test.ts
+++ b/packages/agent/src/membership/membership.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import { Beats, Limits } from '@reedyard/constants';
 import type { CommittedMembership, ReplicaReply } from '@reedyard/replica';
-import { openAgent, reduceAgent } from './core.js';
-import type { AgentEffect, AgentEvent, NodeRecord } from './terms.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import type { AgentEffect, AgentEvent, NodeRecord } from '../messages.js';
 
 // Which change of the membership an agent opens, and when: its reducer alone, answered by hand.
 
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -1,22 +1,17 @@
 import { Beats, Limits } from '@reedyard/constants';
 import type { Membership, ReplicaReply } from '@reedyard/replica';
-import { propose } from './ballots.js';
-import { assignSlotChange, replaceMemberChange } from './changes.js';
-import { heartbeat, type KnownReplica, nodesOf, replicasKnown } from './network.js';
-import { pollNow } from './pulls.js';
-import {
-  type AgentState,
-  committedMembershipOf,
-  liveSpares,
-  log,
-  nextRandom,
-  type ReplicaView,
-  sendToReplica,
-  toleratesLosses,
-  type Transition,
-  update,
-  without,
-} from './state.js';
+import type { ReplicaView } from '../control/control-state.js';
+import { pollNow } from '../control/polling.js';
+import { committedMembershipOf, toleratesLosses } from '../control/registers.js';
+import { nodesOf } from '../gossip/known-nodes.js';
+import { heartbeat } from '../gossip/node-record.js';
+import { assignSlotChange, replaceMemberChange } from '../proposals/changes.js';
+import { propose } from '../proposals/proposals.js';
+import type { AgentState } from '../state.js';
+import { without } from '../table.js';
+import { log, nextRandom, sendToReplica, type Transition, update } from '../transition.js';
+import { type KnownReplica, replicasKnown } from './known-replicas.js';
+import { liveSpares } from './live-spares.js';
 
 /**
  * Membership: which replica should be a member next, and when an agent opens the ballot for it.
--- /dev/null
+++ b/packages/agent/src/origins/origins.ts
@@ -0,0 +1,79 @@
+/** The origins that gossip tells of, and which of them get traffic. */
+
+import { Limits } from '@reedyard/constants';
+import { liveRecords, recordValue } from '@reedyard/gossip';
+import type { Description } from '@reedyard/schemas';
+import { policyOf, zonesOf, zonesWithClosedOrigins } from '../control/registers.js';
+import type { AgentState } from '../state.js';
+
+/** Why an origin gets no traffic, or null if it does. */
+export const exclusionReason = (state: AgentState, description: Description): string | null => {
+  const service = policyOf(state)?.document.services[description.service];
+  if (service === undefined) return 'no policy allows this service';
+  if (service.instances !== undefined && !service.instances.includes(description.instance))
+    return 'the policy does not name this instance';
+  if (state.entryKeys[withdrawnKey(description.instance)] !== undefined) return 'withdrawn';
+  if (description.draining || state.entryKeys[drainKey(description)] !== undefined)
+    return 'draining';
+  if (zonesWithClosedOrigins(state).includes(description.zone))
+    return zonesOf(state)?.emptied.includes(description.zone) === true
+      ? 'its zone is emptied'
+      : 'the origins of its zone get nothing';
+  return null;
+};
+
+export const drainKey = (description: Description): string =>
+  `drain/${description.service}/${description.instance}/${description.incarnation}`;
+
+/** Bars every life of an instance of this name, for as long as the fact lasts. */
+export const withdrawnKey = (instance: string): string => `withdrawn/${instance}`;
+
+/**
+ * Whether what an origin of a zone said at some time is too old to be trusted as warm: its zone was
+ * taken back since.
+ */
+export const isWarmthInDoubt = (state: AgentState, zone: string, heardAt: number): boolean =>
+  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + Limits.warmDoubt;
+
+const isOlder = (told: Description, known: Description): boolean =>
+  told.incarnation < known.incarnation ||
+  (told.incarnation === known.incarnation &&
+    told.sequence !== undefined &&
+    known.sequence !== undefined &&
+    told.sequence < known.sequence);
+
+/** Whether a description is older than the one known of the same origin. */
+export const isOutdated = (state: AgentState, description: Description): boolean => {
+  const known = recordValue(state.gossip, originKey(description)) as Description | null | undefined;
+  return known !== undefined && known !== null && isOlder(description, known);
+};
+
+export const originKey = (description: Description): string =>
+  `origin/${description.service}/${description.instance}`;
+
+/** Every origin heard of. Of two at one address only the one heard later counts. */
+export const originsOf = (
+  state: AgentState,
+): readonly {
+  readonly description: Description;
+  readonly heardAt: number;
+  readonly exclusionReason: string | null;
+}[] => {
+  const all = liveRecords(state.gossip, 'origin/').map(([, value, seenAt]) => ({
+    description: value as Description,
+    seenAt,
+  }));
+  return all.map(({ description, seenAt }) => ({
+    description,
+    heardAt: seenAt,
+    exclusionReason: all.some(
+      (other) =>
+        other.description.address === description.address &&
+        other.seenAt > seenAt &&
+        (other.description.service !== description.service ||
+          other.description.instance !== description.instance),
+    )
+      ? 'another origin has taken its address'
+      : exclusionReason(state, description),
+  }));
+};
--- a/packages/agent/src/change-ids.ts
+++ b/packages/agent/src/proposals/change-ids.ts
@@ -6,7 +6,9 @@
  * started has learnt nothing long ago, and lets nothing go.
  */
 import { Limits, Sizes } from '@reedyard/constants';
-import { zonesOf, policyOf, update, type AgentState, type Transition } from './state.js';
+import { policyOf, zonesOf } from '../control/registers.js';
+import type { AgentState } from '../state.js';
+import { type Transition, update } from '../transition.js';
 
 /** A change that was made, and the revision that it made. */
 export type MadeChange = { readonly id: string; readonly revision: number };
--- a/packages/agent/src/changes.test.ts
+++ b/packages/agent/src/proposals/changes.test.ts
@@ -1,13 +1,15 @@
 import test from 'ava';
 import { Limits, Sizes } from '@reedyard/constants';
 import { type Policy, Schemas } from '@reedyard/schemas';
+import { learnRegister } from '../control/polling.js';
+import { zonesValueOf } from '../control/registers.js';
+import type { PolicyRegister } from '../messages.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import type { AgentState } from '../state.js';
+import type { Transition } from '../transition.js';
 import { lapsedRevision } from './change-ids.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
 import { hasSameContent } from './content.js';
-import { openAgent, reduceAgent } from './core.js';
-import { learnRegister } from './pulls.js';
-import { type AgentState, type Transition, zonesValueOf } from './state.js';
-import type { PolicyRegister } from './terms.js';
 
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
 const document = (version: number | undefined, note: string): Policy =>
--- a/packages/agent/src/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -3,14 +3,15 @@
  * proposes. Each is applied again in every ballot of its proposal, and knows its own earlier work
  * by an id or by content.
  */
-import type { Membership } from '@reedyard/replica';
 import type { ChangeResult } from '@reedyard/consensus';
 import type { Plan } from '@reedyard/quota-division';
-import type { ZoneOrder, Policy } from '@reedyard/schemas';
+import type { Membership } from '@reedyard/replica';
+import type { Policy, ZoneOrder } from '@reedyard/schemas';
+import { zonesValueOf } from '../control/registers.js';
+import type { ClaimRegister, ClaimState, PolicyRegister, ZonesRegister } from '../messages.js';
+import { without } from '../table.js';
 import { findChange, rememberChange } from './change-ids.js';
 import { hasSameContent } from './content.js';
-import { zonesValueOf, without } from './state.js';
-import type { ClaimState, ClaimRegister, ZonesRegister, PolicyRegister } from './terms.js';
 
 /**
  * What the register held when a change was first applied, and what it holds in the present ballot.
--- a/packages/agent/src/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -5,11 +5,19 @@
 import { Limits } from '@reedyard/constants';
 import { recordValue } from '@reedyard/gossip';
 import type { Plan } from '@reedyard/quota-division';
-import { type ApiAnswer, refusal, unavailable, unreached } from './answers.js';
+import { type ApiAnswer, refusal, unavailable, unreached } from '../api/api-answers.js';
+import { zonesValueOf } from '../control/registers.js';
+import type {
+  ClaimRegister,
+  ClaimReply,
+  ClaimState,
+  NodeRecord,
+  PolicyRegister,
+} from '../messages.js';
+import { log, type Transition, update } from '../transition.js';
 import { findChange } from './change-ids.js';
 import { Refusals } from './changes.js';
-import { log, type Purpose, type Transition, update, zonesValueOf } from './state.js';
-import type { ClaimRegister, ClaimReply, ClaimState, NodeRecord, PolicyRegister } from './terms.js';
+import type { Purpose } from './proposal-state.js';
 
 /** How a change of a register ended, and what the register held after it. */
 export type Outcome =
--- a/packages/agent/src/postings.ts
+++ b/packages/agent/src/proposals/journal-appends.ts
@@ -2,19 +2,14 @@
  * Facts on their way to the replicas' journals: the caller is answered once a majority has them on
  * disk.
  */
-import { Limits } from '@reedyard/constants';
 import { majorityOf } from '@reedyard/consensus';
-import type { ReplicaReply, JournalEntry } from '@reedyard/replica';
-import { unreached } from './answers.js';
-import { isAppendIsolated } from './reachability.js';
-import {
-  isDiskOfMember,
-  sendToReplica,
-  update,
-  takeRequestId,
-  without,
-  type Transition,
-} from './state.js';
+import { Limits } from '@reedyard/constants';
+import type { JournalEntry, ReplicaReply } from '@reedyard/replica';
+import { unreached } from '../api/api-answers.js';
+import { isAppendIsolated } from '../control/reachability.js';
+import { isDiskOfMember } from '../control/registers.js';
+import { without } from '../table.js';
+import { sendToReplica, takeRequestId, type Transition, update } from '../transition.js';
 
 /** Posts facts; the waiting caller is answered with `done` once a majority has them on disk. */
 export const appendToJournal = (
--- a/packages/agent/src/orders.model.test.ts
+++ b/packages/agent/src/proposals/orders.model.test.ts
@@ -5,9 +5,9 @@
  */
 import test from 'ava';
 import { type Policy, Schemas } from '@reedyard/schemas';
+import { zonesValueOf } from '../control/registers.js';
+import type { PolicyRegister } from '../messages.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
-import { zonesValueOf } from './state.js';
-import type { PolicyRegister } from './terms.js';
 
 /**
  * What an operator wants, and how it is changed into a change of the register; each attempt has an
--- a/packages/agent/src/ballots.test.ts
+++ b/packages/agent/src/proposals/proposals.test.ts
@@ -3,10 +3,11 @@
 import { Limits } from '@reedyard/constants';
 import type { ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
-import { openAgent, reduceAgent } from './core.js';
-import { learnRegister } from './pulls.js';
-import type { AgentState, Transition } from './state.js';
-import type { AgentEffect, AgentEvent, ApiAction } from './terms.js';
+import { learnRegister } from '../control/polling.js';
+import type { AgentEffect, AgentEvent, ApiAction } from '../messages.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import type { AgentState } from '../state.js';
+import type { Transition } from '../transition.js';
 
 const replicas = ['a', 'b', 'c'];
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
--- a/packages/agent/src/ballots.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -18,28 +18,29 @@
 } from '@reedyard/consensus';
 import { Limits } from '@reedyard/constants';
 import { membershipKey, type ReplicaReply } from '@reedyard/replica';
-import type { ReadHistory, RegisterChange } from './changes.js';
-import { completeChange, type Outcome } from './completion.js';
-import { learnRegister } from './pulls.js';
-import { isChangeIsolated } from './reachability.js';
+import { type WatchedRegister, watchedRegisters } from '../control/control-state.js';
+import { learnRegister } from '../control/polling.js';
+import { isChangeIsolated } from '../control/reachability.js';
+import { isDiskOfMember } from '../control/registers.js';
+import type { AgentState } from '../state.js';
+import { without } from '../table.js';
 import {
-  type AgentState,
-  type ActiveProposal,
-  nextRandom,
-  isDiskOfMember,
-  type IncludedChange,
   log,
-  type PendingChange,
-  type Purpose,
-  type Retries,
+  nextRandom,
   sendToReplica,
-  update,
   takeRequestId,
-  watchedRegisters,
-  type WatchedRegister,
-  without,
   type Transition,
-} from './state.js';
+  update,
+} from '../transition.js';
+import type { ReadHistory, RegisterChange } from './changes.js';
+import { completeChange, type Outcome } from './completion.js';
+import type {
+  ActiveProposal,
+  IncludedChange,
+  PendingChange,
+  Purpose,
+  Retries,
+} from './proposal-state.js';
 
 /**
  * The wait of an outvoted proposer is drawn from a span that doubles each time: at first four times
--- a/packages/agent/src/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -9,10 +9,12 @@
   toward,
 } from '@reedyard/quota-division';
 import { Routes } from '@reedyard/schemas';
-import { propose } from './ballots.js';
-import { publishAllocationChange, takeQuotaLeadershipChange } from './changes.js';
-import { quotaNodes, serviceRateLimits } from './network.js';
-import { log, nextRandom, policyOf, quotaAllocationOf, type Transition, update } from './state.js';
+import { policyOf, quotaAllocationOf } from '../control/registers.js';
+import { quotaNodes } from '../gossip/known-nodes.js';
+import { serviceRateLimits } from '../origins/origin-endpoints.js';
+import { publishAllocationChange, takeQuotaLeadershipChange } from '../proposals/changes.js';
+import { propose } from '../proposals/proposals.js';
+import { log, nextRandom, type Transition, update } from '../transition.js';
 
 const busy = (transition: Transition): boolean =>
   Object.values(transition.state.pendingChanges).some(
--- a/packages/agent/src/core.ts
+++ b/packages/agent/src/reducer.ts
@@ -5,22 +5,9 @@
 import { compareDigest, emptyGossip, pickUpdates, sampleView, shuffleView } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
-import { abandonCaller, handleVoteReply, tendProposals } from './ballots.js';
-import { noteRevisions } from './change-ids.js';
-import { handleProxyRequest } from './feed.js';
-import { pollIntervalMs, renewLease } from './lease.js';
-import { lookUpOwnReplica, tendMembership } from './membership.js';
-import {
-  computeRoutingTable,
-  exchangeGossip,
-  handlePingReply,
-  heartbeat,
-  isJoining,
-  learnRecords,
-  pingPeers,
-} from './network.js';
-import { operator } from './operators.js';
-import { handleAppendReply, tendAppends } from './postings.js';
+import { operator } from './api/api-actions.js';
+import { newReplicaView } from './control/control-state.js';
+import { pollIntervalMs, renewLease } from './control/lease.js';
 import {
   handleLookUpReply,
   handlePollFailure,
@@ -29,19 +16,13 @@
   handleRestored,
   pollAll,
   pollEarly,
-} from './pulls.js';
-import { tendQuotaLeadership } from './quota-leadership.js';
-import { noteLeaseLost, noteReply } from './reachability.js';
-import {
-  type AgentState,
-  newReplicaView,
-  noteTick,
-  sendToAgent,
-  type Transition,
-  update,
-  without,
-} from './state.js';
-import { expireState } from './sweep.js';
+} from './control/polling.js';
+import { noteLeaseLost, noteReply } from './control/reachability.js';
+import { expireState } from './expiry.js';
+import { handleProxyRequest } from './feed/feed.js';
+import { exchangeGossip, isJoining, learnRecords } from './gossip/gossip-exchange.js';
+import { heartbeat } from './gossip/node-record.js';
+import { lookUpOwnReplica, tendMembership } from './membership/membership.js';
 import type {
   AgentBootstrap,
   AgentEffect,
@@ -49,7 +30,17 @@
   AgentReply,
   AgentRequest,
   NodeIdentity,
-} from './terms.js';
+} from './messages.js';
+import { noteRevisions } from './proposals/change-ids.js';
+import { handleAppendReply, tendAppends } from './proposals/journal-appends.js';
+import { abandonCaller, handleVoteReply, tendProposals } from './proposals/proposals.js';
+import { tendQuotaLeadership } from './quota/quota-leadership.js';
+import { handlePingReply, pingPeers } from './routing/peer-delays.js';
+import { computeRoutingTable } from './routing/routing-table.js';
+import type { AgentState } from './state.js';
+import { without } from './table.js';
+import { noteTick } from './tick-delay.js';
+import { sendToAgent, type Transition, update } from './transition.js';
 
 type ExchangeCall = Extract<AgentRequest, { kind: 'exchange' }>;
 
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -12,10 +12,10 @@
   type PerformAction,
   type TranslatedApi,
   translatedServer,
-} from './api.js';
-import { openAgent, reduceAgent } from './core.js';
+} from './api/api-server.js';
+import { openAgent, reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
-import type { AgentEffect, AgentEvent, AgentReply, AgentRequest, ProxyQuery } from './terms.js';
+import type { AgentEffect, AgentEvent, AgentReply, AgentRequest, ProxyQuery } from './messages.js';
 
 const now = (): number => performance.now();
 
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -7,6 +7,12 @@
 import type { Plan } from '@reedyard/quota-division';
 import type { Membership, ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
+import type { WatchedRegister } from './control/control-state.js';
+import { learnRegister } from './control/polling.js';
+import type { AgentEffect, NodeRecord } from './messages.js';
+import { assignSlotChange, replaceMemberChange } from './proposals/changes.js';
+import { reduceAgent } from './reducer.js';
+import type { AgentState } from './state.js';
 import {
   addresses,
   allAnswer,
@@ -16,12 +22,8 @@
   founded,
   names,
   pulled,
-} from './answered-pulls.fixture.js';
-import { assignSlotChange, replaceMemberChange } from './changes.js';
-import { reduceAgent } from './core.js';
-import { learnRegister } from './pulls.js';
-import type { AgentState, Transition, WatchedRegister } from './state.js';
-import type { AgentEffect, NodeRecord } from './terms.js';
+} from './testing/answered-polls.js';
+import type { Transition } from './transition.js';
 
 const learnt = (
   state: AgentState,
--- /dev/null
+++ b/packages/agent/src/table.ts
@@ -0,0 +1,9 @@
+/** Tables that are never changed in place. */
+
+export const without = <T>(
+  table: Readonly<Record<number | string, T>>,
+  key: number | string,
+): Readonly<Record<number | string, T>> => {
+  const { [key]: _gone, ...rest } = table;
+  return rest;
+};
--- a/packages/agent/src/answered-pulls.fixture.ts
+++ b/packages/agent/src/testing/answered-polls.ts
@@ -3,10 +3,11 @@
  * them.
  */
 import type { Membership, ReplicaReply } from '@reedyard/replica';
-import { openAgent, reduceAgent } from './core.js';
-import { learnRegister } from './pulls.js';
-import type { AgentState, Transition } from './state.js';
-import type { AgentEffect } from './terms.js';
+import { learnRegister } from '../control/polling.js';
+import type { AgentEffect } from '../messages.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import type { AgentState } from '../state.js';
+import type { Transition } from '../transition.js';
 
 export const self = {
   id: 'core-1',
--- a/packages/agent/src/testing/membership-goals.ts
+++ b/packages/agent/src/testing/membership-goals.ts
@@ -1,7 +1,7 @@
 /** Test support: what clients of the membership model want, as changes of registers. */
 import type { Change } from '@reedyard/consensus';
 import { type Membership, membershipKey } from '@reedyard/replica';
-import { assignSlotChange, replaceMemberChange } from '../changes.js';
+import { assignSlotChange, replaceMemberChange } from '../proposals/changes.js';
 
 /** The register that clients append to; its value is all ids in the order of their choice. */
 export const dataKey = 'data';
--- a/packages/agent/src/replicas.fixture.ts
+++ b/packages/agent/src/testing/scripted-replicas.ts
@@ -1,10 +1,12 @@
 import type { ProposalNumber } from '@reedyard/consensus';
 import { Beats } from '@reedyard/constants';
 import type { Membership, ReplicaOperation, ReplicaReply } from '@reedyard/replica';
-import { openAgent, reduceAgent } from './core.js';
-import { learnRegister } from './pulls.js';
-import type { AgentState, Transition, WatchedRegister } from './state.js';
-import type { AgentEffect, ApiAction } from './terms.js';
+import type { WatchedRegister } from '../control/control-state.js';
+import { learnRegister } from '../control/polling.js';
+import type { AgentEffect, ApiAction } from '../messages.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import type { AgentState } from '../state.js';
+import type { Transition } from '../transition.js';
 
 /**
  * An agent beside replicas whose answers a test makes up: for tests of leases and of reachability.
--- a/packages/constants/src/purity.test.ts
+++ b/packages/constants/src/purity.test.ts
@@ -20,12 +20,15 @@
   'main.ts',
   'run.ts',
   'conns.ts',
-  'api.ts',
+  'api-server.ts',
   'warm.ts',
   'caller-answer.ts',
   'caller-server.ts',
   'exchange.ts',
   'read-answer.ts',
+  'scripted-origin.ts',
+  'proxy-harness.ts',
+  'membership-search.ts',
 ]);
 
 test('no reducer looks at a clock, draws by chance or does I/O: clocks may jump, seeds replay', (t) => {
@@ -33,8 +36,11 @@
   for (const name of readdirSync(packages)) {
     if (shells.has(name)) continue;
     const folder = path.join(packages, name, 'src');
-    for (const file of readdirSync(folder).filter(
-      (each) => each.endsWith('.ts') && !each.endsWith('.test.ts') && !shellFiles.has(each),
+    for (const file of readdirSync(folder, { recursive: true, encoding: 'utf8' }).filter(
+      (each) =>
+        each.endsWith('.ts') &&
+        !each.endsWith('.test.ts') &&
+        !shellFiles.has(path.basename(each)),
     )) {
       const text = readFileSync(path.join(folder, file), 'utf8');
       for (const word of [
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -4,11 +4,40 @@
 import os from 'node:os';
 import path from 'node:path';
 import { serialize } from 'node:v8';
-import { type AgentEffect, type AgentEvent, type AgentReply, type AgentRequest, type AgentState, type ApiAction, type FeedReply, type NodeIdentity, type NodeRecord, openAgent, type ProxyQuery, type ProxyReport, reduceAgent, type TrafficMeasurement } from '@reedyard/agent';
+import {
+  type AgentEffect,
+  type AgentEvent,
+  type AgentReply,
+  type AgentRequest,
+  type AgentState,
+  type ApiAction,
+  type FeedReply,
+  type NodeIdentity,
+  type NodeRecord,
+  openAgent,
+  type ProxyQuery,
+  type ProxyReport,
+  reduceAgent,
+  type TrafficMeasurement,
+} from '@reedyard/agent';
 import { Beats, Hollow, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
 import { Feeds, type HeldFeed } from '@reedyard/proxy';
-import { decodeReplicaReply, decodeReplicaRequest, encodeReplicaReply, encodeReplicaRequest, openReplica, openReplicaLog, reduceReplica, type ReplicaEffect, type ReplicaEvent, type ReplicaLog, type ReplicaReply, type ReplicaState, snapshotRecords } from '@reedyard/replica';
+import {
+  decodeReplicaReply,
+  decodeReplicaRequest,
+  encodeReplicaReply,
+  encodeReplicaRequest,
+  openReplica,
+  openReplicaLog,
+  reduceReplica,
+  type ReplicaEffect,
+  type ReplicaEvent,
+  type ReplicaLog,
+  type ReplicaReply,
+  type ReplicaState,
+  snapshotRecords,
+} from '@reedyard/replica';
 import { call, type Listening, serveCalls } from '@reedyard/rpc';
 
 /** A hollow fleet that can't be run. */
