--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -1,17 +1,19 @@
 import test from 'ava';
 import { parse, stringify } from 'devalue';
-import { Beats, Limits, Weights } from '@reedyard/constants';
 import { recordValue } from '@reedyard/gossip';
 import { type Description, Schemas } from '@reedyard/schemas';
+import { originRefreshMs } from './api/api-actions.js';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
+import { isolatedAllowanceMs, undelayedForMs } from './control/reachability.js';
 import { learnRecords } from './gossip/gossip-exchange.js';
 import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './messages.js';
-import { originEndpoints, serviceRateLimits } from './origins/origin-endpoints.js';
-import { originsOf } from './origins/origins.js';
+import { originEndpoints, serviceRateLimits, slowStartShare } from './origins/origin-endpoints.js';
+import { originsOf, warmthDoubtMs } from './origins/origins.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './proposals/changes.js';
 import { openAgent, reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
+import { agentTickIntervalMs, lateTickMs } from './tick-delay.js';
 import type { Transition } from './transition.js';
 
 const self = {
@@ -177,10 +179,10 @@
     [[], 'the origins of its zone get nothing'],
   );
   state = learnt({ ...state, now: 2_000 }, 'zones', 2, zones(2, [], { west: 2 }));
-  t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[true], 4 * Weights.coldShare]);
-  hear(2_000 + Limits.warmDoubt - 1, 2);
+  t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[true], 4 * slowStartShare]);
+  hear(2_000 + warmthDoubtMs - 1, 2);
   t.deepEqual(colds(), [true]);
-  hear(2_000 + Limits.warmDoubt, 3);
+  hear(2_000 + warmthDoubtMs, 3);
   t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[false], Infinity]);
   state = learnt({ ...state, now: 3_000 }, 'zones', 3, zones(3, ['east'], { west: 2 }));
   t.deepEqual(colds(), [false]);
@@ -226,7 +228,7 @@
   state = acted(
     state,
     { kind: 'describe', description: told({ sequence: 8 }) },
-    1_100 + Beats.originTold,
+    1_100 + originRefreshMs,
   ).state;
   t.is(revision(), 8);
 });
@@ -288,7 +290,7 @@
     rows.map((row) => [row.slots, row.conns, row.capacity, row.rate]),
     [
       [8, 130, 8, Infinity],
-      [8, 130, 8, 10 * Weights.coldShare],
+      [8, 130, 8, 10 * slowStartShare],
     ],
   );
   t.deepEqual(parse(stringify(rows)), rows);
@@ -359,7 +361,7 @@
         );
       });
       t.is(rates.filter((rate) => rate > 0).length, few, `${coldRate} ${instance}`);
-      t.true(rates.reduce((sum, rate) => sum + rate, 0) <= coldRate * Weights.coldShare + 1e-9);
+      t.true(rates.reduce((sum, rate) => sum + rate, 0) <= coldRate * slowStartShare + 1e-9);
     }
   // Without a division it is not known who else there is: nothing goes to it.
   const alone = learnt(opened(), 'policy', 1, policyValue({ s: { coldRate: 20 } }));
@@ -418,14 +420,17 @@
     );
   };
   const steady = (until: number): readonly number[] =>
-    Array.from({ length: until / Beats.agent }, (_none, index) => (index + 1) * Beats.agent);
-  const calm = Limits.calm + 2_000;
+    Array.from(
+      { length: until / agentTickIntervalMs },
+      (_none, index) => (index + 1) * agentTickIntervalMs,
+    );
+  const calm = undelayedForMs + 2_000;
   t.is(cut(true, steady(1_000), 1_000), 500);
   t.is(cut(false, steady(calm), calm), 0);
-  t.is(cut(true, steady(calm), calm), Limits.cutOffLease);
+  t.is(cut(true, steady(calm), calm), isolatedAllowanceMs);
   // Frozen and woken: what waits here is looked at before any beat, and after one.
-  t.is(cut(true, steady(calm), calm + Limits.lateBeat + 1), 0);
-  t.is(cut(true, [...steady(calm), calm + Limits.lateBeat + 1], calm + Limits.lateBeat + 1), 0);
+  t.is(cut(true, steady(calm), calm + lateTickMs + 1), 0);
+  t.is(cut(true, [...steady(calm), calm + lateTickMs + 1], calm + lateTickMs + 1), 0);
   t.is(
     cut(
       true,
@@ -440,10 +445,10 @@
       [
         ...steady(calm),
         calm + 1_000,
-        ...steady(Limits.calm + 100).map((beat) => calm + 1_000 + beat),
+        ...steady(undelayedForMs + 100).map((beat) => calm + 1_000 + beat),
       ],
-      calm + 1_100 + Limits.calm,
+      calm + 1_100 + undelayedForMs,
     ),
-    Limits.cutOffLease,
+    isolatedAllowanceMs,
   );
 });
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -2,9 +2,9 @@
  * Calls of operators and origins: orders, reads, descriptions, and what this node tells about
  * itself.
  */
-import { Beats, Limits } from '@reedyard/constants';
 import { publishRecord, recordValue, replaceLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
+import { leaseDurationMs } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
 import { actingAllowanceMs, isUnreachable, unreachableAnswer } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
@@ -27,9 +27,16 @@
 import { delayTo } from '../routing/peer-delays.js';
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
-import { type ApiAnswer, tooFewMembers, unreached } from './api-answers.js';
+import { type ApiAnswer, retryAfterSeconds, tooFewMembers, unreached } from './api-answers.js';
 import { nodeStatus } from './status.js';
 
+/**
+ * ms. An origin that says nothing new is told by gossip again after this long: with the seconds
+ * between two of its descriptions still twice within `originForgotten`, and a third of the
+ * bytes.
+ */
+export const originRefreshMs = 3_000;
+
 type ActionOf<K extends ApiAction['kind']> = Extract<ApiAction, { kind: K }>;
 
 const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
@@ -40,7 +47,7 @@
 const isTold = (state: AgentState, key: string, told: Description): boolean => {
   const held = state.gossip.records[key];
   if (held === undefined || held.isForgotten) return false;
-  if (state.now - held.seenAt >= Beats.originTold || isWarmthInDoubt(state, told.zone, held.seenAt))
+  if (state.now - held.seenAt >= originRefreshMs || isWarmthInDoubt(state, told.zone, held.seenAt))
     return false;
   const known = held.value as Description;
   const fields = new Set([...Object.keys(told), ...Object.keys(known)] as (keyof Description)[]);
@@ -114,7 +121,7 @@
   if (state.self.proxy === null) return 'this machine has no proxy';
   if (actingAllowanceMs(state) <= 0) return whyNoLease(state);
   if (policy === null) return 'no policy is known';
-  if (state.proxyReport === null || state.now - state.proxyReport.at >= Limits.lease)
+  if (state.proxyReport === null || state.now - state.proxyReport.at >= leaseDurationMs)
     return 'its proxy does not ask for news';
   if (state.proxyReport.proxyReport.stopping) return 'its proxy is leaving';
   if (zonesOf(state)?.emptied.includes(state.self.zone) === true) return 'its zone is emptied';
@@ -125,7 +132,7 @@
   const why = notReady(state);
   if (why === null) return { status: 200, body: { ready: true } };
   const body = { type: 'about:blank', title: 'Not ready', status: 503, detail: why, ready: false };
-  return { status: 503, body, retryAfter: Limits.retryAfterSeconds };
+  return { status: 503, body, retryAfter: retryAfterSeconds };
 };
 
 const shares = (state: AgentState): ApiAnswer => {
--- a/packages/agent/src/api/api-answers.ts
+++ b/packages/agent/src/api/api-answers.ts
@@ -1,5 +1,7 @@
 /** Answers to operators and origins that several modules give. */
-import { Limits } from '@reedyard/constants';
+
+/** s. Told to callers in Retry-After when no better number is known. */
+export const retryAfterSeconds = 1;
 
 /** What an operator's or origin's call is answered. */
 export type ApiAnswer = {
@@ -25,7 +27,7 @@
 /** No clear answer: the call is to be repeated. */
 export const unavailable = (title: string, detail: string): ApiAnswer => ({
   ...problem(503, title, detail),
-  retryAfter: Limits.retryAfterSeconds,
+  retryAfter: retryAfterSeconds,
 });
 
 /** No majority answered in time. */
--- a/packages/agent/src/api/api-server.ts
+++ b/packages/agent/src/api/api-server.ts
@@ -1,9 +1,14 @@
-import http from 'node:http';
 import { randomUUID } from 'node:crypto';
-import { Limits, Sizes } from '@reedyard/constants';
+import http from 'node:http';
 import { LayerError, textOf } from '@reedyard/logging';
-import { Schemas, SchemaError } from '@reedyard/schemas';
+import { SchemaError, Schemas } from '@reedyard/schemas';
 import type { ApiAction } from '../messages.js';
+import {
+  maxDocumentBytes,
+  maxPolicyBytes,
+  maxRequestHeadBytes,
+  requestHeadTimeoutMs,
+} from './http-limits.js';
 
 /** A request to the operators' and origins' API that can't be taken. */
 export class ApiError extends LayerError {
@@ -108,7 +113,7 @@
     return {
       kind: 'zone',
       zone,
-      ...Schemas.zoneOrder(await readBody(request, Sizes.document)),
+      ...Schemas.zoneOrder(await readBody(request, maxDocumentBytes)),
       changeId: changeIdOf(request),
     };
   }
@@ -121,14 +126,14 @@
     wanted(['POST']);
     return {
       kind: 'describe',
-      description: Schemas.description(await readBody(request, Sizes.document)),
+      description: Schemas.description(await readBody(request, maxDocumentBytes)),
     };
   }
   if (path === '/v1/purges') {
     wanted(['POST']);
     return {
       kind: 'purge',
-      purge: Schemas.purge(await readBody(request, Sizes.document)),
+      purge: Schemas.purge(await readBody(request, maxDocumentBytes)),
       changeId: changeIdOf(request),
     };
   }
@@ -139,7 +144,7 @@
   if (method === 'PUT')
     return {
       kind: 'put-policy',
-      document: Schemas.policy(await readBody(request, Sizes.policy)),
+      document: Schemas.policy(await readBody(request, maxPolicyBytes)),
       ifMatch: ifMatchOf(request),
       changeId: changeIdOf(request),
     };
@@ -183,7 +188,11 @@
  */
 export const apiServer = (act: PerformAction): http.Server => {
   const server = http.createServer(
-    { maxHeaderSize: Sizes.callerHead, headersTimeout: Limits.callerHead, requestTimeout: 30_000 },
+    {
+      maxHeaderSize: maxRequestHeadBytes,
+      headersTimeout: requestHeadTimeoutMs,
+      requestTimeout: 30_000,
+    },
     (request, response) => {
       const signal = signalOf(response);
       void actionOf(request)
@@ -236,7 +245,11 @@
  */
 export const translatedServer = (api: TranslatedApi): http.Server => {
   const server = http.createServer(
-    { maxHeaderSize: Sizes.callerHead, headersTimeout: Limits.callerHead, requestTimeout: 30_000 },
+    {
+      maxHeaderSize: maxRequestHeadBytes,
+      headersTimeout: requestHeadTimeoutMs,
+      requestTimeout: 30_000,
+    },
     (request, response) => {
       const [method, target] = [request.method ?? 'GET', request.url ?? '/'];
       const signal = signalOf(response);
--- a/packages/agent/src/api/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -1,6 +1,5 @@
 import test from 'ava';
-import { Limits } from '@reedyard/constants';
-import type { ReplicaReply } from '@reedyard/replica';
+import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import { learnRegister } from '../control/polling.js';
 import { openAgent } from '../reducer.js';
 import {
@@ -44,21 +43,21 @@
   const at = (now: number): readonly string[] =>
     controlStatus({ ...last, now }).members.map((member) => member.state);
   t.deepEqual(
-    at(100 + Limits.lease - 1),
+    at(100 + leaseDurationMs - 1),
     names.map(() => 'answering'),
   );
   t.deepEqual(
-    at(100 + Limits.lease),
+    at(100 + leaseDurationMs),
     names.map(() => 'silent'),
   );
-  const oneGone = asked(last, 100 + Limits.lease, (name) =>
+  const oneGone = asked(last, 100 + leaseDurationMs, (name) =>
     name === 'core-5' ? null : pulled(`${name}/a`),
   );
   const control = controlStatus(oneGone);
   t.is(control.lossesBorne, 1);
   t.deepEqual(
     control.members.map((member) => [member.state, member.lastAnswerAgeMs]),
-    [...[1, 2, 3, 4].map(() => ['answering', 0]), ['silent', Limits.lease]],
+    [...[1, 2, 3, 4].map(() => ['answering', 0]), ['silent', leaseDurationMs]],
   );
 });
 
@@ -120,7 +119,7 @@
 
 test('a lease is shown as what is left of it, and as 0 when it is over', (t) => {
   const state = allAnswer(founded(), 100);
-  t.is(nodeStatus({ ...state, now: 600 }).leaseMs, 100 + Limits.lease - 600);
+  t.is(nodeStatus({ ...state, now: 600 }).leaseMs, 100 + leaseDurationMs - 600);
   t.is(nodeStatus({ ...state, now: 10_000 }).leaseMs, 0);
 });
 
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -6,8 +6,7 @@
  * only the word of a node with a lease (`leaseMs` above 0) is backed by a majority.
  */
 import { majorityOf } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
-import type { ReplicaReply } from '@reedyard/replica';
+import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
 import type { Split } from '@reedyard/server-selection';
 import type { PollOutcome, PollReplySeen, ReplicaView } from '../control/control-state.js';
@@ -20,7 +19,7 @@
   zonesOf,
   zonesWithClosedOrigins,
 } from '../control/registers.js';
-import { nodesOf } from '../gossip/known-nodes.js';
+import { nodesOf, peerTimeoutMs } from '../gossip/known-nodes.js';
 import { replicasKnown } from '../membership/known-replicas.js';
 import { originsOf } from '../origins/origins.js';
 import type { AgentState } from '../state.js';
@@ -144,7 +143,7 @@
 
 const stateOf = (view: ReplicaView, disk: string | null, now: number): MemberState => {
   const { lastPollReply: answered } = view;
-  if (answered === null || now - answered.at >= Limits.lease) return 'silent';
+  if (answered === null || now - answered.at >= leaseDurationMs) return 'silent';
   switch (answered.outcome) {
     case 'counted':
       return answered.diskId === disk ? 'answering' : 'refusing';
@@ -192,7 +191,7 @@
 const sparesOf = (state: AgentState): readonly SpareStatus[] => {
   const disks = Object.values(committedMembershipOf(state)?.value.disks ?? {});
   const isLive = (id: string, seenAt: number): boolean =>
-    id === state.self.id || state.now - seenAt < Limits.peerSilence;
+    id === state.self.id || state.now - seenAt < peerTimeoutMs;
   return replicasKnown(state)
     .filter((each) => each.isBlank && !disks.includes(each.diskId) && isLive(each.id, each.seenAt))
     .map((each) => ({ node: each.id, address: each.address, zone: each.zone }));
--- a/packages/agent/src/control/lease.test.ts
+++ b/packages/agent/src/control/lease.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import { Limits } from '@reedyard/constants';
-import { isLeaseLow } from './lease.js';
+import { leaseDurationMs } from '@reedyard/replica';
 import {
+  type AddressedCall,
   AgentUnderTest,
   ballotOf,
   pulledReply,
-  type AddressedCall,
 } from '../testing/scripted-replicas.js';
+import { isLeaseLow } from './lease.js';
 
 const pullsIn = (calls: readonly AddressedCall[]): readonly AddressedCall[] =>
   calls.filter(({ call }) => call.kind === 'poll');
@@ -56,7 +56,7 @@
     },
     760,
   );
-  t.is(agent.state.leaseUntil, 100 + Limits.lease);
+  t.is(agent.state.leaseUntil, 100 + leaseDurationMs);
 });
 
 test('a fetched value that is newer than what pulls show is learned once they show it, and not fetched twice', (t) => {
@@ -86,7 +86,7 @@
   t.is(agent.state.registers.plan, undefined, 'one of three shows it');
   t.is(fetchIn(answerAll(agent, [two], 2, 750)), undefined);
   t.deepEqual(agent.state.registers.plan?.proposalNumber, ballotOf(2));
-  t.is(agent.state.leaseUntil, 700 + Limits.lease);
+  t.is(agent.state.leaseUntil, 700 + leaseDurationMs);
 });
 
 test('each register may be proven by another majority, and none by less than one', (t) => {
@@ -98,7 +98,7 @@
   };
   for (const call of pullsIn(agent.beat(100)))
     agent.answer(call, pulledReply(call.replica, shown[call.replica] as never), 150);
-  t.is(agent.state.leaseUntil, 100 + Limits.lease);
+  t.is(agent.state.leaseUntil, 100 + leaseDurationMs);
   const other = new AgentUnderTest();
   for (const call of pullsIn(other.beat(100)))
     other.answer(
--- a/packages/agent/src/control/lease.ts
+++ b/packages/agent/src/control/lease.ts
@@ -4,7 +4,7 @@
   type ProposalNumber,
   zeroProposalNumber,
 } from '@reedyard/consensus';
-import { Beats, Limits } from '@reedyard/constants';
+import { journalRetentionMs, leaseDurationMs } from '@reedyard/replica';
 import type { AgentState } from '../state.js';
 import { log, type Transition, update } from '../transition.js';
 import {
@@ -15,9 +15,45 @@
   watchedRegisters,
 } from './control-state.js';
 
+/**
+ * ms. While there is no lease, pulls and the proxy's questions come this often: callers wait for
+ * them.
+ */
+export const noLeasePollIntervalMs = 100;
+
+/**
+ * ms. While a lease runs low, replicas whose pulls do not carry it are asked this often: three
+ * times before it is over. Not at rest, where each pull renews it: the fleet's control traffic
+ * does not grow.
+ */
+export const lowLeasePollIntervalMs = 200;
+
+/**
+ * ms. Pull from the replicas. Three pulls fit in a lease: one may be lost and the feed still has
+ * 0.25 s. Each costs every agent a call to every replica: twice as many saw nothing more than
+ * half as many.
+ */
+export const pollIntervalAtRestMs = 500;
+
+/**
+ * ms. A node without a lease asks more often for this long, and again when a silent replica
+ * answers; then the core is really away, and all of a large fleet asking that often would only
+ * hinder its return.
+ */
+export const eagerPollingMs = 5_000;
+
+/**
+ * ms. A lease with less left than this runs low: at rest 0.9 s are left when the next pull is
+ * sent, and one that counts brings it back to 1.5 s within a round trip.
+ */
+export const lowLeaseMs = 800;
+
+/** ms. A pull without an answer is sent again: two beats, so that a lost one costs no lease. */
+export const pollResendMs = 500;
+
 /**
  * The lease: the proof, from a majority of replicas, that this node knows all that was acknowledged
- * before a moment. It is renewed by pulls and lasts `Limits.lease` from the sending of the oldest
+ * before a moment. It is renewed by pulls and lasts `leaseDurationMs` from the sending of the oldest
  * pull that it rests on.
  */
 
@@ -57,7 +93,7 @@
   before: CountedPolls | null,
   newest: PollSnapshot,
 ): CountedPolls => {
-  const live = pollsOf(before).filter((each) => state.now - each.sentAt < Limits.lease);
+  const live = pollsOf(before).filter((each) => state.now - each.sentAt < leaseDurationMs);
   const known = live.findIndex((each) => isFullyKnown(state, each));
   const earlier = live
     .slice(0, known < 0 ? live.length : known + 1)
@@ -100,10 +136,10 @@
  */
 export const renewLease = (transition: Transition): void => {
   const { state } = transition;
-  const lease = Limits.lease + Math.min(...subjects.map((each) => provenSince(state, each)));
+  const lease = leaseDurationMs + Math.min(...subjects.map((each) => provenSince(state, each)));
   if (lease <= state.leaseUntil) return;
   // Purges stay on the board for a minute; a node that was away half that long trusts no copy.
-  const missed = state.leaseUntil > 0 && lease - state.leaseUntil > Limits.fact / 2;
+  const missed = state.leaseUntil > 0 && lease - state.leaseUntil > journalRetentionMs / 2;
   if (missed) log(transition, 'lease.back', { awayMs: Math.round(lease - state.leaseUntil) });
   update(transition, {
     leaseUntil: lease,
@@ -114,13 +150,13 @@
 /** Whether the lease still holds, but a renewal that was due did not come. */
 export const isLeaseLow = (state: AgentState): boolean => {
   const left = state.leaseUntil - state.now;
-  return left > 0 && left < Limits.leaseLow;
+  return left > 0 && left < lowLeaseMs;
 };
 
 /** Whether a replica is to be asked again before its turn, to renew a lease that runs low. */
 export const isPollOverdue = (state: AgentState, view: ReplicaView): boolean => {
-  if (state.now - view.lastPolledAt < Beats.leaseLow) return false;
-  const fresh = state.now - Beats.pull;
+  if (state.now - view.lastPolledAt < lowLeasePollIntervalMs) return false;
+  const fresh = state.now - pollIntervalAtRestMs;
   return subjects.some((subject) => (knownSince(state, view, subject) ?? -Infinity) <= fresh);
 };
 
@@ -130,9 +166,9 @@
  * a majority is really away, and a large fleet that asks so often would only hinder its return.
  */
 export const pollIntervalMs = (state: AgentState): number => {
-  if (state.now < state.leaseUntil) return Beats.pull;
+  if (state.now < state.leaseUntil) return pollIntervalAtRestMs;
   const since = Math.max(state.leaseUntil, state.startedAt, state.lastReplicaReturnAt);
-  return state.now - since < Limits.eager ? Beats.lapsed : Beats.pull;
+  return state.now - since < eagerPollingMs ? noLeasePollIntervalMs : pollIntervalAtRestMs;
 };
 
 /**
@@ -140,4 +176,4 @@
  * lost messages must not pass for silence.
  */
 export const pollTimeoutMs = (state: AgentState): number =>
-  pollIntervalMs(state) === Beats.lapsed ? Beats.leaseLow : Limits.pull;
+  pollIntervalMs(state) === noLeasePollIntervalMs ? lowLeasePollIntervalMs : pollResendMs;
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -4,7 +4,6 @@
   type ProposalNumber,
   zeroProposalNumber,
 } from '@reedyard/consensus';
-import { Beats, Limits, Sizes } from '@reedyard/constants';
 import type { Plan } from '@reedyard/quota-division';
 import {
   type CommittedMembership,
@@ -36,12 +35,24 @@
   hasAccepted,
   isLeaseLow,
   isPollOverdue,
+  pollIntervalAtRestMs,
+  pollResendMs,
   pollTimeoutMs,
   renewLease,
 } from './lease.js';
 import { isHealthCheckDue, isHealthCheckWanted } from './reachability.js';
 import { committedMembershipOf, isDiskOfMember, zonesValueOf } from './registers.js';
 
+/**
+ * ms. A value that only a minority shows is taken for hanging, and written again, after this
+ * long: far over what a write takes that is merely under way on busy machines, and under a
+ * lease.
+ */
+export const incompleteWriteMs = 900;
+
+/** registers and facts in one page of what an agent tells again. */
+export const itemsPerRestore = 1_000;
+
 const updateView = (transition: Transition, name: string, part: Partial<ReplicaView>): void => {
   const view = transition.state.replicas[name];
   if (view !== undefined)
@@ -259,7 +270,9 @@
 const isReadingRegister = (state: AgentState, key: WatchedRegister): boolean =>
   Object.values(state.pendingRequests).some(
     (each) =>
-      each.kind === 'read-register' && each.key === key && state.now - each.sentAt < Beats.pull,
+      each.kind === 'read-register' &&
+      each.key === key &&
+      state.now - each.sentAt < pollIntervalAtRestMs,
   );
 
 /** Fetches a value from one of the replicas that show its ballot. */
@@ -296,7 +309,7 @@
   const repairing = Object.values(state.pendingChanges).some(
     (pendingChange) => pendingChange.key === key,
   );
-  if (state.now - seen.since <= Limits.hanging || repairing || nextRandom(transition) >= 0.1)
+  if (state.now - seen.since <= incompleteWriteMs || repairing || nextRandom(transition) >= 0.1)
     return;
   propose(transition, key, () => ({ kind: 'keep' }), { kind: 'repair' });
 };
@@ -340,9 +353,9 @@
     view.restoreProgress !== null && view.restoreProgress.epoch === epoch
       ? view.restoreProgress
       : { epoch, chosen: knownChosenValues(transition.state), count: 0, sentAt: -Infinity };
-  if (transition.state.now - begun.sentAt < Limits.pull) return;
+  if (transition.state.now - begun.sentAt < pollResendMs) return;
   const { registers: cells, entries } = begun.chosen;
-  const [from, to] = [begun.count, begun.count + Sizes.restorePage];
+  const [from, to] = [begun.count, begun.count + itemsPerRestore];
   const page = {
     registers: cells.slice(from, to),
     entries: entries.slice(Math.max(0, from - cells.length), Math.max(0, to - cells.length)),
--- a/packages/agent/src/control/reachability.test.ts
+++ b/packages/agent/src/control/reachability.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import { Beats, Limits } from '@reedyard/constants';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { ApiAction } from '../messages.js';
 import { drainKey } from '../origins/origins.js';
+import { zoneOrderTimeoutMs } from '../proposals/proposals.js';
 import { reduceAgent } from '../reducer.js';
 import {
   type AddressedCall,
@@ -10,7 +10,14 @@
   ballotOf,
   pulledReply,
 } from '../testing/scripted-replicas.js';
-import { actingAllowanceMs, isUnreachable } from './reachability.js';
+import { agentTickIntervalMs } from '../tick-delay.js';
+import {
+  actingAllowanceMs,
+  isolatedAllowanceMs,
+  isolatedChangeTimeoutMs,
+  isUnreachable,
+  retryElsewhereSeconds,
+} from './reachability.js';
 
 const members = {
   proposalNumber: ballotOf(1),
@@ -87,7 +94,7 @@
     const other = afterwards(({ replica, call }) =>
       call.kind === 'poll' && replica === 'a' ? reply(replica) : null,
     );
-    t.is(actingAllowanceMs(other.state), Limits.cutOffLease);
+    t.is(actingAllowanceMs(other.state), isolatedAllowanceMs);
     t.true(isUnreachable(other.state));
   });
 }
@@ -96,16 +103,16 @@
   const agent = afterwards(silent, 3_000);
   const over = agent.state.leaseUntil;
   // The feed just before has it last until the next one: no caller is refused in between.
-  agent.run(over - 4 * Beats.agent, silent);
+  agent.run(over - 4 * agentTickIntervalMs, silent);
   t.is(actingAllowanceMs(agent.state), over - agent.state.now);
-  agent.run(over - Beats.agent, silent);
-  t.is(actingAllowanceMs(agent.state), Limits.cutOffLease);
+  agent.run(over - agentTickIntervalMs, silent);
+  t.is(actingAllowanceMs(agent.state), isolatedAllowanceMs);
   t.false(isUnreachable(agent.state));
   agent.run(over, silent);
-  t.is(actingAllowanceMs(agent.state), Limits.cutOffLease);
+  t.is(actingAllowanceMs(agent.state), isolatedAllowanceMs);
   t.true(isUnreachable(agent.state));
   agent.run(30_000, silent);
-  t.is(actingAllowanceMs(agent.state), Limits.cutOffLease);
+  t.is(actingAllowanceMs(agent.state), isolatedAllowanceMs);
   // What the answers show is not known here yet: in touch, and without a lease.
   const news = ({ replica, call }: AddressedCall): ReplicaReply | null =>
     call.kind === 'poll' ? pulledReply(replica, { policy: ballotOf(7) }) : null;
@@ -146,7 +153,7 @@
     t.deepEqual(agent.operate(action, agent.state.now), [], action.kind);
     t.deepEqual(agent.answers(), [503], action.kind);
     const [answer] = agent.effects.filter((effect) => effect.kind === 'send-answer');
-    t.is(answer?.retryAfter, Limits.retryElsewhereSeconds);
+    t.is(answer?.retryAfter, retryElsewhereSeconds);
   }
 });
 
@@ -185,7 +192,11 @@
       until: number,
       answer: (call: AddressedCall) => ReplicaReply | null,
     ): number | undefined => {
-      for (let now = agent.state.now + Beats.agent; now <= until; now += Beats.agent) {
+      for (
+        let now = agent.state.now + agentTickIntervalMs;
+        now <= until;
+        now += agentTickIntervalMs
+      ) {
         const calls = agent.beat(now);
         if (agent.answers().length > 0) return now;
         for (const call of calls) agent.answer(call, answer(call), now);
@@ -193,11 +204,14 @@
       return undefined;
     };
     // A majority answers other calls: a slow ballot may yet succeed.
-    const mostMs = action.kind === 'zone' ? Limits.zoneOrder / 2 : 2_000;
+    const mostMs = action.kind === 'zone' ? zoneOrderTimeoutMs / 2 : 2_000;
     t.is(answeredAt(sentAt + mostMs, answered), undefined, action.kind);
     const silentFrom = agent.state.now;
     const at = answeredAt(sentAt + 5_000, silent) ?? NaN;
-    t.true(at - silentFrom <= Limits.stranded + Beats.agent, `${action.kind} ${at - silentFrom}`);
+    t.true(
+      at - silentFrom <= isolatedChangeTimeoutMs + agentTickIntervalMs,
+      `${action.kind} ${at - silentFrom}`,
+    );
     t.deepEqual(agent.answers(), [503]);
   }
 });
--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -1,11 +1,38 @@
 import { majorityOf } from '@reedyard/consensus';
-import { Beats, Limits } from '@reedyard/constants';
 import { type ApiAnswer, unavailable } from '../api/api-answers.js';
 import type { PendingAppend, PendingChange, Purpose } from '../proposals/proposal-state.js';
 import type { AgentState } from '../state.js';
 import { isTickLate } from '../tick-delay.js';
 import { log, type Transition, update } from '../transition.js';
 import type { ReplicaView } from './control-state.js';
+import { lowLeasePollIntervalMs } from './lease.js';
+
+/**
+ * ms. Only a process whose beats all came in time for this long may take itself for cut off: one
+ * that was starved or frozen has unanswered pulls as well, but others may reach it.
+ */
+export const undelayedForMs = 2_000;
+
+/**
+ * ms. Told to a proxy that may serve on while it is cut off, from question to question: two
+ * feeds.
+ */
+export const isolatedAllowanceMs = 600;
+
+/**
+ * ms. A replica without any answer for this long is silent: two pulls, one of them lost, and a
+ * round trip. Under the lease, so that a node that is cut off knows it when its lease runs out.
+ */
+export const replicaTimeoutMs = 1_200;
+
+/** s. The same where another node, which reaches a majority, may well do it at once. */
+export const retryElsewhereSeconds = 0;
+
+/**
+ * ms. What waits this long for a majority of which nobody has answered anything is given up:
+ * callers wait a second for any word, and go on to another node.
+ */
+export const isolatedChangeTimeoutMs = 600;
 
 /**
  * What this node can know of its connection to the replicas. Silence and refusal differ: a replica
@@ -34,20 +61,20 @@
 
 /** Whether a majority of replicas has been silent for so long that it can't be by chance. */
 const isMajorityUnresponsive = (state: AgentState): boolean =>
-  !majorityAnsweredSince(state, state.now - Limits.replicaSilence);
+  !majorityAnsweredSince(state, state.now - replicaTimeoutMs);
 
 /** Whether this node has neither a lease nor any answer from a majority of replicas. */
 export const isUnreachable = (state: AgentState): boolean =>
   state.now >= state.leaseUntil &&
   isMajorityUnresponsive(state) &&
-  !wasDelayed(state, Limits.replicaSilence);
+  !wasDelayed(state, replicaTimeoutMs);
 
 /** Notes that a replica answered, whatever it said. */
 export const noteReply = (transition: Transition, replica: string): void => {
   const { state } = transition;
   const view = state.replicas[replica];
   if (view === undefined) return;
-  const wasSilent = state.now - view.lastReplyAt >= Limits.replicaSilence;
+  const wasSilent = state.now - view.lastReplyAt >= replicaTimeoutMs;
   update(transition, {
     replicas: { ...state.replicas, [replica]: { ...view, lastReplyAt: state.now } },
     ...(wasSilent ? { lastReplicaReturnAt: state.now } : {}),
@@ -59,7 +86,7 @@
   state.self.servesOn === true &&
   state.registers.policy !== undefined &&
   isMajorityUnresponsive(state) &&
-  !wasDelayed(state, Limits.calm);
+  !wasDelayed(state, undelayedForMs);
 
 /**
  * ms that this node may act on what it knows: what is left of its lease, or, where it may serve on,
@@ -69,14 +96,14 @@
  */
 export const actingAllowanceMs = (state: AgentState): number => {
   const left = Math.max(0, state.leaseUntil - state.now);
-  return mayServeIsolated(state) ? Math.max(left, Limits.cutOffLease) : left;
+  return mayServeIsolated(state) ? Math.max(left, isolatedAllowanceMs) : left;
 };
 
 /** Tells why this node has no lease, once, when it runs out. */
 export const noteLeaseLost = (transition: Transition, beatBefore: number): void => {
   const { state } = transition;
   if (state.leaseUntil <= beatBefore || state.leaseUntil > state.now) return;
-  const answering = answeredSince(state, state.now - Limits.replicaSilence);
+  const answering = answeredSince(state, state.now - replicaTimeoutMs);
   log(transition, 'lease.lost', { answering, replicas: Object.keys(state.replicas).length });
 };
 
@@ -86,9 +113,9 @@
 
 /** Whether a call has gone on for long enough, with too few answers since a moment to progress. */
 const isStuck = (state: AgentState, openedAt: number, since: number): boolean =>
-  state.now - openedAt >= Limits.stranded &&
+  state.now - openedAt >= isolatedChangeTimeoutMs &&
   !majorityAnsweredSince(state, Math.max(openedAt, since)) &&
-  !wasDelayed(state, Limits.stranded);
+  !wasDelayed(state, isolatedChangeTimeoutMs);
 
 /**
  * Whether a proposal that a caller waits for can't progress, since a majority of replicas is
@@ -98,27 +125,27 @@
   state: AgentState,
   { purpose, requestedAt: openedAt }: PendingChange,
 ): boolean => {
-  if (isOrder(purpose)) return isStuck(state, openedAt, state.now - Limits.stranded);
-  return purpose.kind === 'claim' && isStuck(state, openedAt, state.now - Limits.replicaSilence);
+  if (isOrder(purpose)) return isStuck(state, openedAt, state.now - isolatedChangeTimeoutMs);
+  return purpose.kind === 'claim' && isStuck(state, openedAt, state.now - replicaTimeoutMs);
 };
 
 /** The same for facts that wait for a majority of disks. */
 export const isAppendIsolated = (
   state: AgentState,
   { requestedAt: openedAt }: PendingAppend,
-): boolean => isStuck(state, openedAt, state.now - Limits.stranded);
+): boolean => isStuck(state, openedAt, state.now - isolatedChangeTimeoutMs);
 
 /** Whether an order has been open for so long that replicas are probed for any answer. */
 export const isHealthCheckWanted = (state: AgentState): boolean => {
   const orders = Object.values(state.pendingChanges).filter(({ purpose }) => isOrder(purpose));
   return [...orders, ...Object.values(state.pendingAppends)].some(
-    ({ requestedAt: openedAt }) => state.now - openedAt >= Beats.leaseLow,
+    ({ requestedAt: openedAt }) => state.now - openedAt >= lowLeasePollIntervalMs,
   );
 };
 
 /** Whether a replica is to be asked for any answer. */
 export const isHealthCheckDue = (state: AgentState, view: ReplicaView): boolean =>
-  state.now - Math.max(view.lastPolledAt, view.lastReplyAt) >= Beats.leaseLow;
+  state.now - Math.max(view.lastPolledAt, view.lastReplyAt) >= lowLeasePollIntervalMs;
 
 /** The answer, at once, to what needs a majority at a node that reaches none: nothing was sent. */
 export const unreachableAnswer: ApiAnswer = {
@@ -126,5 +153,5 @@
     'No majority reached',
     'This node reaches no majority of replicas; nothing was changed. Ask another node.',
   ),
-  retryAfter: Limits.retryElsewhereSeconds,
+  retryAfter: retryElsewhereSeconds,
 };
--- a/packages/agent/src/expiry.ts
+++ b/packages/agent/src/expiry.ts
@@ -1,13 +1,16 @@
 /** Lets go what has lapsed: records of gossip, facts, and claims of long ago. */
 import { Map as Table } from 'immutable';
-import { Limits } from '@reedyard/constants';
 import { expireRecords } from '@reedyard/gossip';
+import { journalRetentionMs } from '@reedyard/replica';
 import { type Transition, update } from './transition.js';
 
+/** ms. Agents remember the claims they made in spans of half the claims' life; three are kept. */
+export const claimSpanMs = 1_800_000;
+
 /** Lets go facts that are no longer on the replicas' journals, with what is known of their keys. */
 const expireEntries = (transition: Transition): void => {
   const { now, entries, committedEntryKeys: posted } = transition.state;
-  const live = entries.filter((entry) => now - entry.at <= Limits.fact);
+  const live = entries.filter((entry) => now - entry.at <= journalRetentionMs);
   if (live.length === entries.length) return;
   const flags = (keys: readonly string[]): Readonly<Record<string, true>> =>
     Object.fromEntries(keys.map((key) => [key, true as const]));
@@ -22,7 +25,7 @@
 /** Begins a new span of claims where the present one is over. */
 const startClaimSpan = (transition: Transition): void => {
   const { now, claimSpans: claims, claimSpanStartedAt: claimsFrom } = transition.state;
-  if (now - claimsFrom <= Limits.claimSpan) return;
+  if (now - claimsFrom <= claimSpanMs) return;
   update(transition, {
     claimSpans: [Table<string, never>(), ...claims.slice(0, -1)],
     claimSpanStartedAt: now,
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -1,6 +1,5 @@
 /** Exchanges of gossip with other nodes, and what follows from the records that they bring. */
 
-import { Limits } from '@reedyard/constants';
 import {
   digestOf,
   type GossipExchangeReply,
@@ -11,6 +10,7 @@
   sampleView,
 } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
+import { eagerPollingMs } from '../control/lease.js';
 import { followMovedReplicas } from '../membership/known-replicas.js';
 import type { AgentRequest } from '../messages.js';
 import { isOutdated } from '../origins/origins.js';
@@ -19,6 +19,12 @@
 import { nodesOf } from './known-nodes.js';
 import { heartbeat } from './node-record.js';
 
+/**
+ * ms. One gossip exchange with one peer. Each also answers one as often, so a heartbeat crosses
+ * 16 nodes in three or four of them: with its own beat this stays under the 2.5 s of silence.
+ */
+export const gossipIntervalMs = 400;
+
 /**
  * Whether this agent has only just begun, beside a blank replica that waits for a place: it makes
  * itself known fast.
@@ -26,7 +32,7 @@
 export const isJoining = (state: AgentState): boolean =>
   state.bootstrap !== null &&
   state.ownReplica?.isBlank === true &&
-  state.now - state.startedAt < Limits.eager;
+  state.now - state.startedAt < eagerPollingMs;
 
 /** Agents of machines with a replica: who may give a blank one its place. */
 const replicaAgents = (state: AgentState): readonly string[] =>
--- a/packages/agent/src/gossip/known-nodes.ts
+++ b/packages/agent/src/gossip/known-nodes.ts
@@ -1,11 +1,17 @@
 /** The nodes that gossip tells of, and which of them serve or hold quotas. */
 
-import { Limits } from '@reedyard/constants';
 import { liveRecords } from '@reedyard/gossip';
+import { leaseDurationMs } from '@reedyard/replica';
 import { zonesOf } from '../control/registers.js';
 import type { NodeRecord } from '../messages.js';
 import type { AgentState } from '../state.js';
 
+/** ms. After an order to empty a zone was seen, its proxies still answer stragglers this long. */
+export const evacuationGraceMs = 2_000;
+
+/** ms. A peer whose heartbeat stood still this long gets no forwarded requests. */
+export const peerTimeoutMs = 2_500;
+
 /** Every node heard of that is not forgotten. */
 export const nodesOf = (
   state: AgentState,
@@ -16,7 +22,7 @@
   }));
 
 const isLive = (state: AgentState, seenAt: number, id: string): boolean =>
-  id === state.self.id || state.now - seenAt < Limits.peerSilence;
+  id === state.self.id || state.now - seenAt < peerTimeoutMs;
 
 /** Nodes with a proxy that may be given forwarded requests or slices. */
 export const servingNodes = (state: AgentState): readonly NodeRecord[] => {
@@ -36,7 +42,8 @@
  * stragglers.
  */
 export const quotaNodes = (state: AgentState): readonly NodeRecord[] => {
-  const settled = state.now - (state.registers.zones?.at ?? 0) > Limits.lease + Limits.emptyGrace;
+  const settled =
+    state.now - (state.registers.zones?.at ?? 0) > leaseDurationMs + evacuationGraceMs;
   const emptied = settled ? (zonesOf(state)?.emptied ?? []) : [];
   return nodesOf(state).flatMap(({ record, seenAt }) =>
     record.staying && isLive(state, seenAt, record.id) && !emptied.includes(record.zone)
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -18,3 +18,14 @@
   OriginStatus,
   SpareStatus,
 } from './api/status.js';
+export { leaseDurationMs } from '@reedyard/replica';
+export { retryAfterSeconds } from './api/api-answers.js';
+export { maxPolicyBytes, maxRequestHeadBytes, requestHeadTimeoutMs } from './api/http-limits.js';
+export { noLeasePollIntervalMs, pollIntervalAtRestMs } from './control/lease.js';
+export { replicaTimeoutMs } from './control/reachability.js';
+export { gossipIntervalMs } from './gossip/gossip-exchange.js';
+export { evacuationGraceMs } from './gossip/known-nodes.js';
+export { proposalTimeoutMs } from './proposals/proposal-state.js';
+export { allocationIntervalMs } from './quota/quota-leadership.js';
+export { pingRoundIntervalMs } from './routing/peer-delays.js';
+export { agentTickIntervalMs } from './tick-delay.js';
--- a/packages/agent/src/membership/membership.test.ts
+++ b/packages/agent/src/membership/membership.test.ts
@@ -1,8 +1,10 @@
 import test from 'ava';
-import { Beats, Limits } from '@reedyard/constants';
-import type { CommittedMembership, ReplicaReply } from '@reedyard/replica';
-import { openAgent, reduceAgent } from '../reducer.js';
+import { type CommittedMembership, leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
+import { pollIntervalAtRestMs } from '../control/lease.js';
 import type { AgentEffect, AgentEvent, NodeRecord } from '../messages.js';
+import { openAgent, reduceAgent } from '../reducer.js';
+import { agentTickIntervalMs } from '../tick-delay.js';
+import { joinBudgetMs } from './membership.js';
 
 // Which change of the membership an agent opens, and when: its reducer alone, answered by hand.
 
@@ -134,7 +136,7 @@
    */
   runFor(ms: number, spare = this.manners[spareAddress] !== undefined): void {
     for (const end = this.now + ms; this.now < end;) {
-      this.now += Beats.agent;
+      this.now += agentTickIntervalMs;
       if (spare) this.hear('core-s', spareAddress, spareDisk, true);
       this.step({ kind: 'tick', now: this.now });
     }
@@ -158,8 +160,11 @@
   agent.runFor(2_000);
   t.is(agent.proposals[0], 'c by s');
   const after = (agent.prepared[0]?.at ?? 0) - lostAt;
-  const suspicion = 4_000 / 2 - Limits.joinBudget;
-  t.true(after >= suspicion - Beats.pull && after <= suspicion + 5 * Beats.agent, `${after} ms`);
+  const suspicion = 4_000 / 2 - joinBudgetMs;
+  t.true(
+    after >= suspicion - pollIntervalAtRestMs && after <= suspicion + 5 * agentTickIntervalMs,
+    `${after} ms`,
+  );
 });
 
 test('a longer time to catch up gives a member more time to answer', (t) => {
@@ -208,7 +213,7 @@
 });
 
 test('a spare that comes while two messages were just lost makes no silence of them', (t) => {
-  for (let offset = 0; offset < Beats.pull; offset += Beats.agent) {
+  for (let offset = 0; offset < pollIntervalAtRestMs; offset += agentTickIntervalMs) {
     const agent = settled(false);
     agent.runFor(offset);
     agent.drops.c = 2;
@@ -234,7 +239,7 @@
   const agent = settled(true);
   agent.manners.b = 'silent';
   agent.manners.c = 'silent';
-  agent.runFor(Limits.lease);
+  agent.runFor(leaseDurationMs);
   const before = agent.proposals.length;
   agent.runFor(6_000);
   t.is(agent.proposals.length, before);
@@ -248,7 +253,7 @@
 
   const agent = settled(true);
   agent.manners.b = 'leaving';
-  agent.runFor(Beats.pull + 5 * Beats.agent);
+  agent.runFor(pollIntervalAtRestMs + 5 * agentTickIntervalMs);
   t.is(agent.proposals[0], 'b by s');
 });
 
@@ -256,7 +261,7 @@
   const agent = settled(false);
   agent.hear('core-c', 'c', 'disk-c', false);
   agent.manners.c = 'blank';
-  agent.runFor(2 * Beats.pull);
+  agent.runFor(2 * pollIntervalAtRestMs);
   t.true(agent.prepared.length > 0);
 });
 
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -1,17 +1,40 @@
-import { Beats, Limits } from '@reedyard/constants';
 import type { Membership, ReplicaReply } from '@reedyard/replica';
 import type { ReplicaView } from '../control/control-state.js';
 import { pollNow } from '../control/polling.js';
 import { committedMembershipOf, toleratesLosses } from '../control/registers.js';
-import { nodesOf } from '../gossip/known-nodes.js';
+import { nodesOf, peerTimeoutMs } from '../gossip/known-nodes.js';
 import { heartbeat } from '../gossip/node-record.js';
 import { assignSlotChange, replaceMemberChange } from '../proposals/changes.js';
 import { propose } from '../proposals/proposals.js';
 import type { AgentState } from '../state.js';
 import { without } from '../table.js';
+import { agentTickIntervalMs } from '../tick-delay.js';
 import { log, nextRandom, sendToReplica, type Transition, update } from '../transition.js';
 import { type KnownReplica, replicasKnown } from './known-replicas.js';
-import { liveSpares } from './live-spares.js';
+import { liveSpares, spareMaxAgeMs } from './live-spares.js';
+
+/**
+ * ms. Of half the time that a successor is given to catch up, what is kept for its join itself:
+ * to be heard of, for one ballot, to be told and to read; measured in the simulator under all
+ * troubles.
+ */
+export const joinBudgetMs = 1_000;
+
+/**
+ * ms. A member is suspected no sooner, whatever the settings say: two pulls and the probes
+ * between them.
+ */
+export const minSuspicionTimeoutMs = 1_000;
+
+/**
+ * ms. A member whose machine was silent this long, in gossip and to every pull, is taken for
+ * gone, and its place given to another: longer than a restart, and than a cut of 6 s with 2 s to
+ * be heard of again.
+ */
+export const memberTimeoutMs = 8_000;
+
+/** ms. A silent member is asked more often after this: one pull and its answer. */
+export const healthCheckAfterMs = 700;
 
 /**
  * Membership: which replica should be a member next, and when an agent opens the ballot for it.
@@ -49,9 +72,9 @@
  */
 export const suspicionTimeoutMs = (state: AgentState): number => {
   const catchUpMs = state.bootstrap?.catchUpMs;
-  if (catchUpMs === undefined) return Limits.memberSilence;
-  const left = catchUpMs / 2 - Limits.joinBudget;
-  return Math.min(Limits.memberSilence, Math.max(Limits.leastSuspicion, left));
+  if (catchUpMs === undefined) return memberTimeoutMs;
+  const left = catchUpMs / 2 - joinBudgetMs;
+  return Math.min(memberTimeoutMs, Math.max(minSuspicionTimeoutMs, left));
 };
 
 // What this agent finds out about replicas
@@ -123,7 +146,7 @@
 };
 
 const isAlive = (state: AgentState, each: KnownReplica): boolean =>
-  each.id === state.self.id || state.now - each.seenAt < Limits.peerSilence;
+  each.id === state.self.id || state.now - each.seenAt < peerTimeoutMs;
 
 /**
  * OriginStandIn replicas that gossip tells of and that have no place, nor stand at the address of
@@ -152,12 +175,11 @@
   if (spares.length === 0) return;
   for (const { address } of spares) {
     const heardAt = transition.state.spares[address]?.at ?? -Infinity;
-    if (transition.state.now - heardAt >= Limits.spareHeard / 2)
-      requestMembership(transition, address);
+    if (transition.state.now - heardAt >= spareMaxAgeMs / 2) requestMembership(transition, address);
   }
   for (const [name, view] of Object.entries(transition.state.replicas)) {
-    const askedLately = transition.state.now - view.lastPolledAt < Beats.agent;
-    if (isUnresponsive(transition.state, view, Limits.probing) && !askedLately)
+    const askedLately = transition.state.now - view.lastPolledAt < agentTickIntervalMs;
+    if (isUnresponsive(transition.state, view, healthCheckAfterMs) && !askedLately)
       pollNow(transition, name);
   }
 };
@@ -209,7 +231,7 @@
     return tells ? [record.id === state.self.id ? state.now : seenAt] : [];
   });
   const answered = state.replicas[member]?.lastMemberReplyAt ?? state.now;
-  return state.now - Math.max(answered, ...heard) > Limits.memberSilence;
+  return state.now - Math.max(answered, ...heard) > memberTimeoutMs;
 };
 
 /**
@@ -220,13 +242,13 @@
  */
 const memberToReplace = (state: AgentState): string | null => {
   const silence = suspicionTimeoutMs(state);
-  if (!hasReplica(state) || silence >= Limits.memberSilence) return null;
+  if (!hasReplica(state) || silence >= memberTimeoutMs) return null;
   const views = Object.entries(state.replicas);
   const silent = views.filter(
     ([, view]) => isUnresponsive(state, view, silence) && view.unansweredPolls >= pollsToSuspect,
   );
   const settled = views.every(
-    ([, view]) => isUnresponsive(state, view, Limits.probing) || view.countedPolls !== null,
+    ([, view]) => isUnresponsive(state, view, healthCheckAfterMs) || view.countedPolls !== null,
   );
   if (!settled) return null;
   const wasHeldUp = state.now - Math.max(state.lastLateTickAt, state.startedAt) < silence;
@@ -234,7 +256,7 @@
     ? []
     : silent.sort(([, a], [, b]) => a.lastMemberReplyAt - b.lastMemberReplyAt);
   const leaving = views.find(
-    ([, view]) => view.isStopping && !isUnresponsive(state, view, Limits.probing),
+    ([, view]) => view.isStopping && !isUnresponsive(state, view, healthCheckAfterMs),
   );
   return (longest ?? leaving)?.[0] ?? null;
 };
@@ -326,7 +348,7 @@
   if (state.now - state.startedAt < suspicionTimeoutMs(state)) return true;
   return replicasKnown(state).some(
     (each) =>
-      each.diskId === disk && each.address !== own && state.now - each.seenAt < Limits.peerSilence,
+      each.diskId === disk && each.address !== own && state.now - each.seenAt < peerTimeoutMs,
   );
 };
 
--- a/packages/agent/src/origins/origin-endpoints.ts
+++ b/packages/agent/src/origins/origin-endpoints.ts
@@ -1,6 +1,5 @@
 /** The origins as this node's proxy uses them, each with the rate that this node may send to it. */
 
-import { Weights } from '@reedyard/constants';
 import { boundOf, rateOf } from '@reedyard/quota-division';
 import { mixed } from '@reedyard/server-selection';
 import { policyOf, quotaAllocationOf } from '../control/registers.js';
@@ -9,6 +8,18 @@
 import type { AgentState } from '../state.js';
 import { isWarmthInDoubt, originsOf } from './origins.js';
 
+/**
+ * requests a second to a cold instance that are worth a node's part: fewer nodes get more each,
+ * so that what they may have saved, a request each, stays small beside it.
+ */
+export const minSlowStartRate = 3;
+
+/**
+ * share of a cold instance's bearable rate that the nodes it is given to may use together: what
+ * each of them saved comes on top.
+ */
+export const slowStartShare = 0.8;
+
 /**
  * Requests a second that this node may send to a cold instance. Only a few nodes may, those that
  * rendezvous hashing names for it: every node for itself comes to the same ones, as far as it knows
@@ -24,12 +35,12 @@
       ...nodesOf(state).flatMap(({ record }) => (record.proxy === null ? [] : [record.id])),
     ]),
   ];
-  const parts = Math.max(1, Math.min(names.length, Math.floor(rate / Weights.coldPart)));
+  const parts = Math.max(1, Math.min(names.length, Math.floor(rate / minSlowStartRate)));
   const own = mixed(`${instance} ${state.self.id}`);
   const ahead = names.filter(
     (name) => name !== state.self.id && mixed(`${instance} ${name}`) > own,
   ).length;
-  return ahead < parts ? (rate * Weights.coldShare) / parts : 0;
+  return ahead < parts ? (rate * slowStartShare) / parts : 0;
 };
 
 /** Instances that take work, each with this node's slice of what it carries. */
--- a/packages/agent/src/origins/origins.ts
+++ b/packages/agent/src/origins/origins.ts
@@ -1,11 +1,16 @@
 /** The origins that gossip tells of, and which of them get traffic. */
 
-import { Limits } from '@reedyard/constants';
 import { liveRecords, recordValue } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
 import { policyOf, zonesOf, zonesWithClosedOrigins } from '../control/registers.js';
 import type { AgentState } from '../state.js';
 
+/**
+ * ms. After a zone was taken back its origins count as cold until a description is heard this
+ * much later: an earlier one may have been under way for a few exchanges of gossip.
+ */
+export const warmthDoubtMs = 500;
+
 /** Why an origin gets no traffic, or null if it does. */
 export const exclusionReason = (state: AgentState, description: Description): string | null => {
   const service = policyOf(state)?.document.services[description.service];
@@ -33,7 +38,7 @@
  * taken back since.
  */
 export const isWarmthInDoubt = (state: AgentState, zone: string, heardAt: number): boolean =>
-  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + Limits.warmDoubt;
+  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + warmthDoubtMs;
 
 const isOlder = (told: Description, known: Description): boolean =>
   told.incarnation < known.incarnation ||
--- a/packages/agent/src/proposals/change-ids.ts
+++ b/packages/agent/src/proposals/change-ids.ts
@@ -5,11 +5,21 @@
  * whatever it has known for the whole repeat window is older than that. A node that has just
  * started has learnt nothing long ago, and lets nothing go.
  */
-import { Limits, Sizes } from '@reedyard/constants';
 import { policyOf, zonesOf } from '../control/registers.js';
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
 
+/**
+ * ms. A change may be sent again this long, and is then still made once: an operator repeats for
+ * seconds.
+ */
+export const repeatWindowMs = 30_000;
+
+/**
+ * bytes of the change ids remembered in a register: some 900 changes within the repeat window.
+ */
+export const recentChangesMaxBytes = 64 * 1024;
+
 /** A change that was made, and the revision that it made. */
 export type MadeChange = { readonly id: string; readonly revision: number };
 
@@ -36,7 +46,7 @@
     const learnt = transition.state.learntRevisions[key];
     const revision = revisionOf(transition.state, key);
     if (revision === (learnt.at(-1)?.revision ?? 0)) continue;
-    const over = learnt.filter((each) => now - each.at > Limits.repeatWindow);
+    const over = learnt.filter((each) => now - each.at > repeatWindowMs);
     const kept = [...over.slice(-1), ...learnt.slice(over.length), { revision, at: now }];
     update(transition, { learntRevisions: { ...transition.state.learntRevisions, [key]: kept } });
   }
@@ -47,8 +57,8 @@
  * forgotten.
  */
 export const lapsedRevision = (state: AgentState, key: Identified): number =>
-  state.learntRevisions[key].findLast((each) => state.now - each.at > Limits.repeatWindow)
-    ?.revision ?? 0;
+  state.learntRevisions[key].findLast((each) => state.now - each.at > repeatWindowMs)?.revision ??
+  0;
 
 /**
  * Adds a change, and lets those go that may no longer be sent again. Past the bound in bytes the
@@ -66,7 +76,7 @@
   let bytes = 0;
   const from = live.findLastIndex((each) => {
     bytes += each.id.length + bytesBesideId;
-    return bytes > Sizes.recentChangeBytes;
+    return bytes > recentChangesMaxBytes;
   });
   return live.slice(from + 1);
 };
--- a/packages/agent/src/proposals/changes.test.ts
+++ b/packages/agent/src/proposals/changes.test.ts
@@ -1,5 +1,4 @@
 import test from 'ava';
-import { Limits, Sizes } from '@reedyard/constants';
 import { type Policy, Schemas } from '@reedyard/schemas';
 import { learnRegister } from '../control/polling.js';
 import { zonesValueOf } from '../control/registers.js';
@@ -7,7 +6,7 @@
 import { openAgent, reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
-import { lapsedRevision } from './change-ids.js';
+import { lapsedRevision, recentChangesMaxBytes, repeatWindowMs } from './change-ids.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
 import { hasSameContent } from './content.js';
 
@@ -111,7 +110,7 @@
   for (let index = 0; index < 5_000; index += 1)
     value = after(zone('west', 'empty', `${index}-${'x'.repeat(100)}`), value);
   const { changes } = zonesValueOf(value);
-  t.true(JSON.stringify(changes).length < 1.1 * Sizes.recentChangeBytes);
+  t.true(JSON.stringify(changes).length < 1.1 * recentChangesMaxBytes);
   t.is(changes.at(-1)?.revision, 5_000);
   const later = zonesValueOf(after(zone('west', 'empty', 'new', 4_990), value));
   t.deepEqual(
@@ -134,10 +133,10 @@
   };
   const at = (now: number): number => lapsedRevision({ ...state, now }, 'zones');
   for (let index = 1; index <= 500; index += 1) learn(index, 100 * index);
-  t.is(at(50_000), (50_000 - Limits.repeatWindow) / 100 - 1);
-  t.is(at(50_000 + Limits.repeatWindow), 499);
-  t.is(at(50_001 + Limits.repeatWindow), 500);
-  t.true(state.learntRevisions.zones.length <= Limits.repeatWindow / 100 + 2);
+  t.is(at(50_000), (50_000 - repeatWindowMs) / 100 - 1);
+  t.is(at(50_000 + repeatWindowMs), 499);
+  t.is(at(50_001 + repeatWindowMs), 500);
+  t.true(state.learntRevisions.zones.length <= repeatWindowMs / 100 + 2);
   // A node that has just started knows nothing to be old.
   t.is(
     lapsedRevision(
--- a/packages/agent/src/proposals/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -2,7 +2,6 @@
  * What is done with the end of each proposal: answers to its caller, and what this node notes for
  * itself.
  */
-import { Limits } from '@reedyard/constants';
 import { recordValue } from '@reedyard/gossip';
 import type { Plan } from '@reedyard/quota-division';
 import { type ApiAnswer, refusal, unavailable, unreached } from '../api/api-answers.js';
@@ -14,6 +13,7 @@
   NodeRecord,
   PolicyRegister,
 } from '../messages.js';
+import { quotaRaiseDelayMs } from '../quota/quota-leadership.js';
 import { log, type Transition, update } from '../transition.js';
 import { findChange } from './change-ids.js';
 import { Refusals } from './changes.js';
@@ -131,7 +131,7 @@
     return;
   }
   // Chosen now: from here on its forerunners last one lease more, no longer.
-  const last = state.now + Limits.regrant;
+  const last = state.now + quotaRaiseDelayMs;
   const held = state.quotaLeadership.precedingAllocations.map((each) => ({
     ...each,
     until: Math.min(each.until, last),
--- a/packages/agent/src/proposals/journal-appends.ts
+++ b/packages/agent/src/proposals/journal-appends.ts
@@ -3,13 +3,13 @@
  * disk.
  */
 import { majorityOf } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
 import type { JournalEntry, ReplicaReply } from '@reedyard/replica';
 import { unreached } from '../api/api-answers.js';
 import { isAppendIsolated } from '../control/reachability.js';
 import { isDiskOfMember } from '../control/registers.js';
 import { without } from '../table.js';
 import { sendToReplica, takeRequestId, type Transition, update } from '../transition.js';
+import { proposalTimeoutMs, resendMs } from './proposal-state.js';
 
 /** Posts facts; the waiting caller is answered with `done` once a majority has them on disk. */
 export const appendToJournal = (
@@ -75,7 +75,7 @@
   for (const [name, posting] of Object.entries(transition.state.pendingAppends)) {
     const which = Number(name);
     if (
-      now - posting.requestedAt > Limits.proposal ||
+      now - posting.requestedAt > proposalTimeoutMs ||
       isAppendIsolated(transition.state, posting)
     ) {
       update(transition, { pendingAppends: without(transition.state.pendingAppends, which) });
@@ -84,7 +84,7 @@
         requestId: posting.callerId,
         ...unreached('The order'),
       });
-    } else if (now - posting.lastSentAt >= Limits.resend) {
+    } else if (now - posting.lastSentAt >= resendMs) {
       update(transition, {
         pendingAppends: {
           ...transition.state.pendingAppends,
--- a/packages/agent/src/proposals/proposal-state.ts
+++ b/packages/agent/src/proposals/proposal-state.ts
@@ -5,6 +5,15 @@
 import type { JournalEntry } from '@reedyard/replica';
 import type { RegisterChange } from './changes.js';
 
+/** ms. A whole proposal (all tries) before its caller is told it is unknown. */
+export const proposalTimeoutMs = 4_000;
+
+/**
+ * ms. Calls of a ballot, and facts, are sent again to replicas that have not answered: all may
+ * be taken twice. Over two trips between regions 35 ms apart and the syncs of a disk.
+ */
+export const resendMs = 150;
+
 /** Who waits for a proposal, and what becomes of its end. */
 export type Purpose =
   | { readonly kind: 'put-policy'; readonly id: number; readonly changeId: string }
--- a/packages/agent/src/proposals/proposals.test.ts
+++ b/packages/agent/src/proposals/proposals.test.ts
@@ -1,13 +1,17 @@
 import test from 'ava';
 import { compareProposalNumbers, type ProposalNumber } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
-import type { ReplicaOperation, ReplicaReply } from '@reedyard/replica';
+import {
+  proposalPhaseTimeoutMs,
+  type ReplicaOperation,
+  type ReplicaReply,
+} from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect, AgentEvent, ApiAction } from '../messages.js';
 import { openAgent, reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
+import { resendMs } from './proposal-state.js';
 
 const replicas = ['a', 'b', 'c'];
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
@@ -253,7 +257,7 @@
       ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
       : null;
   bench.calls = [];
-  bench.now = Limits.ballotPhase + 1;
+  bench.now = proposalPhaseTimeoutMs + 1;
   bench.step({ kind: 'wake-up-due', now: bench.now });
   bench.vote('prepare', accepted);
   t.is(bench.statusOf(order), 200);
@@ -266,8 +270,8 @@
   bench.vote('prepare');
   const [proposalNumber] = bench.ballots('accept');
   bench.calls = [];
-  t.deepEqual(bench.wakes, [Limits.resend, Limits.resend]);
-  bench.now = Limits.resend;
+  t.deepEqual(bench.wakes, [resendMs, resendMs]);
+  bench.now = resendMs;
   bench.step({ kind: 'wake-up-due', now: bench.now });
   t.deepEqual(bench.ballots('accept'), proposalNumber === undefined ? [] : [proposalNumber]);
   t.deepEqual(bench.ballots('prepare'), []);
@@ -279,7 +283,7 @@
   const [proposalNumber] = bench.ballots('prepare');
   bench.calls = bench.calls.filter(({ to }) => to === 'a');
   bench.vote('prepare');
-  bench.now = Limits.resend;
+  bench.now = resendMs;
   bench.step({ kind: 'wake-up-due', now: bench.now });
   t.deepEqual(
     bench.calls.map(({ to, call }) => [to, call.kind]),
--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -16,8 +16,7 @@
   type ProposalTransition,
   startProposal,
 } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
-import { membershipKey, type ReplicaReply } from '@reedyard/replica';
+import { membershipKey, proposalPhaseTimeoutMs, type ReplicaReply } from '@reedyard/replica';
 import { type WatchedRegister, watchedRegisters } from '../control/control-state.js';
 import { learnRegister } from '../control/polling.js';
 import { isChangeIsolated } from '../control/reachability.js';
@@ -34,14 +33,34 @@
 } from '../transition.js';
 import type { ReadHistory, RegisterChange } from './changes.js';
 import { completeChange, type Outcome } from './completion.js';
-import type {
-  ActiveProposal,
-  IncludedChange,
-  PendingChange,
-  Purpose,
-  Retries,
+import {
+  type ActiveProposal,
+  type IncludedChange,
+  type PendingChange,
+  proposalTimeoutMs,
+  type Purpose,
+  resendMs,
+  type Retries,
 } from './proposal-state.js';
 
+/**
+ * ms. After this a ballot on the membership is given as long as any other, since the machines
+ * are slow.
+ */
+export const membershipHasteMs = 1_000;
+
+/**
+ * ms. The same for a ballot on the membership in its first second: while it lasts one loss less
+ * is borne, and a lost message must not cost a third of the time that there is.
+ */
+export const membershipPhaseTimeoutMs = 200;
+
+/**
+ * ms. An order for a zone is proposed this long at most: its caller goes to another node after a
+ * second, and is told before that.
+ */
+export const zoneOrderTimeoutMs = 800;
+
 /**
  * The wait of an outvoted proposer is drawn from a span that doubles each time: at first four times
  * what an exchange with the replicas took, two ballots, so that the one that won can end; at most
@@ -173,7 +192,7 @@
     retryAt: null,
   });
   sendActions(transition, proposalTransition);
-  transition.effects.push({ kind: 'schedule-wake-up', delayMs: Limits.resend });
+  transition.effects.push({ kind: 'schedule-wake-up', delayMs: resendMs });
 };
 
 /** Notes what the register held when changes were first applied. */
@@ -334,7 +353,7 @@
     noteFirstRead(transition, next, proposalTransition.proposal.valueRead);
   sendActions(transition, proposalTransition);
   if (isNewPhase && proposalTransition.proposal.phase === 'accept')
-    transition.effects.push({ kind: 'schedule-wake-up', delayMs: Limits.resend });
+    transition.effects.push({ kind: 'schedule-wake-up', delayMs: resendMs });
   for (const action of proposalTransition.actions) {
     if (action.kind === 'preempted' && next.retryAt === null) backOff(transition, next);
     if (action.kind === 'chosen') concludeProposal(transition, next, action);
@@ -342,7 +361,7 @@
 };
 
 const timeoutOf = (purpose: Purpose): number =>
-  purpose.kind === 'zone' ? Limits.zoneOrder : Limits.proposal;
+  purpose.kind === 'zone' ? zoneOrderTimeoutMs : proposalTimeoutMs;
 
 const failChange = (transition: Transition, id: number, pendingChange: PendingChange): void => {
   update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
@@ -388,18 +407,17 @@
 const phaseTimeoutMs = (active: ActiveProposal, now: number): number => {
   const [oldest] = active.included;
   const isYoung =
-    oldest !== undefined && now - oldest.pendingChange.requestedAt < Limits.membershipHaste;
+    oldest !== undefined && now - oldest.pendingChange.requestedAt < membershipHasteMs;
   return isYoung && active.proposal.key === membershipKey
-    ? Limits.membershipPhase
-    : Limits.ballotPhase;
+    ? membershipPhaseTimeoutMs
+    : proposalPhaseTimeoutMs;
 };
 
 /**
  * ms after which the calls of a ballot are sent again: longer each time, since a slow replica is
  * not helped by more.
  */
-const resendIntervalMs = (active: ActiveProposal): number =>
-  Limits.resend * 2 ** active.resendCount;
+const resendIntervalMs = (active: ActiveProposal): number => resendMs * 2 ** active.resendCount;
 
 const resend = (transition: Transition, active: ActiveProposal): void => {
   const next = {
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -1,4 +1,3 @@
-import { Beats, Limits } from '@reedyard/constants';
 import {
   differs,
   divide,
@@ -13,9 +12,32 @@
 import { quotaNodes } from '../gossip/known-nodes.js';
 import { serviceRateLimits } from '../origins/origin-endpoints.js';
 import { publishAllocationChange, takeQuotaLeadershipChange } from '../proposals/changes.js';
+import { proposalTimeoutMs } from '../proposals/proposal-state.js';
 import { propose } from '../proposals/proposals.js';
 import { log, nextRandom, type Transition, update } from '../transition.js';
 
+/** ms. The quota leader looks whether slices should move, and then publishes a division. */
+export const allocationIntervalMs = 500;
+
+/**
+ * ms. It renews its term with an unchanged division: each costs two syncs of every replica and a
+ * fetch of every agent. Two of them fit in the time after which it is given up.
+ */
+export const allocationRenewalMs = 1_000;
+
+/**
+ * ms. A division may raise a slice only this long after the lower one was chosen: one lease plus
+ * the slack of a beat.
+ */
+export const quotaRaiseDelayMs = 1_700;
+
+/**
+ * ms. A quota leader whose beat stood still this long is given up: two missed renewals, seen
+ * half a pull late. It must stay over `regrant`: a new holder counts only the division it finds,
+ * and those before that must have lapsed by then.
+ */
+export const leaderTimeoutMs = 2_500;
+
 const busy = (transition: Transition): boolean =>
   Object.values(transition.state.pendingChanges).some(
     (pendingChange) => pendingChange.purpose.kind === 'publish-allocation',
@@ -71,7 +93,8 @@
     seated.length === current.seated.length &&
     seated.every((edge) => current.seated.includes(edge));
   // Half a division's beat early, since the last one was chosen a little after it was looked at.
-  if (still && state.now - state.allocationSeen.at < Beats.renewal - Beats.division / 2) return;
+  if (still && state.now - state.allocationSeen.at < allocationRenewalMs - allocationIntervalMs / 2)
+    return;
   const goal: Plan = {
     term: current.term,
     holder: state.self.id,
@@ -85,7 +108,7 @@
       ...quotaLeadership,
       precedingAllocations: [
         ...held,
-        { slices: current.slices, until: state.now + Limits.regrant + Limits.proposal },
+        { slices: current.slices, until: state.now + quotaRaiseDelayMs + proposalTimeoutMs },
       ],
     },
   });
@@ -114,7 +137,7 @@
     update(transition, { quotaLeadership: null });
   }
   if (policyOf(state) === null) return;
-  const vacant = current === null || state.now - state.allocationSeen.at > Limits.vacancy;
+  const vacant = current === null || state.now - state.allocationSeen.at > leaderTimeoutMs;
   if (!vacant || nextRandom(transition) > 0.3) return;
   const goal: Plan = {
     term: (current?.term ?? 0) + 1,
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -1,13 +1,12 @@
 /** The agent's reducer: takes each event to the module that it is about. */
 import { Map as Table } from 'immutable';
 import { zeroProposalNumber } from '@reedyard/consensus';
-import { Beats } from '@reedyard/constants';
 import { compareDigest, emptyGossip, pickUpdates, sampleView, shuffleView } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
 import { operator } from './api/api-actions.js';
 import { newReplicaView } from './control/control-state.js';
-import { pollIntervalMs, renewLease } from './control/lease.js';
+import { noLeasePollIntervalMs, pollIntervalMs, renewLease } from './control/lease.js';
 import {
   handleLookUpReply,
   handlePollFailure,
@@ -20,8 +19,13 @@
 import { noteLeaseLost, noteReply } from './control/reachability.js';
 import { expireState } from './expiry.js';
 import { handleProxyRequest } from './feed/feed.js';
-import { exchangeGossip, isJoining, learnRecords } from './gossip/gossip-exchange.js';
-import { heartbeat } from './gossip/node-record.js';
+import {
+  exchangeGossip,
+  gossipIntervalMs,
+  isJoining,
+  learnRecords,
+} from './gossip/gossip-exchange.js';
+import { heartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
 import { lookUpOwnReplica, tendMembership } from './membership/membership.js';
 import type {
   AgentBootstrap,
@@ -34,8 +38,8 @@
 import { noteRevisions } from './proposals/change-ids.js';
 import { handleAppendReply, tendAppends } from './proposals/journal-appends.js';
 import { abandonCaller, handleVoteReply, tendProposals } from './proposals/proposals.js';
-import { tendQuotaLeadership } from './quota/quota-leadership.js';
-import { handlePingReply, pingPeers } from './routing/peer-delays.js';
+import { allocationIntervalMs, tendQuotaLeadership } from './quota/quota-leadership.js';
+import { handlePingReply, pingPeers, pingRoundIntervalMs } from './routing/peer-delays.js';
 import { computeRoutingTable } from './routing/routing-table.js';
 import type { AgentState } from './state.js';
 import { without } from './table.js';
@@ -163,13 +167,13 @@
   lookUpOwnReplica(transition);
   if (transition.state.self.replica !== null) tendMembership(transition);
   pollEarly(transition);
-  due('heartbeat', Beats.heartbeat, () => heartbeat(transition));
-  due('gossip', isJoining(transition.state) ? Beats.lapsed : Beats.gossip, () =>
+  due('heartbeat', heartbeatIntervalMs, () => heartbeat(transition));
+  due('gossip', isJoining(transition.state) ? noLeasePollIntervalMs : gossipIntervalMs, () =>
     exchangeGossip(transition),
   );
-  due('ping', Beats.pingDraw, () => pingPeers(transition));
-  due('sweep', Beats.heartbeat, () => expireState(transition));
-  due('division', Beats.division, () => tendQuotaLeadership(transition));
+  due('ping', pingRoundIntervalMs, () => pingPeers(transition));
+  due('sweep', heartbeatIntervalMs, () => expireState(transition));
+  due('division', allocationIntervalMs, () => tendQuotaLeadership(transition));
   computeRoutingTable(transition);
   renewLease(transition);
 };
--- a/packages/agent/src/routing/peer-delays.ts
+++ b/packages/agent/src/routing/peer-delays.ts
@@ -1,10 +1,18 @@
 /** Delays to other nodes, measured by pings. */
 
-import { Beats } from '@reedyard/constants';
 import { nodesOf } from '../gossip/known-nodes.js';
 import type { AgentState } from '../state.js';
 import { nextRandom, sendToAgent, type Transition, update } from '../transition.js';
 
+/**
+ * ms. A ping to each peer in the network, on the average (the paper: every few minutes; a
+ * changed delay must be seen inside one closing fault, so seconds here).
+ */
+export const pingIntervalMs = 10_000;
+
+/** ms. Peers that were not yet measured are pinged, and of the others a drawn few. */
+export const pingRoundIntervalMs = 2_000;
+
 /** Pings peers that were not yet measured, and a drawn few of the others. */
 export const pingPeers = (transition: Transition): void => {
   if (transition.state.self.proxy === null) return;
@@ -12,7 +20,7 @@
     if (record.id === transition.state.self.id || record.proxy === null) continue;
     if (
       transition.state.delaysByPeer[record.id] !== undefined &&
-      nextRandom(transition) >= Beats.pingDraw / Beats.ping
+      nextRandom(transition) >= pingRoundIntervalMs / pingIntervalMs
     )
       continue;
     sendToAgent(
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -3,9 +3,15 @@
  * vectors that nodes announce, and the vector that this node announces itself.
  */
 
-import { Beats, Weights } from '@reedyard/constants';
 import { liveRecords, publishRecord } from '@reedyard/gossip';
-import { holderOf, mustSend, splitFor, type Vector } from '@reedyard/server-selection';
+import {
+  fetchPenaltySeconds,
+  holderOf,
+  mustSend,
+  splitFor,
+  type Vector,
+} from '@reedyard/server-selection';
+import { pollIntervalAtRestMs } from '../control/lease.js';
 import { policyOf } from '../control/registers.js';
 import { servingNodes } from '../gossip/known-nodes.js';
 import type { PeerEndpoint, TrafficMeasurement } from '../messages.js';
@@ -13,6 +19,9 @@
 import { type Transition, update } from '../transition.js';
 import { delayTo } from './peer-delays.js';
 
+/** ms. A vector is sent again though nothing changed, so that a lost one heals. */
+export const vectorRefreshMs = 30_000;
+
 const vectorOf = (state: AgentState, measure: TrafficMeasurement): Vector => {
   const capacity = state.self.proxy?.capacityBps ?? 0;
   const asked = Object.values(measure.demand).reduce((sum, bps) => sum + bps, 0);
@@ -29,7 +38,7 @@
       }),
     ),
     meanReply: measure.meanReplyBits,
-    fetchDelay: measure.fetchSeconds > 0 ? measure.fetchSeconds : Weights.fetchPenalty,
+    fetchDelay: measure.fetchSeconds > 0 ? measure.fetchSeconds : fetchPenaltySeconds,
   };
 };
 
@@ -37,7 +46,7 @@
 export const noteMeasurement = (transition: Transition, measure: TrafficMeasurement): void => {
   const vector = vectorOf(transition.state, measure);
   const { announcedVector: sent, vectorAnnouncedAt: sentAt, now } = transition.state;
-  if (!mustSend(vector, sent) && now - sentAt < Beats.refresh) return;
+  if (!mustSend(vector, sent) && now - sentAt < vectorRefreshMs) return;
   update(transition, {
     announcedVector: vector,
     vectorAnnouncedAt: now,
@@ -73,7 +82,8 @@
 /** Computes this edge's rows from the vectors it holds, once something they rest on has changed. */
 export const computeRoutingTable = (transition: Transition): void => {
   const { state } = transition;
-  if (state.self.proxy === null || state.now - state.routingTableCheckedAt < Beats.pull) return;
+  if (state.self.proxy === null || state.now - state.routingTableCheckedAt < pollIntervalAtRestMs)
+    return;
   const serving = new Map(servingNodes(state).map((record) => [record.id, record]));
   const over = [...serving.keys()].sort().join(' ');
   if (!state.isRoutingTableStale && over === state.routingTableNodes) {
@@ -94,7 +104,7 @@
   const vectors: Record<string, Vector> = {};
   for (const [key, value, seenAt] of liveRecords(state.gossip, 'vector/')) {
     const edge = key.slice('vector/'.length);
-    if (edge === me.id || (serving.has(edge) && state.now - seenAt < 3 * Beats.refresh))
+    if (edge === me.id || (serving.has(edge) && state.now - seenAt < 3 * vectorRefreshMs))
       vectors[edge] = value as Vector;
   }
   const split =
@@ -141,7 +151,7 @@
               zone: record.zone,
               region: record.region,
               address: record.proxy.peers,
-              delay: delayTo(state, record.id) ?? Weights.fetchPenalty,
+              delay: delayTo(state, record.id) ?? fetchPenaltySeconds,
             },
           ],
     )
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -1,8 +1,12 @@
 import { randomInt, randomUUID } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
-import { Beats, Limits } from '@reedyard/constants';
 import { openScribe } from '@reedyard/logging';
-import { decodeReplicaReply, encodeReplicaRequest, type ReplicaReply } from '@reedyard/replica';
+import {
+  decodeReplicaReply,
+  encodeReplicaRequest,
+  leaseDurationMs,
+  type ReplicaReply,
+} from '@reedyard/replica';
 import { call, serveCalls, speakFrom } from '@reedyard/rpc';
 import type { Settings } from '@reedyard/settings';
 import { Task } from '@reedyard/task-loop';
@@ -13,9 +17,10 @@
   type TranslatedApi,
   translatedServer,
 } from './api/api-server.js';
+import type { AgentEffect, AgentEvent, AgentReply, AgentRequest, ProxyQuery } from './messages.js';
 import { openAgent, reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
-import type { AgentEffect, AgentEvent, AgentReply, AgentRequest, ProxyQuery } from './messages.js';
+import { agentTickIntervalMs } from './tick-delay.js';
 
 const now = (): number => performance.now();
 
@@ -167,7 +172,7 @@
     api.once('error', reject);
     api.listen(settings.agent.apiPort, listen, resolve);
   });
-  setInterval(() => task.put({ kind: 'tick', now: now() }), Beats.agent);
+  setInterval(() => task.put({ kind: 'tick', now: now() }), agentTickIntervalMs);
   scribe.info('started', {
     calls: calls.port,
     feed: feeds.port,
@@ -179,7 +184,7 @@
   const leave = (): void => {
     scribe.info('stopping');
     api.close();
-    setTimeout(() => process.exit(0), Limits.lease).unref();
+    setTimeout(() => process.exit(0), leaseDurationMs).unref();
     void calls
       .close()
       .then(() => feeds.close())
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -2,15 +2,21 @@
  * Safeguards of the agent, each at the border of its reducer: red without the one that it names.
  */
 import test, { type ExecutionContext } from 'ava';
-import { Limits } from '@reedyard/constants';
 import { publishRecord } from '@reedyard/gossip';
 import type { Plan } from '@reedyard/quota-division';
-import type { Membership, ReplicaOperation, ReplicaReply } from '@reedyard/replica';
+import {
+  journalRetentionMs,
+  leaseDurationMs,
+  type Membership,
+  type ReplicaOperation,
+  type ReplicaReply,
+} from '@reedyard/replica';
 import { Schemas } from '@reedyard/schemas';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
 import type { AgentEffect, NodeRecord } from './messages.js';
 import { assignSlotChange, replaceMemberChange } from './proposals/changes.js';
+import { leaderTimeoutMs } from './quota/quota-leadership.js';
 import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import {
@@ -56,7 +62,7 @@
 test('the lease runs from the sending of the pulls, however late their answers come', (t) => {
   const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
   const { state } = answeredPulls(beat, 900, (name) => pulled(`${name}/a`));
-  t.is(state.leaseUntil, 100 + Limits.lease);
+  t.is(state.leaseUntil, 100 + leaseDurationMs);
 });
 
 test('pulls answered by other disks than the members have, or by a minority, bring no lease', (t) => {
@@ -79,7 +85,10 @@
   const value = { term: 1, holder: 'core-2', beat: 1, slices: {}, seated: [] };
   const accepted = { proposalNumber: shown.plan, value };
   const reply = { kind: 'register-read', diskId: 'core-1/a', accepted } as const;
-  t.is(returned(answered.state, fetch?.id ?? -1, reply, 120).state.leaseUntil, 100 + Limits.lease);
+  t.is(
+    returned(answered.state, fetch?.id ?? -1, reply, 120).state.leaseUntil,
+    100 + leaseDurationMs,
+  );
   const partial = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), hasMore: true }) as ReplicaReply;
   t.is(asked(founded(), 100, partial).leaseUntil, 0);
@@ -87,9 +96,9 @@
 
 test('a node that was away for half of what the journal keeps drops its copies; after less it keeps them', (t) => {
   const held = allAnswer(founded(), 100);
-  const soon = allAnswer(held, 100 + Limits.fact / 2 - 1_000);
+  const soon = allAnswer(held, 100 + journalRetentionMs / 2 - 1_000);
   t.is(soon.cacheFlushCount, held.cacheFlushCount);
-  const late = allAnswer(held, 100 + Limits.fact / 2 + 1_000);
+  const late = allAnswer(held, 100 + journalRetentionMs / 2 + 1_000);
   t.is(late.cacheFlushCount, held.cacheFlushCount + 1);
 });
 
@@ -174,7 +183,7 @@
   const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
   let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
   let prepares: readonly AddressedCall[] = [];
-  for (let now = 2 * Limits.vacancy; prepares.length === 0 && now < 1e5; now += 500) {
+  for (let now = 2 * leaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
     const step = reduceAgent(state, { kind: 'tick', now });
     ({ state } = step);
     prepares = replicaCalls(step.effects).filter(
--- a/packages/agent/src/testing/scripted-replicas.ts
+++ b/packages/agent/src/testing/scripted-replicas.ts
@@ -1,11 +1,11 @@
 import type { ProposalNumber } from '@reedyard/consensus';
-import { Beats } from '@reedyard/constants';
 import type { Membership, ReplicaOperation, ReplicaReply } from '@reedyard/replica';
 import type { WatchedRegister } from '../control/control-state.js';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect, ApiAction } from '../messages.js';
 import { openAgent, reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
+import { agentTickIntervalMs } from '../tick-delay.js';
 import type { Transition } from '../transition.js';
 
 /**
@@ -86,7 +86,7 @@
    * anything.
    */
   run(until: number, answer: (call: AddressedCall) => ReplicaReply | null): void {
-    for (let now = this.state.now + Beats.agent; now <= until; now += Beats.agent) {
+    for (let now = this.state.now + agentTickIntervalMs; now <= until; now += agentTickIntervalMs) {
       for (const call of this.beat(now)) this.answer(call, answer(call), now);
     }
   }
--- a/packages/cache/src/index.ts
+++ b/packages/cache/src/index.ts
@@ -1,6 +1,14 @@
 import CachePolicy from 'http-cache-semantics';
 import { Map as Table, OrderedMap, Set as Group } from 'immutable';
-import { Limits, Sizes } from '@reedyard/constants';
+
+/**
+ * ms. Purges are remembered this long: as long as the journal keeps them, so that an answer that
+ * was fetched before a purge is not kept after it.
+ */
+export const purgeRetentionMs = 60_000;
+
+/** bytes. All copies of one proxy. */
+export const maxCacheBytes = 256 * 1024 * 1024;
 
 export type Headers = Readonly<Record<string, string | readonly string[] | undefined>>;
 
@@ -144,7 +152,7 @@
   },
 
   /** Keeps a copy, and lets the least lately used go when memory is full. @example Cache.keep(state, copy) */
-  keep: (state: CacheState, copy: Copy, most: number = Sizes.cache): CacheState => {
+  keep: (state: CacheState, copy: Copy, most: number = maxCacheBytes): CacheState => {
     let next = drop(state, copy.key);
     next = {
       ...next,
@@ -191,7 +199,7 @@
       ...each.tags.map((tag) => `tag ${tag}`),
     ];
     const added: Purged = { objects, tags: purge.tags, at: now };
-    const old = state.purges.filter((each) => now - each.at >= Limits.fact);
+    const old = state.purges.filter((each) => now - each.at >= purgeRetentionMs);
     return {
       ...keys.reduce(drop, state),
       purges: [...(old.length === 0 ? state.purges : state.purges.slice(old.length)), added],
--- a/packages/gossip/src/gossip.test.ts
+++ b/packages/gossip/src/gossip.test.ts
@@ -1,12 +1,13 @@
 import test from 'ava';
-import { Limits, Sizes } from '@reedyard/constants';
 import { compareDigest, digestOf, mergeUpdates, pickUpdates } from './exchange.js';
 import type { GossipState, Neighbour } from './index.js';
-import { sampleView, shuffleView } from './partial-view.js';
+import { sampleView, shuffleView, viewSize } from './partial-view.js';
 import {
   emptyGossip,
   expireRecords,
   liveRecords,
+  nodeRetentionMs,
+  originRetentionMs,
   publishRecord,
   recordValue,
   renewRecord,
@@ -49,7 +50,7 @@
     'v',
     0,
   );
-  const swept = expireRecords(told, Limits.originForgotten + 1);
+  const swept = expireRecords(told, originRetentionMs + 1);
   t.deepEqual(swept.gone, ['origin/s/i']);
   t.is(recordValue(exchange(swept.state, told, 20_000)[0], 'origin/s/i'), undefined);
   // The owner came back without memory: it speaks below the revision that others have put away,
@@ -76,7 +77,7 @@
   const [heard] = exchange(told, beaten, 2_000);
   t.deepEqual(liveRecords(heard, 'node/'), [['node/a', { long: 'value' }, 2_000]]);
   // It is no sign of life of a record that was put away meanwhile, nor of one that was never had.
-  const swept = expireRecords(told, Limits.nodeForgotten + 1).state;
+  const swept = expireRecords(told, nodeRetentionMs + 1).state;
   t.deepEqual(mergeUpdates(swept, { 'node/a': { revision: 3 } }, 40_000), {
     state: swept,
     news: [],
@@ -103,9 +104,9 @@
   const many = (names: string): readonly Neighbour[] =>
     [...names].map((id, age) => ({ id, address: `${id}:1`, age }));
   const view = shuffleView(many('abcdefgh'), 'me', many('xyzme'.slice(0, 3)), many('ab'));
-  t.is(view.length, Sizes.view);
+  t.is(view.length, viewSize);
   for (const id of 'xyz') t.true(view.some((each) => each.id === id));
-  t.false(shuffleView(view, 'x', [], []).length > Sizes.view);
+  t.false(shuffleView(view, 'x', [], []).length > viewSize);
   t.false(
     shuffleView([], 'me', [{ id: 'me', address: 'm:1', age: 0 }], []).some(
       (each) => each.id === 'me',
--- a/packages/gossip/src/partial-view.ts
+++ b/packages/gossip/src/partial-view.ts
@@ -1,6 +1,10 @@
 /** A partial view of the other nodes (shuffled as in Cyclon), which exchanges choose peers from. */
 
-import { Sizes } from '@reedyard/constants';
+/** peers swapped in one shuffle. */
+export const shuffleSize = 4;
+
+/** peers in a partial view. */
+export const viewSize = 8;
 
 /** A node in the view. */
 export type Neighbour = {
@@ -35,7 +39,7 @@
     freshIds.has(each.id) ? 0 : sentIds.has(each.id) ? 2 : 1;
   return [...youngest.values()]
     .sort((a, b) => rank(a) - rank(b) || a.age - b.age)
-    .slice(0, Sizes.view);
+    .slice(0, viewSize);
 };
 
 /** A part of the view to offer, with oneself as the newest. @example sampleView(view, { id: 'me', address: '127.0.0.1:1' }, 0.3) */
@@ -46,5 +50,5 @@
 ): readonly Neighbour[] => {
   const start = Math.floor(chance * view.length);
   const turned = [...view.slice(start), ...view.slice(0, start)];
-  return [{ ...self, age: 0 }, ...turned.slice(0, Sizes.shuffle - 1)];
+  return [{ ...self, age: 0 }, ...turned.slice(0, shuffleSize - 1)];
 };
--- a/packages/gossip/src/records.ts
+++ b/packages/gossip/src/records.ts
@@ -3,9 +3,14 @@
  * higher revision replaces a lower one. A revision without a new value is the owner's heartbeat.
  */
 
-import { Limits } from '@reedyard/constants';
 import type { Neighbour } from './partial-view.js';
 
+/** ms. A node's record is dropped after this silence. */
+export const nodeRetentionMs = 30_000;
+
+/** ms. An origin that does not describe itself this long is forgotten; it speaks every few s. */
+export const originRetentionMs = 10_000;
+
 /** A record as this node holds it. */
 export type GossipRecord = {
   readonly revision: number;
@@ -28,7 +33,7 @@
 export type LiveRecord = readonly [key: string, value: unknown, seenAt: number];
 
 const retentionMsOf = (key: string): number =>
-  key.startsWith('origin/') ? Limits.originForgotten : Limits.nodeForgotten;
+  key.startsWith('origin/') ? originRetentionMs : nodeRetentionMs;
 
 /** Live records of each prefix that was asked for, found once for each table of records. */
 const liveRecordsByPrefix = new WeakMap<
--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -2,11 +2,17 @@
  * How many attempts at origins a request has left, what a peer is granted of them, and how both
  * tell each other what was used.
  */
-import { Weights } from '@reedyard/constants';
 import { Attempts } from '@reedyard/attempts';
 import { mayRepeat } from './choice.js';
-import type { AttemptAnswer, ProxyRequest, Work } from './state.js';
 import { headerText, keepsAlways } from './request-rules.js';
+import type { AttemptAnswer, ProxyRequest, Work } from './state.js';
+
+/**
+ * attempts that a node keeps of a request that it hands to a peer, where its route allows more
+ * than one: a retry beside the caller can pass over a peer that is slow, gone, or turned away by
+ * its origin; the peer's own can't.
+ */
+export const attemptsKept = 1;
 
 /**
  * Whether another attempt adds little to what origins get: those before went to peers alone, which
@@ -31,7 +37,7 @@
  * What a peer is granted of the attempts left: all but those kept for a retry beside the caller,
  * which also outlives the peer.
  */
-export const grantFor = (left: number): number => Math.max(1, left - Weights.attemptsKept);
+export const grantFor = (left: number): number => Math.max(1, left - attemptsKept);
 
 /** Told to the peer that handed a request on: attempts at origins that were made for it here. */
 const spentHeader = 'reedyard-spent';
--- a/packages/proxy/src/attempt-ends.ts
+++ b/packages/proxy/src/attempt-ends.ts
@@ -1,14 +1,9 @@
 /** Takes in how an attempt ended, and derives the next move from the ledger alone. */
-import { Weights } from '@reedyard/constants';
-import { Cache } from '@reedyard/cache';
-import type { Copy } from '@reedyard/cache';
+import { type Attempt, type AttemptEnd, Attempts, type Sent } from '@reedyard/attempts';
+import { Cache, type Copy } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
-import { Attempts } from '@reedyard/attempts';
-import type { Attempt, AttemptEnd, Sent } from '@reedyard/attempts';
-import { mayRepeat, restFor, suspectFor, tookStanding } from './choice.js';
-import { change, count, log, set } from './state.js';
-import type { AttemptAnswer, ProxyRequest, Work } from './state.js';
 import { attemptsLeft, mayTryMore, spentAt, spentFields } from './attempt-budget.js';
+import { mayRepeat, restFor, suspectFor, tookStanding } from './choice.js';
 import { close, forget, giveUp, lapsed, leaderEnded, measured, settle } from './ending.js';
 import {
   headerText,
@@ -19,7 +14,17 @@
   serviceOf,
   unsound,
 } from './request-rules.js';
+import { responseTimeGain } from './response-times.js';
 import { startAgain } from './serving.js';
+import {
+  type AttemptAnswer,
+  change,
+  count,
+  log,
+  type ProxyRequest,
+  set,
+  type Work,
+} from './state.js';
 
 export const endAttempt = (
   work: Work,
@@ -161,7 +166,7 @@
     set(work, {
       replyBytes: {
         ...work.state.replyBytes,
-        [name]: old === undefined ? answer.size : old + Weights.standingGain * (answer.size - old),
+        [name]: old === undefined ? answer.size : old + responseTimeGain * (answer.size - old),
       },
     });
   }
--- a/packages/proxy/src/caller-bounds.ts
+++ b/packages/proxy/src/caller-bounds.ts
@@ -2,9 +2,12 @@
  * How much a caller may send and how long it may take, from the configuration in force. A config
  * that leaves a bound out gets a default which turns no ordinary caller away.
  */
-import { Limits, Sizes } from '@reedyard/constants';
+import { maxRequestHeadBytes, requestHeadTimeoutMs } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 
+/** bytes. A caller's body, when its route sets no limit. */
+export const defaultMaxBodyBytes = 1024 * 1024;
+
 /** Bounds on what one caller sends over one connection. */
 export type CallerBounds = {
   readonly headBytes: number;
@@ -29,9 +32,9 @@
 export const CallerBounds = {
   /** @example CallerBounds.of({ idleMs: 15_000 }).idleMs // 15000 */
   of: (callers: Policy['callers']): CallerBounds => ({
-    headBytes: callers?.headBytes ?? Sizes.callerHead,
-    bodyBytes: callers?.bodyBytes ?? Sizes.callerBody,
-    headMs: callers?.headMs ?? Limits.callerHead,
+    headBytes: callers?.headBytes ?? maxRequestHeadBytes,
+    bodyBytes: callers?.bodyBytes ?? defaultMaxBodyBytes,
+    headMs: callers?.headMs ?? requestHeadTimeoutMs,
     idleMs: callers?.idleMs ?? DEFAULT_IDLE_MS,
   }),
 
--- a/packages/proxy/src/caller-sockets.test.ts
+++ b/packages/proxy/src/caller-sockets.test.ts
@@ -1,23 +1,24 @@
+import type { Socket } from 'node:net';
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
-import type { Socket } from 'node:net';
-import { Sizes } from '@reedyard/constants';
-import {
-  answerOf,
-  ownFields,
-  soundAnswer,
-  startScriptedOrigin,
-  type Script,
-  type ScriptedOrigin,
-} from './testing/scripted-origin.js';
+import { maxRequestHeadBytes } from '@reedyard/agent';
+import { maxBufferedBodyBytes } from './buffering.js';
 import {
+  type Harness,
   originRow,
   policyOf,
   RawCaller,
   startHarness,
   until,
-  type Harness,
 } from './testing/proxy-harness.js';
+import {
+  answerOf,
+  ownFields,
+  type Script,
+  type ScriptedOrigin,
+  soundAnswer,
+  startScriptedOrigin,
+} from './testing/scripted-origin.js';
 
 type Stage = { readonly origin: ScriptedOrigin; readonly harness: Harness };
 type Callers = Parameters<typeof policyOf>[0];
@@ -81,7 +82,7 @@
 test('bytes that are no request, behind one at work, are refused only after its own answer', async (t) => {
   const cases = {
     400: 'no request at all\r\n\r\n',
-    431: `GET /read/2 HTTP/1.1\r\nhost: a.example\r\nx-long: ${'x'.repeat(Sizes.callerHead)}\r\n\r\n`,
+    431: `GET /read/2 HTTP/1.1\r\nhost: a.example\r\nx-long: ${'x'.repeat(maxRequestHeadBytes)}\r\n\r\n`,
   };
   for (const [status, bytes] of Object.entries(cases)) {
     const held = new HeldAnswers();
@@ -195,7 +196,7 @@
 });
 
 test('an answer is under way until its caller has all of it', async (t) => {
-  const size = Sizes.wholeBody + 8_000_000;
+  const size = maxBufferedBodyBytes + 8_000_000;
   const { harness } = await stage(t, (request, socket) => {
     const fields = { ...ownFields(request), 'content-length': String(size) };
     socket.write(answerOf(200, fields, '') + 'x'.repeat(size));
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/choice.ts
@@ -1,18 +1,71 @@
-import { Limits, Weights } from '@reedyard/constants';
-import { groupKey, holderOf, objectKey } from '@reedyard/server-selection';
-import { Routes, type Route } from '@reedyard/schemas';
-import { Attempts } from '@reedyard/attempts';
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
+import { Attempts } from '@reedyard/attempts';
+import { type Route, Routes } from '@reedyard/schemas';
+import { groupKey, holderOf, objectKey } from '@reedyard/server-selection';
 import type { Proof } from './dialect.js';
+import { ejectionMs } from './ejection-timing.js';
+import { responseTimeGain } from './response-times.js';
 import {
-  set,
   type Bucket,
+  type ProxyRequest,
   type ProxyState,
+  set,
   type Standing,
-  type ProxyRequest,
   type Work,
 } from './state.js';
 
+/**
+ * ms. An origin that refused for being full is passed over: some requests end there meanwhile.
+ */
+export const fullOriginRestMs = 150;
+
+/**
+ * ms. What an origin told of its load counts for this long, fading: some times a request's own.
+ */
+export const loadMemoryMs = 300;
+
+/** ms. A dead instance is then tried by each node at most this seldom, until it is forgotten. */
+export const maxEjectionMs = 8_000;
+
+/**
+ * ms. How long ago an origin's time to answer was met before it counts as the mean again,
+ * fading.
+ */
+export const responseTimeMemoryMs = 5_000;
+
+/** s of a slice a bucket may save: the brief allows a tenth over 5 s, which is 0.5 s. */
+export const burstSeconds = 0.2;
+
+/** share of an origin's conns that nodes use together: a restarted node's old ones may linger. */
+export const connectionShare = 0.9;
+
+/** ms that an origin in another region weighs more: it is taken where its own region has none. */
+export const otherRegionPenaltyMs = 1_000;
+
+/** requests that a node may always have under way at an origin. */
+export const minOriginConcurrency = 2;
+
+/** origins that are drawn by chance for each attempt, the best of which is taken. */
+export const originsDrawn = 3;
+
+/** repeats a node may have saved, and all nodes together: the brief's slack is 60. */
+export const maxRetryTokens = 3;
+
+/**  */
+export const maxRetryTokensOfFleet = 45;
+
+/** repeats earned by one request. Under the brief's fifth. */
+export const retryTokensPerRequest = 0.15;
+
+/**
+ * requests under way for each slot of an origin, over all nodes: what it works on, and as many
+ * waiting.
+ */
+export const concurrencyPerSlot = 2;
+
+/** ms that a byte between zones weighs in the choice of an origin: 100 kB weigh as 25 ms. */
+export const otherZoneMsPerByte = 0.000_25;
+
 const suspect = (state: ProxyState, name: string): boolean =>
   (state.suspects[name] ?? 0) > state.now;
 
@@ -87,7 +140,7 @@
   return home ? 'self' : (peers[0] ?? null);
 };
 
-const most = (rate: number): number => Math.max(1, rate * Weights.burstSeconds);
+const most = (rate: number): number => Math.max(1, rate * burstSeconds);
 const filled = (bucket: Bucket, now: number): number =>
   Math.min(most(bucket.rate), bucket.tokens + (bucket.rate * Math.max(0, now - bucket.at)) / 1_000);
 
@@ -137,11 +190,11 @@
   const slots =
     row.slots === null || row.slots === undefined
       ? Infinity
-      : Math.max(Weights.leastRoom, Math.ceil((row.slots * Weights.roomPerSlot) / parts));
+      : Math.max(minOriginConcurrency, Math.ceil((row.slots * concurrencyPerSlot) / parts));
   const conns =
     row.conns === null || row.conns === undefined
       ? Infinity
-      : Math.max(1, Math.floor((row.conns * Weights.connShare) / parts));
+      : Math.max(1, Math.floor((row.conns * connectionShare) / parts));
   return Math.min(slots, conns);
 };
 
@@ -156,7 +209,7 @@
   return (
     own +
     Math.max(0, load.running + load.waiting - load.own) *
-      Math.exp((load.at - state.now) / Limits.loadMemory)
+      Math.exp((load.at - state.now) / loadMemoryMs)
   );
 };
 
@@ -165,7 +218,7 @@
   const known = state.standings[originName(row)];
   return known === undefined
     ? mean
-    : mean + (known.ms - mean) * Math.exp((known.heardAt - state.now) / Limits.standingMemory);
+    : mean + (known.ms - mean) * Math.exp((known.heardAt - state.now) / responseTimeMemoryMs);
 };
 
 /** ms that the answers of a service's origins take on average here; 0 where none was had. */
@@ -192,9 +245,9 @@
   const use = (busyAt(state, originName(row)) + 1) / slots;
   const far =
     row.region !== state.self.region
-      ? Weights.farRegionMs
+      ? otherRegionPenaltyMs
       : row.zone !== state.self.zone
-        ? replyBytes * Weights.zoneMsPerByte
+        ? replyBytes * otherZoneMsPerByte
         : 0;
   return ms * (use <= 1 ? 1 + 0.5 * use * use : 1.5 * use) + far;
 };
@@ -220,12 +273,11 @@
   const costs = pool.map((row) => ({ row, cost: costOf(state, row, mean, replyBytes) }));
   let left = [...costs];
   let best: (typeof costs)[number] | undefined;
-  for (let drawn = 0; drawn < Weights.originsDrawn && left.length > 0; drawn += 1) {
+  for (let drawn = 0; drawn < originsDrawn && left.length > 0; drawn += 1) {
     const draw =
       request.draws[
         1 +
-          ((request.attempts.length * Weights.originsDrawn + drawn) %
-            Math.max(1, request.draws.length - 1))
+          ((request.attempts.length * originsDrawn + drawn) % Math.max(1, request.draws.length - 1))
       ] ?? 0.5;
     const one = left[Math.min(left.length - 1, Math.floor(draw * left.length))];
     left = left.filter((each) => each !== one);
@@ -246,8 +298,7 @@
     suspects: {
       ...suspects,
       [name]:
-        work.state.now +
-        Math.min(Limits.longestSuspicion, Limits.suspicion * 2 ** Math.min(10, failures - 1)),
+        work.state.now + Math.min(maxEjectionMs, ejectionMs * 2 ** Math.min(10, failures - 1)),
     },
     ...(known === undefined
       ? {}
@@ -262,7 +313,7 @@
   set(work, {
     suspects: {
       ...work.state.suspects,
-      [name]: Math.max(work.state.suspects[name] ?? 0, work.state.now + Limits.fullRest),
+      [name]: Math.max(work.state.suspects[name] ?? 0, work.state.now + fullOriginRestMs),
     },
   });
 
@@ -276,7 +327,7 @@
   const old = work.state.standings[name];
   const told = proof?.load;
   const next: Standing = {
-    ms: old === undefined ? ms : old.ms + Weights.standingGain * (ms - old.ms),
+    ms: old === undefined ? ms : old.ms + responseTimeGain * (ms - old.ms),
     heardAt: work.state.now,
     failures: 0,
     load: told
@@ -291,8 +342,8 @@
     repeats: {
       ...work.state.repeats,
       [service]: Math.min(
-        Math.max(1, Math.min(Weights.repeatSaved, Weights.repeatSavedByAll / nodes(work.state))),
-        (work.state.repeats[service] ?? 0) + Weights.repeatShare,
+        Math.max(1, Math.min(maxRetryTokens, maxRetryTokensOfFleet / nodes(work.state))),
+        (work.state.repeats[service] ?? 0) + retryTokensPerRequest,
       ),
     },
   });
--- a/packages/proxy/src/conns.ts
+++ b/packages/proxy/src/conns.ts
@@ -5,17 +5,18 @@
 import http from 'node:http';
 import net from 'node:net';
 import { performance } from 'node:perf_hooks';
-import { Limits } from '@reedyard/constants';
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import { textOf } from '@reedyard/logging';
 import { originName } from './choice.js';
+import { connectTimeoutMs, idleConnectionMs, plainConnectTimeoutMs } from './connection-timing.js';
 import type { Dialect, ToOrigin } from './dialect.js';
+import { ejectionMs } from './ejection-timing.js';
 import {
-  Exchange,
-  AttemptError,
-  OpenConnection,
   type AttemptEnds,
+  AttemptError,
+  Exchange,
   type Judgement,
+  OpenConnection,
   type Outgoing,
   type Underway,
 } from './exchange.js';
@@ -190,7 +191,7 @@
   /** A resting connection that is fit for an attempt. */
   #take(name: string, safe: boolean, attempt: number): OpenConnection | undefined {
     // One that rested may be closing at the other end: what may not run twice needs a younger one.
-    const mostIdleMs = safe ? Limits.idleConn : Limits.suspicion / 2;
+    const mostIdleMs = safe ? idleConnectionMs : ejectionMs / 2;
     const list = this.#idle.get(name) ?? [];
     for (let connection = list.pop(); connection !== undefined; connection = list.pop()) {
       if (!connection.quiet) connection.reduce({ kind: 'surplus' });
@@ -227,7 +228,7 @@
     const { name } = to;
     const socket = net.connect({ ...splitAddress(to.address), localAddress: this.from });
     socket.setNoDelay(true);
-    const limitMs = to.identity === null ? Limits.opening : Limits.connect;
+    const limitMs = to.identity === null ? plainConnectTimeoutMs : connectTimeoutMs;
     const late = setTimeout(() => socket.destroy(new Error('no connection in time')), limitMs);
     try {
       const connection = await this.#connected(socket, to);
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -2,25 +2,35 @@
  * The proxy as a reducer: events of callers, peers, origins, the agent and the clock, and the
  * effects that follow.
  */
-import type { Step } from '@reedyard/task-loop';
-import { Limits, Sizes } from '@reedyard/constants';
-import type { ClaimReply } from '@reedyard/agent';
+import { type ClaimReply, evacuationGraceMs, retryAfterSeconds } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
-import { drawService, earnRepeat, isSafe } from './choice.js';
-import { change, count, set } from './state.js';
-import type { Asked, ProxyEffect, ProxyEvent, ProxyState, ProxyRequest, Work } from './state.js';
+import type { Step } from '@reedyard/task-loop';
 import { answered, endAttempt, failed } from './attempt-ends.js';
+import { drawService, earnRepeat, isSafe } from './choice.js';
 import { close, giveUp, turnAway } from './ending.js';
 import { fed } from './feeding.js';
 import { question } from './reporting.js';
+import { maxRequestsInFlight } from './request-limit.js';
 import { headerText, limitOf, refusalOf } from './request-rules.js';
 import { start } from './serving.js';
+import { unreadyServingMs } from './shutdown-timing.js';
+import {
+  type Asked,
+  change,
+  count,
+  type ProxyEffect,
+  type ProxyEvent,
+  type ProxyRequest,
+  type ProxyState,
+  set,
+  type Work,
+} from './state.js';
 import { beat } from './upkeep.js';
 
 const mayServe = (work: Work, id: number, via: string | null): boolean => {
   const { state } = work;
-  if (state.stoppingAt !== null && state.now - state.stoppingAt > Limits.leaveGrace) {
+  if (state.stoppingAt !== null && state.now - state.stoppingAt > unreadyServingMs) {
     turnAway(work, id, 503, 'Leaving', 'This node is leaving.', { connection: 'close' });
     return false;
   }
@@ -28,7 +38,7 @@
     turnAway(work, id, 503, 'Not ready', 'This node is cut off from the control state.');
     return false;
   }
-  if (via === null && state.emptiedAt !== null && state.now - state.emptiedAt > Limits.emptyGrace) {
+  if (via === null && state.emptiedAt !== null && state.now - state.emptiedAt > evacuationGraceMs) {
     turnAway(work, id, 503, 'Zone emptied', 'This zone is emptied.', { connection: 'close' });
     return false;
   }
@@ -52,7 +62,7 @@
       turnAway(work, id, refusal.status, refusal.title, refusal.detail, refusal.more);
     return;
   }
-  if (Object.keys(state.requests).length >= Sizes.requests) {
+  if (Object.keys(state.requests).length >= maxRequestsInFlight) {
     turnAway(work, id, 503, 'Too busy', 'Too many requests are under way here.');
     return;
   }
@@ -141,7 +151,7 @@
       status: 409,
       headers: {
         'reedyard-outcome': known,
-        ...(known === 'in-progress' ? { 'retry-after': String(Limits.retryAfterSeconds) } : {}),
+        ...(known === 'in-progress' ? { 'retry-after': String(retryAfterSeconds) } : {}),
       },
       body: {
         kind: 'problem',
--- a/packages/proxy/src/ending.ts
+++ b/packages/proxy/src/ending.ts
@@ -2,19 +2,16 @@
  * Ends requests: answers of the proxy itself and from copies, and what becomes of those that waited
  * for the same fetch.
  */
-import { Limits } from '@reedyard/constants';
-import type { ClaimState } from '@reedyard/agent';
-import { objectKey } from '@reedyard/server-selection';
+import { type ClaimState, retryAfterSeconds } from '@reedyard/agent';
+import { Attempts, type Outcome } from '@reedyard/attempts';
 import type { Copy } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
-import { Attempts } from '@reedyard/attempts';
-import type { Outcome } from '@reedyard/attempts';
+import { objectKey } from '@reedyard/server-selection';
 import { spentFields } from './attempt-budget.js';
 import { drawService, isSafe } from './choice.js';
-import { change, count, log, set } from './state.js';
-import type { Answer, ProxyRequest, Work } from './state.js';
 import { headerText, keeps, keepsAlways, limitOf, refusalOf } from './request-rules.js';
 import { startAgain } from './serving.js';
+import { type Answer, change, count, log, type ProxyRequest, set, type Work } from './state.js';
 
 /** Answers that ask nothing of any origin: what the proxy itself has to say. */
 export const turnAway = (
@@ -25,7 +22,7 @@
   detail: string,
   more: Readonly<Record<string, string>> = {},
   outcome: Outcome = 'not-run',
-  retryMs = 1_000 * Limits.retryAfterSeconds,
+  retryMs = 1_000 * retryAfterSeconds,
 ): void => {
   const waits = status === 502 || status === 503 || status === 504;
   count(work, `status.${status}`);
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -6,15 +6,15 @@
 import http from 'node:http';
 import type net from 'node:net';
 import { performance } from 'node:perf_hooks';
-import { Limits } from '@reedyard/constants';
-import { LayerError, textOf } from '@reedyard/logging';
 import type { Sent } from '@reedyard/attempts';
+import { LayerError, textOf } from '@reedyard/logging';
+import { idleCloseMarginMs, idleConnectionMs } from './connection-timing.js';
 import {
-  Connections,
   type AnswerEvidence,
   type Connection,
   type ConnectionEffect,
   type ConnectionEvent,
+  Connections,
 } from './connection.js';
 import type { Proof } from './dialect.js';
 import { readAnswer, type ReadAnswer } from './read-answer.js';
@@ -92,9 +92,9 @@
 
 const parsedRestMs = (headers: http.IncomingHttpHeaders): number => {
   const told = /timeout=(\d+)/i.exec(String(headers['keep-alive'] ?? ''))?.[1];
-  if (told === undefined) return Limits.idleConn;
-  const kept = Number(told) * 1_000 - Limits.idleMargin;
-  return Math.min(Limits.idleConn, Math.max(0, kept));
+  if (told === undefined) return idleConnectionMs;
+  const kept = Number(told) * 1_000 - idleCloseMarginMs;
+  return Math.min(idleConnectionMs, Math.max(0, kept));
 };
 
 /** ms that the other end lets a connection rest, less what a message may take; null: it closes. */
--- a/packages/proxy/src/feeding.ts
+++ b/packages/proxy/src/feeding.ts
@@ -2,14 +2,12 @@
  * Takes in what the agent feeds: the configuration, shares and peers in force, purges, and the
  * lease.
  */
-import { Limits } from '@reedyard/constants';
 import type { Feed } from '@reedyard/agent';
-import { holdersOf } from '@reedyard/server-selection';
-import { Cache } from '@reedyard/cache';
+import { Cache, purgeRetentionMs } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
-import { log, set } from './state.js';
-import type { Work } from './state.js';
+import { holdersOf } from '@reedyard/server-selection';
 import { lifeEnd } from './request-rules.js';
+import { log, set, type Work } from './state.js';
 
 export const fed = (work: Work, feed: Feed, askedAt: number): void => {
   const { state } = work;
@@ -22,7 +20,7 @@
     state.life !== '' &&
     (feed.life !== state.life ||
       feed.flushes !== state.flushes ||
-      askedAt - state.fedAt > Limits.fact / 2);
+      askedAt - state.fedAt > purgeRetentionMs / 2);
   if (gone)
     log(work, 'copies.flushed', { why: feed.life !== state.life ? 'agent restarted' : 'was away' });
   let cache = gone ? Cache.flush(state.cache) : state.cache;
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -4,3 +4,7 @@
 export * from './dialect.js';
 export { runProxy, type ProxySettings } from './run.js';
 export { Feeds, type HeldFeed } from './feeds.js';
+export { connectTimeoutMs } from './connection-timing.js';
+export { feedIntervalMs } from './feed-timing.js';
+export { demandIntervalMs, measurementIntervalMs } from './reporting.js';
+export { proxyTickIntervalMs } from './ticks.js';
--- a/packages/proxy/src/origin-sockets.test.ts
+++ b/packages/proxy/src/origin-sockets.test.ts
@@ -1,22 +1,22 @@
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
-import { Sizes } from '@reedyard/constants';
-import {
-  answerOf,
-  ownFields,
-  soundAnswer,
-  startScriptedOrigin,
-  type Script,
-  type ScriptedOrigin,
-} from './testing/scripted-origin.js';
+import { maxBufferedBodyBytes } from './buffering.js';
 import {
+  type Harness,
   originRow,
   policyOf,
   RawCaller,
   startHarness,
   until,
-  type Harness,
 } from './testing/proxy-harness.js';
+import {
+  answerOf,
+  ownFields,
+  type Script,
+  type ScriptedOrigin,
+  soundAnswer,
+  startScriptedOrigin,
+} from './testing/scripted-origin.js';
 
 type Stage = { readonly origin: ScriptedOrigin; readonly harness: Harness };
 
@@ -126,7 +126,7 @@
 });
 
 test('an answer cut short never looks whole: small, chunked and streamed', async (t) => {
-  const large = Sizes.wholeBody + 1_000_000;
+  const large = maxBufferedBodyBytes + 1_000_000;
   const setting = await stage(t, (request, socket) => {
     const fields = ownFields(request);
     if (request.path === '/order/small') {
@@ -230,7 +230,7 @@
 });
 
 test('a streamed answer that nobody takes gives its connection back', async (t) => {
-  const large = Sizes.wholeBody + 4_000_000;
+  const large = maxBufferedBodyBytes + 4_000_000;
   const setting = await stage(t, (request, socket) => {
     const fields = { ...ownFields(request), 'content-length': String(large) };
     const foreign = { ...fields, 'x-request': 'another' };
--- a/packages/proxy/src/proxy.test.ts
+++ b/packages/proxy/src/proxy.test.ts
@@ -1,16 +1,17 @@
 import test from 'ava';
-import { Limits } from '@reedyard/constants';
-import type { Feed } from '@reedyard/agent';
+import { type Feed, leaseDurationMs } from '@reedyard/agent';
 import { Schemas } from '@reedyard/schemas';
 import {
-  ProxyCore,
-  present,
   type Asked,
+  type AttemptAnswer,
+  present,
+  ProxyCore,
   type ProxyEffect,
   type ProxyEvent,
   type ProxyState,
-  type AttemptAnswer,
 } from './index.js';
+import { defaultAttemptTimeoutMs } from './serving.js';
+import { cacheWithoutLeaseMs } from './upkeep.js';
 
 const policy = Schemas.policy({
   services: { store: { ceiling: 1_000, coldRate: 10 } },
@@ -40,7 +41,7 @@
 };
 const peer = { id: 'b', zone: 'w', region: 'far', address: '10.0.0.2:1', delay: 0.001 };
 const feedOf = (part: Partial<Feed> = {}): Feed => ({
-  leaseMs: Limits.lease,
+  leaseMs: leaseDurationMs,
   life: 'l',
   flushes: 0,
   policy: { revision: 1, document: policy },
@@ -138,7 +139,7 @@
       (now) => ({ kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now }),
       (now) => ({ kind: 'failed', id: 1, attempt: 0, sent: 'maybe', why: 'cut', now }),
       (now) => ({ kind: 'left', id: 1, now }),
-      (now) => ({ kind: 'beat', now: now + Limits.attempt }),
+      (now) => ({ kind: 'beat', now: now + defaultAttemptTimeoutMs }),
       (now) => ({
         kind: 'fed',
         feed: feedOf({
@@ -205,7 +206,7 @@
   ).state;
   t.is(kept.cache.copies.size, 1);
   t.is(only(play([arrive(2, 'GET', 1_100)], kept).effects, 'answer', 2)[0]?.answer.status, 200);
-  const late = 900 + Limits.lease;
+  const late = 900 + leaseDurationMs;
   t.is(only(play([arrive(2, 'GET', late)], kept).effects, 'answer', 2)[0]?.answer.status, 503);
   t.is(
     only(
@@ -417,11 +418,13 @@
   t.is(only(play([arrive(2, 'GET', 2_015)], shorter).effects, 'open', 2).length, 1);
   // Where there are other regions, a proxy that has long been without a lease keeps none.
   t.is(
-    play([{ kind: 'beat', now: kept.lease + Limits.unknowing - 1 }], kept).state.cache.copies.size,
+    play([{ kind: 'beat', now: kept.lease + cacheWithoutLeaseMs - 1 }], kept).state.cache.copies
+      .size,
     1,
   );
   t.is(
-    play([{ kind: 'beat', now: kept.lease + Limits.unknowing + 1 }], kept).state.cache.copies.size,
+    play([{ kind: 'beat', now: kept.lease + cacheWithoutLeaseMs + 1 }], kept).state.cache.copies
+      .size,
     0,
   );
 });
--- a/packages/proxy/src/read-answer.ts
+++ b/packages/proxy/src/read-answer.ts
@@ -2,10 +2,10 @@
  * Reads one HTTP answer of an origin or a peer: whole where it is small, and handed on as it comes
  * where it is large. An answer whose end can't be told from a connection that broke is no answer.
  */
-import type http from 'node:http';
 import { createHash } from 'node:crypto';
-import { Sizes } from '@reedyard/constants';
+import type http from 'node:http';
 import { textOf } from '@reedyard/logging';
+import { maxBufferedBodyBytes } from './buffering.js';
 
 const hopByHop = new Set([
   'connection',
@@ -95,7 +95,7 @@
   const onData = (chunk: Buffer): void => {
     chunks.push(chunk);
     size += chunk.length;
-    if (size <= Sizes.wholeBody) return;
+    if (size <= maxBufferedBodyBytes) return;
     response.pause();
     response.off('data', onData);
     response.off('end', onEnd);
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -1,9 +1,16 @@
 /** Measures what callers ask for, and reports it to the agent with each question. */
-import { Beats, Sizes } from '@reedyard/constants';
-import type { TrafficMeasurement, ProxyReport } from '@reedyard/agent';
+import type { ProxyReport, TrafficMeasurement } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
-import { set } from './state.js';
-import type { Work } from './state.js';
+import { set, type Work } from './state.js';
+
+/** ms. Utilisation is measured (the paper: one minute; ours is shorter since 2 s rules bind). */
+export const measurementIntervalMs = 2_000;
+
+/** ms. What a proxy's callers want of each service is counted anew: slices follow it. */
+export const demandIntervalMs = 500;
+
+/** objects told one by one in a vector; the rest of a route counts as one. */
+export const busyObjectCount = 32;
 
 /**
  * Closes a period of measuring: what the own callers asked for, object by object for the busiest.
@@ -12,12 +19,12 @@
   const { state } = work;
   const { period } = state;
   const ms = state.now - period.since;
-  if (ms < Beats.measure) return null;
+  if (ms < measurementIntervalMs) return null;
   const perSecond = 1_000 / ms;
   const entries = Object.entries(period.bits).sort(([, a], [, b]) => b - a);
   const demand: Record<string, number> = {};
   entries.forEach(([key, bits], index) => {
-    const to = index < Sizes.busyObjects ? key : (key.split(' ', 1)[0] ?? key);
+    const to = index < busyObjectCount ? key : (key.split(' ', 1)[0] ?? key);
     demand[to] = (demand[to] ?? 0) + bits * perSecond;
   });
   const hosts = new Map(
@@ -53,7 +60,7 @@
 const renewWants = (work: Work): void => {
   const { wants, wanted, now } = work.state;
   const ms = now - wanted.since;
-  if (ms < Beats.wants) return;
+  if (ms < demandIntervalMs) return;
   const services = new Set([...Object.keys(wants), ...Object.keys(wanted.counts)]);
   set(work, {
     wanted: { since: now, counts: {} },
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -2,14 +2,22 @@
  * Rules that hold for one request by its route and its answer alone: what is refused, kept, joined,
  * or taken for sound. Pure functions.
  */
-import { Limits, Weights } from '@reedyard/constants';
-import type { Copy } from '@reedyard/cache';
-import { Routes } from '@reedyard/schemas';
-import type { Policy, Route, RouteTable } from '@reedyard/schemas';
 import type { Attempt } from '@reedyard/attempts';
+import type { Copy } from '@reedyard/cache';
+import { type Policy, type Route, Routes, type RouteTable } from '@reedyard/schemas';
 import { CallerBounds } from './caller-bounds.js';
 import { atHome, isSafe } from './choice.js';
-import type { Asked, ProxyState, AttemptAnswer, ProxyRequest } from './state.js';
+import { maxQueueWaitMs } from './serving.js';
+import type { Asked, AttemptAnswer, ProxyRequest, ProxyState } from './state.js';
+
+/** ms. Default limit of a whole request. */
+export const defaultRequestTimeoutMs = 10_000;
+
+/**
+ * share of a request's target that it may wait for its turn: refused by then, another try can
+ * still be in time.
+ */
+export const queueWaitShare = 0.2;
 
 export const headerText = (headers: Asked['headers'], name: string): string | null => {
   const value = headers[name];
@@ -74,14 +82,15 @@
  * Until when a request is worth serving: its route's limit, or less where its caller waits less.
  */
 export const limitOf = (route: Route, asked: Asked, arrivedAt: number): number =>
-  arrivedAt + Math.min(route.limits.requestMs ?? Limits.request, asked.deadlineMs ?? Infinity);
+  arrivedAt +
+  Math.min(route.limits.requestMs ?? defaultRequestTimeoutMs, asked.deadlineMs ?? Infinity);
 
 /**
  * ms that a request may wait for its turn: a refusal must leave time for another try within its
  * target.
  */
 export const holdingOf = (request: ProxyRequest): number =>
-  Math.min(Limits.holding, (request.route.targetMs ?? Infinity) * Weights.holdingShare);
+  Math.min(maxQueueWaitMs, (request.route.targetMs ?? Infinity) * queueWaitShare);
 
 /** ms. Until when a route lets a copy live here, whatever its origin allows. */
 export const lifeEnd = (route: Route | undefined, state: ProxyState, copy: Copy): number =>
--- a/packages/proxy/src/run.ts
+++ b/packages/proxy/src/run.ts
@@ -1,25 +1,40 @@
-import http from 'node:http';
 import { createHash, randomUUID } from 'node:crypto';
+import http from 'node:http';
 import { performance } from 'node:perf_hooks';
 import type { Readable } from 'node:stream';
-import { Beats, Limits, Sizes } from '@reedyard/constants';
-import { Task, type Inbox } from '@reedyard/task-loop';
-import type { ClaimReply, FeedReply, ProxyQuery } from '@reedyard/agent';
+import {
+  type ClaimReply,
+  type FeedReply,
+  noLeasePollIntervalMs,
+  proposalTimeoutMs,
+  type ProxyQuery,
+  retryAfterSeconds,
+} from '@reedyard/agent';
 import { openScribe, type Scribe } from '@reedyard/logging';
-import { call } from '@reedyard/rpc';
+import { call, callTimeoutMs } from '@reedyard/rpc';
 import { Routes } from '@reedyard/schemas';
-import type { Settings } from '@reedyard/settings';
-import { originName } from './choice.js';
+import { type Settings, shutdownTimeoutMs } from '@reedyard/settings';
+import { type Inbox, Task } from '@reedyard/task-loop';
 import { writeAnswer } from './caller-answer.js';
 import { CallerBounds } from './caller-bounds.js';
-import { openCallerServer, type CallerServer, type CallerTurn } from './caller-server.js';
-import { OriginConns, peerName, type AttemptError, type Outgoing, type Underway } from './conns.js';
-import { Feeds, type HeldFeed } from './feeds.js';
+import { type CallerServer, type CallerTurn, openCallerServer } from './caller-server.js';
+import { originName } from './choice.js';
+import { type AttemptError, OriginConns, type Outgoing, peerName, type Underway } from './conns.js';
 import { ProxyCore } from './core.js';
-import { ownDialect, type Dialect } from './dialect.js';
+import { type Dialect, ownDialect } from './dialect.js';
+import { feedIntervalMs } from './feed-timing.js';
+import { Feeds, type HeldFeed } from './feeds.js';
 import { passable } from './read-answer.js';
+import { unreadyServingMs } from './shutdown-timing.js';
+import type { Answer, Asked, AttemptAnswer, ProxyEffect, ProxyEvent, ProxyState } from './state.js';
+import { idleProxyTickIntervalMs, proxyTickIntervalMs } from './ticks.js';
 import { warmUp } from './warm.js';
-import type { Answer, Asked, ProxyEffect, ProxyEvent, ProxyState, AttemptAnswer } from './state.js';
+
+/**
+ * numbers drawn by chance for one request: who serves, three origins for each of three attempts,
+ * and the service.
+ */
+export const randomNumbersPerRequest = 11;
 
 const now = (): number => performance.now();
 
@@ -222,7 +237,7 @@
         opened.delete(effect.id);
         return;
       case 'ask':
-        askAgent(effect.call, Limits.proposal + Limits.call).then(
+        askAgent(effect.call, proposalTimeoutMs + callTimeoutMs).then(
           (reply) => {
             if (effect.call.kind === 'claim')
               put({ kind: 'claimed', id: effect.id, reply: reply as ClaimReply, now: now() });
@@ -251,7 +266,7 @@
             if (!ended)
               setTimeout(
                 () => put({ kind: 'ask', now: now() }),
-                now() < task.peek().lease ? Beats.feed : Beats.lapsed,
+                now() < task.peek().lease ? feedIntervalMs : noLeasePollIntervalMs,
               );
           });
         return;
@@ -282,7 +297,7 @@
       const idle = opened.size === 0 && Object.keys(task.peek().requests).length === 0;
       task.put({ kind: 'beat', now: now() });
       applyBounds();
-      if (!ended) beatIn(idle ? Beats.proxyIdle : Beats.proxy);
+      if (!ended) beatIn(idle ? idleProxyTickIntervalMs : proxyTickIntervalMs);
     }, ms);
   };
 
@@ -320,7 +335,7 @@
     response.writeHead(good ? 200 : 503, {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(text),
-      ...(good ? {} : { 'retry-after': String(Limits.retryAfterSeconds) }),
+      ...(good ? {} : { 'retry-after': String(retryAfterSeconds) }),
     });
     response.end(text);
     return true;
@@ -387,10 +402,10 @@
           mark: fromPeer && typeof mark === 'string' ? mark : null,
           turn,
         });
-        const draws = Array.from({ length: Sizes.draws }, () => Math.random());
+        const draws = Array.from({ length: randomNumbersPerRequest }, () => Math.random());
         if (opened.size === 1) {
           clearTimeout(beating);
-          beatIn(Beats.proxy);
+          beatIn(proxyTickIntervalMs);
         }
         if (!task.put({ kind: 'arrived', id, asked, draws, token: randomUUID(), now: now() })) {
           opened.delete(id);
@@ -434,7 +449,7 @@
       server.once('error', reject);
       server.listen(port, settings.listen ?? settings.host, () => resolve(server));
     });
-  beatIn(Beats.proxyIdle);
+  beatIn(idleProxyTickIntervalMs);
   if (trace !== null)
     setInterval(
       () => trace('trace.stored', { keys: [...task.peek().cache.copies.keys()].join(' ') }),
@@ -502,7 +517,7 @@
     warnedAt = since;
     scribe.info('stopping', { underWay: proxy.underWay() });
     proxy.stop();
-    const { graceMs = Limits.leaveGrace, mostMs = Limits.shutdown } = settings.proxy.leave ?? {};
+    const { graceMs = unreadyServingMs, mostMs = shutdownTimeoutMs } = settings.proxy.leave ?? {};
     // Not ready first: callers are still answered until what is under way has ended.
     setInterval(() => {
       if ((proxy.underWay() === 0 && now() > since + graceMs) || now() > since + mostMs) {
@@ -513,7 +528,7 @@
         scribe.info('stopped', { cutOff: proxy.underWay() });
         process.exit(0);
       }
-    }, Beats.feed);
+    }, feedIntervalMs);
   };
   // A hang-up ends a process by itself; nothing that is under way may suffer from it.
   process.on('SIGHUP', () => scribe.info('hangup', { underWay: proxy.underWay() }));
--- a/packages/proxy/src/serving.ts
+++ b/packages/proxy/src/serving.ts
@@ -2,9 +2,9 @@
  * Moves a request on: who serves it, a copy, a fetch that it joins, or an attempt of its own. Never
  * opens an attempt without a lease or beyond its budget.
  */
-import { Limits } from '@reedyard/constants';
-import { Cache } from '@reedyard/cache';
 import { Attempts } from '@reedyard/attempts';
+import { Cache } from '@reedyard/cache';
+import { attemptsLeft, grantFor, isFree } from './attempt-budget.js';
 import {
   allowedPeers,
   atHome,
@@ -17,11 +17,20 @@
   takeToken,
   waitFor,
 } from './choice.js';
-import { change, count, set } from './state.js';
-import type { Target, ProxyRequest, Work } from './state.js';
-import { attemptsLeft, grantFor, isFree } from './attempt-budget.js';
 import { answerCopy, cutOff, giveUp, lapsed, underPolicy } from './ending.js';
 import { holdingOf, joins, keeps, keepsAlways, lifeEnd } from './request-rules.js';
+import { change, count, type ProxyRequest, set, type Target, type Work } from './state.js';
+
+/** ms. Default limit of one attempt to an origin. */
+export const defaultAttemptTimeoutMs = 4_000;
+
+/**
+ * ms. Longest wait in the holding for a slice's next token; past it the answer is 503 at once.
+ */
+export const maxQueueWaitMs = 400;
+
+/** ms. Told to callers where another node, or the next instant, may well serve them. */
+export const retrySoonMs = 100;
 
 export const open = (work: Work, request: ProxyRequest, to: Target): void => {
   if (lapsed(work)) {
@@ -39,8 +48,8 @@
   const attemptLimit = Math.min(
     request.limitAt,
     work.state.now +
-      (request.route.limits.attemptMs ?? Limits.attempt) +
-      (to.kind === 'peer' ? Limits.holding : 0),
+      (request.route.limits.attemptMs ?? defaultAttemptTimeoutMs) +
+      (to.kind === 'peer' ? maxQueueWaitMs : 0),
   );
   const next = change(work, request.id, {
     phase: 'attempt',
@@ -94,7 +103,7 @@
       503,
       Attempts.outcomeOf(request.attempts),
       `no instance of ${service} can be reached`,
-      Limits.retrySoon,
+      retrySoonMs,
     );
     return;
   }
@@ -133,7 +142,7 @@
       503,
       Attempts.outcomeOf(request.attempts),
       `the share of ${service} is used up`,
-      Number.isFinite(wait) ? Math.max(Limits.retrySoon, wait) : undefined,
+      Number.isFinite(wait) ? Math.max(retrySoonMs, wait) : undefined,
     );
     return;
   }
--- a/packages/proxy/src/signals.test.ts
+++ b/packages/proxy/src/signals.test.ts
@@ -1,21 +1,21 @@
-import test from 'ava';
-import type { ExecutionContext } from 'ava';
-import { spawn, type ChildProcess } from 'node:child_process';
+import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import net from 'node:net';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { Sizes } from '@reedyard/constants';
+import test from 'ava';
+import type { ExecutionContext } from 'ava';
 import { serveCalls } from '@reedyard/rpc';
+import { maxBufferedBodyBytes } from './buffering.js';
+import { originRow, policyOf, RawCaller, until } from './testing/proxy-harness.js';
 import {
   answerOf,
-  startScriptedOrigin,
   type Script,
   type ScriptedOrigin,
   type SeenRequest,
+  startScriptedOrigin,
 } from './testing/scripted-origin.js';
-import { originRow, policyOf, RawCaller, until } from './testing/proxy-harness.js';
 
 const HOST = '127.0.0.1';
 const program = fileURLToPath(new URL('./main.js', import.meta.url));
@@ -36,7 +36,7 @@
     if (request.path === '/.well-known/reedyard-identity') {
       socket.write(answerOf(200, {}, JSON.stringify(identity)));
     } else if (request.path === '/read/large') {
-      const whole = sound(request, 'x'.repeat(Sizes.wholeBody + 1_000_000));
+      const whole = sound(request, 'x'.repeat(maxBufferedBodyBytes + 1_000_000));
       socket.write(whole.slice(0, -1_000));
       this.#held.push(() => socket.write(whole.slice(-1_000)));
     } else {
@@ -151,7 +151,7 @@
   t.teardown(() => origin.close());
   const { child, port, output } = await startProgram(t, origin);
   const callers = await sendRequests(port);
-  await until(() => held.size === 5 && (callers[2]?.text.length ?? 0) > Sizes.wholeBody);
+  await until(() => held.size === 5 && (callers[2]?.text.length ?? 0) > maxBufferedBodyBytes);
   child.kill('SIGHUP');
   await until(() => output().includes('hangup') || child.exitCode !== null);
   child.kill('SIGTERM');
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -30,7 +30,7 @@
   readonly attempts?: number | null;
 };
 
-/** An answer to an attempt, read whole up to Sizes.wholeBody, or still streaming. */
+/** An answer to an attempt, read whole up to maxBufferedBodyBytes, or still streaming. */
 export type AttemptAnswer = {
   readonly status: number;
   readonly headers: Headers;
--- a/packages/proxy/src/upkeep.ts
+++ b/packages/proxy/src/upkeep.ts
@@ -2,9 +2,10 @@
  * What the clock brings about: attempts past their deadline, hedges beside silent ones, requests
  * that wait for their turn.
  */
-import { Limits, Weights } from '@reedyard/constants';
-import { Cache } from '@reedyard/cache';
 import { Attempts } from '@reedyard/attempts';
+import { Cache } from '@reedyard/cache';
+import { mayTryMore } from './attempt-budget.js';
+import { failed } from './attempt-ends.js';
 import {
   allowedPeers,
   answerMs,
@@ -17,12 +18,41 @@
   suspectFor,
   takeToken,
 } from './choice.js';
-import { count, log, set } from './state.js';
-import type { ProxyState, ProxyRequest, Work } from './state.js';
-import { mayTryMore } from './attempt-budget.js';
-import { failed } from './attempt-ends.js';
 import { giveUp, lapsed, underPolicy } from './ending.js';
 import { attemptToOrigin, open, startAgain } from './serving.js';
+import { count, log, type ProxyRequest, type ProxyState, set, type Work } from './state.js';
+
+/**
+ * ms. An attempt is silent after a few times what its origin usually takes, but not before this.
+ */
+export const minSilenceMs = 60;
+
+/**
+ * ms. An origin with an attempt under way this long, and a few times its usual time, and nothing
+ * heard since is set aside.
+ */
+export const minStallMs = 300;
+
+/**
+ * ms. In a fleet of several regions, a proxy without a lease this long drops its copies: a
+ * policy it can't know of may have moved their homes. With the lease this stays under the
+ * brief's 2 s; a shorter loss, which a few lost messages bring, costs no copies.
+ */
+export const cacheWithoutLeaseMs = 300;
+
+/**
+ * share of a request's time that is waited before a second attempt beside a silent one, at most.
+ */
+export const hedgeAfterShare = 0.4;
+
+/**
+ * times an origin's usual time after which an attempt counts as silent, or the origin as
+ * stalled.
+ */
+export const silenceFactor = 3;
+
+/**  */
+export const stallFactor = 4;
 
 /**
  * ms after which an attempt counts as silent: a few times what its other end usually takes, and
@@ -34,10 +64,10 @@
   const to = request.attempts.find((attempt) => attempt.end === null)?.to.id;
   const row = rows.find((each) => originName(each) === to);
   const met = row === undefined ? mean : answerMs(state, row, mean);
-  const usual = met > 0 ? met : (request.route.targetMs ?? 0) * Weights.silentShare;
+  const usual = met > 0 ? met : (request.route.targetMs ?? 0) * hedgeAfterShare;
   return Math.min(
-    Math.max(Limits.leastSilence, Weights.silentTimes * usual),
-    Weights.silentShare * (request.limitAt - request.arrivedAt),
+    Math.max(minSilenceMs, silenceFactor * usual),
+    hedgeAfterShare * (request.limitAt - request.arrivedAt),
   );
 };
 
@@ -54,12 +84,12 @@
       failed(work, request.id, attempt.number, 'maybe', 'limit');
       continue;
     }
-    if (now - attempt.openedAt < Limits.stalled) continue;
+    if (now - attempt.openedAt < minStallMs) continue;
     const standing = work.state.standings[attempt.to.id];
     const heard = standing !== undefined && standing.heardAt >= attempt.openedAt;
     if (
       !heard &&
-      now - attempt.openedAt > Weights.stalledTimes * (standing?.ms ?? 0) &&
+      now - attempt.openedAt > stallFactor * (standing?.ms ?? 0) &&
       (work.state.suspects[attempt.to.id] ?? 0) <= now
     ) {
       count(work, 'stalled');
@@ -122,7 +152,7 @@
 
 export const beat = (work: Work): void => {
   const { abroad, now, lease, cache } = work.state;
-  if (abroad && now - lease > Limits.unknowing && cache.copies.size > 0) {
+  if (abroad && now - lease > cacheWithoutLeaseMs && cache.copies.size > 0) {
     set(work, { cache: Cache.flush(cache) });
     log(work, 'copies.flushed', { why: 'homes may have moved' });
   }
--- a/packages/proxy/src/warm.test.ts
+++ b/packages/proxy/src/warm.test.ts
@@ -1,9 +1,8 @@
 import test from 'ava';
 import { SettingsReader } from '@reedyard/settings';
-import { Sizes } from '@reedyard/constants';
-import { ownDialect, type Dialect } from './dialect.js';
+import { type Dialect, ownDialect } from './dialect.js';
 import type { ProxySettings } from './run.js';
-import { warmUp } from './warm.js';
+import { warmUp, warmUpConcurrency, warmUpRequests } from './warm.js';
 
 const settings = SettingsReader.check(
   {
@@ -38,7 +37,7 @@
 
 test('warming up serves what it plays, ends once callers come, and is not done where the dialect has no sample', async (t) => {
   const whole = await warmUp(numbered, settings, () => false);
-  t.true(whole.played > 0 && whole.played <= Sizes.warmRequests + Sizes.warmAtOnce);
+  t.true(whole.played > 0 && whole.played <= warmUpRequests + warmUpConcurrency);
   t.is(whole.served, whole.played);
   let asked = 0;
   const cut = await warmUp(numbered, settings, () => {
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -1,12 +1,31 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
-import { Beats, Limits, Sizes } from '@reedyard/constants';
-import type { Feed, ProxyQuery } from '@reedyard/agent';
+import {
+  type Feed,
+  leaseDurationMs,
+  noLeasePollIntervalMs,
+  type ProxyQuery,
+} from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import type { Dialect } from './dialect.js';
 import { openProxy, type ProxySettings } from './run.js';
 
+/** ms. Warming up ends after this at the latest: a share of a core takes some seconds for it. */
+export const maxWarmUpMs = 4_000;
+
+/**  */
+export const warmUpConcurrency = 4;
+
+/**  */
+export const warmUpBodyBytes = 6_000;
+
+/**
+ * requests that a proxy warms itself up with, at once, and bytes of an answer: after some
+ * hundred the code of each step is compiled.
+ */
+export const warmUpRequests = 600;
+
 const host = '127.0.0.1';
 const name = 'warm';
 const quiet = { info: () => undefined, warn: () => undefined, error: () => undefined };
@@ -33,7 +52,7 @@
 };
 
 const feedOf = (origin: number, peers: number): Feed => ({
-  leaseMs: Limits.lease,
+  leaseMs: leaseDurationMs,
   life: name,
   flushes: 0,
   policy: { revision: 1, document: policy },
@@ -78,7 +97,7 @@
 ): Promise<{ readonly played: number; readonly served: number }> => {
   const { sample } = dialect;
   if (sample === undefined) return { played: 0, served: 0 };
-  const body = Buffer.alloc(Sizes.warmBody, 'x');
+  const body = Buffer.alloc(warmUpBodyBytes, 'x');
   const origin = http.createServer((request, response) => {
     request.resume();
     request.on('end', () => {
@@ -120,7 +139,7 @@
   );
   const servers = [await proxy.serve(false, 0), await proxy.serve(true, 0)] as const;
   peers = portOf(servers[1]);
-  const agent = new http.Agent({ keepAlive: true, maxSockets: Sizes.warmAtOnce });
+  const agent = new http.Agent({ keepAlive: true, maxSockets: warmUpConcurrency });
   let played = 0;
   let served = 0;
   const one = (number: number): Promise<void> =>
@@ -152,12 +171,12 @@
     });
   const begunAt = performance.now();
   const over = (): boolean =>
-    until() || played >= Sizes.warmRequests || performance.now() - begunAt > Limits.warming;
+    until() || played >= warmUpRequests || performance.now() - begunAt > maxWarmUpMs;
   await new Promise((resolve) => {
-    setTimeout(resolve, 2 * Beats.lapsed);
+    setTimeout(resolve, 2 * noLeasePollIntervalMs);
   });
   await Promise.all(
-    Array.from({ length: Sizes.warmAtOnce }, async () => {
+    Array.from({ length: warmUpConcurrency }, async () => {
       while (!over()) {
         played += 1;
         await one(played);
--- a/packages/quota-division/src/index.ts
+++ b/packages/quota-division/src/index.ts
@@ -1,4 +1,11 @@
-import { Weights } from '@reedyard/constants';
+/** share of a ceiling kept for every possible edge whether it asks or not. */
+export const floorShare = 0.1;
+
+/**
+ * share of its goal that a node's slices must have reached before it first says that it is
+ * ready.
+ */
+export const readyQuotaShare = 0.7;
 
 /** An edge that may hold slices, and where it stands. */
 export type Seat = { readonly edge: string; readonly zone: string; readonly region: string };
@@ -39,7 +46,7 @@
   const even = (index: number, part: number): number =>
     people > 0 ? (part * (heads[index] ?? 0)) / people : 0;
   if (wanted <= total) return wants.map((want, index) => want + even(index, total - wanted));
-  const spread = total * Weights.floorShare;
+  const spread = total * floorShare;
   return wants.map((want, index) => even(index, spread) + ((total - spread) * want) / wanted);
 };
 
@@ -163,7 +170,7 @@
   slices: Readonly<Record<string, Slices>>,
 ): boolean =>
   Object.entries(goals).every(
-    ([service, goal]) => (slices[service]?.[edge] ?? 0) >= Weights.seatedShare * (goal[edge] ?? 0),
+    ([service, goal]) => (slices[service]?.[edge] ?? 0) >= readyQuotaShare * (goal[edge] ?? 0),
   );
 
 /**
--- a/packages/replica/src/claim-expiry.ts
+++ b/packages/replica/src/claim-expiry.ts
@@ -1,7 +1,12 @@
 /** Claims are let go an hour after they were last written, a few at a time. */
-import { Limits, Sizes } from '@reedyard/constants';
 import { minuteOf, withoutClaim } from './registers.js';
-import { update, type Transition } from './state.js';
+import { type Transition, update } from './state.js';
+
+/** ms. A claim is kept this long of the replica's own running time. */
+export const claimRetentionMs = 3_600_000;
+
+/** lapsed claims let go in one sweep a second: some milliseconds. */
+export const claimsExpiredAtOnce = 2_000;
 
 type ClaimMinute = { readonly minute: number; readonly key: string };
 
@@ -10,9 +15,11 @@
   now: number,
 ): readonly ClaimMinute[] =>
   [...claimKeysByMinute]
-    .filter(([minute]) => minute < minuteOf(now - Limits.claim))
-    .flatMap(([minute, keys]) => [...keys.take(Sizes.claimSweep)].map((key) => ({ minute, key })))
-    .slice(0, Sizes.claimSweep);
+    .filter(([minute]) => minute < minuteOf(now - claimRetentionMs))
+    .flatMap(([minute, keys]) =>
+      [...keys.take(claimsExpiredAtOnce)].map((key) => ({ minute, key })),
+    )
+    .slice(0, claimsExpiredAtOnce);
 
 /** Lets expired claims go. Their registers are not recorded: a restart reads them as new again. */
 export const expireClaims = (transition: Transition, now: number): void => {
--- a/packages/replica/src/history.test.ts
+++ b/packages/replica/src/history.test.ts
@@ -5,7 +5,6 @@
 import path from 'node:path';
 import test, { type ExecutionContext } from 'ava';
 import { stringify } from 'devalue';
-import { Sizes } from '@reedyard/constants';
 import {
   type CommittedMembership,
   type Membership,
@@ -18,6 +17,7 @@
 } from './index.js';
 import { openReplica } from './open.js';
 import { ReplicaHost } from './replica-host.js';
+import { snapshotAfterBytes } from './snapshot-threshold.js';
 
 const names = ['a', 'b', 'c'] as const;
 type Name = (typeof names)[number];
@@ -280,7 +280,7 @@
   const claims = changes * 250;
   const state = 2 * configBytes + claims + 64 * 1024;
   const recordsOfOneChange = 2 * configBytes;
-  return 2 * state + Math.max(Sizes.segment, state / 2) + 3 * recordsOfOneChange;
+  return 2 * state + Math.max(snapshotAfterBytes, state / 2) + 3 * recordsOfOneChange;
 };
 
 const routesOfTest = 400;
--- a/packages/replica/src/index.ts
+++ b/packages/replica/src/index.ts
@@ -29,3 +29,6 @@
 export { isVotingMember, type ReplicaState } from './state.js';
 export type { ReplicaRecord } from './storage/records.js';
 export { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
+export { replicaTickIntervalMs } from './peer-reads.js';
+export { journalRetentionMs, leaseDurationMs, proposalPhaseTimeoutMs } from './protocol/timing.js';
+export { snapshotAfterBytes } from './snapshot-threshold.js';
--- a/packages/replica/src/journal.ts
+++ b/packages/replica/src/journal.ts
@@ -2,9 +2,12 @@
  * The journal: entries that are written once under their key, and read by each agent from its
  * cursor on. Entries are kept for a minute; a reader that was away longer starts anew.
  */
-import { Limits, Sizes } from '@reedyard/constants';
 import type { JournalCursor, JournalEntry, ReplicaReply } from './messages.js';
-import { update, type ReplicaState, type RetainedEntry, type Transition } from './state.js';
+import { journalRetentionMs } from './protocol/timing.js';
+import { type ReplicaState, type RetainedEntry, type Transition, update } from './state.js';
+
+/** purge facts in one call. */
+export const maxEntriesPerReply = 4_096;
 
 /** Appends the entries whose keys the journal does not hold yet. */
 export const appendEntries = (
@@ -39,7 +42,7 @@
 /** Lets entries go that are older than any cursor needs. */
 export const expireEntries = (transition: Transition, now: number): void => {
   const { state } = transition;
-  const expired = state.entries.filter(({ appendedAt }) => now - appendedAt > Limits.fact);
+  const expired = state.entries.filter(({ appendedAt }) => now - appendedAt > journalRetentionMs);
   if (expired.length === 0) return;
   update(transition, {
     entries: state.entries.slice(expired.length),
@@ -76,7 +79,7 @@
   const position = positionOf(state, cursor);
   const from = position ?? state.truncatedUpTo;
   const following = state.entries.filter(({ sequence }) => sequence > from);
-  const page = following.slice(0, Sizes.purges);
+  const page = following.slice(0, maxEntriesPerReply);
   const copiedKeys = keys.filter((key) => state.registers.get(key)?.accepted?.copied === true);
   return {
     kind: 'polled',
--- a/packages/replica/src/page-reads.ts
+++ b/packages/replica/src/page-reads.ts
@@ -1,8 +1,13 @@
 /** How a replica is read by others: its registers page by page, then its journal. */
 import { emptyRegister } from '@reedyard/consensus';
-import { Sizes } from '@reedyard/constants';
 import type { ReplicaReply } from './messages.js';
-import { isRetired, isVotingMember, update, type ReplicaState, type Transition } from './state.js';
+import { isRetired, isVotingMember, type ReplicaState, type Transition, update } from './state.js';
+
+/** registers in one page for a replica that reads another: some 10 ms of encoding. */
+export const registersPerPage = 500;
+
+/** replicas that one replica lets read it at once: all others of a founding set of nine. */
+export const maxOpenPageReads = 8;
 
 /** The reply of a replica that may not vote. */
 export const notAMember = (state: ReplicaState): ReplicaReply => ({
@@ -53,12 +58,12 @@
   const reading = openKeys === undefined ? String(state.nextRequestId) : given.reading;
   const from = openKeys === undefined ? 0 : given.index;
   const keys = openKeys ?? [...state.registers.keys()];
-  const page = keys.slice(from, from + Sizes.dumpPage);
+  const page = keys.slice(from, from + registersPerPage);
   const next = from + page.length;
   const hasMore = next < keys.length;
   const otherReads = Object.entries(state.openPageReads).filter(([name]) => name !== reading);
   const openReads = hasMore
-    ? [...otherReads, [reading, keys] as const].slice(-Sizes.readers)
+    ? [...otherReads, [reading, keys] as const].slice(-maxOpenPageReads)
     : otherReads;
   update(transition, {
     nextRequestId: state.nextRequestId + 1,
--- a/packages/replica/src/peer-reads.ts
+++ b/packages/replica/src/peer-reads.ts
@@ -10,7 +10,7 @@
   mergeRegisters,
   type RegisterState,
 } from '@reedyard/consensus';
-import { Beats, Limits } from '@reedyard/constants';
+import { callTimeoutMs } from '@reedyard/rpc';
 import { adoptMembership } from './committed-membership.js';
 import { appendEntries } from './journal.js';
 import { membershipKey } from './membership.js';
@@ -28,6 +28,15 @@
 } from './state.js';
 import { voteIfReady } from './voting.js';
 
+/** ms. A replica that may not vote yet asks the others again. */
+export const replicaTickIntervalMs = 200;
+
+/**
+ * ms. A page that a recovering replica asked for is asked for again, then after twice as long,
+ * and so on: far over what one takes on a busy machine.
+ */
+export const pageTimeoutStepMs = 250;
+
 type PageReply = Extract<ReplicaReply, { kind: 'page-read' }>;
 
 const epochOf = (state: ReplicaState): number => state.committedMembership?.value.epoch ?? 0;
@@ -46,15 +55,15 @@
  */
 const pageTimeoutMs = (state: ReplicaState, read: PeerRead): number =>
   isInMembership(state)
-    ? Math.min(Limits.call, Limits.recoveryCall * (1 + read.earlierRequestIds.length))
-    : Limits.call;
+    ? Math.min(callTimeoutMs, pageTimeoutStepMs * (1 + read.earlierRequestIds.length))
+    : callTimeoutMs;
 
 /** Whether the next page of a peer, or its first one again, is to be requested now. */
 const isRequestDue = (state: ReplicaState, read: PeerRead, now: number): boolean => {
   const waitedMs = now - read.sentAt;
   if (read.requestId !== null && waitedMs < pageTimeoutMs(state, read)) return false;
   if (read.state === 'done' && read.epoch >= epochOf(state)) return false;
-  return read.nextPage !== null || waitedMs >= Beats.rejoin;
+  return read.nextPage !== null || waitedMs >= replicaTickIntervalMs;
 };
 
 /** A reading that is done, but under an older epoch, begins again. */
--- a/packages/replica/src/registers.ts
+++ b/packages/replica/src/registers.ts
@@ -3,6 +3,12 @@
 import type { RegisterState, VoteOutcome } from '@reedyard/consensus';
 import { update, type ReplicaState, type Transition } from './state.js';
 
+/**
+ * claims that a replica keeps: an hour of 139 a second, some 600 MB. A new one past that is
+ * refused.
+ */
+export const maxClaims = 500_000;
+
 /** Keys of claims begin with this; claims expire, other registers stay. */
 export const claimPrefix = 'claim/';
 
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -1,6 +1,6 @@
 // The replica on a disk that is full, refuses, or hangs.
 import test, { type ExecutionContext } from 'ava';
-import { Limits } from '@reedyard/constants';
+import { callTimeoutMs } from '@reedyard/rpc';
 import {
   type DiskFault,
   type DiskOperation,
@@ -8,6 +8,7 @@
 } from '@reedyard/write-ahead-log/model-disk';
 import type { CommittedMembership, ReplicaOperation, ReplicaReply } from './index.js';
 import { openReplica } from './open.js';
+import { proposalPhaseTimeoutMs } from './protocol/timing.js';
 import { ReplicaHost } from './replica-host.js';
 import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 
@@ -192,7 +193,7 @@
   );
   t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   bed.disk.hook = () => null;
-  await bed.tick(Limits.call);
+  await bed.tick(callTimeoutMs);
   t.true(bed.host.available);
   t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   // The promise of ballot 9 was never given, so a lower one may be.
@@ -319,14 +320,14 @@
   const hanging = bed.accept(2, 'second');
   // Before it counts as stalled, and after.
   t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  await bed.tick(Limits.ballotPhase + 1);
+  await bed.tick(proposalPhaseTimeoutMs + 1);
   t.deepEqual(bed.events, ['disk.stalled']);
   for (let each = 0; each < 10_000; each += 1) {
     t.is((await bed.prepare(10 + each)).kind, 'unavailable');
   }
   t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   // Its caller has gone by now.
-  await bed.tick(Limits.call);
+  await bed.tick(callTimeoutMs);
   t.is((await hanging).kind, 'unavailable');
   disk.hook = () => null;
   for (const release of released) release();
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -12,12 +12,14 @@
  *
  * Time, calls and logging are handed in.
  */
-import { Limits, Sizes } from '@reedyard/constants';
+import { callTimeoutMs } from '@reedyard/rpc';
 import type { Step } from '@reedyard/task-loop';
 import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
 import { snapshotRecords } from './open.js';
+import { proposalPhaseTimeoutMs } from './protocol/timing.js';
 import { reduceReplica } from './reducer.js';
+import { snapshotAfterBytes } from './snapshot-threshold.js';
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
 import type { ReplicaLog } from './storage/replica-log.js';
@@ -40,7 +42,7 @@
 /**
  * ms. A sync that takes this long is of no use to who waits for it: as long as a phase of a ballot.
  */
-const stalledAfter = Limits.ballotPhase;
+const stalledAfter = proposalPhaseTimeoutMs;
 /** ms. First and longest pause between two tries to recover a disk that refuses. */
 const firstRecoveryPause = 250;
 const longestRecoveryPause = 1_000;
@@ -271,12 +273,12 @@
   }
 
   #unlessLate({ askedAt, reply }: HeldAnswer): ReplicaReply {
-    return this.#shell.now() - askedAt > Limits.call ? this.#refusal() : reply;
+    return this.#shell.now() - askedAt > callTimeoutMs ? this.#refusal() : reply;
   }
 
   /** Whoever asked so long ago waits no more. */
   #dropLateAnswers(): void {
-    const since = this.#shell.now() - Limits.call;
+    const since = this.#shell.now() - callTimeoutMs;
     for (const { answers } of this.#pending) {
       const late = answers.filter((answer) => answer.askedAt < since);
       if (late.length === 0) continue;
@@ -361,7 +363,7 @@
   /** Snapshots cost as much as they are large: the larger the last one, the later the next. */
   #compactIfDue(): void {
     if (this.#compacting || !this.available || this.#shell.now() < this.#compactAt) return;
-    const most = Math.max(Sizes.segment, this.#log.snapshotBytes() / 2);
+    const most = Math.max(snapshotAfterBytes, this.#log.snapshotBytes() / 2);
     if (this.#log.segmentBytes() <= most && !this.#log.fragmented()) return;
     this.#compacting = true;
     this.#log
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -1,10 +1,12 @@
 import test from 'ava';
-import { Limits, Sizes } from '@reedyard/constants';
+import { claimRetentionMs } from './claim-expiry.js';
 import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import { type Membership, membershipKey } from './membership.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
 import { openReplica, snapshotRecords } from './open.js';
+import { registersPerPage } from './page-reads.js';
 import { reduceReplica } from './reducer.js';
+import { maxClaims } from './registers.js';
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
 import { decideVoting } from './voting-decision.js';
@@ -350,7 +352,7 @@
       now,
     );
   };
-  const count = Math.floor(2.5 * Sizes.dumpPage);
+  const count = Math.floor(2.5 * registersPerPage);
   for (let index = 0; index < count; index += 1) claim(index, 1_000);
   const got = new Set<string>();
   let after: string | null = null;
@@ -371,7 +373,7 @@
 
   // A claim written again late in the hour stays; the others go, some in each sweep.
   claim(0, 3_000_000);
-  const over = 1_000 + Limits.claim + 120_000;
+  const over = 1_000 + claimRetentionMs + 120_000;
   for (let sweeps = 0; sweeps < 3; sweeps += 1) act({ kind: 'tick', now: over + 2_000 * sweeps });
   t.deepEqual(
     [...state.registers.keys()].filter((key) => key.startsWith('claim/')),
@@ -383,7 +385,7 @@
     ...state,
     claimMinuteByKey: {
       ...state.claimMinuteByKey,
-      size: Sizes.claims,
+      size: maxClaims,
     } as ReplicaState['claimMinuteByKey'],
   };
   const prepared = (key: string): string | undefined =>
--- a/packages/replica/src/request-handler.ts
+++ b/packages/replica/src/request-handler.ts
@@ -3,14 +3,13 @@
  * only a voting member takes part in registers and the journal.
  */
 import { accept, emptyRegister, prepare, type RegisterState } from '@reedyard/consensus';
-import { Sizes } from '@reedyard/constants';
 import { adoptMembership } from './committed-membership.js';
 import { appendEntries, pollReply } from './journal.js';
 import { membershipKey } from './membership.js';
 import type { ReplicaOperation, ReplicaReply, ReplicaRequest } from './messages.js';
 import { notAMember, readPage } from './page-reads.js';
 import { readPeers } from './peer-reads.js';
-import { claimPrefix, replyWithVote } from './registers.js';
+import { claimPrefix, maxClaims, replyWithVote } from './registers.js';
 import { restore } from './restore.js';
 import { tendRetirement } from './retirement.js';
 import {
@@ -60,7 +59,7 @@
 const isNewClaimTooMany = (state: ReplicaState, operation: ReplicaOperation): boolean =>
   operation.kind === 'prepare' &&
   operation.key.startsWith(claimPrefix) &&
-  state.claimMinuteByKey.size >= Sizes.claims &&
+  state.claimMinuteByKey.size >= maxClaims &&
   !state.registers.has(operation.key);
 
 /** Why an operation is not carried out, as a reply; null if it is. */
--- a/packages/replica/src/restore.ts
+++ b/packages/replica/src/restore.ts
@@ -3,13 +3,19 @@
  * until agents have told them again what they know to have been chosen.
  */
 import { compareProposalNumbers, emptyRegister, mergeRegisters } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
 import { appendEntries } from './journal.js';
 import { membershipKey } from './membership.js';
 import type { ReplicaOperation } from './messages.js';
 import { writeRegister } from './registers.js';
 import { type Transition, update } from './state.js';
 
+/**
+ * ms. Replicas that founded the state anew, after most disks were lost, take part in nothing
+ * until they have heard no news this long from agents that tell again what they knew: six of
+ * their pulls.
+ */
+export const restoreQuietMs = 1_500;
+
 type RestoreOperation = Extract<ReplicaOperation, { kind: 'restore' }>;
 
 /** Takes over values that are newer here, under the numbers they were chosen with. */
@@ -44,7 +50,7 @@
   appendEntries(transition, entries, now);
   const hasNews = hasNewRegisters || transition.state.lastSequence > lastSequence;
   if (hasNews && now < transition.state.recoveringUntil)
-    update(transition, { recoveringUntil: now + Limits.restoring });
+    update(transition, { recoveringUntil: now + restoreQuietMs });
 };
 
 /**
@@ -57,6 +63,6 @@
   if (refoundedEpoch <= transition.state.lastRefoundedEpoch) return;
   update(transition, {
     lastRefoundedEpoch: refoundedEpoch,
-    recoveringUntil: now + Limits.restoring,
+    recoveringUntil: now + restoreQuietMs,
   });
 };
--- a/packages/replica/src/retirement.test.ts
+++ b/packages/replica/src/retirement.test.ts
@@ -1,11 +1,12 @@
 import test from 'ava';
 import type { ProposalNumber } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
 import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import { type CommittedMembership, membershipKey } from './membership.js';
 import type { ReplicaOperation, ReplicaReply, ReplicaRequest } from './messages.js';
 import { openReplica, snapshotRecords } from './open.js';
 import { reduceReplica } from './reducer.js';
+import { retiredDataRetentionMs, votingProofMaxAgeMs } from './retirement.js';
+import { handoverTimeoutMs } from './shutdown.js';
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
 
@@ -181,10 +182,10 @@
 test('without a successor that votes the data is kept until a majority votes without it', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
   replica.ask(second, pull);
-  replica.interval(Limits.retention + 200);
+  replica.interval(retiredDataRetentionMs + 200);
   replica.answer('b', fetched('B'));
   t.is(replica.state.diskId, 'A', 'one of three');
-  replica.interval(Limits.retentionProof + 200);
+  replica.interval(votingProofMaxAgeMs + 200);
   replica.answer('c', fetched('C'));
   t.is(replica.state.diskId, 'A', 'two of three, but not at one time');
   replica.answer('b', fetched('B'));
@@ -248,7 +249,7 @@
   replica.interval();
   t.false(replica.ended);
   t.is(replica.ask(first, prepare)?.kind, 'vote', 'it votes on meanwhile');
-  replica.interval(Limits.handover);
+  replica.interval(handoverTimeoutMs);
   t.true(replica.ended);
 });
 
@@ -268,7 +269,7 @@
   t.true(done.ended);
 
   const late = leaving();
-  late.interval(Limits.retention);
+  late.interval(retiredDataRetentionMs);
   t.true(late.ended);
   t.is(late.state.diskId, 'A', 'with its data');
 });
--- a/packages/replica/src/retirement.ts
+++ b/packages/replica/src/retirement.ts
@@ -6,12 +6,20 @@
  * Only then it erases its data and waits for a slot as a blank replica.
  */
 import { majorityOf } from '@reedyard/consensus';
-import { Limits } from '@reedyard/constants';
 import { adoptMembership, eraseDisk } from './committed-membership.js';
 import { type CommittedMembership, type Membership, membershipKey } from './membership.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
 import { isRetired, type ReplicaState, type Retirement, type Transition, update } from './state.js';
 
+/**
+ * ms. A replaced replica keeps its data this long for a successor that does not come to vote;
+ * then it waits for a majority that votes without it.
+ */
+export const retiredDataRetentionMs = 3_000;
+
+/** ms. How long ago members must have answered to count as that majority. */
+export const votingProofMaxAgeMs = 1_000;
+
 const beginRetirement = (now: number): Retirement => ({
   startedAt: now,
   pendingPolls: {},
@@ -32,7 +40,7 @@
 ): boolean => {
   const diskIds = Object.values(membership.disks);
   const voting = diskIds.filter(
-    (diskId) => now - (lastVotingAt[diskId] ?? -Infinity) < Limits.retentionProof,
+    (diskId) => now - (lastVotingAt[diskId] ?? -Infinity) < votingProofMaxAgeMs,
   );
   return voting.length >= majorityOf(diskIds.length);
 };
@@ -47,7 +55,7 @@
   if (membership === undefined) return false;
   const successor = successorOf(membership, state.diskId);
   if (successor !== undefined && retirement.lastVotingAt[successor] !== undefined) return true;
-  if (successor !== undefined && now - retirement.startedAt < Limits.retention) return false;
+  if (successor !== undefined && now - retirement.startedAt < retiredDataRetentionMs) return false;
   return isMajoritySeenVoting(membership, retirement, now);
 };
 
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -2,13 +2,13 @@
 import { randomUUID } from 'node:crypto';
 import path from 'node:path';
 import { performance } from 'node:perf_hooks';
-import { Beats, Limits } from '@reedyard/constants';
 import { openScribe, type Scribe } from '@reedyard/logging';
-import { call, type Listening, serveCalls, speakFrom } from '@reedyard/rpc';
-import type { Settings } from '@reedyard/settings';
+import { call, callTimeoutMs, type Listening, serveCalls, speakFrom } from '@reedyard/rpc';
+import { type Settings, shutdownTimeoutMs } from '@reedyard/settings';
 import type { Step } from '@reedyard/task-loop';
 import type { ReplicaEffect } from './events.js';
 import { openReplica } from './open.js';
+import { replicaTickIntervalMs } from './peer-reads.js';
 import {
   decodeReplicaReply,
   decodeReplicaRequest,
@@ -67,7 +67,7 @@
     scribe.info('stopped');
     process.exit(0);
   };
-  setTimeout(exit, Limits.call);
+  setTimeout(exit, callTimeoutMs);
   void Promise.resolve(listening?.close())
     .then(() => log.close())
     .then(exit);
@@ -76,7 +76,7 @@
 /** Tells the replica to stop; it ends the process itself, or else a timer does. */
 const stopOnSignals = (replica: ReplicaHost, leave: () => void): void => {
   const stop = (): void => {
-    setTimeout(leave, Limits.shutdown).unref();
+    setTimeout(leave, shutdownTimeoutMs).unref();
     replica.stop();
   };
   process.once('SIGTERM', stop);
@@ -109,7 +109,7 @@
       [callPath]: async (body) => encodeReplicaReply(await replica.ask(decodeReplicaRequest(body))),
     },
   );
-  setInterval(() => replica.tick(), Beats.rejoin);
+  setInterval(() => replica.tick(), replicaTickIntervalMs);
   const { diskId: disk, isVoting: voting } = opened.state;
   scribe.info('started', { port: listening.port, disk, voting });
   stopOnSignals(replica, leave);
--- a/packages/replica/src/shutdown.ts
+++ b/packages/replica/src/shutdown.ts
@@ -1,16 +1,23 @@
 /** When a replica whose process was told to stop may exit. */
-import { Limits } from '@reedyard/constants';
+import { leaseDurationMs } from './protocol/timing.js';
+import { retiredDataRetentionMs } from './retirement.js';
 import { isRetired, isVotingMember, type ReplicaState, type Transition } from './state.js';
 
+/**
+ * ms. A replica that was told to stop waits this long for its place to be given away, if a spare
+ * is known.
+ */
+export const handoverTimeoutMs = 2_000;
+
 /**
  * Whether a replica should still run: a member while a spare could take its slot, a replaced one
  * until its successor has read it.
  */
 const isStillNeeded = (state: ReplicaState, stopRequestedAt: number, now: number): boolean => {
   const waitedMs = now - stopRequestedAt;
-  if (isRetired(state)) return waitedMs < Limits.retention;
-  const hasLiveSpare = now - state.spareSeenAt < Limits.lease;
-  return isVotingMember(state) && hasLiveSpare && waitedMs < Limits.handover;
+  if (isRetired(state)) return waitedMs < retiredDataRetentionMs;
+  const hasLiveSpare = now - state.spareSeenAt < leaseDurationMs;
+  return isVotingMember(state) && hasLiveSpare && waitedMs < handoverTimeoutMs;
 };
 
 /** Lets the process exit, once it was told to stop and nothing waits for it. */
--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,8 +1,10 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { parse, stringify } from 'devalue';
-import { Limits, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
+import { callTimeoutMs, maxCallBytes } from './limits.js';
+
+export { callTimeoutMs } from './limits.js';
 
 /** A call that brought no answer, or a refused one. */
 export class RpcError extends LayerError {}
@@ -54,7 +56,7 @@
   address: Address,
   path: string,
   body: unknown,
-  limitMs: number = Limits.call,
+  limitMs: number = callTimeoutMs,
 ): Promise<unknown> =>
   new Promise((resolve, reject) => {
     const [host, port] = [
@@ -79,7 +81,7 @@
         },
       },
       (response) => {
-        readWhole(response, Sizes.call)
+        readWhole(response, maxCallBytes)
           .then((text) => {
             clearTimeout(beat);
             if (response.statusCode === 200) resolve(parse(text));
@@ -125,7 +127,7 @@
         answer(404, '');
         return;
       }
-      readWhole(request, Sizes.call)
+      readWhole(request, maxCallBytes)
         .then((text) => handler(parse(text)))
         .then((reply) => answer(200, stringify(reply)))
         .catch((thrown: unknown) => answer(500, textOf(thrown)));
--- a/packages/server-selection/src/index.ts
+++ b/packages/server-selection/src/index.ts
@@ -1,4 +1,11 @@
-import { Weights } from '@reedyard/constants';
+/** ratio. Converged once a round lowers the cost by less than this share. */
+export const convergenceRatio = 1e-6;
+
+/** rounds of gradient projection at most; the paper saw a couple, overload needs a few more. */
+export const maxIterations = 24;
+
+/** share of capacity past which the link cost goes on as a parabola, so F >= C has a cost. */
+export const costKneeShare = 0.95;
 
 /**
  * Server selection as optimal routing, after S. Bakiras, "Approximate Server Selection Algorithms
@@ -40,7 +47,7 @@
   load: number,
   capacity: number,
 ): { readonly cost: number; readonly slope: number; readonly bend: number } => {
-  const at = Math.min(load, capacity * Weights.knee);
+  const at = Math.min(load, capacity * costKneeShare);
   const room = capacity - at;
   const [cost, slope, bend] = [at / room, capacity / room ** 2, (2 * capacity) / room ** 3];
   const over = load - at;
@@ -127,7 +134,7 @@
  * // Two servers of 10, all clients at the first: overflow goes to the second.
  * solve({ capacities: [10, 10], delays: [[0, 0.001], [0.001, 0]], objects: [{ demand: [12, 0], link: () => 0 }] }).loads
  */
-export const solve = (network: Network, most: number = Weights.iterations): Solution => {
+export const solve = (network: Network, most: number = maxIterations): Solution => {
   const pairs = pairsOf(network);
   const loads = network.capacities.map(() => 0);
   for (const pair of pairs) {
@@ -153,7 +160,7 @@
     iterations += 1;
     for (const pair of pairs) project(pair, loads, network.capacities);
     const after = cost();
-    const settled = before - after <= Weights.convergence * before;
+    const settled = before - after <= convergenceRatio * before;
     before = after;
     if (settled) break;
   }
--- a/packages/server-selection/src/vectors.ts
+++ b/packages/server-selection/src/vectors.ts
@@ -1,6 +1,20 @@
-import { Weights } from '@reedyard/constants';
 import { solve } from './index.js';
 
+/** ratio. A ping that moved by more than this share (and by delayFloor) also sends again. */
+export const delayChangeRatio = 0.5;
+
+/** s. Changes of delay under this are noise of the machine. */
+export const delayNoiseSeconds = 0.002;
+
+/** share of capacity. The paper's delta: a vector is sent again on this change of utilisation. */
+export const utilisationDelta = 0.1;
+
+/** s. Left-link delay of an edge that holds no copy and must fetch one, until measured. */
+export const fetchPenaltySeconds = 0.02;
+
+/** bits. A mean reply where none was measured (the paper's 12 KB). */
+export const defaultMeanReplyBits = 96_000;
+
 /** What an edge tells the others: its load, its replicas, its delays. */
 export type Vector = {
   /** bps that this edge's own clients ask of each object. */
@@ -85,7 +99,7 @@
 
 /** A change of delta or more; the last digits of a float don't count. */
 const changed = (next: number, old: number): boolean =>
-  Math.abs(next - old) >= Weights.delta - 1e-9;
+  Math.abs(next - old) >= utilisationDelta - 1e-9;
 
 /**
  * Whether a vector must be sent: the paper's |u_new - u_old| >= delta, the same for the demand of
@@ -103,8 +117,7 @@
     const old = sent.delays[edge];
     if (old === undefined) return true;
     return (
-      Math.abs(delay - old) > Weights.delayFloor &&
-      Math.abs(delay - old) > Weights.delayChange * old
+      Math.abs(delay - old) > delayNoiseSeconds && Math.abs(delay - old) > delayChangeRatio * old
     );
   });
 
@@ -127,7 +140,7 @@
   const replies = list.filter((vector) => vector.meanReply > 0);
   const meanReply =
     replies.length === 0
-      ? Weights.meanReply
+      ? defaultMeanReplyBits
       : replies.reduce((sum, vector) => sum + vector.meanReply, 0) / replies.length;
   const keys = [...new Set(list.flatMap((vector) => Object.keys(vector.demand)))]
     .sort()
@@ -153,7 +166,7 @@
           edges[j] === holder
             ? 0
             : j === k && rule.servers(edges[j] ?? '')
-              ? (list[j]?.fetchDelay ?? Weights.fetchPenalty)
+              ? (list[j]?.fetchDelay ?? fetchPenaltySeconds)
               : null,
       },
     }));
@@ -161,9 +174,7 @@
   const single = keys.filter(({ key, rule }) => rule.placed === undefined || key !== routeOf(key));
   const delays = list.map((vector, j) =>
     edges.map((edge, k) =>
-      j === k
-        ? 0
-        : (vector.delays[edge] ?? list[k]?.delays[edges[j] ?? ''] ?? Weights.fetchPenalty),
+      j === k ? 0 : (vector.delays[edge] ?? list[k]?.delays[edges[j] ?? ''] ?? fetchPenaltySeconds),
     ),
   );
   const solution = solve({
@@ -182,7 +193,7 @@
             if (held[j] === true) return 0;
             // No replica: the client's own edge may make one; others only where nobody has one.
             return j === k || !anyHeld || allowed[k] !== true
-              ? (list[j]?.fetchDelay ?? Weights.fetchPenalty)
+              ? (list[j]?.fetchDelay ?? fetchPenaltySeconds)
               : null;
           },
         };
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -243,3 +243,5 @@
     }
   },
 } as const;
+
+export { shutdownTimeoutMs } from './shutdown.js';
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -2,25 +2,29 @@
   type AgentEffect,
   type AgentEvent,
   type AgentState,
+  agentTickIntervalMs,
   type ApiAction,
   type ClaimReply,
   type Feed,
   type FeedReply,
   openAgent,
+  proposalTimeoutMs,
   reduceAgent,
 } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
-import { Beats, Limits } from '@reedyard/constants';
 import {
   type Answer,
   type Asked,
   type AttemptAnswer,
+  connectTimeoutMs,
+  feedIntervalMs,
   Feeds,
   type HeldFeed,
   ProxyCore,
   type ProxyEffect,
   type ProxyEvent,
   type ProxyState,
+  proxyTickIntervalMs,
   type Target,
 } from '@reedyard/proxy';
 import {
@@ -31,8 +35,10 @@
   type ReplicaRecord,
   type ReplicaRequest,
   type ReplicaState,
+  replicaTickIntervalMs,
   snapshotRecords,
 } from '@reedyard/replica';
+import { callTimeoutMs } from '@reedyard/rpc';
 import type { Description, Policy } from '@reedyard/schemas';
 import type { Deployment, Machine } from '@reedyard/topology';
 import { Clockwork } from './clockwork.js';
@@ -454,7 +460,7 @@
     });
     box.replica = process;
     effects.forEach((effect) => this.#replicaEffect(process, effect));
-    this.#every(process, Beats.rejoin, () => {
+    this.#every(process, replicaTickIntervalMs, () => {
       this.#step(process, { kind: 'tick', now: this.#now(process) });
       this.#compact(box, process);
     });
@@ -499,7 +505,7 @@
       }),
     );
     box.agent = process;
-    this.#every(process, Beats.agent, () =>
+    this.#every(process, agentTickIntervalMs, () =>
       this.#step(process, { kind: 'tick', now: this.#now(process) }),
     );
   }
@@ -520,7 +526,7 @@
       ),
     );
     box.proxy = process;
-    this.#every(process, Beats.proxy, () =>
+    this.#every(process, proxyTickIntervalMs, () =>
       this.#step(process, { kind: 'beat', now: this.#now(process) }),
     );
     this.#step(process, { kind: 'ask', now: this.#now(process) });
@@ -607,7 +613,7 @@
     deliver: (target: Box, reply: (body: unknown) => void) => void,
     returned: (body: unknown) => void,
     lost: () => void,
-    limitMs: number = Limits.call,
+    limitMs: number = callTimeoutMs,
   ): void {
     let over = false;
     const name = to.split('/', 1)[0] ?? to;
@@ -875,7 +881,7 @@
         const askedAt = this.#now(process);
         const box = this.boxes.get(name);
         const again = (): void => {
-          this.clock.in(Beats.feed * this.clock.between(0.9, 1.1), () =>
+          this.clock.in(feedIntervalMs * this.clock.between(0.9, 1.1), () =>
             this.#inside(process, () =>
               this.#step(process, { kind: 'ask', now: this.#now(process) }),
             ),
@@ -999,7 +1005,7 @@
           },
           (body) => done(body as ClaimReply),
           () => done({ kind: 'unreached' }),
-          Limits.proposal + Limits.call,
+          proposalTimeoutMs + callTimeoutMs,
         );
         return;
       }
@@ -1235,7 +1241,7 @@
       this.#reach.isCut(row.address, from.name)
     ) {
       // A refused conn answers at once; a cut one only by its limit.
-      this.clock.in(origin !== undefined && !origin.alive ? 1 : Limits.connect, () =>
+      this.clock.in(origin !== undefined && !origin.alive ? 1 : connectTimeoutMs, () =>
         fail('nothing', 'connect'),
       );
       return;
@@ -1374,7 +1380,7 @@
       this.#reach.isCut(from, to.row.id) ||
       this.#reach.isCut(to.row.id, from)
     ) {
-      this.clock.in(box !== undefined && box.proxy === null ? 1 : Limits.connect, () =>
+      this.clock.in(box !== undefined && box.proxy === null ? 1 : connectTimeoutMs, () =>
         fail('nothing', 'connect'),
       );
       return;
@@ -1486,7 +1492,7 @@
    * its caller is gone.
    */
   #goOn(agent: Process<'agent'>, action: ApiAction): void {
-    for (let ms = 500; ms < Limits.proposal; ms += 500) {
+    for (let ms = 500; ms < proposalTimeoutMs; ms += 500) {
       this.clock.in(ms, () => {
         if (agent.alive)
           this.#askAgent(
--- a/packages/simulator/src/order-trial.ts
+++ b/packages/simulator/src/order-trial.ts
@@ -4,11 +4,15 @@
  * race for the versions of the configuration; each zone has an operator of its own, who evacuates
  * it and takes it back in turn.
  */
-import { Limits } from '@reedyard/constants';
-import type { ApiAction, ZonesRegister, PolicyRegister } from '@reedyard/agent';
+import {
+  type ApiAction,
+  type PolicyRegister,
+  proposalTimeoutMs,
+  type ZonesRegister,
+} from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import { SimFleet } from './fleet.js';
-import { sendOrder, type OrderOutcome } from './order-client.js';
+import { type OrderOutcome, sendOrder } from './order-client.js';
 import type { Plant } from './plants.js';
 import { exampleOf } from './run.js';
 
@@ -248,7 +252,7 @@
       if (kind === 'acknowledged') read = (body as { readonly policy: Policy }).policy;
     },
   );
-  clock.runUntil(endMs + settleMs + patienceMs + Limits.proposal);
+  clock.runUntil(endMs + settleMs + patienceMs + proposalTimeoutMs);
   trial.checkEnd(read);
   const acknowledged = trial.outcomes.filter((each) => each.kind === 'acknowledged');
   const times = acknowledged.map((each) => each.ms).sort((a, b) => a - b);
--- a/packages/simulator/src/plants.ts
+++ b/packages/simulator/src/plants.ts
@@ -1,5 +1,4 @@
-import type { Feed, AgentState, ProxyQuery } from '@reedyard/agent';
-import { Limits } from '@reedyard/constants';
+import { type AgentState, type Feed, type ProxyQuery, replicaTimeoutMs } from '@reedyard/agent';
 import type { ProxyState } from '@reedyard/proxy';
 import type { Policy } from '@reedyard/schemas';
 
@@ -222,7 +221,7 @@
     // Replicas that are silent do not count as members.
     case 'quorum-of-the-reached': {
       const reached = Object.entries(state.replicas).filter(
-        ([, view]) => now - view.lastReplyAt < Limits.replicaSilence,
+        ([, view]) => now - view.lastReplyAt < replicaTimeoutMs,
       );
       return reached.length === 0 ? state : { ...state, replicas: Object.fromEntries(reached) };
     }
--- a/packages/constants/src/purity.test.ts
+++ b/packages/simulator/src/purity.test.ts
@@ -38,9 +38,7 @@
     const folder = path.join(packages, name, 'src');
     for (const file of readdirSync(folder, { recursive: true, encoding: 'utf8' }).filter(
       (each) =>
-        each.endsWith('.ts') &&
-        !each.endsWith('.test.ts') &&
-        !shellFiles.has(path.basename(each)),
+        each.endsWith('.ts') && !each.endsWith('.test.ts') && !shellFiles.has(path.basename(each)),
     )) {
       const text = readFileSync(path.join(folder, file), 'utf8');
       for (const word of [
--- a/packages/task-loop/src/index.ts
+++ b/packages/task-loop/src/index.ts
@@ -1,5 +1,7 @@
 import csp from 'js-csp';
-import { Sizes } from '@reedyard/constants';
+
+/** events waiting for one task. */
+export const maxQueuedEvents = 65_536;
 
 /** What a reducer returns: the next state and what is to be done outside. */
 export type Step<S, F> = { readonly state: S; readonly effects: readonly F[] };
@@ -28,12 +30,12 @@
     readonly reduce: Reducer<S, E, F>;
     readonly perform: (effect: F, put: (event: E) => boolean) => void;
   }): Inbox<E> & { readonly peek: () => S } => {
-    const channel = csp.chan(csp.buffers.fixed(Sizes.inbox));
+    const channel = csp.chan(csp.buffers.fixed(maxQueuedEvents));
     let state = parts.initial;
     let waiting = 0;
     let open = true;
     const put = (event: E): boolean => {
-      if (!open || waiting >= Sizes.inbox) return false;
+      if (!open || waiting >= maxQueuedEvents) return false;
       waiting += 1;
       csp.putAsync(channel, event);
       return true;
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -10,6 +10,7 @@
   type AgentReply,
   type AgentRequest,
   type AgentState,
+  agentTickIntervalMs,
   type ApiAction,
   type FeedReply,
   type NodeIdentity,
@@ -20,9 +21,14 @@
   reduceAgent,
   type TrafficMeasurement,
 } from '@reedyard/agent';
-import { Beats, Hollow, Sizes } from '@reedyard/constants';
 import { LayerError, textOf } from '@reedyard/logging';
-import { Feeds, type HeldFeed } from '@reedyard/proxy';
+import {
+  demandIntervalMs,
+  feedIntervalMs,
+  Feeds,
+  type HeldFeed,
+  measurementIntervalMs,
+} from '@reedyard/proxy';
 import {
   decodeReplicaReply,
   decodeReplicaRequest,
@@ -36,9 +42,17 @@
   type ReplicaLog,
   type ReplicaReply,
   type ReplicaState,
+  replicaTickIntervalMs,
+  snapshotAfterBytes,
   snapshotRecords,
 } from '@reedyard/replica';
 import { call, type Listening, serveCalls } from '@reedyard/rpc';
+import {
+  hollowCallTimeoutMs,
+  hollowDescribeIntervalMs,
+  hollowObjectDemandBps,
+  hollowProxyDemand,
+} from './hollow-constants.js';
 
 /** A hollow fleet that can't be run. */
 export class HollowError extends LayerError {}
@@ -326,7 +340,7 @@
             `127.0.0.1:${place.port}`,
             `/${to}${where}?${this.#name};${role};${kindOf(body)}`,
             body,
-            Hollow.call,
+            hollowCallTimeoutMs,
           );
     this.#during(sent, took, (thrown) => {
       this.#lost += 1;
@@ -465,7 +479,7 @@
       case 'append-records':
         this.#during(node.log.append(effect.records), () => undefined, failed);
         if (
-          node.log.segmentBytes() > Math.max(Sizes.segment, node.log.snapshotBytes() / 2) &&
+          node.log.segmentBytes() > Math.max(snapshotAfterBytes, node.log.snapshotBytes() / 2) &&
           !node.compacting
         ) {
           node.compacting = true;
@@ -621,12 +635,12 @@
       node.draws += 1;
       return drawn(spec.seed, node.draws);
     };
-    if (this.#now - node.wantsAt >= Beats.wants) {
+    if (this.#now - node.wantsAt >= demandIntervalMs) {
       node.wantsAt = this.#now;
       // As uneven as what callers that come by chance ask for in the time that a proxy counts,
       // smoothed as it does.
-      const rate = Hollow.want / spec.services;
-      const uneven = Math.min(0.9, 1 / Math.sqrt((rate * Beats.wants) / 1_000));
+      const rate = hollowProxyDemand / spec.services;
+      const uneven = Math.min(0.9, 1 / Math.sqrt((rate * demandIntervalMs) / 1_000));
       node.wants = Object.fromEntries(
         Array.from({ length: spec.services }, (_, index) => [
           `service-${index}`,
@@ -635,12 +649,12 @@
       );
     }
     let measure: TrafficMeasurement | null = null;
-    if (spec.objects > 0 && this.#now - node.measuredAt >= Beats.measure) {
+    if (spec.objects > 0 && this.#now - node.measuredAt >= measurementIntervalMs) {
       node.measuredAt = this.#now;
       const demand = Object.fromEntries(
         Array.from({ length: spec.objects }, (_, index) => [
           `route-${index % spec.services} /s${index % spec.services}/${index}`,
-          Hollow.demand * (0.5 + draw()),
+          hollowObjectDemandBps * (0.5 + draw()),
         ]),
       );
       measure = {
@@ -674,7 +688,7 @@
 
   #ask(node: ProxyNode): void {
     node.asking = true;
-    node.askAt = this.#now + Beats.feed;
+    node.askAt = this.#now + feedIntervalMs;
     this.#call(
       'proxy',
       node.spec.address,
@@ -740,7 +754,7 @@
     this.#begin();
     for (const node of this.#replicas.values()) {
       if (now < node.beatAt) continue;
-      node.beatAt += Beats.rejoin;
+      node.beatAt += replicaTickIntervalMs;
       this.#reduceReplica(node, { kind: 'tick', now });
     }
     for (const node of this.#agents.values()) {
@@ -749,7 +763,7 @@
         this.#reduceAgent(node, { kind: 'wake-up-due', now });
       }
       if (now < node.beatAt) continue;
-      node.beatAt += Beats.agent;
+      node.beatAt += agentTickIntervalMs;
       this.#reduceAgent(node, { kind: 'tick', now });
     }
     for (const node of this.#proxies.values())
@@ -764,7 +778,7 @@
     };
     for (const origin of this.#origins) {
       if (now < origin.at) continue;
-      origin.at += Hollow.describe;
+      origin.at += hollowDescribeIntervalMs;
       order(origin.spec.node, '', { kind: 'describe', description: origin.spec.description });
     }
     for (const { node, tag, action } of orders) order(node, tag, action);
--- a/packages/testbed/src/hollow.test.ts
+++ b/packages/testbed/src/hollow.test.ts
@@ -1,7 +1,13 @@
-import test from 'ava';
 import { spawnSync } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
-import { Beats } from '@reedyard/constants';
+import test from 'ava';
+import {
+  allocationIntervalMs,
+  gossipIntervalMs,
+  pingRoundIntervalMs,
+  pollIntervalAtRestMs,
+} from '@reedyard/agent';
+import { feedIntervalMs } from '@reedyard/proxy';
 import { hollow, type HollowOptions, type HollowResult } from './hollow.js';
 
 const small: HollowOptions = {
@@ -47,34 +53,34 @@
     // A pull of each replica at each of its beats, an exchange and a feed at theirs, whatever the
     // size of the fleet.
     t.true(
-      sent(result, 'agent', 'pull') <= (1_000 / Beats.pull) * 3 * 1.05,
+      sent(result, 'agent', 'pull') <= (1_000 / pollIntervalAtRestMs) * 3 * 1.05,
       `${sent(result, 'agent', 'pull')} pulls`,
     );
     t.true(
-      sent(result, 'agent', 'exchange') <= (1_000 / Beats.gossip) * 1.05,
+      sent(result, 'agent', 'exchange') <= (1_000 / gossipIntervalMs) * 1.05,
       `${sent(result, 'agent', 'exchange')} exchanges`,
     );
     t.true(
-      sent(result, 'proxy', 'feed') <= (1_000 / Beats.feed) * 1.05,
+      sent(result, 'proxy', 'feed') <= (1_000 / feedIntervalMs) * 1.05,
       `${sent(result, 'proxy', 'feed')} feeds`,
     );
     // A division at each of its beats at the most, fetched once; a push for an exchange at the
     // most.
     t.true(
-      sent(result, 'agent', 'fetch.plan') <= (1_000 / Beats.division) * 1.3,
+      sent(result, 'agent', 'fetch.plan') <= (1_000 / allocationIntervalMs) * 1.3,
       `${sent(result, 'agent', 'fetch.plan')} fetches of the division`,
     );
     t.true(sent(result, 'agent', 'push') <= sent(result, 'agent', 'exchange') * 1.05);
     // A ping to each other node with a proxy, once for each draw at the most.
     t.true(
-      sent(result, 'agent', 'ping') <= result.options.proxies / (Beats.pingDraw / 1_000),
+      sent(result, 'agent', 'ping') <= result.options.proxies / (pingRoundIntervalMs / 1_000),
       `${sent(result, 'agent', 'ping')} pings`,
     );
     // A replica hears from each node and of each ballot; nothing else asks it.
     t.true(
       (result.roles.replica?.callsIn ?? Infinity) <=
-        result.options.nodes * (1_000 / Beats.pull + 1_000 / Beats.division) +
-          (1_000 / Beats.division) * 8,
+        result.options.nodes * (1_000 / pollIntervalAtRestMs + 1_000 / allocationIntervalMs) +
+          (1_000 / allocationIntervalMs) * 8,
       `${result.roles.replica?.callsIn ?? NaN} calls to a replica`,
     );
   }
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -3,22 +3,33 @@
 import os from 'node:os';
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
-import { Hollow } from '@reedyard/constants';
-import type { NodeRecord, NodeIdentity } from '@reedyard/agent';
+import type { NodeIdentity, NodeRecord } from '@reedyard/agent';
 import { textOf } from '@reedyard/logging';
 import type { Policy } from '@reedyard/schemas';
 import {
+  heapBytesPerDelay,
+  heapBytesPerNode,
+  hollowDescribeIntervalMs,
+  hollowMemoryShare,
+  hollowOriginCapacity,
+  hollowOriginsPerService,
+  hollowStartSpreadMs,
+  hollowStepMs,
+  hollowWaitMs,
+  hollowWarmUpMs,
+} from './hollow-constants.js';
+import {
+  type AgentSpec,
+  type Directory,
   drawn,
+  type Flow,
   HollowError,
   HollowHost,
-  type Directory,
-  type Flow,
   type HostCalls,
   type HostReport,
-  type AgentSpec,
-  type ProxySpec,
   type Order,
   type OriginSpec,
+  type ProxySpec,
   type Role,
   type Watch,
 } from './hollow-host.js';
@@ -300,7 +311,7 @@
 
     let now = 0;
     const step = async (orders: readonly Order[] = []): Promise<void> => {
-      now += Hollow.step;
+      now += hollowStepMs;
       let before = await Promise.all(parts.map(({ host }) => host.step(now, orders)));
       // Nothing is under way any more once all say so twice and none asked anything in between.
       for (;;) {
@@ -316,12 +327,12 @@
         .map((report) => report.answers[tag])
         .find((answer) => answer !== undefined);
     const until = async (what: string, holds: () => Promise<boolean>): Promise<void> => {
-      const end = now + Hollow.patience;
+      const end = now + hollowWaitMs;
       while (!(await holds())) {
         if (now > end)
           throw new HollowError(
             'limit',
-            `${what}: not within ${Hollow.patience} ms of the fleet's clock`,
+            `${what}: not within ${hollowWaitMs} ms of the fleet's clock`,
           );
         for (let each = 0; each < 10; each += 1) await step();
       }
@@ -331,7 +342,7 @@
 
     // What the processes cost before they have nodes: steps of an empty fleet.
     const emptyFrom = await reports(true);
-    for (let each = 0; each < 1_000 / Hollow.step; each += 1) await step();
+    for (let each = 0; each < 1_000 / hollowStepMs; each += 1) await step();
     const empty = await reports(true);
 
     await replicaPart.host.replicas(
@@ -402,7 +413,13 @@
     const others = members.flatMap((self, index) =>
       index === holderIndex
         ? []
-        : [{ self, index, startAt: now + Hollow.spread * drawn(options.seed, 1_000_000 + index) }],
+        : [
+            {
+              self,
+              index,
+              startAt: now + hollowStartSpreadMs * drawn(options.seed, 1_000_000 + index),
+            },
+          ],
     );
     await Promise.all(
       agentParts.map((part) =>
@@ -425,7 +442,7 @@
             const at = index % nodes;
             return {
               node: machines[at]?.address ?? '',
-              startAt: now + Hollow.describe * drawn(options.seed, 2_000_000 + index),
+              startAt: now + hollowDescribeIntervalMs * drawn(options.seed, 2_000_000 + index),
               description: {
                 service: `service-${index % options.services}`,
                 instance: `origin-${index}`,
@@ -433,7 +450,7 @@
                 address: `10.200.${Math.floor(index / 250)}.${(index % 250) + 1}:9000`,
                 region: machines[at]?.region ?? '',
                 zone: machines[at]?.zone ?? '',
-                capacity: Hollow.capacity,
+                capacity: hollowOriginCapacity,
                 state: 'warm',
                 draining: false,
               },
@@ -509,7 +526,7 @@
             address: `10.200.${Math.floor(draining / 250)}.${(draining % 250) + 1}:9000`,
             region: machines[draining % nodes]?.region ?? '',
             zone: machines[draining % nodes]?.zone ?? '',
-            capacity: Hollow.capacity,
+            capacity: hollowOriginCapacity,
             state: 'warm',
             draining: true,
           },
@@ -534,7 +551,7 @@
       const all = { config: there, purge: there, drain: draining < 0 ? 0 : there, member: there };
       const arrivedOf = async (what: Watch['what']): Promise<readonly number[]> =>
         (await reports(false)).flatMap((report) => report.arrivals[`${what}-${probe}`] ?? []);
-      const end = now + Hollow.patience;
+      const end = now + hollowWaitMs;
       const whats = ['config', 'purge', 'drain', 'member'] as const;
       for (;;) {
         for (let each = 0; each < 10; each += 1) await step();
@@ -823,7 +840,7 @@
     origins,
     services: read(
       'services',
-      Math.max(1, Math.round(origins / Hollow.originsOfService)),
+      Math.max(1, Math.round(origins / hollowOriginsPerService)),
       1,
       5_000,
     ),
@@ -831,7 +848,7 @@
     purges: read('purges', 1, 0, 1_000, false),
     proxies: read('proxies', nodes - replicas, 1, nodes - replicas),
     objects: read('objects', 0, 0, 1_000),
-    warm: read('warm', Hollow.warm / 1_000, 1, 3_600),
+    warm: read('warm', hollowWarmUpMs / 1_000, 1, 3_600),
     seconds: read('seconds', 4, 1, 3_600),
     seed: read('seed', 1, 0, 2 ** 31 - 1),
     processes: read('processes', 1, 1, 24),
@@ -839,8 +856,8 @@
   };
   // Each node holds a vector of each, and each vector a delay to each.
   const wanted =
-    nodes ** 2 * (Hollow.bytesOfNode + (options.objects > 0 ? nodes * Hollow.bytesOfDelay : 0));
-  const most = os.totalmem() * Hollow.memoryShare;
+    nodes ** 2 * (heapBytesPerNode + (options.objects > 0 ? nodes * heapBytesPerDelay : 0));
+  const most = os.totalmem() * hollowMemoryShare;
   if (wanted > most)
     throw new HollowError(
       'usage',
