--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -44,7 +44,7 @@
 };
 
 /** Whether all of a description but its number was told already, lately enough. */
-const isTold = (state: AgentState, key: string, told: Description): boolean => {
+const isAnnounced = (state: AgentState, key: string, told: Description): boolean => {
   const held = state.gossip.records[key];
   if (held === undefined || held.isForgotten) return false;
   if (state.now - held.seenAt >= originRefreshMs || isWarmthInDoubt(state, told.zone, held.seenAt))
@@ -75,7 +75,11 @@
  * What is told of an origin after it described itself: one that drains goes on to do so in this
  * incarnation.
  */
-const toldOf = (known: Description | null, sent: Description, isLate: boolean): Description => {
+const descriptionToAnnounce = (
+  known: Description | null,
+  sent: Description,
+  isLate: boolean,
+): Description => {
   if (known !== null && isLate) return known;
   const drainsOn = known !== null && known.incarnation === sent.incarnation && known.draining;
   return { ...sent, draining: sent.draining || drainsOn };
@@ -90,10 +94,10 @@
     return;
   }
   const isLate = known !== null && isOutdated(transition.state, description);
-  const told = toldOf(known, description, isLate);
+  const told = descriptionToAnnounce(known, description, isLate);
   if (!isLate) {
     const { gossip, now } = transition.state;
-    const next = isTold(transition.state, key, told)
+    const next = isAnnounced(transition.state, key, told)
       ? replaceLocally(gossip, key, told)
       : publishRecord(gossip, key, told, now, told.sequence);
     update(transition, { gossip: next });
@@ -116,7 +120,7 @@
     : 'replicas answer, but its lease is not renewed yet';
 
 /** Why no callers should come to this node, or null if they may. */
-const notReady = (state: AgentState): string | null => {
+const unreadyReason = (state: AgentState): string | null => {
   const policy = policyOf(state);
   if (state.self.proxy === null) return 'this machine has no proxy';
   if (actingAllowanceMs(state) <= 0) return whyNoLease(state);
@@ -129,7 +133,7 @@
 };
 
 const readiness = (state: AgentState): ApiAnswer => {
-  const why = notReady(state);
+  const why = unreadyReason(state);
   if (why === null) return { status: 200, body: { ready: true } };
   const body = { type: 'about:blank', title: 'Not ready', status: 503, detail: why, ready: false };
   return { status: 503, body, retryAfter: retryAfterSeconds };
--- a/packages/agent/src/api/api-server.ts
+++ b/packages/agent/src/api/api-server.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 import http from 'node:http';
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 import { SchemaError, Schemas } from '@reedyard/schemas';
 import type { ApiAction } from '../messages.js';
 import {
@@ -11,7 +11,7 @@
 } from './http-limits.js';
 
 /** A request to the operators' and origins' API that can't be taken. */
-export class ApiError extends LayerError {
+export class ApiError extends CodedError {
   constructor(
     readonly status: number,
     title: string,
@@ -66,7 +66,7 @@
   try {
     return JSON.parse(bytes.toString('utf8'));
   } catch (thrown) {
-    throw new ApiError(400, 'Not JSON', textOf(thrown));
+    throw new ApiError(400, 'Not JSON', errorMessage(thrown));
   }
 };
 
@@ -176,7 +176,12 @@
     };
   return {
     status: 500,
-    body: { type: 'about:blank', title: 'Unexpected fault', status: 500, detail: textOf(thrown) },
+    body: {
+      type: 'about:blank',
+      title: 'Unexpected fault',
+      status: 500,
+      detail: errorMessage(thrown),
+    },
   };
 };
 
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -4,7 +4,7 @@
   type ProposalNumber,
   zeroProposalNumber,
 } from '@reedyard/consensus';
-import type { Plan } from '@reedyard/quota-division';
+import type { QuotaAllocation } from '@reedyard/quota-division';
 import {
   type CommittedMembership,
   isNewerMembership,
@@ -201,7 +201,7 @@
   if (compareProposalNumbers(proposalNumber, transition.state.highestProposalNumber) > 0)
     update(transition, { highestProposalNumber: proposalNumber });
   if (key === 'plan') {
-    const plan = value as Plan;
+    const plan = value as QuotaAllocation;
     const { allocationSeen: planSeen } = transition.state;
     if (plan.term !== planSeen.term || plan.beat !== planSeen.beat)
       update(transition, {
--- a/packages/agent/src/control/registers.ts
+++ b/packages/agent/src/control/registers.ts
@@ -1,6 +1,6 @@
 /** The registers that this node knows to be chosen, by what they hold. */
 
-import type { Plan } from '@reedyard/quota-division';
+import type { QuotaAllocation } from '@reedyard/quota-division';
 import type { CommittedMembership, Membership } from '@reedyard/replica';
 import type { PolicyRegister, ZonesRegister } from '../messages.js';
 import type { AgentState } from '../state.js';
@@ -47,5 +47,5 @@
 export const zonesWithClosedOrigins = (state: AgentState): readonly string[] =>
   zonesOf(state)?.closedOrigins ?? [];
 
-export const quotaAllocationOf = (state: AgentState): Plan | null =>
-  (state.registers.plan?.value ?? null) as Plan | null;
+export const quotaAllocationOf = (state: AgentState): QuotaAllocation | null =>
+  (state.registers.plan?.value ?? null) as QuotaAllocation | null;
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -178,8 +178,8 @@
     if (transition.state.now - heardAt >= spareMaxAgeMs / 2) requestMembership(transition, address);
   }
   for (const [name, view] of Object.entries(transition.state.replicas)) {
-    const askedLately = transition.state.now - view.lastPolledAt < agentTickIntervalMs;
-    if (isUnresponsive(transition.state, view, healthCheckAfterMs) && !askedLately)
+    const wasPolledLately = transition.state.now - view.lastPolledAt < agentTickIntervalMs;
+    if (isUnresponsive(transition.state, view, healthCheckAfterMs) && !wasPolledLately)
       pollNow(transition, name);
   }
 };
--- a/packages/agent/src/origins/origin-endpoints.ts
+++ b/packages/agent/src/origins/origin-endpoints.ts
@@ -1,7 +1,7 @@
 /** The origins as this node's proxy uses them, each with the rate that this node may send to it. */
 
-import { boundOf, rateOf } from '@reedyard/quota-division';
-import { mixed } from '@reedyard/server-selection';
+import { rateLimitOf, rateOf } from '@reedyard/quota-division';
+import { hashOf } from '@reedyard/server-selection';
 import { policyOf, quotaAllocationOf } from '../control/registers.js';
 import { nodesOf } from '../gossip/known-nodes.js';
 import type { OriginEndpoint } from '../messages.js';
@@ -36,9 +36,9 @@
     ]),
   ];
   const parts = Math.max(1, Math.min(names.length, Math.floor(rate / minSlowStartRate)));
-  const own = mixed(`${instance} ${state.self.id}`);
+  const own = hashOf(`${instance} ${state.self.id}`);
   const ahead = names.filter(
-    (name) => name !== state.self.id && mixed(`${instance} ${name}`) > own,
+    (name) => name !== state.self.id && hashOf(`${instance} ${name}`) > own,
   ).length;
   return ahead < parts ? (rate * slowStartShare) / parts : 0;
 };
@@ -93,7 +93,7 @@
   return Object.fromEntries(
     Object.entries(policyOf(state)?.document.services ?? {}).map(([name, service]) => [
       name,
-      boundOf(
+      rateLimitOf(
         service.ceiling,
         admitted.filter((each) => each.service === name).map((each) => each.capacity ?? Infinity),
       ),
--- a/packages/agent/src/proposals/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -4,7 +4,7 @@
  * by an id or by content.
  */
 import type { ChangeResult } from '@reedyard/consensus';
-import type { Plan } from '@reedyard/quota-division';
+import type { QuotaAllocation } from '@reedyard/quota-division';
 import type { Membership } from '@reedyard/replica';
 import type { Policy, ZoneOrder } from '@reedyard/schemas';
 import { zonesValueOf } from '../control/registers.js';
@@ -63,8 +63,9 @@
     const revision = old?.revision ?? 0;
     // Sent again under the revision that it replaced: it was taken then.
     const isRepeat = ifMatch === revision - 1;
-    const mayBeHeld = isRepeat || (order === 'equal' && (ifMatch === null || ifMatch === revision));
-    if (old !== null && mayBeHeld && hasSameContent(old.document, document)) return keep;
+    const mayBeInForce =
+      isRepeat || (order === 'equal' && (ifMatch === null || ifMatch === revision));
+    if (old !== null && mayBeInForce && hasSameContent(old.document, document)) return keep;
     if (ifMatch !== null && ifMatch !== revision)
       return { kind: 'refuse', reason: Refusals.staleRevision };
     if (order === 'older') return keep;
@@ -173,9 +174,9 @@
 
 /** A quota leader's next allocation, fenced by its term. */
 export const publishAllocationChange =
-  (goal: Plan): RegisterChange =>
+  (goal: QuotaAllocation): RegisterChange =>
   (current) => {
-    const old = current as Plan | null;
+    const old = current as QuotaAllocation | null;
     const isOwn = old !== null && old.term === goal.term && old.holder === goal.holder;
     if (isOwn && old.beat === goal.beat) return keep;
     return isOwn && old.beat < goal.beat
@@ -185,9 +186,9 @@
 
 /** Takes the quota leadership where it was found vacant, unless anything moved since. */
 export const takeQuotaLeadershipChange =
-  (seen: Plan | null, goal: Plan): RegisterChange =>
+  (seen: QuotaAllocation | null, goal: QuotaAllocation): RegisterChange =>
   (current) => {
-    const old = current as Plan | null;
+    const old = current as QuotaAllocation | null;
     if (old !== null && old.term === goal.term && old.holder === goal.holder) return keep;
     if ((old?.term ?? 0) !== (seen?.term ?? 0) || (old?.beat ?? 0) !== (seen?.beat ?? 0)) {
       return { kind: 'refuse', reason: 'not vacant' };
--- a/packages/agent/src/proposals/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -3,7 +3,7 @@
  * itself.
  */
 import { recordValue } from '@reedyard/gossip';
-import type { Plan } from '@reedyard/quota-division';
+import type { QuotaAllocation } from '@reedyard/quota-division';
 import { type ApiAnswer, refusal, unavailable, unreached } from '../api/api-answers.js';
 import { zonesValueOf } from '../control/registers.js';
 import type {
@@ -113,7 +113,7 @@
   outcome: Outcome,
 ): void => {
   const { state } = transition;
-  const own = outcome.kind === 'chosen' ? (outcome.value as Plan) : null;
+  const own = outcome.kind === 'chosen' ? (outcome.value as QuotaAllocation) : null;
   if (
     own === null ||
     own.holder !== state.self.id ||
--- a/packages/agent/src/proposals/proposal-state.ts
+++ b/packages/agent/src/proposals/proposal-state.ts
@@ -1,7 +1,7 @@
 /** Changes of registers and of the journal that are under way. */
 
 import type { Proposal } from '@reedyard/consensus';
-import type { Plan } from '@reedyard/quota-division';
+import type { QuotaAllocation } from '@reedyard/quota-division';
 import type { JournalEntry } from '@reedyard/replica';
 import type { RegisterChange } from './changes.js';
 
@@ -19,7 +19,7 @@
   | { readonly kind: 'put-policy'; readonly id: number; readonly changeId: string }
   | { readonly kind: 'get-policy'; readonly id: number }
   | { readonly kind: 'zone'; readonly id: number; readonly changeId: string }
-  | { readonly kind: 'publish-allocation'; readonly goal: Plan }
+  | { readonly kind: 'publish-allocation'; readonly goal: QuotaAllocation }
   | { readonly kind: 'claim'; readonly id: number }
   | { readonly kind: 'settle-claim'; readonly id: number }
   | { readonly kind: 'repair' }
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -1,11 +1,11 @@
 import {
-  differs,
-  divide,
-  isSeated,
-  type Plan,
-  type Seat,
-  type Slices,
-  toward,
+  hasChangedShares,
+  allocateQuotas,
+  hasMostOfGoal,
+  type QuotaAllocation,
+  type QuotaNode,
+  type QuotaShares,
+  nextShares,
 } from '@reedyard/quota-division';
 import { Routes } from '@reedyard/schemas';
 import { policyOf, quotaAllocationOf } from '../control/registers.js';
@@ -44,27 +44,27 @@
   );
 
 /** The holder's beat: renew the term and move slices to where the demand is. */
-const renew = (transition: Transition, current: Plan): void => {
+const renew = (transition: Transition, current: QuotaAllocation): void => {
   const { state } = transition;
   const quotaLeadership = state.quotaLeadership;
   if (quotaLeadership === null) return;
   const held = quotaLeadership.precedingAllocations.filter((each) => each.until > state.now);
   const nodes = quotaNodes(state);
-  const seats: readonly Seat[] = nodes.map((record) => ({
-    edge: record.id,
+  const seats: readonly QuotaNode[] = nodes.map((record) => ({
+    nodeId: record.id,
     zone: record.zone,
     region: record.region,
   }));
   const policy = policyOf(state)?.document;
   const bounds = serviceRateLimits(state);
   const goals = Object.fromEntries(
-    Object.entries(bounds).map(([name, bound]): readonly [string, Slices] => {
+    Object.entries(bounds).map(([name, bound]): readonly [string, QuotaShares] => {
       const homes = Routes.homesOf(policy?.routes ?? [], name);
       const allowed =
         homes === undefined ? seats : seats.filter((seat) => homes.includes(seat.region));
       return [
         name,
-        divide(
+        allocateQuotas(
           bound,
           allowed,
           Object.fromEntries(nodes.map((record) => [record.id, record.wants[name] ?? 0])),
@@ -73,10 +73,10 @@
     }),
   );
   const slices = Object.fromEntries(
-    Object.entries(goals).map(([name, aim]): readonly [string, Slices] => {
+    Object.entries(goals).map(([name, aim]): readonly [string, QuotaShares] => {
       const now = current.slices[name] ?? {};
-      const next = toward(aim, [now, ...held.map((each) => each.slices[name] ?? {})]);
-      return [name, differs(next, now) ? next : now];
+      const next = nextShares(aim, [now, ...held.map((each) => each.slices[name] ?? {})]);
+      return [name, hasChangedShares(next, now) ? next : now];
     }),
   );
   // A service without a bound keeps no node waiting for its share.
@@ -84,8 +84,8 @@
     Object.entries(goals).filter(([name]) => bounds[name] !== Infinity),
   );
   const seated = seats
-    .map((seat) => seat.edge)
-    .filter((edge) => current.seated.includes(edge) || isSeated(edge, bounded, slices));
+    .map((seat) => seat.nodeId)
+    .filter((edge) => current.seated.includes(edge) || hasMostOfGoal(edge, bounded, slices));
   const names = Object.keys(slices);
   const still =
     names.length === Object.keys(current.slices).length &&
@@ -95,7 +95,7 @@
   // Half a division's beat early, since the last one was chosen a little after it was looked at.
   if (still && state.now - state.allocationSeen.at < allocationRenewalMs - allocationIntervalMs / 2)
     return;
-  const goal: Plan = {
+  const goal: QuotaAllocation = {
     term: current.term,
     holder: state.self.id,
     beat: current.beat + 1,
@@ -139,7 +139,7 @@
   if (policyOf(state) === null) return;
   const vacant = current === null || state.now - state.allocationSeen.at > leaderTimeoutMs;
   if (!vacant || nextRandom(transition) > 0.3) return;
-  const goal: Plan = {
+  const goal: QuotaAllocation = {
     term: (current?.term ?? 0) + 1,
     holder: state.self.id,
     beat: 1,
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -6,9 +6,9 @@
 import { liveRecords, publishRecord } from '@reedyard/gossip';
 import {
   fetchPenaltySeconds,
-  holderOf,
-  mustSend,
-  splitFor,
+  rendezvousOwner,
+  shouldAnnounce,
+  computeRoutes,
   type Vector,
 } from '@reedyard/server-selection';
 import { pollIntervalAtRestMs } from '../control/lease.js';
@@ -46,7 +46,7 @@
 export const noteMeasurement = (transition: Transition, measure: TrafficMeasurement): void => {
   const vector = vectorOf(transition.state, measure);
   const { announcedVector: sent, vectorAnnouncedAt: sentAt, now } = transition.state;
-  if (!mustSend(vector, sent) && now - sentAt < vectorRefreshMs) return;
+  if (!shouldAnnounce(vector, sent) && now - sentAt < vectorRefreshMs) return;
   update(transition, {
     announcedVector: vector,
     vectorAnnouncedAt: now,
@@ -75,7 +75,7 @@
   const zones = new Map(members.map(({ id, zone }) => [id, zone]));
   return (client) => {
     const zone = zones.get(client) ?? '';
-    return byZone.get(zone) ?? byZone.get(holderOf(zone, [...byZone.keys()]) ?? '') ?? [];
+    return byZone.get(zone) ?? byZone.get(rendezvousOwner(zone, [...byZone.keys()]) ?? '') ?? [];
   };
 };
 
@@ -110,7 +110,7 @@
   const split =
     vectors[me.id] === undefined
       ? { split: {}, iterations: 0, cost: 0 }
-      : splitFor(me.id, vectors, (name) => {
+      : computeRoutes(me.id, vectors, (name) => {
           const route = routes.get(name);
           if (route === undefined) return null;
           const servers = (edge: string): boolean => {
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -1,13 +1,13 @@
 import { randomInt, randomUUID } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
-import { openScribe } from '@reedyard/logging';
+import { openLogger } from '@reedyard/logging';
 import {
   decodeReplicaReply,
   encodeReplicaRequest,
   leaseDurationMs,
   type ReplicaReply,
 } from '@reedyard/replica';
-import { call, serveCalls, speakFrom } from '@reedyard/rpc';
+import { call, serveCalls, setLocalAddress } from '@reedyard/rpc';
 import type { Settings } from '@reedyard/settings';
 import { Task } from '@reedyard/task-loop';
 import {
@@ -53,7 +53,7 @@
   settings: AgentSettings,
   options: AgentOptions = {},
 ): Promise<void> => {
-  const scribe = openScribe({ program: 'agent', node: settings.name });
+  const logger = openLogger({ program: 'agent', node: settings.name });
   const asking = new Map<number, (reply: unknown) => void>();
   let next = 1;
   const perform = (effect: AgentEffect, put: (event: AgentEvent) => boolean): void => {
@@ -81,13 +81,13 @@
         setTimeout(() => put({ kind: 'wake-up-due', now: now() }), effect.delayMs);
         return;
       case 'log':
-        scribe.info(effect.event, effect.fields);
+        logger.info(effect.event, effect.fields);
         return;
     }
   };
   const { host } = settings;
   const listen = settings.listen ?? host;
-  speakFrom(host);
+  setLocalAddress(host);
   const task = Task.run<AgentState, AgentEvent, AgentEffect>({
     initial: openAgent({
       self: {
@@ -173,7 +173,7 @@
     api.listen(settings.agent.apiPort, listen, resolve);
   });
   setInterval(() => task.put({ kind: 'tick', now: now() }), agentTickIntervalMs);
-  scribe.info('started', {
+  logger.info('started', {
     calls: calls.port,
     feed: feeds.port,
     api: settings.agent.apiPort,
@@ -182,7 +182,7 @@
   });
 
   const leave = (): void => {
-    scribe.info('stopping');
+    logger.info('stopping');
     api.close();
     setTimeout(() => process.exit(0), leaseDurationMs).unref();
     void calls
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -3,7 +3,7 @@
  */
 import test, { type ExecutionContext } from 'ava';
 import { publishRecord } from '@reedyard/gossip';
-import type { Plan } from '@reedyard/quota-division';
+import type { QuotaAllocation } from '@reedyard/quota-division';
 import {
   journalRetentionMs,
   leaseDurationMs,
@@ -274,7 +274,7 @@
       const step = returned(state, id, reply, now);
       ({ state } = step);
       return replicaCalls(step.effects).flatMap(({ call }) =>
-        call.kind === 'accept' ? [call.value as Plan] : [],
+        call.kind === 'accept' ? [call.value as QuotaAllocation] : [],
       );
     });
   t.true(accepts.length > 0);
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -1,6 +1,6 @@
 import type { ProposalNumber } from '@reedyard/consensus';
 import type { GossipState } from '@reedyard/gossip';
-import type { Slices } from '@reedyard/quota-division';
+import type { QuotaShares } from '@reedyard/quota-division';
 import type { JournalEntry } from '@reedyard/replica';
 import type { Split, Vector } from '@reedyard/server-selection';
 import type { Claims, ReplicaView, WatchedRegister } from './control/control-state.js';
@@ -127,7 +127,7 @@
   readonly quotaLeadership: {
     readonly term: number;
     readonly precedingAllocations: readonly {
-      readonly slices: Readonly<Record<string, Slices>>;
+      readonly slices: Readonly<Record<string, QuotaShares>>;
       readonly until: number;
     }[];
   } | null;
--- a/packages/config-templates/src/index.ts
+++ b/packages/config-templates/src/index.ts
@@ -1,9 +1,9 @@
 import patches from 'json-merge-patch';
 import parse from 'json-templates';
-import { LayerError } from '@reedyard/logging';
+import { CodedError } from '@reedyard/logging';
 
 /** A template that can't be resolved. */
-export class TemplateError extends LayerError {}
+export class TemplateError extends CodedError {}
 
 const clone = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
--- a/packages/logging/src/index.ts
+++ b/packages/logging/src/index.ts
@@ -1,9 +1,9 @@
-import { Logger } from 'tslog';
+import { Logger as TransportLogger } from 'tslog';
 
 /** Values a log line may carry. */
 export type Fields = Readonly<Record<string, string | number | boolean | undefined | null>>;
 
-const quoted = (value: string | number | boolean): string => {
+const quoteValue = (value: string | number | boolean): string => {
   const text = String(value);
   return /^[\w.:/@+,%-]+$/.test(text) ? text : JSON.stringify(text);
 };
@@ -14,16 +14,16 @@
  * @example
  * line('policy.applied', { revision: 7, by: 'agent' }) // 'event=policy.applied revision=7 by=agent'
  */
-export const line = (event: string, fields: Fields): string =>
+export const formatLine = (event: string, fields: Fields): string =>
   [
-    `event=${quoted(event)}`,
+    `event=${quoteValue(event)}`,
     ...Object.entries(fields).flatMap(([key, value]) =>
-      value === undefined || value === null ? [] : [`${key}=${quoted(value)}`],
+      value === undefined || value === null ? [] : [`${key}=${quoteValue(value)}`],
     ),
   ].join(' ');
 
 /** A log bound to one process. */
-export type Scribe = {
+export type Logger = {
   readonly info: (event: string, fields?: Fields) => void;
   readonly warn: (event: string, fields?: Fields) => void;
   readonly error: (event: string, fields?: Fields) => void;
@@ -36,8 +36,8 @@
  * const scribe = openScribe({ program: 'agent', node: 'front-1' });
  * scribe.info('started', { port: 7001 }); // time=… level=INFO program=agent node=front-1 event=started port=7001
  */
-export const openScribe = (fixed: Fields): Scribe => {
-  const logger = new Logger({
+export const openLogger = (fixed: Fields): Logger => {
+  const logger = new TransportLogger({
     type: 'hidden',
     // Where a line was logged from is not told, and finding it out costs a stack trace each.
     hideLogPositionForProduction: true,
@@ -51,12 +51,12 @@
     ],
   });
   const lead = Object.entries(fixed)
-    .map(([key, value]) => `${key}=${quoted(value ?? '')}`)
+    .map(([key, value]) => `${key}=${quoteValue(value ?? '')}`)
     .join(' ');
   const write =
     (level: 'info' | 'warn' | 'error') =>
     (event: string, fields: Fields = {}): void => {
-      logger[level](`${lead} ${line(event, fields)}`);
+      logger[level](`${lead} ${formatLine(event, fields)}`);
     };
   return { info: write('info'), warn: write('warn'), error: write('error') };
 };
@@ -64,7 +64,7 @@
 /**
  * The base of every layer's errors: a code for programs, a text for people, the cause from below.
  */
-export class LayerError extends Error {
+export class CodedError extends Error {
   constructor(
     readonly code: string,
     message: string,
@@ -81,5 +81,5 @@
  * @example
  * textOf(new Error('no')) // 'no'
  */
-export const textOf = (thrown: unknown): string =>
+export const errorMessage = (thrown: unknown): string =>
   thrown instanceof Error ? thrown.message : String(thrown);
--- a/packages/origin-stand-in/src/main.ts
+++ b/packages/origin-stand-in/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import { parseArgs } from 'node:util';
 import http from 'node:http';
-import { openScribe } from '@reedyard/logging';
+import { openLogger } from '@reedyard/logging';
 import { startOriginStandIn } from './index.js';
 
 const { values } = parseArgs({
@@ -26,7 +26,7 @@
   );
   process.exit(2);
 }
-const scribe = openScribe({
+const logger = openLogger({
   program: 'origin-stand-in',
   service: values.service,
   instance: values.instance,
@@ -45,7 +45,7 @@
   maxAge: Number(values['max-age']),
   mode: { state: values.cold ? 'cold' : 'warm' },
 });
-scribe.info('started', { address: standIn.address });
+logger.info('started', { address: standIn.address });
 
 // Commands of the bench: POST /become with a part of a mode, /rename, /turn; GET /ran.
 http
--- a/packages/planner/src/index.ts
+++ b/packages/planner/src/index.ts
@@ -1,5 +1,11 @@
 import type { NodeRecord } from '@reedyard/agent';
-import { boundOf, divide, rateOf, type Seat, type Slices } from '@reedyard/quota-division';
+import {
+  rateLimitOf,
+  allocateQuotas,
+  rateOf,
+  type QuotaNode,
+  type QuotaShares,
+} from '@reedyard/quota-division';
 import { Routes, type Description, type Policy, type Route } from '@reedyard/schemas';
 
 /** What the fleet is now, as its own API tells it. */
@@ -10,7 +16,7 @@
   readonly closedOrigins?: readonly string[];
   readonly nodes: readonly NodeRecord[];
   readonly origins: readonly Description[];
-  readonly slices: Readonly<Record<string, Slices>>;
+  readonly slices: Readonly<Record<string, QuotaShares>>;
 };
 
 /** What is meant to change. */
@@ -121,8 +127,8 @@
   ];
   const fronts = known.nodes.filter((node) => node.proxy !== null);
   const left = fronts.filter((node) => !emptied.includes(node.zone));
-  const seats: readonly Seat[] = left.map((node) => ({
-    edge: node.id,
+  const seats: readonly QuotaNode[] = left.map((node) => ({
+    nodeId: node.id,
     zone: node.zone,
     region: node.region,
   }));
@@ -131,7 +137,7 @@
     fronts
       .filter((node) => emptied.includes(node.zone))
       .reduce((sum, node) => sum + wantOf(node, service), 0);
-  const wantsAfter = (service: string): Slices =>
+  const wantsAfter = (service: string): QuotaShares =>
     Object.fromEntries(
       left.map((node) => [node.id, wantOf(node, service) + displaced(service) / left.length]),
     );
@@ -143,7 +149,7 @@
   const boundAfter = (service: string): number =>
     policy.services[service] === undefined
       ? 0
-      : boundOf(
+      : rateLimitOf(
           policy.services[service]?.ceiling,
           known.origins
             .filter(
@@ -160,7 +166,9 @@
       homes === undefined ? seats : seats.filter((seat) => homes.includes(seat.region));
     const bound = boundAfter(service);
     const after =
-      bound === 0 || allowed.length === 0 ? {} : divide(bound, allowed, wantsAfter(service));
+      bound === 0 || allowed.length === 0
+        ? {}
+        : allocateQuotas(bound, allowed, wantsAfter(service));
     return fronts.flatMap((node) => {
       if (bound === Infinity) return [];
       const [was, will] = [known.slices[service]?.[node.id] ?? 0, rateOf(after, node.id, bound)];
--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -2,10 +2,10 @@
  * How many attempts at origins a request has left, what a peer is granted of them, and how both
  * tell each other what was used.
  */
-import { Attempts } from '@reedyard/attempts';
-import { mayRepeat } from './choice.js';
+import { consumedAttempts } from '@reedyard/attempts';
+import { hasRetryBudget } from './choice.js';
 import { headerText, keepsAlways } from './request-rules.js';
-import type { AttemptAnswer, ProxyRequest, Work } from './state.js';
+import type { AttemptAnswer, ProxyRequest, Transition } from './state.js';
 
 /**
  * attempts that a node keeps of a request that it hands to a peer, where its route allows more
@@ -21,35 +21,36 @@
 export const isFree = (request: ProxyRequest): boolean =>
   keepsAlways(request.route) && request.attempts.every((attempt) => attempt.to.kind === 'peer');
 
-export const mayTryMore = (work: Work, request: ProxyRequest): boolean =>
-  (isFree(request) || mayRepeat(work.state, request.service)) && attemptsLeft(request) > 0;
+export const mayRetry = (transition: Transition, request: ProxyRequest): boolean =>
+  (isFree(request) || hasRetryBudget(transition.state, request.service)) &&
+  remainingAttempts(request) > 0;
 
 /** Origins that a request may still be sent to, from here or through peers. */
-export const attemptsLeft = (request: ProxyRequest): number => {
+export const remainingAttempts = (request: ProxyRequest): number => {
   const most = Math.min(
     request.route.limits.attempts ?? Infinity,
-    request.asked.attempts ?? Infinity,
+    request.clientRequest.attempts ?? Infinity,
   );
-  return most === Infinity ? Infinity : most - Attempts.spent(request.attempts);
+  return most === Infinity ? Infinity : most - consumedAttempts(request.attempts);
 };
 
 /**
  * What a peer is granted of the attempts left: all but those kept for a retry beside the caller,
  * which also outlives the peer.
  */
-export const grantFor = (left: number): number => Math.max(1, left - attemptsKept);
+export const delegatedAttemptsFor = (left: number): number => Math.max(1, left - attemptsKept);
 
 /** Told to the peer that handed a request on: attempts at origins that were made for it here. */
-const spentHeader = 'reedyard-spent';
+const consumedAttemptsHeader = 'reedyard-spent';
 
-export const spentFields = (
+export const consumedAttemptsFields = (
   request: ProxyRequest | undefined,
 ): Readonly<Record<string, string>> => {
-  const spent = Attempts.spent(request?.attempts ?? []);
-  return Number.isFinite(spent) ? { [spentHeader]: String(spent) } : {};
+  const spent = consumedAttempts(request?.attempts ?? []);
+  return Number.isFinite(spent) ? { [consumedAttemptsHeader]: String(spent) } : {};
 };
 
-export const spentAt = (answer: AttemptAnswer): number | null => {
-  const told = headerText(answer.headers, spentHeader);
+export const consumedAttemptsOf = (answer: AttemptAnswer): number | null => {
+  const told = headerText(answer.headers, consumedAttemptsHeader);
   return told !== null && /^\d{1,3}$/.test(told) ? Number(told) : null;
 };
--- a/packages/proxy/src/attempt-ends.ts
+++ b/packages/proxy/src/attempt-ends.ts
@@ -1,15 +1,34 @@
 /** Takes in how an attempt ended, and derives the next move from the ledger alone. */
-import { type Attempt, type AttemptEnd, Attempts, type Sent } from '@reedyard/attempts';
+import {
+  type Attempt,
+  type AttemptResult,
+  nextMove,
+  outcomeOf,
+  type Sent,
+} from '@reedyard/attempts';
 import { Cache, type Copy } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
-import { attemptsLeft, mayTryMore, spentAt, spentFields } from './attempt-budget.js';
-import { mayRepeat, restFor, suspectFor, tookStanding } from './choice.js';
-import { close, forget, giveUp, lapsed, leaderEnded, measured, settle } from './ending.js';
 import {
+  consumedAttemptsFields,
+  consumedAttemptsOf,
+  mayRetry,
+  remainingAttempts,
+} from './attempt-budget.js';
+import { ejectOrigin, hasRetryBudget, recordResponse, restOrigin } from './choice.js';
+import {
+  close,
+  failRequest,
+  forget,
+  handleLeaderEnd,
+  isLeaseExpired,
+  recordReply,
+  settleClaim,
+} from './ending.js';
+import {
+  copyExpiresAt,
   headerText,
   keeps,
   keepsAlways,
-  lifeEnd,
   passedOn,
   serviceOf,
   unsound,
@@ -18,95 +37,109 @@
 import { startAgain } from './serving.js';
 import {
   type AttemptAnswer,
-  change,
   count,
   log,
   type ProxyRequest,
-  set,
-  type Work,
+  type Transition,
+  update,
+  updateRequest,
 } from './state.js';
 
 export const endAttempt = (
-  work: Work,
+  transition: Transition,
   request: ProxyRequest,
   number: number,
-  end: AttemptEnd,
+  end: AttemptResult,
 ): ProxyRequest | undefined => {
   const attempt = request.attempts[number];
-  if (attempt === undefined || attempt.end !== null) return undefined;
-  const under = (work.state.outstanding[attempt.to.id] ?? 1) - 1;
-  const { [attempt.to.id]: _gone, ...others } = work.state.outstanding;
-  set(work, { outstanding: under > 0 ? { ...others, [attempt.to.id]: under } : others });
-  return change(work, request.id, {
-    attempts: request.attempts.map((each) => (each.number === number ? { ...each, end } : each)),
+  if (attempt === undefined || attempt.result !== null) return undefined;
+  const under = (transition.state.outstanding[attempt.to.id] ?? 1) - 1;
+  const { [attempt.to.id]: _gone, ...others } = transition.state.outstanding;
+  update(transition, { outstanding: under > 0 ? { ...others, [attempt.to.id]: under } : others });
+  return updateRequest(transition, request.id, {
+    attempts: request.attempts.map((each) =>
+      each.number === number ? { ...each, result: end } : each,
+    ),
   });
 };
 
-const derive = (work: Work, request: ProxyRequest): void => {
+const derive = (transition: Transition, request: ProxyRequest): void => {
   if (request.phase === 'over') {
-    if (request.attempts.every((attempt) => attempt.end !== null)) forget(work, request);
+    if (request.attempts.every((attempt) => attempt.result !== null)) forget(transition, request);
     return;
   }
-  const { attempts, safe, limitAt } = request;
-  const move = Attempts.next({
+  const { attempts, isIdempotent: safe, deadlineAt: limitAt } = request;
+  const move = nextMove({
     safe,
     attempts,
-    now: work.state.now,
+    now: transition.state.now,
     limitAt,
-    mayRepeat: mayTryMore(work, request),
+    hasRetryBudget: mayRetry(transition, request),
   });
-  if (request.callerGone && move.kind === 'open') {
-    giveUp(work, request, 503, Attempts.outcomeOf(request.attempts), 'its caller left');
+  if (request.isClientGone && move.kind === 'open') {
+    failRequest(transition, request, 503, outcomeOf(request.attempts), 'its caller left');
     return;
   }
-  if (move.kind === 'open') startAgain(work, request);
-  else if (move.kind === 'give-up') giveUp(work, request, move.status, move.outcome, move.why);
+  if (move.kind === 'open') startAgain(transition, request);
+  else if (move.kind === 'fail')
+    failRequest(transition, request, move.status, move.outcome, move.why);
 };
 
-export const failed = (work: Work, id: number, number: number, sent: Sent, why: string): void => {
-  const request = work.state.requests[id];
+export const handleAttemptFailure = (
+  transition: Transition,
+  id: number,
+  number: number,
+  sent: Sent,
+  why: string,
+): void => {
+  const request = transition.state.requests[id];
   if (request === undefined) return;
-  const ended = endAttempt(work, request, number, { kind: 'failed', sent, why });
+  const ended = endAttempt(transition, request, number, { kind: 'failed', sent, why });
   if (ended === undefined) return;
   const name = ended.attempts[number]?.to.id ?? '';
-  if (why !== 'purged' && why !== 'lease') suspectFor(work, name);
-  count(work, `attempt-failed.${why}`);
-  log(work, 'attempt.failed', { id, attempt: number, to: name, sent, why });
-  derive(work, ended);
+  if (why !== 'purged' && why !== 'lease') ejectOrigin(transition, name);
+  count(transition, `attempt-failed.${why}`);
+  log(transition, 'attempt.failed', { id, attempt: number, to: name, sent, why });
+  derive(transition, ended);
 };
 
-export const answered = (work: Work, id: number, number: number, answer: AttemptAnswer): void => {
-  const request = work.state.requests[id];
+export const handleAttemptAnswer = (
+  transition: Transition,
+  id: number,
+  number: number,
+  answer: AttemptAnswer,
+): void => {
+  const request = transition.state.requests[id];
   const attempt = request?.attempts[number];
-  if (request === undefined || attempt === undefined || attempt.end !== null) return;
-  const { state } = work;
+  if (request === undefined || attempt === undefined || attempt.result !== null) return;
+  const { state } = transition;
   const bad = unsound(request, number, answer, state.routes);
   if (bad !== null) {
-    work.effects.push({ kind: 'abort', id, attempt: number });
-    failed(work, id, number, 'maybe', bad);
+    transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
+    handleAttemptFailure(transition, id, number, 'maybe', bad);
     return;
   }
-  const { safe } = request;
+  const { isIdempotent: safe } = request;
   const tags = Cache.tags(answer.headers, request.route.tagsHeader);
-  const purgedAt = keeps(request.route, request.asked.method)
+  const purgedAt = keeps(request.route, request.clientRequest.method)
     ? Cache.purgedSince(state.cache, request.key, tags, attempt.openedAt)
     : null;
   // It may be what a purge was meant to take away, and the time for that is nearly over, or such a
   // purge can't have been heard of: what only reads is then not passed on.
   const doubtful =
-    safe && lapsed(work)
+    safe && isLeaseExpired(transition)
       ? 'lease'
       : purgedAt !== null && state.now - purgedAt > 250
         ? 'purged'
         : null;
   if (doubtful !== null && request.phase !== 'over') {
-    work.effects.push({ kind: 'abort', id, attempt: number });
-    failed(work, id, number, 'maybe', doubtful);
+    transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
+    handleAttemptFailure(transition, id, number, 'maybe', doubtful);
     return;
   }
   if (answer.proof?.misdirected === true) {
-    work.effects.push({ kind: 'abort', id, attempt: number });
-    failed(work, id, number, 'nothing', 'identity');
+    transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
+    handleAttemptFailure(transition, id, number, 'nothing', 'identity');
     return;
   }
   const notRun =
@@ -124,38 +157,40 @@
     safe &&
     attempt.to.kind === 'origin' &&
     answer.status >= 500 &&
-    mayRepeat(state, request.service) &&
-    attemptsLeft(request) > 0 &&
-    state.now < request.limitAt;
+    hasRetryBudget(state, request.service) &&
+    remainingAttempts(request) > 0 &&
+    state.now < request.deadlineAt;
   // A word of being turned away is passed on for an unsafe request only where it is proved.
   const final =
     (!turnedAway ||
       (safe && answer.status === 429 && answer.proof === undefined) ||
       passedOn(answer)) &&
     !mayTryAgain;
-  const ended = endAttempt(work, request, number, {
+  const ended = endAttempt(transition, request, number, {
     kind: 'answered',
     status: answer.status,
     final,
-    notRun,
-    spent: attempt.to.kind === 'peer' ? spentAt(answer) : null,
+    provablyNotExecuted: notRun,
+    consumedAttempts: attempt.to.kind === 'peer' ? consumedAttemptsOf(answer) : null,
   });
   if (ended === undefined) return;
-  if (!notRun) tookStanding(work, attempt.to.id, state.now - attempt.openedAt, answer.proof);
-  if (attempt.to.kind === 'origin' && notRun) restFor(work, attempt.to.id);
+  if (!notRun)
+    recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, answer.proof);
+  if (attempt.to.kind === 'origin' && notRun) restOrigin(transition, attempt.to.id);
   // What is read whole leaves its conn ready for the next.
   const drop = (): void => {
-    if (!answer.whole) work.effects.push({ kind: 'abort', id, attempt: number });
+    if (!answer.isComplete)
+      transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
   };
   if (request.phase === 'over') {
     drop();
-    derive(work, ended);
+    derive(transition, ended);
     return;
   }
   if (!final) {
     drop();
-    if (attempt.to.kind === 'peer' && notRun) suspectFor(work, attempt.to.id);
-    derive(work, ended);
+    if (attempt.to.kind === 'peer' && notRun) ejectOrigin(transition, attempt.to.id);
+    derive(transition, ended);
     return;
   }
   const fromOrigin = attempt.to.kind === 'origin';
@@ -163,48 +198,48 @@
   if (fromOrigin) {
     const name = request.route.name;
     const old = state.replyBytes[name];
-    set(work, {
+    update(transition, {
       replyBytes: {
-        ...work.state.replyBytes,
+        ...transition.state.replyBytes,
         [name]: old === undefined ? answer.size : old + responseTimeGain * (answer.size - old),
       },
     });
   }
   if (fromOrigin) {
-    count(work, 'fetched');
-    const { period } = work.state;
-    set(work, {
+    count(transition, 'fetched');
+    const { period } = transition.state;
+    update(transition, {
       period: { ...period, attemptMs: period.attemptMs + attemptMs, fetched: period.fetched + 1 },
     });
-  } else count(work, 'forwarded');
-  const copy = fromOrigin ? copyOf(work, request, attempt, answer, tags, purgedAt) : null;
-  if (copy !== null) set(work, { cache: Cache.keep(work.state.cache, copy) });
-  else if (request.leads)
-    set(work, {
-      unkept: {
+  } else count(transition, 'forwarded');
+  const copy = fromOrigin ? copyOf(transition, request, attempt, answer, tags, purgedAt) : null;
+  if (copy !== null) update(transition, { cache: Cache.keep(transition.state.cache, copy) });
+  else if (request.isFetchLeader)
+    update(transition, {
+      uncacheableKeys: {
         ...Object.fromEntries(
-          Object.entries(work.state.unkept).filter(([, until]) => until > state.now),
+          Object.entries(transition.state.uncacheableKeys).filter(([, until]) => until > state.now),
         ),
         [request.key]: state.now + 5_000,
       },
     });
-  settle(work, ended, answer.status < 500 ? 'ran' : 'unknown');
-  measured(work, request, answer.size, fromOrigin);
-  count(work, `status.${answer.status}`);
-  if (!request.callerGone) {
-    work.effects.push({
-      kind: 'answer',
-      id,
+  settleClaim(transition, ended, answer.status < 500 ? 'ran' : 'unknown');
+  recordReply(transition, request, answer.size, fromOrigin);
+  count(transition, `status.${answer.status}`);
+  if (!request.isClientGone) {
+    transition.effects.push({
+      kind: 'send-answer',
+      requestId: id,
       answer: {
         status: answer.status,
         headers: {
           ...answer.headers,
-          ...spentFields(ended),
-          ...(request.asked.via === null
+          ...consumedAttemptsFields(ended),
+          ...(request.clientRequest.via === null
             ? {}
             : { 'reedyard-service': fromOrigin ? serviceOf(attempt) : request.service }),
           'reedyard-served': fromOrigin
-            ? request.asked.via === null
+            ? request.clientRequest.via === null
               ? 'origin'
               : 'peer-origin'
             : 'peer',
@@ -214,8 +249,8 @@
       },
     });
   } else drop();
-  close(work, ended);
-  leaderEnded(work, ended, copy, null);
+  close(transition, ended);
+  handleLeaderEnd(transition, ended, copy, null);
 };
 
 /**
@@ -223,17 +258,22 @@
  * still that one.
  */
 const copyOf = (
-  work: Work,
+  transition: Transition,
   request: ProxyRequest,
   attempt: Attempt,
   answer: AttemptAnswer,
   tags: readonly string[],
   purgedAt: number | null,
 ): Copy | null => {
-  const { state } = work;
-  if (request.asked.method !== 'GET' || !answer.whole || answer.status === 206 || purgedAt !== null)
+  const { state } = transition;
+  if (
+    request.clientRequest.method !== 'GET' ||
+    !answer.isComplete ||
+    answer.status === 206 ||
+    purgedAt !== null
+  )
     return null;
-  const route = Routes.find(state.routes, request.asked.host, request.asked.target);
+  const route = Routes.find(state.routes, request.clientRequest.host, request.clientRequest.target);
   const attemptMs = state.now - attempt.openedAt;
   const life =
     route !== undefined && keepsAlways(route)
@@ -241,7 +281,11 @@
         ? (route.cache.mostSeconds ?? 0) * 1_000
         : 0
       : Cache.life(
-          { method: 'GET', url: request.asked.target, headers: request.asked.headers },
+          {
+            method: 'GET',
+            url: request.clientRequest.target,
+            headers: request.clientRequest.headers,
+          },
           answer,
           attemptMs,
         );
@@ -254,7 +298,7 @@
     body: answer.body,
     size: answer.size,
     tags,
-    vary: Cache.vary(answer.headers, request.asked.headers),
+    vary: Cache.vary(answer.headers, request.clientRequest.headers),
     takenAt: state.now,
     freshUntil: state.now + life,
     bornAge:
@@ -262,5 +306,5 @@
         ? 0
         : Number(headerText(answer.headers, 'age') ?? 0) + attemptMs / 1_000,
   };
-  return life > 0 && state.now < lifeEnd(route, state, copy) ? copy : null;
+  return life > 0 && state.now < copyExpiresAt(route, state, copy) ? copy : null;
 };
--- a/packages/proxy/src/caller-answer.ts
+++ b/packages/proxy/src/caller-answer.ts
@@ -5,29 +5,31 @@
 import type http from 'node:http';
 import type { Readable } from 'node:stream';
 import type { Headers } from '@reedyard/cache';
-import type { Dialect } from './dialect.js';
+import type { WireFormat } from './dialect.js';
 import { present, stamped } from './present.js';
-import type { Answer, Asked } from './state.js';
+import type { Answer, ClientRequest } from './state.js';
 
 /** Where an answer goes, and what of it depends on who asked. */
 export type AnswerTarget = {
   readonly response: http.ServerResponse;
-  readonly asked: Asked;
-  readonly dialect: Dialect;
+  readonly asked: ClientRequest;
+  readonly dialect: WireFormat;
   /** Fields of this hop. */
   readonly hopFields: Readonly<Record<string, string>>;
 };
 
 type Problem = Extract<Answer['body'], { kind: 'problem' }>;
-type Held = { readonly body: unknown; readonly size: number; readonly whole: boolean };
+type AnswerBody = { readonly body: unknown; readonly size: number; readonly isComplete: boolean };
 
 const originStatusOf = ({ body }: Answer): number | null => {
   if (body.kind === 'problem') return null;
   return body.kind === 'copy' ? body.copy.status : body.answer.status;
 };
 
-const heldOf = (body: Exclude<Answer['body'], Problem>): Held =>
-  body.kind === 'copy' ? { body: body.copy.body, size: body.copy.size, whole: true } : body.answer;
+const bodyOf = (body: Exclude<Answer['body'], Problem>): AnswerBody =>
+  body.kind === 'copy'
+    ? { body: body.copy.body, size: body.copy.size, isComplete: true }
+    : body.answer;
 
 /**
  * The fields that the one who asked is shown with a status: a peer all, a caller by the dialect.
@@ -63,7 +65,7 @@
   response.end(asked.method === 'HEAD' ? undefined : text);
 };
 
-const writeWhole = (target: AnswerTarget, answer: Answer, held: Held): void => {
+const writeWhole = (target: AnswerTarget, answer: Answer, held: AnswerBody): void => {
   const { response, asked } = target;
   const { status, headers } = answer;
   const bodiless = asked.method === 'HEAD' && answer.body.kind === 'attempt';
@@ -98,8 +100,8 @@
  */
 export const writeAnswer = (target: AnswerTarget, answer: Answer): Readable | null => {
   const { response } = target;
-  const held = answer.body.kind === 'problem' ? null : heldOf(answer.body);
-  const stream = held === null || held.whole ? null : (held.body as Readable);
+  const held = answer.body.kind === 'problem' ? null : bodyOf(answer.body);
+  const stream = held === null || held.isComplete ? null : (held.body as Readable);
   if (response.destroyed || response.headersSent) {
     stream?.destroy();
     return null;
--- a/packages/proxy/src/caller-bounds.ts
+++ b/packages/proxy/src/caller-bounds.ts
@@ -19,14 +19,14 @@
 };
 
 /** ms. Rest of a caller's connection where the config says nothing. */
-const DEFAULT_IDLE_MS = 30_000;
+const defaultIdleMs = 30_000;
 /**
  * ms. A connection is kept this much longer than was told: a request may be on its way by then.
  * Under a second, since Node tells the whole seconds of what it keeps.
  */
-const IDLE_MARGIN_MS = 900;
+const idleMarginMs = 900;
 /** ms. A whole request with its body must have been read by then. */
-const LEAST_REQUEST_MS = 60_000;
+const minRequestTimeoutMs = 60_000;
 
 /** Bounds on callers, and what a server does to keep them. */
 export const CallerBounds = {
@@ -35,7 +35,7 @@
     headBytes: callers?.headBytes ?? maxRequestHeadBytes,
     bodyBytes: callers?.bodyBytes ?? defaultMaxBodyBytes,
     headMs: callers?.headMs ?? requestHeadTimeoutMs,
-    idleMs: callers?.idleMs ?? DEFAULT_IDLE_MS,
+    idleMs: callers?.idleMs ?? defaultIdleMs,
   }),
 
   /** Seconds told in `Keep-Alive`: whole ones, never less than the bound. */
@@ -43,8 +43,8 @@
 
   /** ms that a resting connection is kept: what was told, and a margin. */
   keptMs: (bounds: CallerBounds): number =>
-    CallerBounds.promisedSeconds(bounds) * 1_000 + IDLE_MARGIN_MS,
+    CallerBounds.promisedSeconds(bounds) * 1_000 + idleMarginMs,
 
   /** ms from the first byte of a request to the last of its body. */
-  requestMs: ({ headMs }: CallerBounds): number => Math.max(LEAST_REQUEST_MS, 2 * headMs),
+  requestMs: ({ headMs }: CallerBounds): number => Math.max(minRequestTimeoutMs, 2 * headMs),
 } as const;
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/choice.ts
@@ -1,17 +1,17 @@
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
-import { Attempts } from '@reedyard/attempts';
+import { isIdempotentMethod } from '@reedyard/attempts';
 import { type Route, Routes } from '@reedyard/schemas';
-import { groupKey, holderOf, objectKey } from '@reedyard/server-selection';
+import { groupKey, objectKey, rendezvousOwner } from '@reedyard/server-selection';
 import type { Proof } from './dialect.js';
 import { ejectionMs } from './ejection-timing.js';
 import { responseTimeGain } from './response-times.js';
 import {
   type Bucket,
+  type OriginHealth,
   type ProxyRequest,
   type ProxyState,
-  set,
-  type Standing,
-  type Work,
+  type Transition,
+  update,
 } from './state.js';
 
 /**
@@ -66,8 +66,8 @@
 /** ms that a byte between zones weighs in the choice of an origin: 100 kB weigh as 25 ms. */
 export const otherZoneMsPerByte = 0.000_25;
 
-const suspect = (state: ProxyState, name: string): boolean =>
-  (state.suspects[name] ?? 0) > state.now;
+const isEjected = (state: ProxyState, name: string): boolean =>
+  (state.ejectedUntil[name] ?? 0) > state.now;
 
 export const originName = (row: OriginEndpoint): string =>
   `${row.service}/${row.instance}/${row.incarnation}`;
@@ -78,7 +78,7 @@
 
 /** Whether a request on a route may run more than once. */
 export const isSafe = (route: Route, method: string): boolean =>
-  route.repeat === 'safe' || (route.repeat !== 'never' && Attempts.safe(method));
+  route.repeat === 'safe' || (route.repeat !== 'never' && isIdempotentMethod(method));
 
 /**
  * The service of a request, drawn by the weights of its route; the one drawn before where the route
@@ -100,7 +100,7 @@
   const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
   return (state.feed?.peers ?? []).filter(
     (row) =>
-      atHome(request.route.homes, row.region) && !tried.has(row.id) && !suspect(state, row.id),
+      atHome(request.route.homes, row.region) && !tried.has(row.id) && !isEjected(state, row.id),
   );
 };
 
@@ -113,13 +113,13 @@
   request: ProxyRequest,
 ): 'self' | PeerEndpoint | null => {
   const home = atHome(request.route.homes, state.self.region);
-  if (request.asked.via !== null) return home ? 'self' : null;
+  if (request.clientRequest.via !== null) return home ? 'self' : null;
   const split = state.feed?.split ?? {};
   const { name } = request.route;
-  const holder = holderOf(request.key, state.holders[name] ?? []);
+  const holder = rendezvousOwner(request.key, state.holders[name] ?? []);
   const row =
     (holder === undefined
-      ? (split[objectKey(name, request.asked.target)] ?? split[objectKey(name, null)])
+      ? (split[objectKey(name, request.clientRequest.target)] ?? split[objectKey(name, null)])
       : split[groupKey(name, holder)]) ?? [];
   if (home && row.every(([edge]) => edge === state.self.id)) return 'self';
   const peers = allowedPeers(state, request);
@@ -130,7 +130,7 @@
       return peer === undefined ? [] : [[peer, share]];
     },
   );
-  let left = (request.draws[0] ?? 0) * open.reduce((sum, [, share]) => sum + share, 0);
+  let left = (request.randomNumbers[0] ?? 0) * open.reduce((sum, [, share]) => sum + share, 0);
   for (const [server, share] of open) {
     left -= share;
     if (left < 0) return server;
@@ -140,33 +140,36 @@
   return home ? 'self' : (peers[0] ?? null);
 };
 
-const most = (rate: number): number => Math.max(1, rate * burstSeconds);
+const bucketCapacity = (rate: number): number => Math.max(1, rate * burstSeconds);
 const filled = (bucket: Bucket, now: number): number =>
-  Math.min(most(bucket.rate), bucket.tokens + (bucket.rate * Math.max(0, now - bucket.at)) / 1_000);
+  Math.min(
+    bucketCapacity(bucket.rate),
+    bucket.tokens + (bucket.rate * Math.max(0, now - bucket.at)) / 1_000,
+  );
 
 /**
  * Takes a token; a bucket begins empty, a changed rate counts only from now on, and a lowered one
  * lets go of what it could not have saved.
  */
-export const takeToken = (work: Work, name: string, rate: number): boolean => {
+export const takeToken = (transition: Transition, name: string, rate: number): boolean => {
   if (rate === Infinity) return true;
-  const old = work.state.buckets[name] ?? { tokens: 0, at: work.state.now, rate };
-  const tokens = Math.min(most(rate), filled(old, work.state.now));
+  const old = transition.state.buckets[name] ?? { tokens: 0, at: transition.state.now, rate };
+  const tokens = Math.min(bucketCapacity(rate), filled(old, transition.state.now));
   const taken = tokens >= 1;
-  set(work, {
+  update(transition, {
     buckets: {
-      ...work.state.buckets,
-      [name]: { tokens: taken ? tokens - 1 : tokens, at: work.state.now, rate },
+      ...transition.state.buckets,
+      [name]: { tokens: taken ? tokens - 1 : tokens, at: transition.state.now, rate },
     },
   });
   return taken;
 };
 
-export const giveBack = (work: Work, name: string): void => {
-  const bucket = work.state.buckets[name];
+export const returnToken = (transition: Transition, name: string): void => {
+  const bucket = transition.state.buckets[name];
   if (bucket !== undefined)
-    set(work, {
-      buckets: { ...work.state.buckets, [name]: { ...bucket, tokens: bucket.tokens + 1 } },
+    update(transition, {
+      buckets: { ...transition.state.buckets, [name]: { ...bucket, tokens: bucket.tokens + 1 } },
     });
 };
 
@@ -185,7 +188,7 @@
  * Requests that this node may have under way at an origin: its part of what that one works on and
  * lets wait, and of the conns that it accepts.
  */
-export const roomAt = (state: ProxyState, row: OriginEndpoint): number => {
+export const remainingConcurrency = (state: ProxyState, row: OriginEndpoint): number => {
   const parts = nodes(state);
   const slots =
     row.slots === null || row.slots === undefined
@@ -204,7 +207,7 @@
  */
 const busyAt = (state: ProxyState, name: string): number => {
   const own = state.outstanding[name] ?? 0;
-  const load = state.standings[name]?.load;
+  const load = state.originHealth[name]?.load;
   if (!load) return own;
   return (
     own +
@@ -215,17 +218,19 @@
 
 /** ms that an origin's answers take; what was met there long ago counts as the mean of all. */
 export const answerMs = (state: ProxyState, row: OriginEndpoint, mean: number): number => {
-  const known = state.standings[originName(row)];
+  const known = state.originHealth[originName(row)];
   return known === undefined
     ? mean
-    : mean + (known.ms - mean) * Math.exp((known.heardAt - state.now) / responseTimeMemoryMs);
+    : mean +
+        (known.meanResponseMs - mean) *
+          Math.exp((known.heardAt - state.now) / responseTimeMemoryMs);
 };
 
 /** ms that the answers of a service's origins take on average here; 0 where none was had. */
 export const meanMs = (state: ProxyState, rows: readonly OriginEndpoint[]): number => {
   const known = rows.flatMap((row) => {
-    const standing = state.standings[originName(row)];
-    return standing === undefined ? [] : [standing.ms];
+    const standing = state.originHealth[originName(row)];
+    return standing === undefined ? [] : [standing.meanResponseMs];
   });
   return known.length === 0 ? 0 : known.reduce((sum, ms) => sum + ms, 0) / known.length;
 };
@@ -266,7 +271,7 @@
     (row) => row.service === request.service && atHome(request.route.homes, row.region),
   );
   const untried = rows.filter((row) => !tried.has(originName(row)));
-  const trusted = untried.filter((row) => !suspect(state, originName(row)));
+  const trusted = untried.filter((row) => !isEjected(state, originName(row)));
   // Where every one is suspected, a suspected one is still better than none.
   const pool = trusted.length > 0 ? trusted : untried.length > 0 ? untried : rows;
   const mean = meanMs(state, pool);
@@ -275,9 +280,10 @@
   let best: (typeof costs)[number] | undefined;
   for (let drawn = 0; drawn < originsDrawn && left.length > 0; drawn += 1) {
     const draw =
-      request.draws[
+      request.randomNumbers[
         1 +
-          ((request.attempts.length * originsDrawn + drawn) % Math.max(1, request.draws.length - 1))
+          ((request.attempts.length * originsDrawn + drawn) %
+            Math.max(1, request.randomNumbers.length - 1))
       ] ?? 0.5;
     const one = left[Math.min(left.length - 1, Math.floor(draw * left.length))];
     left = left.filter((each) => each !== one);
@@ -288,68 +294,78 @@
 };
 
 /** Sets aside who failed: longer each time that it fails again before it answered soundly. */
-export const suspectFor = (work: Work, name: string): void => {
-  const failures = (work.state.standings[name]?.failures ?? 0) + 1;
-  const known = work.state.standings[name];
+export const ejectOrigin = (transition: Transition, name: string): void => {
+  const failures = (transition.state.originHealth[name]?.failures ?? 0) + 1;
+  const known = transition.state.originHealth[name];
   const suspects = Object.fromEntries(
-    Object.entries(work.state.suspects).filter(([, until]) => until > work.state.now),
+    Object.entries(transition.state.ejectedUntil).filter(
+      ([, until]) => until > transition.state.now,
+    ),
   );
-  set(work, {
-    suspects: {
+  update(transition, {
+    ejectedUntil: {
       ...suspects,
       [name]:
-        work.state.now + Math.min(maxEjectionMs, ejectionMs * 2 ** Math.min(10, failures - 1)),
+        transition.state.now +
+        Math.min(maxEjectionMs, ejectionMs * 2 ** Math.min(10, failures - 1)),
     },
     ...(known === undefined
       ? {}
-      : { standings: { ...work.state.standings, [name]: { ...known, failures } } }),
+      : { originHealth: { ...transition.state.originHealth, [name]: { ...known, failures } } }),
   });
 };
 
 /**
  * Sets aside an origin that said that it was too full: only for the time in which that may change.
  */
-export const restFor = (work: Work, name: string): void =>
-  set(work, {
-    suspects: {
-      ...work.state.suspects,
-      [name]: Math.max(work.state.suspects[name] ?? 0, work.state.now + fullOriginRestMs),
+export const restOrigin = (transition: Transition, name: string): void =>
+  update(transition, {
+    ejectedUntil: {
+      ...transition.state.ejectedUntil,
+      [name]: Math.max(
+        transition.state.ejectedUntil[name] ?? 0,
+        transition.state.now + fullOriginRestMs,
+      ),
     },
   });
 
 /** Takes in what a sound answer of an origin shows. */
-export const tookStanding = (
-  work: Work,
+export const recordResponse = (
+  transition: Transition,
   name: string,
   ms: number,
   proof: Proof | undefined,
 ): void => {
-  const old = work.state.standings[name];
+  const old = transition.state.originHealth[name];
   const told = proof?.load;
-  const next: Standing = {
-    ms: old === undefined ? ms : old.ms + responseTimeGain * (ms - old.ms),
-    heardAt: work.state.now,
+  const next: OriginHealth = {
+    meanResponseMs:
+      old === undefined ? ms : old.meanResponseMs + responseTimeGain * (ms - old.meanResponseMs),
+    heardAt: transition.state.now,
     failures: 0,
     load: told
-      ? { ...told, at: work.state.now, own: work.state.outstanding[name] ?? 0 }
+      ? { ...told, at: transition.state.now, own: transition.state.outstanding[name] ?? 0 }
       : (old?.load ?? null),
   };
-  set(work, { standings: { ...work.state.standings, [name]: next } });
+  update(transition, { originHealth: { ...transition.state.originHealth, [name]: next } });
 };
 
-export const earnRepeat = (work: Work, service: string): void =>
-  set(work, {
-    repeats: {
-      ...work.state.repeats,
+export const depositRetryToken = (transition: Transition, service: string): void =>
+  update(transition, {
+    retryTokens: {
+      ...transition.state.retryTokens,
       [service]: Math.min(
-        Math.max(1, Math.min(maxRetryTokens, maxRetryTokensOfFleet / nodes(work.state))),
-        (work.state.repeats[service] ?? 0) + retryTokensPerRequest,
+        Math.max(1, Math.min(maxRetryTokens, maxRetryTokensOfFleet / nodes(transition.state))),
+        (transition.state.retryTokens[service] ?? 0) + retryTokensPerRequest,
       ),
     },
   });
-export const mayRepeat = (state: ProxyState, service: string): boolean =>
-  (state.repeats[service] ?? 0) >= 1;
-export const spendRepeat = (work: Work, service: string): void =>
-  set(work, {
-    repeats: { ...work.state.repeats, [service]: (work.state.repeats[service] ?? 0) - 1 },
+export const hasRetryBudget = (state: ProxyState, service: string): boolean =>
+  (state.retryTokens[service] ?? 0) >= 1;
+export const spendRetryToken = (transition: Transition, service: string): void =>
+  update(transition, {
+    retryTokens: {
+      ...transition.state.retryTokens,
+      [service]: (transition.state.retryTokens[service] ?? 0) - 1,
+    },
   });
--- a/packages/proxy/src/conns.test.ts
+++ b/packages/proxy/src/conns.test.ts
@@ -2,8 +2,8 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
-import { OriginConns } from './conns.js';
-import { ownDialect } from './dialect.js';
+import { OriginConnections } from './conns.js';
+import { ownWireFormat } from './dialect.js';
 
 test('an attempt is not sent over a conn that came too late for what it was decided on', async (t) => {
   const paths: string[] = [];
@@ -35,7 +35,7 @@
   };
   const send = (sendBy: number): Promise<string> =>
     new Promise((resolve) => {
-      new OriginConns('127.0.0.1', ownDialect).send(
+      new OriginConnections('127.0.0.1', ownWireFormat).send(
         row,
         {
           method: 'GET',
--- a/packages/proxy/src/conns.ts
+++ b/packages/proxy/src/conns.ts
@@ -6,22 +6,27 @@
 import net from 'node:net';
 import { performance } from 'node:perf_hooks';
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import { originName } from './choice.js';
 import { connectTimeoutMs, idleConnectionMs, plainConnectTimeoutMs } from './connection-timing.js';
-import type { Dialect, ToOrigin } from './dialect.js';
+import type { WireFormat, ToOrigin } from './dialect.js';
 import { ejectionMs } from './ejection-timing.js';
 import {
-  type AttemptEnds,
+  type AttemptCallbacks,
   AttemptError,
   Exchange,
   type Judgement,
   OpenConnection,
-  type Outgoing,
-  type Underway,
+  type OutgoingRequest,
+  type InFlightAttempt,
 } from './exchange.js';
 
-export { AttemptError, type AttemptEnds, type Outgoing, type Underway } from './exchange.js';
+export {
+  AttemptError,
+  type AttemptCallbacks as AttemptEnds,
+  type OutgoingRequest as Outgoing,
+  type InFlightAttempt as Underway,
+} from './exchange.js';
 
 const IDENTITY_PATH = '/.well-known/reedyard-identity';
 /** bytes. A proof of identity is a few names. */
@@ -83,7 +88,7 @@
           }
           resolve();
         } catch (thrown) {
-          reject(new IdentityError(textOf(thrown), { cause: thrown }));
+          reject(new IdentityError(errorMessage(thrown), { cause: thrown }));
         }
       });
     });
@@ -91,7 +96,7 @@
     request.end();
   });
 
-const nextTurn = (): Promise<void> =>
+const nextEventLoopTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -100,7 +105,7 @@
 export const peerName = (row: PeerEndpoint): string => `peer ${row.id} ${row.address}`;
 
 /** Connections to origins and peers. */
-export class OriginConns {
+export class OriginConnections {
   readonly #idle = new Map<string, OpenConnection[]>();
   #attempts = 0;
 
@@ -110,7 +115,7 @@
    */
   constructor(
     private readonly from: string,
-    private readonly dialect: Dialect,
+    private readonly dialect: WireFormat,
   ) {}
 
   /** Closes resting connections to origins and peers that are no longer told of. */
@@ -125,11 +130,11 @@
   /** Makes one attempt at an origin. */
   send(
     row: OriginEndpoint,
-    out: Outgoing,
+    out: OutgoingRequest,
     attempt: ToOrigin,
     terms: SendTerms,
-    ends: AttemptEnds,
-  ): Underway {
+    ends: AttemptCallbacks,
+  ): InFlightAttempt {
     const name = originName(row);
     const judge = (response: http.IncomingMessage): Judgement => {
       const status = response.statusCode ?? 0;
@@ -142,7 +147,12 @@
   }
 
   /** Hands a request on to a peer. */
-  sendToPeer(row: PeerEndpoint, out: Outgoing, terms: SendTerms, ends: AttemptEnds): Underway {
+  sendToPeer(
+    row: PeerEndpoint,
+    out: OutgoingRequest,
+    terms: SendTerms,
+    ends: AttemptCallbacks,
+  ): InFlightAttempt {
     const judge = ({ headers }: http.IncomingMessage): Judgement => {
       const foreign = headers['reedyard-attempt'] !== out.headers['reedyard-attempt'];
       return { evidence: { unsound: foreign ? 'foreign' : null, anonymous: false } };
@@ -155,13 +165,18 @@
     );
   }
 
-  #send(to: Destination, out: Outgoing, terms: SendTerms, ends: AttemptEnds): Underway {
+  #send(
+    to: Destination,
+    out: OutgoingRequest,
+    terms: SendTerms,
+    ends: AttemptCallbacks,
+  ): InFlightAttempt {
     this.#attempts += 1;
     const attempt = this.#attempts;
     let aborted = false;
     let exchange: Exchange | null = null;
     const failUnsent = (why: string, cause: unknown): void => {
-      if (!aborted) ends.fail(new AttemptError('nothing', why, textOf(cause), { cause }));
+      if (!aborted) ends.fail(new AttemptError('nothing', why, errorMessage(cause), { cause }));
     };
     const use = (connection: OpenConnection): void => {
       if (aborted || performance.now() >= terms.sendBy) {
@@ -253,7 +268,7 @@
     await askIdentity(connection, to);
     connection.bytesAtRest = socket.bytesRead;
     // The agent has to have the socket back first.
-    await nextTurn();
+    await nextEventLoopTurn();
     if (!connection.quiet) throw new Error('closed after its proof');
     return connection;
   }
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -6,64 +6,68 @@
 import { Cache } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import type { Step } from '@reedyard/task-loop';
-import { answered, endAttempt, failed } from './attempt-ends.js';
-import { drawService, earnRepeat, isSafe } from './choice.js';
-import { close, giveUp, turnAway } from './ending.js';
-import { fed } from './feeding.js';
-import { question } from './reporting.js';
+import { handleAttemptAnswer, endAttempt, handleAttemptFailure } from './attempt-ends.js';
+import { drawService, depositRetryToken, isSafe } from './choice.js';
+import { close, failRequest, reject } from './ending.js';
+import { applyFeed } from './feeding.js';
+import { requestFeed } from './reporting.js';
 import { maxRequestsInFlight } from './request-limit.js';
-import { headerText, limitOf, refusalOf } from './request-rules.js';
+import { headerText, deadlineOf, refusalOf } from './request-rules.js';
 import { start } from './serving.js';
 import { unreadyServingMs } from './shutdown-timing.js';
 import {
-  type Asked,
-  change,
+  type ClientRequest,
+  updateRequest,
   count,
   type ProxyEffect,
   type ProxyEvent,
   type ProxyRequest,
   type ProxyState,
-  set,
-  type Work,
+  update,
+  type Transition,
 } from './state.js';
-import { beat } from './upkeep.js';
+import { tick } from './upkeep.js';
 
-const mayServe = (work: Work, id: number, via: string | null): boolean => {
-  const { state } = work;
+const mayServe = (transition: Transition, id: number, via: string | null): boolean => {
+  const { state } = transition;
   if (state.stoppingAt !== null && state.now - state.stoppingAt > unreadyServingMs) {
-    turnAway(work, id, 503, 'Leaving', 'This node is leaving.', { connection: 'close' });
+    reject(transition, id, 503, 'Leaving', 'This node is leaving.', { connection: 'close' });
     return false;
   }
-  if (state.now >= state.lease || state.policy === null || state.feed === null) {
-    turnAway(work, id, 503, 'Not ready', 'This node is cut off from the control state.');
+  if (state.now >= state.leaseUntil || state.policy === null || state.feed === null) {
+    reject(transition, id, 503, 'Not ready', 'This node is cut off from the control state.');
     return false;
   }
-  if (via === null && state.emptiedAt !== null && state.now - state.emptiedAt > evacuationGraceMs) {
-    turnAway(work, id, 503, 'Zone emptied', 'This zone is emptied.', { connection: 'close' });
+  if (
+    via === null &&
+    state.evacuatedAt !== null &&
+    state.now - state.evacuatedAt > evacuationGraceMs
+  ) {
+    reject(transition, id, 503, 'Zone emptied', 'This zone is emptied.', { connection: 'close' });
     return false;
   }
   return true;
 };
 
-const arrived = (
-  work: Work,
+const handleArrival = (
+  transition: Transition,
   id: number,
-  asked: Asked,
+  asked: ClientRequest,
   draws: readonly number[],
   token: string,
 ): void => {
-  const { state } = work;
-  count(work, asked.via === null ? 'requests' : 'requests.peer');
-  if (!mayServe(work, id, asked.via)) return;
+  const { state } = transition;
+  count(transition, asked.via === null ? 'requests' : 'requests.peer');
+  if (!mayServe(transition, id, asked.via)) return;
   const route = Routes.find(state.routes, asked.host, asked.target);
   const refusal = refusalOf(route, asked, state.policy?.document.callers);
   if (route === undefined || refusal !== null) {
     if (refusal !== null)
-      turnAway(work, id, refusal.status, refusal.title, refusal.detail, refusal.more);
+      reject(transition, id, refusal.status, refusal.title, refusal.detail, refusal.more);
     return;
   }
   if (Object.keys(state.requests).length >= maxRequestsInFlight) {
-    turnAway(work, id, 503, 'Too busy', 'Too many requests are under way here.');
+    reject(transition, id, 503, 'Too busy', 'Too many requests are under way here.');
     return;
   }
   const safe = isSafe(route, asked.method);
@@ -73,31 +77,31 @@
       : headerText(asked.headers, 'idempotency-key');
   const request: ProxyRequest = {
     id,
-    asked,
+    clientRequest: asked,
     route,
     revision: state.policy?.revision ?? 0,
     service: drawService(route, draws.at(-1) ?? 0),
-    safe,
+    isIdempotent: safe,
     key: Cache.key(asked.host, asked.target),
     arrivedAt: state.now,
-    limitAt: limitOf(route, asked, state.now),
-    draws,
+    deadlineAt: deadlineOf(route, asked, state.now),
+    randomNumbers: draws,
     token,
     claimKey: callerKey === null ? null : Cache.key(asked.host, `/${callerKey}`),
     attempts: [],
     phase: callerKey === null ? 'attempt' : 'claiming',
-    heldAt: 0,
-    leads: false,
-    callerGone: false,
+    queuedAt: 0,
+    isFetchLeader: false,
+    isClientGone: false,
   };
-  set(work, { requests: { ...state.requests, [id]: request } });
+  update(transition, { requests: { ...state.requests, [id]: request } });
   // A forwarded request earned its repeat where its caller came to.
-  if (asked.via === null) earnRepeat(work, request.service);
+  if (asked.via === null) depositRetryToken(transition, request.service);
   if (request.claimKey !== null)
-    work.effects.push({
-      kind: 'ask',
-      id,
-      call: {
+    transition.effects.push({
+      kind: 'query-agent',
+      requestId: id,
+      query: {
         kind: 'claim',
         key: request.claimKey,
         token,
@@ -105,28 +109,28 @@
         digest: asked.digest ?? '',
       },
     });
-  else start(work, request);
+  else start(transition, request);
 };
 
-const claimed = (work: Work, id: number, reply: ClaimReply): void => {
-  const request = work.state.requests[id];
+const handleClaimReply = (transition: Transition, id: number, reply: ClaimReply): void => {
+  const request = transition.state.requests[id];
   if (request === undefined || request.phase !== 'claiming') return;
   if (reply.kind === 'granted') {
-    const held = change(work, id, { phase: 'attempt' });
+    const held = updateRequest(transition, id, { phase: 'attempt' });
     if (held === undefined) return;
-    if (held.callerGone) giveUp(work, held, 503, 'not-run', 'its caller left');
-    else start(work, held);
+    if (held.isClientGone) failRequest(transition, held, 503, 'not-run', 'its caller left');
+    else start(transition, held);
     return;
   }
   if (reply.kind === 'unreached') {
-    giveUp(work, request, 503, 'not-run', 'its key could not be claimed');
+    failRequest(transition, request, 503, 'not-run', 'its key could not be claimed');
     return;
   }
   if (reply.kind === 'other') {
-    count(work, 'claims.other', 'status.422');
-    work.effects.push({
-      kind: 'answer',
-      id,
+    count(transition, 'claims.other', 'status.422');
+    transition.effects.push({
+      kind: 'send-answer',
+      requestId: id,
       answer: {
         status: 422,
         headers: { 'reedyard-outcome': 'not-run' },
@@ -139,14 +143,14 @@
         },
       },
     });
-    close(work, request);
+    close(transition, request);
     return;
   }
   const known = reply.state === 'pending' ? 'in-progress' : reply.state;
-  count(work, 'claims.taken', 'status.409');
-  work.effects.push({
-    kind: 'answer',
-    id,
+  count(transition, 'claims.taken', 'status.409');
+  transition.effects.push({
+    kind: 'send-answer',
+    requestId: id,
     answer: {
       status: 409,
       headers: {
@@ -161,25 +165,33 @@
       },
     },
   });
-  close(work, request);
+  close(transition, request);
 };
 
-export const left = (work: Work, id: number): void => {
-  const request = change(work, id, { callerGone: true });
+export const handleClientLeft = (transition: Transition, id: number): void => {
+  const request = updateRequest(transition, id, { isClientGone: true });
   // An attempt that others wait for, or that may have run, is let finish; only safe ones alone are
   // dropped.
-  if (request === undefined || !request.safe || request.leads || request.phase !== 'attempt')
+  if (
+    request === undefined ||
+    !request.isIdempotent ||
+    request.isFetchLeader ||
+    request.phase !== 'attempt'
+  )
     return;
-  const live = request.attempts.filter((attempt) => attempt.end === null);
+  const live = request.attempts.filter((attempt) => attempt.result === null);
   if (live.length === 0) return;
   let ended = request;
   for (const attempt of live) {
-    work.effects.push({ kind: 'abort', id, attempt: attempt.number });
+    transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: attempt.number });
     ended =
-      endAttempt(work, ended, attempt.number, { kind: 'failed', sent: 'maybe', why: 'caller' }) ??
-      ended;
+      endAttempt(transition, ended, attempt.number, {
+        kind: 'failed',
+        sent: 'maybe',
+        why: 'caller',
+      }) ?? ended;
   }
-  close(work, ended);
+  close(transition, ended);
 };
 
 export const ProxyCore = {
@@ -187,74 +199,83 @@
   open: (self: ProxyState['self'], now: number): ProxyState => ({
     self,
     now,
-    lease: 0,
+    leaseUntil: 0,
     life: '',
-    flushes: 0,
-    fedAt: now,
+    cacheFlushCount: 0,
+    feedReceivedAt: now,
     purgeSeq: 0,
     policy: null,
     routes: new Map(),
     feed: null,
     holders: {},
-    emptiedAt: null,
+    evacuatedAt: null,
     cache: Cache.empty,
-    abroad: false,
+    hasRemotePeers: false,
     requests: {},
     fetches: {},
-    unkept: {},
+    uncacheableKeys: {},
     buckets: {},
-    repeats: {},
-    suspects: {},
+    retryTokens: {},
+    ejectedUntil: {},
     outstanding: {},
-    standings: {},
+    originHealth: {},
     replyBytes: {},
     stoppingAt: null,
     counters: {},
     period: { since: now, bits: {}, servedBits: 0, replies: 0, attemptMs: 0, fetched: 0 },
-    wants: {},
-    wanted: { since: now, counts: {} },
+    demand: {},
+    demandCounts: { since: now, counts: {} },
   }),
 
   /** Whether the platform may send callers here. @example ProxyCore.ready(state, 5) // false */
   ready: (state: ProxyState, now: number): boolean =>
-    now < state.lease &&
+    now < state.leaseUntil &&
     state.policy !== null &&
     state.stoppingAt === null &&
-    state.emptiedAt === null &&
+    state.evacuatedAt === null &&
     state.feed?.seated === true,
 
   /** @example ProxyCore.reduce(state, { kind: 'beat', now: 25 }).effects */
   reduce: (state: ProxyState, event: ProxyEvent): Step<ProxyState, ProxyEffect> => {
-    const work: Work = { state: { ...state, now: Math.max(state.now, event.now) }, effects: [] };
+    const transition: Transition = {
+      state: { ...state, now: Math.max(state.now, event.now) },
+      effects: [],
+    };
     switch (event.kind) {
-      case 'arrived':
-        arrived(work, event.id, event.asked, event.draws, event.token);
+      case 'request-arrived':
+        handleArrival(
+          transition,
+          event.requestId,
+          event.clientRequest,
+          event.randomNumbers,
+          event.token,
+        );
         break;
-      case 'answered':
-        answered(work, event.id, event.attempt, event.answer);
+      case 'attempt-answered':
+        handleAttemptAnswer(transition, event.requestId, event.attempt, event.answer);
         break;
-      case 'failed':
-        failed(work, event.id, event.attempt, event.sent, event.why);
+      case 'attempt-failed':
+        handleAttemptFailure(transition, event.requestId, event.attempt, event.sent, event.why);
         break;
-      case 'claimed':
-        claimed(work, event.id, event.reply);
+      case 'claim-answered':
+        handleClaimReply(transition, event.requestId, event.reply);
         break;
-      case 'left':
-        left(work, event.id);
+      case 'client-left':
+        handleClientLeft(transition, event.requestId);
         break;
-      case 'fed':
-        fed(work, event.feed, event.askedAt);
+      case 'feed-received':
+        applyFeed(transition, event.feed, event.askedAt);
         break;
-      case 'ask':
-        question(work);
+      case 'feed-due':
+        requestFeed(transition);
         break;
-      case 'beat':
-        beat(work);
+      case 'tick':
+        tick(transition);
         break;
-      case 'stop':
-        set(work, { stoppingAt: state.stoppingAt ?? work.state.now });
+      case 'stop-requested':
+        update(transition, { stoppingAt: state.stoppingAt ?? transition.state.now });
         break;
     }
-    return { state: work.state, effects: work.effects };
+    return { state: transition.state, effects: transition.effects };
   },
 } as const;
--- a/packages/proxy/src/dialect.ts
+++ b/packages/proxy/src/dialect.ts
@@ -43,7 +43,7 @@
  * How a proxy is spoken to by callers and speaks to origins: names of header fields and what they
  * mean. It decides nothing. Peers speak the project's own way whatever the dialect.
  */
-export type Dialect = {
+export type WireFormat = {
   /**
    * Whether an origin proves who it is on each new connection, before anything else, or each
    * request names the one it is meant for.
@@ -73,7 +73,7 @@
 const origin = (row: OriginEndpoint): string => `${row.service}/${row.instance}/${row.incarnation}`;
 
 /** The project's own way (docs/api.md). */
-export const ownDialect: Dialect = {
+export const ownWireFormat: WireFormat = {
   identity: 'asked',
   readyPath: '/.well-known/reedyard/ready',
   livePath: '/.well-known/reedyard/live',
--- a/packages/proxy/src/ending.ts
+++ b/packages/proxy/src/ending.ts
@@ -3,19 +3,27 @@
  * for the same fetch.
  */
 import { type ClaimState, retryAfterSeconds } from '@reedyard/agent';
-import { Attempts, type Outcome } from '@reedyard/attempts';
+import { type Outcome, outcomeOf } from '@reedyard/attempts';
 import type { Copy } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import { objectKey } from '@reedyard/server-selection';
-import { spentFields } from './attempt-budget.js';
+import { consumedAttemptsFields } from './attempt-budget.js';
 import { drawService, isSafe } from './choice.js';
-import { headerText, keeps, keepsAlways, limitOf, refusalOf } from './request-rules.js';
+import { deadlineOf, headerText, keeps, keepsAlways, refusalOf } from './request-rules.js';
 import { startAgain } from './serving.js';
-import { type Answer, change, count, log, type ProxyRequest, set, type Work } from './state.js';
+import {
+  type Answer,
+  count,
+  log,
+  type ProxyRequest,
+  type Transition,
+  update,
+  updateRequest,
+} from './state.js';
 
 /** Answers that ask nothing of any origin: what the proxy itself has to say. */
-export const turnAway = (
-  work: Work,
+export const reject = (
+  transition: Transition,
   id: number,
   status: number,
   title: string,
@@ -25,15 +33,15 @@
   retryMs = 1_000 * retryAfterSeconds,
 ): void => {
   const waits = status === 502 || status === 503 || status === 504;
-  count(work, `status.${status}`);
-  work.effects.push({
-    kind: 'answer',
-    id,
+  count(transition, `status.${status}`);
+  transition.effects.push({
+    kind: 'send-answer',
+    requestId: id,
     answer: {
       status,
       headers: {
         'reedyard-outcome': outcome,
-        ...spentFields(work.state.requests[id]),
+        ...consumedAttemptsFields(transition.state.requests[id]),
         ...(waits ? { 'retry-after': String(Math.ceil(retryMs / 1_000)) } : {}),
         ...more,
       },
@@ -43,42 +51,51 @@
   });
 };
 
-export const settle = (work: Work, request: ProxyRequest, state: ClaimState): void => {
+export const settleClaim = (
+  transition: Transition,
+  request: ProxyRequest,
+  state: ClaimState,
+): void => {
   if (request.claimKey === null) return;
-  work.effects.push({
-    kind: 'ask',
-    id: request.id,
-    call: { kind: 'settle', key: request.claimKey, token: request.token, state },
+  transition.effects.push({
+    kind: 'query-agent',
+    requestId: request.id,
+    query: { kind: 'settle', key: request.claimKey, token: request.token, state },
   });
 };
 
-export const forget = (work: Work, request: ProxyRequest): void => {
-  const { [request.id]: _gone, ...rest } = work.state.requests;
-  set(work, { requests: rest });
+export const forget = (transition: Transition, request: ProxyRequest): void => {
+  const { [request.id]: _gone, ...rest } = transition.state.requests;
+  update(transition, { requests: rest });
 };
 
 /**
  * Its caller has heard the last of it. An attempt beside the one that served is let end: breaking
  * it off helps nobody.
  */
-export const close = (work: Work, request: ProxyRequest): void => {
-  const known = work.state.requests[request.id];
-  if (known !== undefined && known.attempts.some((attempt) => attempt.end === null))
-    change(work, request.id, { phase: 'over' });
-  else forget(work, request);
-  work.effects.push({ kind: 'closed', id: request.id });
+export const close = (transition: Transition, request: ProxyRequest): void => {
+  const known = transition.state.requests[request.id];
+  if (known !== undefined && known.attempts.some((attempt) => attempt.result === null))
+    updateRequest(transition, request.id, { phase: 'over' });
+  else forget(transition, request);
+  transition.effects.push({ kind: 'close-request', requestId: request.id });
 };
 
 /** Counts an answer in the vectors' measurements: demand only for this edge's own callers. */
-export const measured = (work: Work, request: ProxyRequest, size: number, here: boolean): void => {
+export const recordReply = (
+  transition: Transition,
+  request: ProxyRequest,
+  size: number,
+  here: boolean,
+): void => {
   const bits = 8 * (size + 300);
-  const { period } = work.state;
-  const own = request.asked.via === null;
+  const { period } = transition.state;
+  const own = request.clientRequest.via === null;
   const busy = objectKey(
     request.route.name,
-    keepsAlways(request.route) ? null : request.asked.target,
+    keepsAlways(request.route) ? null : request.clientRequest.target,
   );
-  set(work, {
+  update(transition, {
     period: {
       ...period,
       servedBits: period.servedBits + (here ? bits : 0),
@@ -91,35 +108,40 @@
 /**
  * The lease is looked at where it is used: a thawed process finds it over, whatever waited for it.
  */
-export const lapsed = (work: Work): boolean => work.state.now >= work.state.lease;
+export const isLeaseExpired = (transition: Transition): boolean =>
+  transition.state.now >= transition.state.leaseUntil;
 
-export const cutOff = 'this node is cut off from the control state';
+export const isolatedDetail = 'this node is cut off from the control state';
 
-export const answerCopy = (work: Work, request: ProxyRequest, copy: Copy): void => {
-  if (lapsed(work)) {
-    giveUp(work, request, 503, 'not-run', cutOff);
+export const answerFromCache = (
+  transition: Transition,
+  request: ProxyRequest,
+  copy: Copy,
+): void => {
+  if (isLeaseExpired(transition)) {
+    failRequest(transition, request, 503, 'not-run', isolatedDetail);
     return;
   }
-  const age = Math.floor(copy.bornAge + (work.state.now - copy.takenAt) / 1_000);
+  const age = Math.floor(copy.bornAge + (transition.state.now - copy.takenAt) / 1_000);
   const answer: Answer = {
     status: copy.status,
     headers: {
       ...copy.headers,
       age: String(age),
-      ...spentFields(request),
-      ...(request.asked.via === null ? {} : { 'reedyard-service': copy.service }),
-      'reedyard-served': request.asked.via === null ? 'copy' : 'peer-copy',
+      ...consumedAttemptsFields(request),
+      ...(request.clientRequest.via === null ? {} : { 'reedyard-service': copy.service }),
+      'reedyard-served': request.clientRequest.via === null ? 'copy' : 'peer-copy',
     },
     body: { kind: 'copy', copy },
   };
-  count(work, 'served.copy');
-  measured(work, request, copy.size, true);
-  work.effects.push({ kind: 'answer', id: request.id, answer });
-  close(work, request);
+  count(transition, 'served.copy');
+  recordReply(transition, request, copy.size, true);
+  transition.effects.push({ kind: 'send-answer', requestId: request.id, answer });
+  close(transition, request);
 };
 
-export const giveUp = (
-  work: Work,
+export const failRequest = (
+  transition: Transition,
   request: ProxyRequest,
   reached: 502 | 503 | 504,
   outcome: Outcome,
@@ -128,11 +150,11 @@
 ): void => {
   // A 503 says "not run" and nothing else.
   const status = reached === 503 && outcome === 'unknown' ? 502 : reached;
-  settle(work, request, outcome);
-  count(work, 'given-up');
-  if (!request.callerGone) {
-    turnAway(
-      work,
+  settleClaim(transition, request, outcome);
+  count(transition, 'given-up');
+  if (!request.isClientGone) {
+    reject(
+      transition,
       request.id,
       status,
       status === 503 ? 'Not served' : 'No sound answer',
@@ -142,7 +164,7 @@
       retryMs,
     );
   }
-  log(work, 'request.given-up', {
+  log(transition, 'request.given-up', {
     id: request.id,
     route: request.route.name,
     status,
@@ -150,14 +172,19 @@
     why,
     attempts: request.attempts.length,
   });
-  close(work, request);
+  close(transition, request);
   // Its waiters share its fate, but for a caller who left.
-  leaderEnded(work, request, null, request.callerGone ? null : { status, outcome, why });
+  handleLeaderEnd(
+    transition,
+    request,
+    null,
+    request.isClientGone ? null : { status, outcome, why },
+  );
 };
 
 /** A leader's fetch is over: its waiters are answered from it, or go on by themselves. */
-export const leaderEnded = (
-  work: Work,
+export const handleLeaderEnd = (
+  transition: Transition,
   leader: ProxyRequest,
   kept: Copy | null,
   failure: {
@@ -166,43 +193,43 @@
     readonly why: string;
   } | null,
 ): void => {
-  if (!leader.leads) return;
-  const fetch = work.state.fetches[leader.key];
+  if (!leader.isFetchLeader) return;
+  const fetch = transition.state.fetches[leader.key];
   if (fetch === undefined || fetch.leader !== leader.id) return;
-  const { [leader.key]: _gone, ...rest } = work.state.fetches;
-  set(work, { fetches: rest });
+  const { [leader.key]: _gone, ...rest } = transition.state.fetches;
+  update(transition, { fetches: rest });
   for (const id of fetch.waiters) {
-    const waiter = work.state.requests[id];
+    const waiter = transition.state.requests[id];
     if (waiter === undefined) continue;
     if (failure !== null) {
-      giveUp(work, waiter, failure.status, failure.outcome, failure.why);
+      failRequest(transition, waiter, failure.status, failure.outcome, failure.why);
       continue;
     }
-    const current = underPolicy(work, waiter);
+    const current = underCurrentPolicy(transition, waiter);
     if (current === null) continue;
     const fits =
       kept !== null &&
       Routes.allows(current.route, kept.service) &&
       keeps(current.route, 'GET') &&
       Object.entries(kept.vary).every(
-        ([name, value]) => (headerText(waiter.asked.headers, name) ?? '') === value,
+        ([name, value]) => (headerText(waiter.clientRequest.headers, name) ?? '') === value,
       );
-    if (fits && kept !== null) answerCopy(work, current, kept);
-    else startAgain(work, current);
+    if (fits && kept !== null) answerFromCache(transition, current, kept);
+    else startAgain(transition, current);
   }
 };
 
 /** Ends a request that provably ran nothing with an answer of the proxy's own. */
-const endUnrun = (
-  work: Work,
+const endUnexecuted = (
+  transition: Transition,
   request: ProxyRequest,
   refusal: NonNullable<ReturnType<typeof refusalOf>>,
 ): void => {
-  settle(work, request, 'not-run');
-  if (!request.callerGone)
-    turnAway(work, request.id, refusal.status, refusal.title, refusal.detail, refusal.more);
-  close(work, request);
-  leaderEnded(work, request, null, null);
+  settleClaim(transition, request, 'not-run');
+  if (!request.isClientGone)
+    reject(transition, request.id, refusal.status, refusal.title, refusal.detail, refusal.more);
+  close(transition, request);
+  handleLeaderEnd(transition, request, null, null);
 };
 
 /**
@@ -210,24 +237,35 @@
  * once it was ended because that policy lets it go no further: as if it came now where nothing ran,
  * and with an unknown outcome where an attempt may have run.
  */
-export const underPolicy = (work: Work, request: ProxyRequest): ProxyRequest | null => {
-  const revision = work.state.policy?.revision ?? 0;
+export const underCurrentPolicy = (
+  transition: Transition,
+  request: ProxyRequest,
+): ProxyRequest | null => {
+  const revision = transition.state.policy?.revision ?? 0;
   if (request.revision === revision) return request;
-  const route = Routes.find(work.state.routes, request.asked.host, request.asked.target);
-  const refusal = refusalOf(route, request.asked, work.state.policy?.document.callers);
+  const route = Routes.find(
+    transition.state.routes,
+    request.clientRequest.host,
+    request.clientRequest.target,
+  );
+  const refusal = refusalOf(
+    route,
+    request.clientRequest,
+    transition.state.policy?.document.callers,
+  );
   if (route !== undefined && refusal === null) {
     return (
-      change(work, request.id, {
+      updateRequest(transition, request.id, {
         route,
         revision,
-        service: drawService(route, request.draws.at(-1) ?? 0, request.service),
-        safe: isSafe(route, request.asked.method),
-        limitAt: limitOf(route, request.asked, request.arrivedAt),
+        service: drawService(route, request.randomNumbers.at(-1) ?? 0, request.service),
+        isIdempotent: isSafe(route, request.clientRequest.method),
+        deadlineAt: deadlineOf(route, request.clientRequest, request.arrivedAt),
       }) ?? null
     );
   }
-  if (refusal !== null && Attempts.outcomeOf(request.attempts) === 'not-run')
-    endUnrun(work, request, refusal);
-  else giveUp(work, request, 502, 'unknown', 'a newer policy allows no other attempt');
+  if (refusal !== null && outcomeOf(request.attempts) === 'not-run')
+    endUnexecuted(transition, request, refusal);
+  else failRequest(transition, request, 502, 'unknown', 'a newer policy allows no other attempt');
   return null;
 };
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -7,7 +7,7 @@
 import type net from 'node:net';
 import { performance } from 'node:perf_hooks';
 import type { Sent } from '@reedyard/attempts';
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 import { idleCloseMarginMs, idleConnectionMs } from './connection-timing.js';
 import {
   type AnswerEvidence,
@@ -21,7 +21,7 @@
 import type { AttemptAnswer } from './state.js';
 
 /** An attempt that brought no sound answer. */
-export class AttemptError extends LayerError {
+export class AttemptError extends CodedError {
   constructor(
     readonly sent: Sent,
     readonly why: string,
@@ -33,7 +33,7 @@
 }
 
 /** A request as it is sent to an origin or a peer. */
-export type Outgoing = {
+export type OutgoingRequest = {
   readonly method: string;
   readonly path: string;
   readonly headers: Record<string, string | string[]>;
@@ -43,10 +43,10 @@
 };
 
 /** An attempt under way, and how to break it off. */
-export type Underway = { readonly abort: () => void };
+export type InFlightAttempt = { readonly abort: () => void };
 
 /** How an attempt ends: one of the two is called, once, and never before `send` has returned. */
-export type AttemptEnds = {
+export type AttemptCallbacks = {
   readonly done: (answer: AttemptAnswer) => void;
   readonly fail: (error: AttemptError) => void;
 };
@@ -102,9 +102,9 @@
   /\bclose\b/i.test(headers.connection ?? '') ? null : parsedRestMs(headers);
 
 /** What one attempt needs of its surroundings. */
-export type ExchangeParts = AttemptEnds & {
+export type ExchangeParts = AttemptCallbacks & {
   readonly connection: OpenConnection;
-  readonly out: Outgoing;
+  readonly out: OutgoingRequest;
   readonly attempt: number;
   readonly judge: (response: http.IncomingMessage) => Judgement;
   /** The connection may carry another attempt. */
@@ -170,7 +170,7 @@
   #readyAnswer(response: http.IncomingMessage, answer: ReadAnswer): void {
     const proof = this.#judgement?.proof;
     this.#ready = { ...answer, ...(proof === undefined ? {} : { proof }) };
-    if (answer.whole) {
+    if (answer.isComplete) {
       this.#ended('answer-ready');
       return;
     }
@@ -202,7 +202,7 @@
   }
 
   #lose(why: string, cause: unknown): void {
-    this.#failure = { message: textOf(cause), cause };
+    this.#failure = { message: errorMessage(cause), cause };
     this.#dispatch({ kind: 'lost', attempt: this.parts.attempt, why });
   }
 
--- a/packages/proxy/src/feeding.ts
+++ b/packages/proxy/src/feeding.ts
@@ -6,23 +6,25 @@
 import { Cache, purgeRetentionMs } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import { holdersOf } from '@reedyard/server-selection';
-import { lifeEnd } from './request-rules.js';
-import { log, set, type Work } from './state.js';
+import { copyExpiresAt } from './request-rules.js';
+import { log, update, type Transition } from './state.js';
 
-export const fed = (work: Work, feed: Feed, askedAt: number): void => {
-  const { state } = work;
+export const applyFeed = (transition: Transition, feed: Feed, askedAt: number): void => {
+  const { state } = transition;
   const policy = feed.policy ?? state.policy;
   if (policy !== null && policy.revision < (state.policy?.revision ?? 0)) {
-    log(work, 'policy.older', { revision: policy.revision });
+    log(transition, 'policy.older', { revision: policy.revision });
     return;
   }
   const gone =
     state.life !== '' &&
     (feed.life !== state.life ||
-      feed.flushes !== state.flushes ||
-      askedAt - state.fedAt > purgeRetentionMs / 2);
+      feed.flushes !== state.cacheFlushCount ||
+      askedAt - state.feedReceivedAt > purgeRetentionMs / 2);
   if (gone)
-    log(work, 'copies.flushed', { why: feed.life !== state.life ? 'agent restarted' : 'was away' });
+    log(transition, 'copies.flushed', {
+      why: feed.life !== state.life ? 'agent restarted' : 'was away',
+    });
   let cache = gone ? Cache.flush(state.cache) : state.cache;
   for (const { purge } of feed.purges) cache = Cache.purge(cache, purge, state.now);
   const routes =
@@ -30,27 +32,30 @@
       ? state.routes
       : Routes.table(policy.document.routes);
   if (policy !== state.policy) {
-    log(work, 'policy.in-force', { revision: policy?.revision ?? 0 });
+    log(transition, 'policy.in-force', { revision: policy?.revision ?? 0 });
     const table = routes;
     cache = Cache.dropWhere(
       cache,
-      (copy) => state.now >= lifeEnd(Routes.find(table, ...Cache.place(copy.key)), state, copy),
+      (copy) =>
+        state.now >= copyExpiresAt(Routes.find(table, ...Cache.place(copy.key)), state, copy),
     );
   }
   const emptied = feed.emptied.includes(state.self.zone);
-  set(work, {
+  update(transition, {
     holders: feed.split === state.feed?.split ? state.holders : holdersOf(feed.split),
     feed: { ...feed, policy: null, purges: [] },
     life: feed.life,
-    flushes: feed.flushes,
-    fedAt: askedAt,
+    cacheFlushCount: feed.flushes,
+    feedReceivedAt: askedAt,
     purgeSeq: feed.purgeSeq,
     cache,
-    lease: feed.leaseMs > 0 ? Math.max(state.lease, askedAt + feed.leaseMs) : state.lease,
+    leaseUntil:
+      feed.leaseMs > 0 ? Math.max(state.leaseUntil, askedAt + feed.leaseMs) : state.leaseUntil,
     policy,
     routes,
-    abroad: state.abroad || feed.peers.some((row) => row.region !== state.self.region),
-    emptiedAt: emptied ? (state.emptiedAt ?? state.now) : null,
+    hasRemotePeers:
+      state.hasRemotePeers || feed.peers.some((row) => row.region !== state.self.region),
+    evacuatedAt: emptied ? (state.evacuatedAt ?? state.now) : null,
     // Nobody joins a fetch that was begun before a purge or under an older policy.
     fetches:
       feed.purges.length > 0 || gone || policy !== state.policy
--- a/packages/proxy/src/feeds.ts
+++ b/packages/proxy/src/feeds.ts
@@ -1,11 +1,11 @@
 import type { Feed, FeedReply, FeedPartsHeld, Revisions } from '@reedyard/agent';
 
 /** The last feed as a proxy's shell holds it. */
-export type HeldFeed = { readonly feed: Feed; readonly revisions: Revisions };
+export type FeedSnapshot = { readonly feed: Feed; readonly revisions: Revisions };
 
 export const Feeds = {
   /** What the agent is told to be held. @example Feeds.holding(null) // null */
-  holding: (held: HeldFeed | null): FeedPartsHeld | null =>
+  holding: (held: FeedSnapshot | null): FeedPartsHeld | null =>
     held === null ? null : { life: held.feed.life, revisions: held.revisions },
 
   /**
@@ -14,7 +14,7 @@
    * @example
    * Feeds.merge(held, told).feed.origins // those told, or else those held
    */
-  merge: (held: HeldFeed | null, told: FeedReply): HeldFeed => {
+  merge: (held: FeedSnapshot | null, told: FeedReply): FeedSnapshot => {
     const { revisions, ...rest } = told;
     return { feed: { ...held?.feed, ...rest } as Feed, revisions };
   },
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -3,7 +3,7 @@
 export { present, stamped } from './present.js';
 export * from './dialect.js';
 export { runProxy, type ProxySettings } from './run.js';
-export { Feeds, type HeldFeed } from './feeds.js';
+export { Feeds, type FeedSnapshot as HeldFeed } from './feeds.js';
 export { connectTimeoutMs } from './connection-timing.js';
 export { feedIntervalMs } from './feed-timing.js';
 export { demandIntervalMs, measurementIntervalMs } from './reporting.js';
--- a/packages/proxy/src/node-http-client.test.ts
+++ b/packages/proxy/src/node-http-client.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 import http from 'node:http';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import {
   answerOf,
   startScriptedOrigin,
@@ -34,7 +34,9 @@
         response.on('error', () => resolve('cut'));
         response.on('end', () => resolve(String(response.statusCode)));
       });
-      request.on('error', (error: NodeJS.ErrnoException) => resolve(error.code ?? textOf(error)));
+      request.on('error', (error: NodeJS.ErrnoException) =>
+        resolve(error.code ?? errorMessage(error)),
+      );
       request.end('pay');
     });
   return { origin, ask };
--- a/packages/proxy/src/proxy.test.ts
+++ b/packages/proxy/src/proxy.test.ts
@@ -2,7 +2,7 @@
 import { type Feed, leaseDurationMs } from '@reedyard/agent';
 import { Schemas } from '@reedyard/schemas';
 import {
-  type Asked,
+  type ClientRequest,
   type AttemptAnswer,
   present,
   ProxyCore,
@@ -56,7 +56,7 @@
   purgeSeq: 0,
   ...part,
 });
-const asked = (method: string, target = '/sheets/1'): Asked => ({
+const asked = (method: string, target = '/sheets/1'): ClientRequest => ({
   method,
   target,
   host: 'a.example',
@@ -66,17 +66,17 @@
   digest: null,
 });
 const arrive = (id: number, method: string, now: number, target?: string): ProxyEvent => ({
-  kind: 'arrived',
-  id,
-  asked: asked(method, target),
-  draws: [0.5, 0.5, 0.5, 0.5, 0.5],
+  kind: 'request-arrived',
+  requestId: id,
+  clientRequest: asked(method, target),
+  randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
   token: `t${id}`,
   now,
 });
 const answer = (mark: string, part: Partial<AttemptAnswer> = {}): AttemptAnswer => ({
   status: 200,
   size: 3,
-  whole: true,
+  isComplete: true,
   body: 'abc',
   headers: {
     'reedyard-stamp': 'store/o1/1',
@@ -100,18 +100,18 @@
 const begun = (feed = feedOf()): ProxyState =>
   play(
     [
-      { kind: 'fed', feed, askedAt: 0, now: 0 },
+      { kind: 'feed-received', feed, askedAt: 0, now: 0 },
       {
-        kind: 'arrived',
-        id: 90,
-        asked: { ...asked('POST'), via: 'z' },
-        draws: [0.5, 0.5, 0.5, 0.5, 0.5],
+        kind: 'request-arrived',
+        requestId: 90,
+        clientRequest: { ...asked('POST'), via: 'z' },
+        randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
         token: 't90',
         now: 1,
       },
-      { kind: 'left', id: 90, now: 1 },
-      { kind: 'beat', now: 500 },
-      { kind: 'fed', feed: { ...feed, policy: null }, askedAt: 900, now: 900 },
+      { kind: 'client-left', requestId: 90, now: 1 },
+      { kind: 'tick', now: 500 },
+      { kind: 'feed-received', feed: { ...feed, policy: null }, askedAt: 900, now: 900 },
     ],
     ProxyCore.open({ id: 'a', zone: 'w', region: 'near', capacityBps: 1e7, life: 'x' }, 0),
   ).state;
@@ -122,7 +122,7 @@
 ): readonly Extract<ProxyEffect, { kind: K }>[] =>
   effects.filter(
     (effect): effect is Extract<ProxyEffect, { kind: K }> =>
-      effect.kind === kind && 'id' in effect && effect.id === id,
+      effect.kind === kind && 'requestId' in effect && effect.requestId === id,
   );
 
 const orders = <T>(list: readonly T[]): readonly (readonly T[])[] =>
@@ -136,12 +136,25 @@
   let played = 0;
   for (const method of ['GET', 'POST']) {
     const happenings: readonly ((now: number) => ProxyEvent)[] = [
-      (now) => ({ kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now }),
-      (now) => ({ kind: 'failed', id: 1, attempt: 0, sent: 'maybe', why: 'cut', now }),
-      (now) => ({ kind: 'left', id: 1, now }),
-      (now) => ({ kind: 'beat', now: now + defaultAttemptTimeoutMs }),
       (now) => ({
-        kind: 'fed',
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 0,
+        answer: answer('t1-0'),
+        now,
+      }),
+      (now) => ({
+        kind: 'attempt-failed',
+        requestId: 1,
+        attempt: 0,
+        sent: 'maybe',
+        why: 'cut',
+        now,
+      }),
+      (now) => ({ kind: 'client-left', requestId: 1, now }),
+      (now) => ({ kind: 'tick', now: now + defaultAttemptTimeoutMs }),
+      (now) => ({
+        kind: 'feed-received',
         feed: feedOf({
           policy: null,
           purges: [{ seq: 1, purge: { objects: ['a.example/sheets/1'], tags: [] } }],
@@ -150,24 +163,30 @@
         askedAt: now,
         now,
       }),
-      (now) => ({ kind: 'answered', id: 1, attempt: 1, answer: answer('t1-1'), now }),
+      (now) => ({
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 1,
+        answer: answer('t1-1'),
+        now,
+      }),
     ];
     for (const order of orders(happenings)) {
       const { state, effects } = play(
         [
           arrive(1, method, 1_000),
           ...order.map((make, index) => make(1_010 + index)),
-          { kind: 'beat', now: 60_000 },
-          { kind: 'beat', now: 60_025 },
+          { kind: 'tick', now: 60_000 },
+          { kind: 'tick', now: 60_025 },
         ],
         begun(),
       );
-      const opens = only(effects, 'open', 1);
-      const gone = order.findIndex((make) => make(0).kind === 'left');
+      const opens = only(effects, 'send-attempt', 1);
+      const gone = order.findIndex((make) => make(0).kind === 'client-left');
       played += 1;
-      t.true(only(effects, 'answer', 1).length <= 1);
+      t.true(only(effects, 'send-answer', 1).length <= 1);
       t.is(
-        only(effects, 'closed', 1).length,
+        only(effects, 'close-request', 1).length,
         1,
         `${method} ${order.map((make) => make(0).kind).join(' ')}`,
       );
@@ -186,13 +205,16 @@
     answer('t1-0', { headers: { 'reedyard-stamp': 'store/o1/2', 'reedyard-attempt': 't1-0' } }),
   ]) {
     const { effects } = play(
-      [arrive(1, 'POST', 1_000), { kind: 'answered', id: 1, attempt: 0, answer: bad, now: 1_010 }],
+      [
+        arrive(1, 'POST', 1_000),
+        { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: bad, now: 1_010 },
+      ],
       begun(),
     );
-    const [given] = only(effects, 'answer', 1);
+    const [given] = only(effects, 'send-answer', 1);
     t.is(given?.answer.status, 502);
     t.is(given?.answer.headers['reedyard-outcome'], 'unknown');
-    t.is(only(effects, 'abort', 1).length, 1);
+    t.is(only(effects, 'abort-attempt', 1).length, 1);
   }
 });
 
@@ -200,24 +222,27 @@
   const kept = play(
     [
       arrive(1, 'GET', 1_000),
-      { kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
+      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
     ],
     begun(),
   ).state;
   t.is(kept.cache.copies.size, 1);
-  t.is(only(play([arrive(2, 'GET', 1_100)], kept).effects, 'answer', 2)[0]?.answer.status, 200);
+  t.is(
+    only(play([arrive(2, 'GET', 1_100)], kept).effects, 'send-answer', 2)[0]?.answer.status,
+    200,
+  );
   const late = 900 + leaseDurationMs;
-  t.is(only(play([arrive(2, 'GET', late)], kept).effects, 'answer', 2)[0]?.answer.status, 503);
+  t.is(only(play([arrive(2, 'GET', late)], kept).effects, 'send-answer', 2)[0]?.answer.status, 503);
   t.is(
     only(
       play(
         [
           arrive(2, 'GET', 1_100, '/sheets/2'),
-          { kind: 'answered', id: 2, attempt: 0, answer: answer('t2-0'), now: late },
+          { kind: 'attempt-answered', requestId: 2, attempt: 0, answer: answer('t2-0'), now: late },
         ],
         kept,
       ).effects,
-      'answer',
+      'send-answer',
       2,
     )[0]?.answer.status,
     502,
@@ -227,11 +252,11 @@
       play(
         [
           arrive(2, 'POST', 1_100),
-          { kind: 'answered', id: 2, attempt: 0, answer: answer('t2-0'), now: late },
+          { kind: 'attempt-answered', requestId: 2, attempt: 0, answer: answer('t2-0'), now: late },
         ],
         kept,
       ).effects,
-      'answer',
+      'send-answer',
       2,
     )[0]?.answer.status,
     200,
@@ -242,30 +267,36 @@
   const { state, effects } = play(
     [
       arrive(1, 'GET', 1_000, '/homed/1'),
-      { kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
+      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
     ],
     begun(),
   );
-  t.is(only(effects, 'open', 1)[0]?.to.kind, 'peer');
-  t.is(only(effects, 'answer', 1)[0]?.answer.status, 200);
+  t.is(only(effects, 'send-attempt', 1)[0]?.to.kind, 'peer');
+  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 200);
   t.is(state.cache.copies.size, 0);
   const alone = play([arrive(1, 'GET', 1_000, '/homed/1')], begun(feedOf({ peers: [] }))).effects;
-  t.is(only(alone, 'answer', 1)[0]?.answer.status, 503);
-  t.is(only(alone, 'open', 1).length, 0);
+  t.is(only(alone, 'send-answer', 1)[0]?.answer.status, 503);
+  t.is(only(alone, 'send-attempt', 1).length, 0);
 });
 
 test('what arrives from a peer is served here, never handed on', (t) => {
   const split = { sheets: [['b', 1] as const] };
   const from = (via: string | null): ProxyEvent => ({
-    kind: 'arrived',
-    id: 1,
-    asked: { ...asked('GET'), via },
-    draws: [0.5, 0.5, 0.5, 0.5, 0.5],
+    kind: 'request-arrived',
+    requestId: 1,
+    clientRequest: { ...asked('GET'), via },
+    randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
     token: 't1',
     now: 1_000,
   });
-  t.is(only(play([from(null)], begun(feedOf({ split }))).effects, 'open', 1)[0]?.to.kind, 'peer');
-  t.is(only(play([from('b')], begun(feedOf({ split }))).effects, 'open', 1)[0]?.to.kind, 'origin');
+  t.is(
+    only(play([from(null)], begun(feedOf({ split }))).effects, 'send-attempt', 1)[0]?.to.kind,
+    'peer',
+  );
+  t.is(
+    only(play([from('b')], begun(feedOf({ split }))).effects, 'send-attempt', 1)[0]?.to.kind,
+    'origin',
+  );
 });
 
 test('the draw follows the row', (t) => {
@@ -273,14 +304,17 @@
   let away = 0;
   for (let each = 0; each < 100; each += 1) {
     const event: ProxyEvent = {
-      kind: 'arrived',
-      id: 1,
-      asked: asked('GET'),
-      draws: [(each + 0.5) / 100, 0.5, 0.5, 0.5, 0.5],
+      kind: 'request-arrived',
+      requestId: 1,
+      clientRequest: asked('GET'),
+      randomNumbers: [(each + 0.5) / 100, 0.5, 0.5, 0.5, 0.5],
       token: 't1',
       now: 1_000,
     };
-    if (only(play([event], begun(feedOf({ split }))).effects, 'open', 1)[0]?.to.kind === 'peer')
+    if (
+      only(play([event], begun(feedOf({ split }))).effects, 'send-attempt', 1)[0]?.to.kind ===
+      'peer'
+    )
       away += 1;
   }
   t.is(away, 70);
@@ -304,9 +338,9 @@
     for (const key of [true, false])
       for (const method of ['GET', 'POST']) {
         const happenings: readonly ((now: number) => ProxyEvent)[] = [
-          (now) => ({ kind: 'claimed', id: 1, reply: { kind: 'granted' }, now }),
+          (now) => ({ kind: 'claim-answered', requestId: 1, reply: { kind: 'granted' }, now }),
           (now) => ({
-            kind: 'fed',
+            kind: 'feed-received',
             feed: feedOf({
               policy: { revision: 2, document },
               policyRevision: 2,
@@ -315,12 +349,19 @@
             askedAt: now,
             now,
           }),
-          (now) => ({ kind: 'failed', id: 1, attempt: 0, sent: 'nothing', why: 'connect', now }),
-          (now) => ({ kind: 'beat', now }),
+          (now) => ({
+            kind: 'attempt-failed',
+            requestId: 1,
+            attempt: 0,
+            sent: 'nothing',
+            why: 'connect',
+            now,
+          }),
+          (now) => ({ kind: 'tick', now }),
         ];
         const first: ProxyEvent = {
-          ...(arrive(1, method, 1_000) as Extract<ProxyEvent, { kind: 'arrived' }>),
-          asked: {
+          ...(arrive(1, method, 1_000) as Extract<ProxyEvent, { kind: 'request-arrived' }>),
+          clientRequest: {
             ...asked(method),
             headers: key ? { 'idempotency-key': 'k' } : {},
             digest: key ? 'd' : null,
@@ -333,14 +374,14 @@
           for (const [index, event] of [
             first,
             ...order.map((make, place) => make(1_010 + place)),
-            { kind: 'beat', now: 9_000 } as const,
-            { kind: 'beat', now: 20_000 } as const,
+            { kind: 'tick', now: 9_000 } as const,
+            { kind: 'tick', now: 20_000 } as const,
           ].entries()) {
             const step = ProxyCore.reduce(state, event);
             state = step.state;
             effects.push(...step.effects);
-            answers += only(step.effects, 'answer', 1).length;
-            const opens = only(step.effects, 'open', 1);
+            answers += only(step.effects, 'send-answer', 1).length;
+            const opens = only(step.effects, 'send-attempt', 1);
             const label = `${name} ${method} ${key ? 'key' : 'no key'} at ${index}`;
             if (state.policy?.revision === 2)
               t.false(
@@ -353,11 +394,11 @@
           t.true(answers <= 1);
           t.is(Object.keys(state.requests).length, 0);
           // A key whose request provably ran nothing may be used again.
-          const [given] = only(effects, 'answer', 1);
+          const [given] = only(effects, 'send-answer', 1);
           if (key && method === 'POST' && given?.answer.headers['reedyard-outcome'] === 'not-run')
             t.true(
-              only(effects, 'ask', 1).some(
-                ({ call }) => call.kind === 'settle' && call.state === 'not-run',
+              only(effects, 'query-agent', 1).some(
+                ({ query: call }) => call.kind === 'settle' && call.state === 'not-run',
               ),
             );
         }
@@ -368,7 +409,7 @@
   const kept = play(
     [
       arrive(1, 'GET', 1_000),
-      { kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
+      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
     ],
     begun(),
   ).state;
@@ -381,7 +422,7 @@
     play(
       [
         {
-          kind: 'fed',
+          kind: 'feed-received',
           feed: feedOf({
             policy: {
               revision: 2,
@@ -410,21 +451,21 @@
   t.is(under([{ ...sheets, cache: { keep: 'never' } }, homed]).cache.copies.size, 0);
   const shorter = under([{ ...sheets, cache: { keep: 'origin', mostSeconds: 1 } }, homed]);
   t.is(
-    only(play([arrive(2, 'GET', 1_900)], shorter).effects, 'answer', 2)[0]?.answer.headers[
+    only(play([arrive(2, 'GET', 1_900)], shorter).effects, 'send-answer', 2)[0]?.answer.headers[
       'reedyard-served'
     ],
     'copy',
   );
-  t.is(only(play([arrive(2, 'GET', 2_015)], shorter).effects, 'open', 2).length, 1);
+  t.is(only(play([arrive(2, 'GET', 2_015)], shorter).effects, 'send-attempt', 2).length, 1);
   // Where there are other regions, a proxy that has long been without a lease keeps none.
   t.is(
-    play([{ kind: 'beat', now: kept.lease + cacheWithoutLeaseMs - 1 }], kept).state.cache.copies
-      .size,
+    play([{ kind: 'tick', now: kept.leaseUntil + cacheWithoutLeaseMs - 1 }], kept).state.cache
+      .copies.size,
     1,
   );
   t.is(
-    play([{ kind: 'beat', now: kept.lease + cacheWithoutLeaseMs + 1 }], kept).state.cache.copies
-      .size,
+    play([{ kind: 'tick', now: kept.leaseUntil + cacheWithoutLeaseMs + 1 }], kept).state.cache
+      .copies.size,
     0,
   );
 });
@@ -449,19 +490,19 @@
     [
       arrive(1, 'GET', 1_000),
       arrive(2, 'GET', 1_001),
-      { kind: 'fed', feed, askedAt: 1_002, now: 1_002 },
+      { kind: 'feed-received', feed, askedAt: 1_002, now: 1_002 },
       arrive(3, 'GET', 1_003),
-      { kind: 'beat', now: 1_400 },
-      { kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now: 1_410 },
-      { kind: 'beat', now: 1_600 },
+      { kind: 'tick', now: 1_400 },
+      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_410 },
+      { kind: 'tick', now: 1_600 },
     ],
     begun(),
   );
-  t.is(only(effects, 'answer', 1)[0]?.answer.status, 200);
+  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 200);
   t.is(state.cache.copies.size, 0);
   for (const id of [2, 3])
     t.deepEqual(
-      only(effects, 'open', id).map(({ to }) => to.kind === 'origin' && to.row.service),
+      only(effects, 'send-attempt', id).map(({ to }) => to.kind === 'origin' && to.row.service),
       ['other'],
       String(id),
     );
@@ -475,7 +516,7 @@
   const state = play(
     [
       {
-        kind: 'fed',
+        kind: 'feed-received',
         feed: feedOf({ policy: { revision: 2, document: wanted }, policyRevision: 2 }),
         askedAt: 950,
         now: 950,
@@ -484,26 +525,26 @@
     begun(),
   ).state;
   const without = play([arrive(1, 'POST', 1_000)], state).effects;
-  t.is(only(without, 'answer', 1)[0]?.answer.status, 400);
-  t.is(only(without, 'open', 1).length, 0);
-  t.is(only(play([arrive(1, 'GET', 1_000)], state).effects, 'open', 1).length, 1);
+  t.is(only(without, 'send-answer', 1)[0]?.answer.status, 400);
+  t.is(only(without, 'send-attempt', 1).length, 0);
+  t.is(only(play([arrive(1, 'GET', 1_000)], state).effects, 'send-attempt', 1).length, 1);
   const withKey: ProxyEvent = {
-    ...(arrive(1, 'POST', 1_000) as Extract<ProxyEvent, { kind: 'arrived' }>),
-    asked: { ...asked('POST'), headers: { 'idempotency-key': 'k' }, digest: 'd' },
+    ...(arrive(1, 'POST', 1_000) as Extract<ProxyEvent, { kind: 'request-arrived' }>),
+    clientRequest: { ...asked('POST'), headers: { 'idempotency-key': 'k' }, digest: 'd' },
   };
   const other = play(
-    [withKey, { kind: 'claimed', id: 1, reply: { kind: 'other' }, now: 1_010 }],
+    [withKey, { kind: 'claim-answered', requestId: 1, reply: { kind: 'other' }, now: 1_010 }],
     state,
   ).effects;
-  t.is(only(other, 'answer', 1)[0]?.answer.status, 422);
-  t.is(only(other, 'open', 1).length, 0);
+  t.is(only(other, 'send-answer', 1)[0]?.answer.status, 422);
+  t.is(only(other, 'send-attempt', 1).length, 0);
 });
 
 test('without a token the answer is given at once, or within the holding', (t) => {
   const none = begun(feedOf({ slices: { store: 0 } }));
   const { effects } = play([arrive(1, 'GET', 1_000)], none);
-  t.is(only(effects, 'answer', 1)[0]?.answer.status, 503);
-  t.is(only(effects, 'answer', 1)[0]?.answer.headers['retry-after'], '1');
+  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 503);
+  t.is(only(effects, 'send-answer', 1)[0]?.answer.headers['retry-after'], '1');
 });
 
 test('shown whole, as a part, or as not changed', (t) => {
@@ -540,30 +581,30 @@
     origins: [origin, { ...origin, service: 'other', instance: 'o2' }],
     slices: { store: 1_000, other: 1_000 },
   });
-  const saved: ProxyState = { ...begun(), repeats: { store: 3, other: 3 } };
+  const saved: ProxyState = { ...begun(), retryTokens: { store: 3, other: 3 } };
   const { effects, state } = play(
     [
       arrive(1, 'GET', 1_000),
-      { kind: 'fed', feed, askedAt: 1_002, now: 1_002 },
-      { kind: 'beat', now: 1_700 },
-      { kind: 'beat', now: 2_300 },
-      { kind: 'beat', now: 2_900 },
-      { kind: 'answered', id: 1, attempt: 0, answer: answer('t1-0'), now: 2_910 },
+      { kind: 'feed-received', feed, askedAt: 1_002, now: 1_002 },
+      { kind: 'tick', now: 1_700 },
+      { kind: 'tick', now: 2_300 },
+      { kind: 'tick', now: 2_900 },
+      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 2_910 },
     ],
-    { ...saved, lease: 9_000 },
+    { ...saved, leaseUntil: 9_000 },
   );
   t.deepEqual(
-    only(effects, 'open', 1).map(({ to }) => to.kind === 'origin' && to.row.service),
+    only(effects, 'send-attempt', 1).map(({ to }) => to.kind === 'origin' && to.row.service),
     ['store', 'other'],
   );
-  t.is(only(effects, 'answer', 1)[0]?.answer.status, 200);
+  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 200);
   // What is from the store is nothing to keep for a route that is another service's by now.
   t.is(state.cache.copies.size, 0);
   const late = play(
     [
       {
-        kind: 'answered',
-        id: 1,
+        kind: 'attempt-answered',
+        requestId: 1,
         attempt: 1,
         answer: answer('t1-1', {
           headers: {
@@ -577,7 +618,7 @@
     ],
     state,
   );
-  t.is(only(late.effects, 'answer', 1).length, 0);
+  t.is(only(late.effects, 'send-answer', 1).length, 0);
   t.is(Object.keys(late.state.requests).length, 0);
   t.deepEqual(late.state.outstanding, {});
 });
@@ -586,17 +627,17 @@
   const two = feedOf({ origins: [origin, { ...origin, instance: 'o2', address: '10.0.0.3:1' }] });
   for (const method of ['GET', 'POST'])
     for (const first of [0, 1]) {
-      const state: ProxyState = { ...begun(two), repeats: { store: 3 }, lease: 60_000 };
+      const state: ProxyState = { ...begun(two), retryTokens: { store: 3 }, leaseUntil: 60_000 };
       const opening = play(
         [
           arrive(1, method, 1_000),
-          { kind: 'beat', now: 2_000 },
-          { kind: 'beat', now: 2_600 },
-          { kind: 'beat', now: 3_200 },
+          { kind: 'tick', now: 2_000 },
+          { kind: 'tick', now: 2_600 },
+          { kind: 'tick', now: 3_200 },
         ],
         state,
       );
-      const opens = only(opening.effects, 'open', 1);
+      const opens = only(opening.effects, 'send-attempt', 1);
       if (method === 'POST') {
         t.is(opens.length, 1);
         continue;
@@ -613,17 +654,37 @@
         });
       };
       const served = play(
-        [{ kind: 'answered', id: 1, attempt: first, answer: reply(first), now: 3_210 }],
+        [
+          {
+            kind: 'attempt-answered',
+            requestId: 1,
+            attempt: first,
+            answer: reply(first),
+            now: 3_210,
+          },
+        ],
         opening.state,
       );
-      t.is(only(served.effects, 'answer', 1)[0]?.answer.status, 200);
-      t.is(only(served.effects, 'closed', 1).length, 1);
+      t.is(only(served.effects, 'send-answer', 1)[0]?.answer.status, 200);
+      t.is(only(served.effects, 'close-request', 1).length, 1);
       // The other one is let end, and is answered to nobody.
       const ended = play(
-        [{ kind: 'answered', id: 1, attempt: 1 - first, answer: reply(1 - first), now: 3_220 }],
+        [
+          {
+            kind: 'attempt-answered',
+            requestId: 1,
+            attempt: 1 - first,
+            answer: reply(1 - first),
+            now: 3_220,
+          },
+        ],
         served.state,
       );
-      t.is(only(ended.effects, 'answer', 1).length + only(ended.effects, 'closed', 1).length, 0);
+      t.is(
+        only(ended.effects, 'send-answer', 1).length +
+          only(ended.effects, 'close-request', 1).length,
+        0,
+      );
       t.is(Object.keys(ended.state.requests).length, 0);
       t.deepEqual(ended.state.outstanding, {});
     }
@@ -640,13 +701,13 @@
     split: { sheets: [['b', 1] as const] },
     origins: [origin, { ...origin, instance: 'o2', address: '10.0.0.3:1' }],
   });
-  return { ...begun(feed), repeats: { store: 3 }, lease: 60_000 };
+  return { ...begun(feed), retryTokens: { store: 3 }, leaseUntil: 60_000 };
 };
 
 test('attempts granted to a peer are counted until it says what it used: the sum over both nodes stays within the route', (t) => {
   const turnedAway = (spent: string | null): ProxyEvent => ({
-    kind: 'answered',
-    id: 1,
+    kind: 'attempt-answered',
+    requestId: 1,
     attempt: 0,
     now: 1_050,
     answer: {
@@ -660,14 +721,14 @@
     },
   });
   const failed = (sent: 'nothing' | 'maybe'): ProxyEvent => ({
-    kind: 'failed',
-    id: 1,
+    kind: 'attempt-failed',
+    requestId: 1,
     attempt: 0,
     sent,
     why: 'cut',
     now: 1_050,
   });
-  const silent: ProxyEvent = { kind: 'beat', now: 2_000 };
+  const silent: ProxyEvent = { kind: 'tick', now: 2_000 };
   const cases: readonly (readonly [
     attempts: number,
     granted: number,
@@ -690,38 +751,44 @@
   for (const [attempts, granted, event, opens] of cases) {
     const label = `${attempts} ${JSON.stringify(event)}`;
     const { effects } = play(
-      [arrive(1, 'GET', 1_000), event, { kind: 'beat', now: 2_100 }],
+      [arrive(1, 'GET', 1_000), event, { kind: 'tick', now: 2_100 }],
       forwarding(attempts),
     );
-    const opened = only(effects, 'open', 1);
+    const opened = only(effects, 'send-attempt', 1);
     t.is(opened[0]?.to.kind, 'peer', label);
-    t.is(opened[0]?.attempts, granted, label);
+    t.is(opened[0]?.delegatedAttempts, granted, label);
     t.is(opened.length, opens, label);
-    t.true(opened.reduce((sum, each) => sum + each.attempts, 0) <= attempts || opens === 2, label);
+    t.true(
+      opened.reduce((sum, each) => sum + each.delegatedAttempts, 0) <= attempts || opens === 2,
+      label,
+    );
   }
 });
 
 test('a request handed on is spent within its grant, and its answer tells what was used', (t) => {
   const handed: ProxyEvent = {
-    kind: 'arrived',
-    id: 1,
-    asked: { ...asked('GET'), via: 'z', attempts: 1 },
-    draws: [0.5, 0.5, 0.5, 0.5, 0.5],
+    kind: 'request-arrived',
+    requestId: 1,
+    clientRequest: { ...asked('GET'), via: 'z', attempts: 1 },
+    randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
     token: 't1',
     now: 1_000,
   };
   const state = forwarding(3);
   const silent = play(
-    [handed, { kind: 'beat', now: 2_000 }, { kind: 'beat', now: 2_600 }],
+    [handed, { kind: 'tick', now: 2_000 }, { kind: 'tick', now: 2_600 }],
     state,
   ).effects;
-  t.is(only(silent, 'open', 1).length, 1);
+  t.is(only(silent, 'send-attempt', 1).length, 1);
   const cut = play(
-    [handed, { kind: 'failed', id: 1, attempt: 0, sent: 'maybe', why: 'cut', now: 1_050 }],
+    [
+      handed,
+      { kind: 'attempt-failed', requestId: 1, attempt: 0, sent: 'maybe', why: 'cut', now: 1_050 },
+    ],
     state,
   ).effects;
-  t.is(only(cut, 'open', 1).length, 1);
-  t.is(only(cut, 'answer', 1)[0]?.answer.headers['reedyard-spent'], '1');
+  t.is(only(cut, 'send-attempt', 1).length, 1);
+  t.is(only(cut, 'send-answer', 1)[0]?.answer.headers['reedyard-spent'], '1');
   const refused = play([{ ...handed, now: 61_000 }], state).effects;
-  t.is(only(refused, 'answer', 1)[0]?.answer.headers['reedyard-spent'], '0');
+  t.is(only(refused, 'send-answer', 1)[0]?.answer.headers['reedyard-spent'], '0');
 });
--- a/packages/proxy/src/read-answer.ts
+++ b/packages/proxy/src/read-answer.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto';
 import type http from 'node:http';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import { maxBufferedBodyBytes } from './buffering.js';
 
 const hopByHop = new Set([
@@ -49,7 +49,7 @@
   /** A buffer where it is whole, or else the stream of all its bytes. */
   readonly body: Buffer | http.IncomingMessage;
   readonly size: number;
-  readonly whole: boolean;
+  readonly isComplete: boolean;
 };
 
 /** Told once, of the first that happens. */
@@ -100,7 +100,7 @@
     response.off('data', onData);
     response.off('end', onEnd);
     response.unshift(Buffer.concat(chunks));
-    ready({ status, headers, body: response, size, whole: false });
+    ready({ status, headers, body: response, size, isComplete: false });
   };
   const onEnd = (): void => {
     const body = Buffer.concat(chunks);
@@ -112,9 +112,9 @@
       unusable('digest', 'the answer does not match its digest');
       return;
     }
-    ready({ status, headers, body, size, whole: true });
+    ready({ status, headers, body, size, isComplete: true });
   };
   response.on('data', onData);
   response.on('end', onEnd);
-  response.on('error', (error) => unusable('cut', textOf(error), error));
+  response.on('error', (error) => unusable('cut', errorMessage(error), error));
 };
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -1,7 +1,7 @@
 /** Measures what callers ask for, and reports it to the agent with each question. */
 import type { ProxyReport, TrafficMeasurement } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
-import { set, type Work } from './state.js';
+import { update, type Transition } from './state.js';
 
 /** ms. Utilisation is measured (the paper: one minute; ours is shorter since 2 s rules bind). */
 export const measurementIntervalMs = 2_000;
@@ -15,8 +15,8 @@
 /**
  * Closes a period of measuring: what the own callers asked for, object by object for the busiest.
  */
-const measure = (work: Work): TrafficMeasurement | null => {
-  const { state } = work;
+const measure = (transition: Transition): TrafficMeasurement | null => {
+  const { state } = transition;
   const { period } = state;
   const ms = state.now - period.since;
   if (ms < measurementIntervalMs) return null;
@@ -42,7 +42,7 @@
       ) !== undefined
     );
   });
-  set(work, {
+  update(transition, {
     period: { since: state.now, bits: {}, servedBits: 0, replies: 0, attemptMs: 0, fetched: 0 },
     cache: Cache.dropWhere(state.cache, (copy) => state.now >= copy.freshUntil),
   });
@@ -57,14 +57,14 @@
 };
 
 /** What was wanted in the last beat counts half, what was known before the other half. */
-const renewWants = (work: Work): void => {
-  const { wants, wanted, now } = work.state;
+const renewDemand = (transition: Transition): void => {
+  const { demand: wants, demandCounts: wanted, now } = transition.state;
   const ms = now - wanted.since;
   if (ms < demandIntervalMs) return;
   const services = new Set([...Object.keys(wants), ...Object.keys(wanted.counts)]);
-  set(work, {
-    wanted: { since: now, counts: {} },
-    wants: Object.fromEntries(
+  update(transition, {
+    demandCounts: { since: now, counts: {} },
+    demand: Object.fromEntries(
       [...services].map((service) => [
         service,
         0.5 * (wants[service] ?? 0) + (0.5 * (wanted.counts[service] ?? 0) * 1_000) / ms,
@@ -73,17 +73,17 @@
   });
 };
 
-export const question = (work: Work): void => {
-  renewWants(work);
-  const measurement = measure(work);
-  const { state } = work;
+export const requestFeed = (transition: Transition): void => {
+  renewDemand(transition);
+  const measurement = measure(transition);
+  const { state } = transition;
   const report: ProxyReport = {
     policyRevision: state.policy?.revision ?? 0,
     life: state.life,
     proxyLife: state.self.life,
     purgeSeq: state.purgeSeq,
     stopping: state.stoppingAt !== null,
-    wants: state.wants,
+    wants: state.demand,
     measure: measurement,
     counters: {
       ...state.counters,
@@ -92,5 +92,5 @@
       copyBytes: state.cache.bytes,
     },
   };
-  work.effects.push({ kind: 'question', report });
+  transition.effects.push({ kind: 'request-feed', report });
 };
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -8,7 +8,7 @@
 import { CallerBounds } from './caller-bounds.js';
 import { atHome, isSafe } from './choice.js';
 import { maxQueueWaitMs } from './serving.js';
-import type { Asked, AttemptAnswer, ProxyRequest, ProxyState } from './state.js';
+import type { ClientRequest, AttemptAnswer, ProxyRequest, ProxyState } from './state.js';
 
 /** ms. Default limit of a whole request. */
 export const defaultRequestTimeoutMs = 10_000;
@@ -19,7 +19,7 @@
  */
 export const queueWaitShare = 0.2;
 
-export const headerText = (headers: Asked['headers'], name: string): string | null => {
+export const headerText = (headers: ClientRequest['headers'], name: string): string | null => {
   const value = headers[name];
   return value === undefined ? null : typeof value === 'string' ? value : value.join(',');
 };
@@ -27,7 +27,7 @@
 /** Why a request gets nothing by its route, whatever the origins do; null where it may be made. */
 export const refusalOf = (
   route: Route | undefined,
-  asked: Asked,
+  asked: ClientRequest,
   callers: Policy['callers'],
 ): {
   readonly status: number;
@@ -74,14 +74,15 @@
 export const keepsAlways = (route: Route): boolean => route.cache.keep === 'always';
 
 export const joins = (request: ProxyRequest): boolean =>
-  request.asked.method === 'GET' &&
+  request.clientRequest.method === 'GET' &&
   keeps(request.route, 'GET') &&
-  (keepsAlways(request.route) || headerText(request.asked.headers, 'authorization') === null);
+  (keepsAlways(request.route) ||
+    headerText(request.clientRequest.headers, 'authorization') === null);
 
 /**
  * Until when a request is worth serving: its route's limit, or less where its caller waits less.
  */
-export const limitOf = (route: Route, asked: Asked, arrivedAt: number): number =>
+export const deadlineOf = (route: Route, asked: ClientRequest, arrivedAt: number): number =>
   arrivedAt +
   Math.min(route.limits.requestMs ?? defaultRequestTimeoutMs, asked.deadlineMs ?? Infinity);
 
@@ -89,11 +90,11 @@
  * ms that a request may wait for its turn: a refusal must leave time for another try within its
  * target.
  */
-export const holdingOf = (request: ProxyRequest): number =>
+export const maxQueueWaitOf = (request: ProxyRequest): number =>
   Math.min(maxQueueWaitMs, (request.route.targetMs ?? Infinity) * queueWaitShare);
 
 /** ms. Until when a route lets a copy live here, whatever its origin allows. */
-export const lifeEnd = (route: Route | undefined, state: ProxyState, copy: Copy): number =>
+export const copyExpiresAt = (route: Route | undefined, state: ProxyState, copy: Copy): number =>
   route === undefined ||
   !Routes.allows(route, copy.service) ||
   !keeps(route, 'GET') ||
@@ -127,7 +128,7 @@
   const notServed = answer.status >= 400 && headerText(answer.headers, 'reedyard-outcome') !== null;
   const madeBy = headerText(answer.headers, 'reedyard-service');
   // The peer may have served under a newer policy than the one that the attempt was made under.
-  const newer = Routes.find(routes, request.asked.host, request.asked.target);
+  const newer = Routes.find(routes, request.clientRequest.host, request.clientRequest.target);
   const services = [
     ...Routes.services(request.route),
     ...(newer === undefined ? [] : Routes.services(newer)),
--- a/packages/proxy/src/run.ts
+++ b/packages/proxy/src/run.ts
@@ -10,23 +10,36 @@
   type ProxyQuery,
   retryAfterSeconds,
 } from '@reedyard/agent';
-import { openScribe, type Scribe } from '@reedyard/logging';
+import { openLogger, type Logger } from '@reedyard/logging';
 import { call, callTimeoutMs } from '@reedyard/rpc';
 import { Routes } from '@reedyard/schemas';
 import { type Settings, shutdownTimeoutMs } from '@reedyard/settings';
-import { type Inbox, Task } from '@reedyard/task-loop';
+import { type EventQueue, Task } from '@reedyard/task-loop';
 import { writeAnswer } from './caller-answer.js';
 import { CallerBounds } from './caller-bounds.js';
 import { type CallerServer, type CallerTurn, openCallerServer } from './caller-server.js';
 import { originName } from './choice.js';
-import { type AttemptError, OriginConns, type Outgoing, peerName, type Underway } from './conns.js';
+import {
+  type AttemptError,
+  OriginConnections,
+  type Outgoing,
+  peerName,
+  type Underway,
+} from './conns.js';
 import { ProxyCore } from './core.js';
-import { type Dialect, ownDialect } from './dialect.js';
+import { type WireFormat, ownWireFormat } from './dialect.js';
 import { feedIntervalMs } from './feed-timing.js';
-import { Feeds, type HeldFeed } from './feeds.js';
+import { Feeds, type FeedSnapshot } from './feeds.js';
 import { passable } from './read-answer.js';
 import { unreadyServingMs } from './shutdown-timing.js';
-import type { Answer, Asked, AttemptAnswer, ProxyEffect, ProxyEvent, ProxyState } from './state.js';
+import type {
+  Answer,
+  ClientRequest,
+  AttemptAnswer,
+  ProxyEffect,
+  ProxyEvent,
+  ProxyState,
+} from './state.js';
 import { idleProxyTickIntervalMs, proxyTickIntervalMs } from './ticks.js';
 import { warmUp } from './warm.js';
 
@@ -46,11 +59,11 @@
   typeof field === 'string' && /^\d{1,4}$/.test(field) ? Number(field) : null;
 
 /** What the shell keeps of a caller's request; the core knows it by its number alone. */
-type Open = {
+type OpenRequest = {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
   readonly body: Buffer;
-  readonly asked: Asked;
+  readonly asked: ClientRequest;
   readonly mark: string | null;
   readonly turn: CallerTurn;
 };
@@ -58,14 +71,14 @@
 export type ProxySettings = Settings & { readonly proxy: NonNullable<Settings['proxy']> };
 
 /** What a proxy needs of its surroundings: who answers for its agent, and where its log goes. */
-export type Around = {
-  readonly scribe: Scribe;
+export type ProxyDependencies = {
+  readonly logger: Logger;
   readonly askAgent: (body: ProxyQuery, limitMs?: number) => Promise<unknown>;
 };
 
 /** A proxy without its ports: what takes requests, and what it is doing. */
-export type Opened = {
-  readonly task: Inbox<ProxyEvent> & { readonly peek: () => ProxyState };
+export type Proxy = {
+  readonly task: EventQueue<ProxyEvent> & { readonly peek: () => ProxyState };
   readonly underWay: () => number;
   /** Requests that were ever begun here. */
   readonly begun: () => number;
@@ -85,17 +98,17 @@
  */
 export const openProxy = (
   settings: ProxySettings,
-  dialect: Dialect,
-  { scribe, askAgent }: Around,
-): Opened => {
+  dialect: WireFormat,
+  { logger, askAgent }: ProxyDependencies,
+): Proxy => {
   let ended = false;
   const via = `1.1 ${settings.name} (reedyard)`;
-  const opened = new Map<number, Open>();
+  const opened = new Map<number, OpenRequest>();
   let stopping = false;
   /** Attempts under way, by request and number; some outlast their request. */
   const attempts = new Map<string, Underway>();
-  const conns = new OriginConns(settings.host, dialect);
-  let held: HeldFeed | null = null;
+  const conns = new OriginConnections(settings.host, dialect);
+  let held: FeedSnapshot | null = null;
   let nextId = 1;
   /** Servers that callers and peers connect to; peers add fields of their own to a head. */
   const servers: { readonly of: CallerServer; readonly fromPeer: boolean }[] = [];
@@ -118,12 +131,15 @@
     for (const { of, fromPeer } of servers) of.setBounds(boundsFor(fromPeer));
   };
 
-  const outgoing = (one: Open, effect: Extract<ProxyEffect, { kind: 'open' }>): Outgoing => {
+  const outgoing = (
+    one: OpenRequest,
+    effect: Extract<ProxyEffect, { kind: 'send-attempt' }>,
+  ): Outgoing => {
     const headers = passable(one.request.headers);
-    if (effect.keep)
+    if (effect.isCacheable)
       for (const name of ['range', 'if-range', 'if-none-match', 'if-modified-since'])
         delete headers[name];
-    if (effect.keep) headers['accept-encoding'] = 'identity';
+    if (effect.isCacheable) headers['accept-encoding'] = 'identity';
     const forwardedFor = one.request.headers['x-forwarded-for'];
     const caller = one.request.socket.remoteAddress ?? '';
     headers['x-forwarded-for'] =
@@ -135,13 +151,13 @@
             .join(', ');
     headers.via = [one.request.headers.via, via].filter((part) => part !== undefined).join(', ');
     headers.host = one.asked.host;
-    Object.assign(headers, dialect.left(effect.limitMs));
+    Object.assign(headers, dialect.left(effect.timeoutMs));
     if (effect.to.kind === 'peer')
       Object.assign(headers, {
-        'reedyard-attempt': effect.mark,
+        'reedyard-attempt': effect.attemptId,
         'reedyard-via': settings.name,
-        ...(Number.isFinite(effect.attempts)
-          ? { 'reedyard-attempts-left': String(effect.attempts) }
+        ...(Number.isFinite(effect.delegatedAttempts)
+          ? { 'reedyard-attempts-left': String(effect.delegatedAttempts) }
           : {}),
       });
     delete headers['content-length'];
@@ -152,11 +168,15 @@
       path: one.asked.target,
       headers,
       body: one.body,
-      safe: effect.safe,
+      safe: effect.isIdempotent,
     };
   };
 
-  const write = (id: number, { response, asked, turn, mark }: Open, answer: Answer): void => {
+  const write = (
+    id: number,
+    { response, asked, turn, mark }: OpenRequest,
+    answer: Answer,
+  ): void => {
     const close = turn.closes(stopping || answer.headers.connection === 'close');
     const hopFields = {
       via,
@@ -173,25 +193,31 @@
   const trace =
     settings.proxy.trace === true
       ? (event: string, fields: Readonly<Record<string, string | number>>): void =>
-          scribe.info(event, fields)
+          logger.info(event, fields)
       : null;
   const perform = (effect: ProxyEffect, put: (event: ProxyEvent) => boolean): void => {
     switch (effect.kind) {
-      case 'open': {
-        const one = opened.get(effect.id);
+      case 'send-attempt': {
+        const one = opened.get(effect.requestId);
         if (one === undefined) return;
-        const name = `${effect.id}/${effect.attempt}`;
+        const name = `${effect.requestId}/${effect.attempt}`;
         const done = (answer: AttemptAnswer): void => {
           // One that still comes can be broken off until its end.
-          if (answer.whole) attempts.delete(name);
+          if (answer.isComplete) attempts.delete(name);
           else (answer.body as Readable).on('close', () => attempts.delete(name));
-          put({ kind: 'answered', id: effect.id, attempt: effect.attempt, answer, now: now() });
+          put({
+            kind: 'attempt-answered',
+            requestId: effect.requestId,
+            attempt: effect.attempt,
+            answer,
+            now: now(),
+          });
         };
         const fail = (error: AttemptError): void => {
           attempts.delete(name);
           put({
-            kind: 'failed',
-            id: effect.id,
+            kind: 'attempt-failed',
+            requestId: effect.requestId,
             attempt: effect.attempt,
             sent: error.sent,
             why: error.why,
@@ -200,7 +226,7 @@
         };
         const out = outgoing(one, effect);
         // A second attempt of what may not run twice goes where no answer to the first can come.
-        const terms = { sendBy: effect.sendBy, fresh: !effect.safe && effect.attempt > 0 };
+        const terms = { sendBy: effect.sendBy, fresh: !effect.isIdempotent && effect.attempt > 0 };
         trace?.('trace.attempt', {
           revision: task.peek().policy?.revision ?? 0,
           attempt: effect.attempt,
@@ -211,51 +237,61 @@
         }
         const attempt = {
           origin: effect.to.row,
-          mark: effect.mark,
-          leftMs: effect.limitMs,
+          mark: effect.attemptId,
+          leftMs: effect.timeoutMs,
           headers: one.request.headers,
         };
         Object.assign(out.headers, dialect.toOrigin(attempt));
         attempts.set(name, conns.send(effect.to.row, out, attempt, terms, { done, fail }));
         return;
       }
-      case 'abort': {
-        const name = `${effect.id}/${effect.attempt}`;
+      case 'abort-attempt': {
+        const name = `${effect.requestId}/${effect.attempt}`;
         attempts.get(name)?.abort();
         attempts.delete(name);
         return;
       }
-      case 'answer': {
-        const one = opened.get(effect.id);
+      case 'send-answer': {
+        const one = opened.get(effect.requestId);
         if (effect.answer.body.kind === 'copy')
           trace?.('trace.copy', { revision: task.peek().policy?.revision ?? 0 });
-        if (one !== undefined) write(effect.id, one, effect.answer);
-        opened.delete(effect.id);
+        if (one !== undefined) write(effect.requestId, one, effect.answer);
+        opened.delete(effect.requestId);
         return;
       }
-      case 'closed':
-        opened.delete(effect.id);
+      case 'close-request':
+        opened.delete(effect.requestId);
         return;
-      case 'ask':
-        askAgent(effect.call, proposalTimeoutMs + callTimeoutMs).then(
+      case 'query-agent':
+        askAgent(effect.query, proposalTimeoutMs + callTimeoutMs).then(
           (reply) => {
-            if (effect.call.kind === 'claim')
-              put({ kind: 'claimed', id: effect.id, reply: reply as ClaimReply, now: now() });
+            if (effect.query.kind === 'claim')
+              put({
+                kind: 'claim-answered',
+                requestId: effect.requestId,
+                reply: reply as ClaimReply,
+                now: now(),
+              });
           },
           () => {
-            if (effect.call.kind === 'claim')
-              put({ kind: 'claimed', id: effect.id, reply: { kind: 'unreached' }, now: now() });
+            if (effect.query.kind === 'claim')
+              put({
+                kind: 'claim-answered',
+                requestId: effect.requestId,
+                reply: { kind: 'unreached' },
+                now: now(),
+              });
           },
         );
         return;
-      case 'question': {
+      case 'request-feed': {
         const askedAt = now();
         askAgent({ kind: 'feed', report: effect.report, held: Feeds.holding(held) })
           .then(
             (reply) => {
               held = Feeds.merge(held, reply as FeedReply);
               const { feed } = held;
-              put({ kind: 'fed', feed, askedAt, now: now() });
+              put({ kind: 'feed-received', feed, askedAt, now: now() });
               conns.keepOnly(
                 new Set([...feed.origins.map(originName), ...feed.peers.map(peerName)]),
               );
@@ -265,14 +301,14 @@
           .finally(() => {
             if (!ended)
               setTimeout(
-                () => put({ kind: 'ask', now: now() }),
-                now() < task.peek().lease ? feedIntervalMs : noLeasePollIntervalMs,
+                () => put({ kind: 'feed-due', now: now() }),
+                now() < task.peek().leaseUntil ? feedIntervalMs : noLeasePollIntervalMs,
               );
           });
         return;
       }
       case 'log':
-        scribe.info(effect.event, effect.fields);
+        logger.info(effect.event, effect.fields);
         return;
     }
   };
@@ -295,7 +331,7 @@
   const beatIn = (ms: number): void => {
     beating = setTimeout(() => {
       const idle = opened.size === 0 && Object.keys(task.peek().requests).length === 0;
-      task.put({ kind: 'beat', now: now() });
+      task.put({ kind: 'tick', now: now() });
       applyBounds();
       if (!ended) beatIn(idle ? idleProxyTickIntervalMs : proxyTickIntervalMs);
     }, ms);
@@ -377,7 +413,7 @@
                 .update(JSON.stringify([method, target]))
                 .update(Buffer.concat(chunks))
                 .digest('base64');
-        const asked: Asked = {
+        const asked: ClientRequest = {
           method,
           target,
           host,
@@ -391,7 +427,7 @@
         const mark = request.headers['reedyard-attempt'];
         const left = (): void => {
           streams.get(id)?.destroy();
-          task.put({ kind: 'left', id, now: now() });
+          task.put({ kind: 'client-left', requestId: id, now: now() });
         };
         if (!turn.begin(left)) return;
         opened.set(id, {
@@ -407,7 +443,16 @@
           clearTimeout(beating);
           beatIn(proxyTickIntervalMs);
         }
-        if (!task.put({ kind: 'arrived', id, asked, draws, token: randomUUID(), now: now() })) {
+        if (
+          !task.put({
+            kind: 'request-arrived',
+            requestId: id,
+            clientRequest: asked,
+            randomNumbers: draws,
+            token: randomUUID(),
+            now: now(),
+          })
+        ) {
           opened.delete(id);
           refuse(response, turn, 503, 'Too busy', 'Too many events wait here.');
         }
@@ -455,7 +500,7 @@
       () => trace('trace.stored', { keys: [...task.peek().cache.copies.keys()].join(' ') }),
       1_000,
     );
-  task.put({ kind: 'ask', now: now() });
+  task.put({ kind: 'feed-due', now: now() });
   return {
     task,
     serve,
@@ -469,7 +514,7 @@
     begun: () => nextId - 1,
     stop: () => {
       stopping = true;
-      task.put({ kind: 'stop', now: now() });
+      task.put({ kind: 'stop-requested', now: now() });
     },
     end: () => {
       ended = true;
@@ -487,12 +532,12 @@
  */
 export const runProxy = async (
   settings: ProxySettings,
-  dialect: Dialect = ownDialect,
+  dialect: WireFormat = ownWireFormat,
 ): Promise<void> => {
-  const scribe = openScribe({ program: 'proxy', node: settings.name });
+  const logger = openLogger({ program: 'proxy', node: settings.name });
   const feedAddress = `127.0.0.1:${settings.agent.feedPort}`;
   const proxy = openProxy(settings, dialect, {
-    scribe,
+    logger,
     askAgent: (body, limitMs) => call(feedAddress, '/feed', body, limitMs),
   });
   const servers = [
@@ -501,11 +546,11 @@
   ];
   if (settings.proxy.readyPort !== undefined)
     servers.push(await proxy.serveReady(settings.proxy.readyPort));
-  scribe.info('started', { callers: settings.proxy.port, peers: settings.proxy.peerPort });
+  logger.info('started', { callers: settings.proxy.port, peers: settings.proxy.peerPort });
   // Beside its start, and only until somebody really asks.
   void warmUp(dialect, settings, () => proxy.begun() > 0).then(
     ({ played, served }) => {
-      if (played > 0) scribe.info('warmed', { requests: played, served });
+      if (played > 0) logger.info('warmed', { requests: played, served });
     },
     () => undefined,
   );
@@ -515,7 +560,7 @@
     if (warnedAt !== null) return;
     const since = now();
     warnedAt = since;
-    scribe.info('stopping', { underWay: proxy.underWay() });
+    logger.info('stopping', { underWay: proxy.underWay() });
     proxy.stop();
     const { graceMs = unreadyServingMs, mostMs = shutdownTimeoutMs } = settings.proxy.leave ?? {};
     // Not ready first: callers are still answered until what is under way has ended.
@@ -525,13 +570,13 @@
           server.close();
           server.closeAllConnections();
         });
-        scribe.info('stopped', { cutOff: proxy.underWay() });
+        logger.info('stopped', { cutOff: proxy.underWay() });
         process.exit(0);
       }
     }, feedIntervalMs);
   };
   // A hang-up ends a process by itself; nothing that is under way may suffer from it.
-  process.on('SIGHUP', () => scribe.info('hangup', { underWay: proxy.underWay() }));
+  process.on('SIGHUP', () => logger.info('hangup', { underWay: proxy.underWay() }));
   process.on('SIGTERM', leave);
   process.on('SIGINT', leave);
 };
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -12,7 +12,7 @@
 import type { Attempt, Sent } from '@reedyard/attempts';
 
 /** A caller's request, as far as the moves depend on it. Header names are in small letters. */
-export type Asked = {
+export type ClientRequest = {
   readonly method: string;
   readonly target: string;
   readonly host: string;
@@ -36,7 +36,7 @@
   readonly headers: Headers;
   readonly body: unknown;
   readonly size: number;
-  readonly whole: boolean;
+  readonly isComplete: boolean;
   /**
    * What an origin's answer proves, in the dialect that it was spoken to in; left out: by its own
    * fields.
@@ -50,7 +50,7 @@
 
 export type ProxyRequest = {
   readonly id: number;
-  readonly asked: Asked;
+  readonly clientRequest: ClientRequest;
   /**
    * The route under the policy with this revision; looked up again at each move under a newer one.
    */
@@ -59,21 +59,21 @@
   /** The service drawn from the route's. */
   readonly service: string;
   /** Whether it may run more than once. */
-  readonly safe: boolean;
+  readonly isIdempotent: boolean;
   readonly key: string;
   readonly arrivedAt: number;
-  readonly limitAt: number;
+  readonly deadlineAt: number;
   /** Random numbers and a token given with its arrival: the reducer draws none itself. */
-  readonly draws: readonly number[];
+  readonly randomNumbers: readonly number[];
   readonly token: string;
   /** The register that its idempotency key claims. */
   readonly claimKey: string | null;
   readonly attempts: readonly Attempt[];
   /** `over`: its caller has an answer; attempts beside that one are let end. */
   readonly phase: 'claiming' | 'joined' | 'holding' | 'attempt' | 'over';
-  readonly heldAt: number;
-  readonly leads: boolean;
-  readonly callerGone: boolean;
+  readonly queuedAt: number;
+  readonly isFetchLeader: boolean;
+  readonly isClientGone: boolean;
 };
 
 /** One fetch that several requests wait for. */
@@ -84,9 +84,9 @@
 };
 
 /** What was met at an origin lately. */
-export type Standing = {
+export type OriginHealth = {
   /** ms that its answers take, the newer ones counting more. */
-  readonly ms: number;
+  readonly meanResponseMs: number;
   readonly heardAt: number;
   /** What it last told of itself, and how many of that were ours. */
   readonly load: (Load & { readonly at: number; readonly own: number }) | null;
@@ -105,32 +105,32 @@
     readonly life: string;
   };
   readonly now: number;
-  readonly lease: number;
+  readonly leaseUntil: number;
   readonly life: string;
-  readonly flushes: number;
-  readonly fedAt: number;
+  readonly cacheFlushCount: number;
+  readonly feedReceivedAt: number;
   readonly purgeSeq: number;
   readonly policy: { readonly revision: number; readonly document: Policy } | null;
   readonly routes: RouteTable;
   readonly feed: Feed | null;
   /** Edges at which a route's objects are placed, by route. */
   readonly holders: Readonly<Record<string, readonly string[]>>;
-  readonly emptiedAt: number | null;
+  readonly evacuatedAt: number | null;
   readonly cache: CacheState;
   /** Whether peers in other regions were ever told of. */
-  readonly abroad: boolean;
+  readonly hasRemotePeers: boolean;
   readonly requests: Readonly<Record<number, ProxyRequest>>;
   readonly fetches: Readonly<Record<string, Fetch>>;
   /**
    * Objects lately found not to be keepable: their requests are not made to wait for each other.
    */
-  readonly unkept: Readonly<Record<string, number>>;
+  readonly uncacheableKeys: Readonly<Record<string, number>>;
   readonly buckets: Readonly<Record<string, Bucket>>;
   /** Repeats saved, by service. */
-  readonly repeats: Readonly<Record<string, number>>;
-  readonly suspects: Readonly<Record<string, number>>;
+  readonly retryTokens: Readonly<Record<string, number>>;
+  readonly ejectedUntil: Readonly<Record<string, number>>;
   readonly outstanding: Readonly<Record<string, number>>;
-  readonly standings: Readonly<Record<string, Standing>>;
+  readonly originHealth: Readonly<Record<string, OriginHealth>>;
   /** bytes of a reply from an origin lately, by route. */
   readonly replyBytes: Readonly<Record<string, number>>;
   /** When it was warned that it must stop. */
@@ -145,45 +145,53 @@
     readonly fetched: number;
   };
   /** Attempts a second that were wanted lately, and those counted since. */
-  readonly wants: Readonly<Record<string, number>>;
-  readonly wanted: { readonly since: number; readonly counts: Readonly<Record<string, number>> };
+  readonly demand: Readonly<Record<string, number>>;
+  readonly demandCounts: {
+    readonly since: number;
+    readonly counts: Readonly<Record<string, number>>;
+  };
 };
 
 export type ProxyEvent =
   | {
-      readonly kind: 'arrived';
-      readonly id: number;
-      readonly asked: Asked;
-      readonly draws: readonly number[];
+      readonly kind: 'request-arrived';
+      readonly requestId: number;
+      readonly clientRequest: ClientRequest;
+      readonly randomNumbers: readonly number[];
       readonly token: string;
       readonly now: number;
     }
   | {
-      readonly kind: 'answered';
-      readonly id: number;
+      readonly kind: 'attempt-answered';
+      readonly requestId: number;
       readonly attempt: number;
       readonly answer: AttemptAnswer;
       readonly now: number;
     }
   | {
-      readonly kind: 'failed';
-      readonly id: number;
+      readonly kind: 'attempt-failed';
+      readonly requestId: number;
       readonly attempt: number;
       readonly sent: Sent;
       readonly why: string;
       readonly now: number;
     }
   | {
-      readonly kind: 'claimed';
-      readonly id: number;
+      readonly kind: 'claim-answered';
+      readonly requestId: number;
       readonly reply: ClaimReply;
       readonly now: number;
     }
-  | { readonly kind: 'left'; readonly id: number; readonly now: number }
-  | { readonly kind: 'fed'; readonly feed: Feed; readonly askedAt: number; readonly now: number }
-  | { readonly kind: 'ask'; readonly now: number }
-  | { readonly kind: 'beat'; readonly now: number }
-  | { readonly kind: 'stop'; readonly now: number };
+  | { readonly kind: 'client-left'; readonly requestId: number; readonly now: number }
+  | {
+      readonly kind: 'feed-received';
+      readonly feed: Feed;
+      readonly askedAt: number;
+      readonly now: number;
+    }
+  | { readonly kind: 'feed-due'; readonly now: number }
+  | { readonly kind: 'tick'; readonly now: number }
+  | { readonly kind: 'stop-requested'; readonly now: number };
 
 export type Answer = {
   readonly status: number;
@@ -203,62 +211,62 @@
 
 export type ProxyEffect =
   | {
-      readonly kind: 'open';
-      readonly id: number;
+      readonly kind: 'send-attempt';
+      readonly requestId: number;
       readonly attempt: number;
       readonly to: Target;
-      readonly asked: Asked;
-      readonly mark: string;
-      readonly limitMs: number;
-      readonly keep: boolean;
-      readonly safe: boolean;
+      readonly clientRequest: ClientRequest;
+      readonly attemptId: string;
+      readonly timeoutMs: number;
+      readonly isCacheable: boolean;
+      readonly isIdempotent: boolean;
       /** Origins that it may be sent to through this attempt; Infinity without a bound. */
-      readonly attempts: number;
+      readonly delegatedAttempts: number;
       /**
        * Nothing of the request is sent after this moment: what the attempt was decided on is old
        * then.
        */
       readonly sendBy: number;
     }
-  | { readonly kind: 'abort'; readonly id: number; readonly attempt: number }
-  | { readonly kind: 'answer'; readonly id: number; readonly answer: Answer }
+  | { readonly kind: 'abort-attempt'; readonly requestId: number; readonly attempt: number }
+  | { readonly kind: 'send-answer'; readonly requestId: number; readonly answer: Answer }
   /** A request is over: nothing more will be said of it. */
-  | { readonly kind: 'closed'; readonly id: number }
-  | { readonly kind: 'ask'; readonly id: number; readonly call: ProxyQuery }
-  | { readonly kind: 'question'; readonly report: ProxyReport }
+  | { readonly kind: 'close-request'; readonly requestId: number }
+  | { readonly kind: 'query-agent'; readonly requestId: number; readonly query: ProxyQuery }
+  | { readonly kind: 'request-feed'; readonly report: ProxyReport }
   | {
       readonly kind: 'log';
       readonly event: string;
       readonly fields: Readonly<Record<string, string | number | boolean>>;
     };
 
-export type Work = { state: ProxyState; readonly effects: ProxyEffect[] };
-export const set = (work: Work, change: Partial<ProxyState>): void => {
-  work.state = { ...work.state, ...change };
+export type Transition = { state: ProxyState; readonly effects: ProxyEffect[] };
+export const update = (transition: Transition, updateRequest: Partial<ProxyState>): void => {
+  transition.state = { ...transition.state, ...updateRequest };
 };
-export const count = (work: Work, ...names: readonly string[]): void => {
-  set(work, {
+export const count = (transition: Transition, ...names: readonly string[]): void => {
+  update(transition, {
     counters: names.reduce(
       (all, name) => ({ ...all, [name]: (all[name] ?? 0) + 1 }),
-      work.state.counters,
+      transition.state.counters,
     ),
   });
 };
-export const change = (
-  work: Work,
+export const updateRequest = (
+  transition: Transition,
   id: number,
   part: Partial<ProxyRequest>,
 ): ProxyRequest | undefined => {
-  const old = work.state.requests[id];
+  const old = transition.state.requests[id];
   if (old === undefined) return undefined;
   const next = { ...old, ...part };
-  set(work, { requests: { ...work.state.requests, [id]: next } });
+  update(transition, { requests: { ...transition.state.requests, [id]: next } });
   return next;
 };
 export const log = (
-  work: Work,
+  transition: Transition,
   event: string,
   fields: Readonly<Record<string, string | number | boolean>>,
 ): void => {
-  work.effects.push({ kind: 'log', event, fields });
+  transition.effects.push({ kind: 'log', event, fields });
 };
--- a/packages/proxy/src/testing/connection-world.ts
+++ b/packages/proxy/src/testing/connection-world.ts
@@ -4,12 +4,12 @@
  * that may answer, refuse, stay silent, answer twice, cut an answer short, send bytes that are no
  * answer, close, reset, or be replaced by another one at its address.
  */
-import { Attempts, type Attempt, type AttemptEnd } from '@reedyard/attempts';
+import { type Attempt, type AttemptResult, nextMove } from '@reedyard/attempts';
 import {
-  Connections,
   type Connection,
   type ConnectionEffect,
   type ConnectionEvent,
+  Connections,
   type ConnectionStep,
 } from '../connection.js';
 
@@ -53,7 +53,7 @@
   readonly answered: boolean;
   /** Whether an origin began to work on it. */
   readonly ran: boolean;
-  readonly end: AttemptEnd | null;
+  readonly end: AttemptResult | null;
 };
 
 /** The whole world. */
@@ -109,7 +109,7 @@
 const breakWith = (world: World, why: string): World =>
   world.broken === null ? { ...world, broken: why } : world;
 
-const endAttempt = (world: World, attempt: number, end: AttemptEnd): World =>
+const endAttempt = (world: World, attempt: number, end: AttemptResult): World =>
   world.attempts[attempt]?.end === null
     ? { ...world, attempts: withAt(world.attempts, attempt, { end }) }
     : breakWith(world, `attempt ${attempt} ended twice`);
@@ -135,7 +135,12 @@
   const status = notRun ? 503 : 200;
   const refused = notRun && world.attempts[attempt]?.ran === true;
   const honest = refused ? breakWith(checked, 'refused as not run, but it ran') : checked;
-  return endAttempt(honest, attempt, { kind: 'answered', status, final: !notRun, notRun });
+  return endAttempt(honest, attempt, {
+    kind: 'answered',
+    status,
+    final: !notRun,
+    provablyNotExecuted: notRun,
+  });
 };
 
 const failed = (world: World, effect: Extract<ConnectionEffect, { kind: 'fail' }>): World => {
@@ -198,14 +203,14 @@
       to: { kind: 'origin', id: `store/i${number}/0` },
       openedAt: 0,
       limitAt: 9,
-      end: attempt.end,
+      result: attempt.end,
     }));
 
 const mayOpen = (world: World, request: number): boolean => {
   const attempts = attemptsOf(world, request);
   if (attempts.length >= MOST_ATTEMPTS_EACH) return false;
-  const ledger = { safe: false, attempts, now: 0, limitAt: 9, mayRepeat: true };
-  return Attempts.next(ledger).kind === 'open';
+  const ledger = { safe: false, attempts, now: 0, limitAt: 9, hasRetryBudget: true };
+  return nextMove(ledger).kind === 'open';
 };
 
 const freshWire = (world: World): Wire => ({
@@ -324,8 +329,8 @@
     : next;
 };
 
-const provesNotRun = (end: AttemptEnd | null): boolean =>
-  end?.kind === 'failed' ? end.sent === 'nothing' : end?.notRun === true;
+const provesNotRun = (end: AttemptResult | null): boolean =>
+  end?.kind === 'failed' ? end.sent === 'nothing' : end?.provablyNotExecuted === true;
 
 /** What an origin does with a request that reached it. */
 const dealings = (
--- a/packages/proxy/src/testing/proxy-harness.ts
+++ b/packages/proxy/src/testing/proxy-harness.ts
@@ -7,15 +7,15 @@
 import type { Policy } from '@reedyard/schemas';
 import { SettingsReader } from '@reedyard/settings';
 import { ProxyCore } from '../core.js';
-import { ownDialect, type Dialect } from '../dialect.js';
-import { openProxy, type ProxySettings, type Opened } from '../run.js';
+import { ownWireFormat, type WireFormat } from '../dialect.js';
+import { openProxy, type ProxySettings, type Proxy } from '../run.js';
 
 const HOST = '127.0.0.1';
 const SERVICE = 'store';
 
 /** A dialect in which each request names its origin, and answers echo the request's id. */
-export const namedDialect: Dialect = {
-  ...ownDialect,
+export const namedDialect: WireFormat = {
+  ...ownWireFormat,
   identity: 'named',
   deadlineMs: (headers) => Number(headers['x-left-ms'] ?? Infinity),
   toOrigin: ({ origin }) => ({ 'x-intended': origin.instance }),
@@ -80,7 +80,7 @@
 
 /** A running proxy with what it was told. */
 export type Harness = {
-  readonly proxy: Opened;
+  readonly proxy: Proxy;
   readonly feed: FeedParts;
   readonly server: http.Server;
   readonly port: number;
@@ -148,8 +148,8 @@
   };
   const askAgent = (call: ProxyQuery): Promise<unknown> =>
     Promise.resolve(call.kind === 'feed' ? { ...feedOf(feed), revisions } : { kind: 'granted' });
-  const scribe = { info: log, warn: log, error: log };
-  const proxy = openProxy(settingsOf(name), namedDialect, { scribe, askAgent });
+  const logger = { info: log, warn: log, error: log };
+  const proxy = openProxy(settingsOf(name), namedDialect, { logger, askAgent });
   const server = await proxy.serve(false, 0);
   const peers = await proxy.serve(true, 0);
   await until(() => ProxyCore.ready(proxy.task.peek(), performance.now()));
--- a/packages/proxy/src/upkeep.ts
+++ b/packages/proxy/src/upkeep.ts
@@ -2,25 +2,32 @@
  * What the clock brings about: attempts past their deadline, hedges beside silent ones, requests
  * that wait for their turn.
  */
-import { Attempts } from '@reedyard/attempts';
+import { shouldHedge } from '@reedyard/attempts';
 import { Cache } from '@reedyard/cache';
-import { mayTryMore } from './attempt-budget.js';
-import { failed } from './attempt-ends.js';
+import { mayRetry } from './attempt-budget.js';
+import { handleAttemptFailure } from './attempt-ends.js';
 import {
   allowedPeers,
   answerMs,
   atHome,
-  giveBack,
+  ejectOrigin,
   meanMs,
   originName,
   rankOrigins,
-  roomAt,
-  suspectFor,
+  remainingConcurrency,
+  returnToken,
   takeToken,
 } from './choice.js';
-import { giveUp, lapsed, underPolicy } from './ending.js';
+import { failRequest, isLeaseExpired, underCurrentPolicy } from './ending.js';
 import { attemptToOrigin, open, startAgain } from './serving.js';
-import { count, log, type ProxyRequest, type ProxyState, set, type Work } from './state.js';
+import {
+  count,
+  log,
+  type ProxyRequest,
+  type ProxyState,
+  type Transition,
+  update,
+} from './state.js';
 
 /**
  * ms. An attempt is silent after a few times what its origin usually takes, but not before this.
@@ -58,16 +65,16 @@
  * ms after which an attempt counts as silent: a few times what its other end usually takes, and
  * early enough for a second one.
  */
-const silentAfter = (state: ProxyState, request: ProxyRequest): number => {
+const hedgeDelayMs = (state: ProxyState, request: ProxyRequest): number => {
   const rows = (state.feed?.origins ?? []).filter((row) => row.service === request.service);
   const mean = meanMs(state, rows);
-  const to = request.attempts.find((attempt) => attempt.end === null)?.to.id;
+  const to = request.attempts.find((attempt) => attempt.result === null)?.to.id;
   const row = rows.find((each) => originName(each) === to);
   const met = row === undefined ? mean : answerMs(state, row, mean);
   const usual = met > 0 ? met : (request.route.targetMs ?? 0) * hedgeAfterShare;
   return Math.min(
     Math.max(minSilenceMs, silenceFactor * usual),
-    hedgeAfterShare * (request.limitAt - request.arrivedAt),
+    hedgeAfterShare * (request.deadlineAt - request.arrivedAt),
   );
 };
 
@@ -75,100 +82,115 @@
  * Looks after one request's attempts that are under way: those over their limit, stalled origins,
  * and a second attempt beside a silent one.
  */
-const tendAttempts = (work: Work, request: ProxyRequest): void => {
-  const { now } = work.state;
+const checkAttempts = (transition: Transition, request: ProxyRequest): void => {
+  const { now } = transition.state;
   for (const attempt of request.attempts) {
-    if (attempt.end !== null) continue;
+    if (attempt.result !== null) continue;
     if (now >= attempt.limitAt) {
-      work.effects.push({ kind: 'abort', id: request.id, attempt: attempt.number });
-      failed(work, request.id, attempt.number, 'maybe', 'limit');
+      transition.effects.push({
+        kind: 'abort-attempt',
+        requestId: request.id,
+        attempt: attempt.number,
+      });
+      handleAttemptFailure(transition, request.id, attempt.number, 'maybe', 'limit');
       continue;
     }
     if (now - attempt.openedAt < minStallMs) continue;
-    const standing = work.state.standings[attempt.to.id];
+    const standing = transition.state.originHealth[attempt.to.id];
     const heard = standing !== undefined && standing.heardAt >= attempt.openedAt;
     if (
       !heard &&
-      now - attempt.openedAt > stallFactor * (standing?.ms ?? 0) &&
-      (work.state.suspects[attempt.to.id] ?? 0) <= now
+      now - attempt.openedAt > stallFactor * (standing?.meanResponseMs ?? 0) &&
+      (transition.state.ejectedUntil[attempt.to.id] ?? 0) <= now
     ) {
-      count(work, 'stalled');
-      suspectFor(work, attempt.to.id);
+      count(transition, 'stalled');
+      ejectOrigin(transition, attempt.to.id);
     }
   }
-  const current = work.state.requests[request.id];
-  if (current === undefined || current.phase !== 'attempt' || current.callerGone || lapsed(work))
+  const current = transition.state.requests[request.id];
+  if (
+    current === undefined ||
+    current.phase !== 'attempt' ||
+    current.isClientGone ||
+    isLeaseExpired(transition)
+  )
     return;
-  const may = mayTryMore(work, current);
+  const may = mayRetry(transition, current);
   if (
     !may ||
-    !current.safe ||
-    current.attempts.filter((attempt) => attempt.end === null).length !== 1
+    !current.isIdempotent ||
+    current.attempts.filter((attempt) => attempt.result === null).length !== 1
   )
     return;
   if (
-    !Attempts.mayHedge({
-      safe: current.safe,
+    !shouldHedge({
+      safe: current.isIdempotent,
       attempts: current.attempts,
       now,
-      limitAt: current.limitAt,
-      mayRepeat: may,
-      silentMs: silentAfter(work.state, current),
+      limitAt: current.deadlineAt,
+      hasRetryBudget: may,
+      hedgeDelayMs: hedgeDelayMs(transition.state, current),
     })
   )
     return;
-  const given = underPolicy(work, current);
+  const given = underCurrentPolicy(transition, current);
   if (given === null) return;
-  if (!atHome(given.route.homes, work.state.self.region)) {
-    const [peer] = given.asked.via === null ? allowedPeers(work.state, given) : [];
+  if (!atHome(given.route.homes, transition.state.self.region)) {
+    const [peer] = given.clientRequest.via === null ? allowedPeers(transition.state, given) : [];
     if (peer !== undefined) {
-      count(work, 'hedged');
-      open(work, given, { kind: 'peer', row: peer });
+      count(transition, 'hedged');
+      open(transition, given, { kind: 'peer', row: peer });
     }
     return;
   }
   const ranked = rankOrigins(
-    work.state,
+    transition.state,
     given,
-    work.state.replyBytes[given.route.name] ?? 0,
+    transition.state.replyBytes[given.route.name] ?? 0,
   ).filter(
     (row) =>
       !given.attempts.some((attempt) => attempt.to.id === originName(row)) &&
-      (work.state.outstanding[originName(row)] ?? 0) < roomAt(work.state, row),
+      (transition.state.outstanding[originName(row)] ?? 0) <
+        remainingConcurrency(transition.state, row),
   );
   const [row] = ranked;
   if (
     row === undefined ||
-    !takeToken(work, `service/${given.service}`, work.state.feed?.slices[given.service] ?? 0)
+    !takeToken(
+      transition,
+      `service/${given.service}`,
+      transition.state.feed?.slices[given.service] ?? 0,
+    )
   )
     return;
-  if (!takeToken(work, `instance/${originName(row)}`, row.rate)) {
-    giveBack(work, `service/${given.service}`);
+  if (!takeToken(transition, `instance/${originName(row)}`, row.rate)) {
+    returnToken(transition, `service/${given.service}`);
     return;
   }
-  count(work, 'hedged');
-  open(work, given, { kind: 'origin', row });
+  count(transition, 'hedged');
+  open(transition, given, { kind: 'origin', row });
 };
 
-export const beat = (work: Work): void => {
-  const { abroad, now, lease, cache } = work.state;
+export const tick = (transition: Transition): void => {
+  const { hasRemotePeers: abroad, now, leaseUntil: lease, cache } = transition.state;
   if (abroad && now - lease > cacheWithoutLeaseMs && cache.copies.size > 0) {
-    set(work, { cache: Cache.flush(cache) });
-    log(work, 'copies.flushed', { why: 'homes may have moved' });
+    update(transition, { cache: Cache.flush(cache) });
+    log(transition, 'copies.flushed', { why: 'homes may have moved' });
   }
-  for (const request of Object.values(work.state.requests)) {
-    if (work.state.requests[request.id] === undefined) continue;
+  for (const request of Object.values(transition.state.requests)) {
+    if (transition.state.requests[request.id] === undefined) continue;
     if (request.phase === 'holding') {
       // Under a newer policy it may be another's to serve, or another service's.
-      if (request.revision !== (work.state.policy?.revision ?? 0)) startAgain(work, request);
-      else attemptToOrigin(work, request);
+      if (request.revision !== (transition.state.policy?.revision ?? 0))
+        startAgain(transition, request);
+      else attemptToOrigin(transition, request);
       continue;
     }
     if (request.phase === 'attempt' || request.phase === 'over') {
-      tendAttempts(work, request);
-    } else if (request.phase === 'joined' && work.state.now >= request.limitAt)
-      giveUp(work, request, 504, 'unknown', 'limit');
-    else if (request.phase === 'claiming' && work.state.now >= request.limitAt)
-      giveUp(work, request, 503, 'not-run', 'its key could not be claimed in time');
+      checkAttempts(transition, request);
+    } else if (request.phase === 'joined' && transition.state.now >= request.deadlineAt)
+      failRequest(transition, request, 504, 'unknown', 'limit');
+    else if (request.phase === 'claiming' && transition.state.now >= request.deadlineAt)
+      failRequest(transition, request, 503, 'not-run', 'its key could not be claimed in time');
   }
 };
--- a/packages/proxy/src/warm.test.ts
+++ b/packages/proxy/src/warm.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { SettingsReader } from '@reedyard/settings';
-import { type Dialect, ownDialect } from './dialect.js';
+import { type WireFormat, ownWireFormat } from './dialect.js';
 import type { ProxySettings } from './run.js';
 import { warmUp, warmUpConcurrency, warmUpRequests } from './warm.js';
 
@@ -18,8 +18,8 @@
   'test',
 ) as ProxySettings;
 /** A dialect in which an answer is sound once it carries the request's own number. */
-const numbered: Dialect = {
-  ...ownDialect,
+const numbered: WireFormat = {
+  ...ownWireFormat,
   identity: 'named',
   toOrigin: () => ({}),
   fromOrigin: (_status, headers, { headers: asked }) => ({
@@ -45,5 +45,5 @@
     return asked > 10;
   });
   t.true(cut.played <= 10 && cut.served === cut.played);
-  t.deepEqual(await warmUp(ownDialect, settings, () => false), { played: 0, served: 0 });
+  t.deepEqual(await warmUp(ownWireFormat, settings, () => false), { played: 0, served: 0 });
 });
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -8,7 +8,7 @@
   type ProxyQuery,
 } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
-import type { Dialect } from './dialect.js';
+import type { WireFormat } from './dialect.js';
 import { openProxy, type ProxySettings } from './run.js';
 
 /** ms. Warming up ends after this at the latest: a share of a core takes some seconds for it. */
@@ -91,7 +91,7 @@
  * await warmUp(dialect, settings, () => callersCame);
  */
 export const warmUp = async (
-  dialect: Dialect,
+  dialect: WireFormat,
   settings: ProxySettings,
   until: () => boolean,
 ): Promise<{ readonly played: number; readonly served: number }> => {
@@ -125,7 +125,7 @@
     },
     dialect,
     {
-      scribe: quiet,
+      logger: quiet,
       askAgent: (asked: ProxyQuery) =>
         Promise.resolve(
           asked.kind === 'feed'
--- a/packages/quota-division/src/index.ts
+++ b/packages/quota-division/src/index.ts
@@ -8,22 +8,22 @@
 export const readyQuotaShare = 0.7;
 
 /** An edge that may hold slices, and where it stands. */
-export type Seat = { readonly edge: string; readonly zone: string; readonly region: string };
+export type QuotaNode = { readonly nodeId: string; readonly zone: string; readonly region: string };
 
 /** By edge: shares of a service, which add up to one; or requests a second that edges want. */
-export type Slices = Readonly<Record<string, number>>;
+export type QuotaShares = Readonly<Record<string, number>>;
 
 /**
  * The division of every service, under one quota leader's term. It tells shares, not rates: what a
  * share comes to follows from what each node knows now of the ceiling and of the instances, so that
  * a lowered ceiling needs no new division.
  */
-export type Plan = {
+export type QuotaAllocation = {
   readonly term: number;
   readonly holder: string;
   /** Grows with each renewal; a still one means that the quota leadership is vacant. */
   readonly beat: number;
-  readonly slices: Readonly<Record<string, Slices>>;
+  readonly slices: Readonly<Record<string, QuotaShares>>;
   /**
    * Edges whose slices have once come near what they are to have: only these say that they are
    * ready.
@@ -36,7 +36,7 @@
  * a caller's move to another edge finds room there. Where more is asked than there is, a tenth is
  * still spread evenly and the rest goes by demand.
  */
-const share = (
+const shareOut = (
   total: number,
   wants: readonly number[],
   heads: readonly number[],
@@ -69,7 +69,7 @@
  * usable(100, 10) // 100
  * usable(20, 11)  // 18.8
  */
-export const usable = (ceiling: number, edges: number): number =>
+export const usableRate = (ceiling: number, edges: number): number =>
   Math.max(ceiling / 2, Math.min(ceiling, 1.05 * ceiling - edges / 5));
 
 /**
@@ -79,7 +79,7 @@
  * boundOf(400, [200, 100]) // 300
  * boundOf(undefined, [200]) // 200
  */
-export const boundOf = (ceiling: number | undefined, capacities: readonly number[]): number =>
+export const rateLimitOf = (ceiling: number | undefined, capacities: readonly number[]): number =>
   Math.min(
     ceiling ?? Infinity,
     capacities.reduce((sum, each) => sum + each, 0),
@@ -92,8 +92,10 @@
  * @example
  * rateOf({ a: 0.25, b: 0.75 }, 'a', 100) // 25
  */
-export const rateOf = (slices: Slices, edge: string, bound: number): number =>
-  bound === Infinity ? Infinity : (slices[edge] ?? 0) * usable(bound, Object.keys(slices).length);
+export const rateOf = (slices: QuotaShares, edge: string, bound: number): number =>
+  bound === Infinity
+    ? Infinity
+    : (slices[edge] ?? 0) * usableRate(bound, Object.keys(slices).length);
 
 /**
  * Divides a bound from region to zone to edge, each time by what is asked for, into shares.
@@ -101,22 +103,26 @@
  * @example
  * divide(100, [{ edge: 'a', zone: 'h', region: 'r' }, { edge: 'b', zone: 'h', region: 'r' }], { a: 30, b: 10 })
  */
-export const divide = (bound: number, seats: readonly Seat[], wants: Slices): Slices => {
+export const allocateQuotas = (
+  bound: number,
+  seats: readonly QuotaNode[],
+  wants: QuotaShares,
+): QuotaShares => {
   const out: Record<string, number> = {};
-  const wantOf = (list: readonly Seat[]): number =>
-    list.reduce((sum, seat) => sum + (wants[seat.edge] ?? 0), 0);
+  const wantOf = (list: readonly QuotaNode[]): number =>
+    list.reduce((sum, seat) => sum + (wants[seat.nodeId] ?? 0), 0);
   const level = (
     total: number,
-    list: readonly Seat[],
-    keys: readonly ((seat: Seat) => string)[],
+    list: readonly QuotaNode[],
+    keys: readonly ((seat: QuotaNode) => string)[],
   ): void => {
     const [key, ...rest] = keys;
     if (key === undefined) {
-      for (const seat of list) out[seat.edge] = total;
+      for (const seat of list) out[seat.nodeId] = total;
       return;
     }
     const groups = grouped(list, key);
-    const parts = share(
+    const parts = shareOut(
       total,
       groups.map(wantOf),
       groups.map((group) => group.length),
@@ -128,8 +134,8 @@
   const total =
     bound === Infinity
       ? Math.max(1, 2 * wantOf(seats))
-      : Math.max(1e-9, usable(bound, seats.length));
-  level(total, seats, [(seat) => seat.region, (seat) => seat.zone, (seat) => seat.edge]);
+      : Math.max(1e-9, usableRate(bound, seats.length));
+  level(total, seats, [(seat) => seat.region, (seat) => seat.zone, (seat) => seat.nodeId]);
   return Object.fromEntries(Object.entries(out).map(([edge, rate]) => [edge, rate / total]));
 };
 
@@ -140,7 +146,7 @@
  * @example
  * toward({ a: 0.2, b: 0.8 }, [{ a: 0.9, b: 0.1 }]) // { a: 0.2, b: 0.1 }: b waits for a's old slice
  */
-export const toward = (goal: Slices, held: readonly Slices[]): Slices => {
+export const nextShares = (goal: QuotaShares, held: readonly QuotaShares[]): QuotaShares => {
   const edges = new Set([...Object.keys(goal), ...held.flatMap((slices) => Object.keys(slices))]);
   const heldBy = (edge: string): number => Math.max(0, ...held.map((slices) => slices[edge] ?? 0));
   const committed = [...edges].reduce((sum, edge) => sum + heldBy(edge), 0);
@@ -164,10 +170,10 @@
  * @example
  * isSeated('a', { s: { a: 10 } }, { s: { a: 8 } }) // true
  */
-export const isSeated = (
+export const hasMostOfGoal = (
   edge: string,
-  goals: Readonly<Record<string, Slices>>,
-  slices: Readonly<Record<string, Slices>>,
+  goals: Readonly<Record<string, QuotaShares>>,
+  slices: Readonly<Record<string, QuotaShares>>,
 ): boolean =>
   Object.entries(goals).every(
     ([service, goal]) => (slices[service]?.[edge] ?? 0) >= readyQuotaShare * (goal[edge] ?? 0),
@@ -179,7 +185,7 @@
  * @example
  * differs({ a: 10 }, { a: 10.1 }) // false
  */
-export const differs = (next: Slices, old: Slices): boolean =>
+export const hasChangedShares = (next: QuotaShares, old: QuotaShares): boolean =>
   [...new Set([...Object.keys(next), ...Object.keys(old)])].some((edge) => {
     const [a, b] = [next[edge] ?? 0, old[edge] ?? 0];
     return Math.abs(a - b) > 0.02 * Math.max(a, b) + 1e-9;
--- a/packages/quota-division/src/quota-division.test.ts
+++ b/packages/quota-division/src/quota-division.test.ts
@@ -1,32 +1,41 @@
 import test from 'ava';
-import { boundOf, divide, rateOf, toward, usable, type Seat, type Slices } from './index.js';
+import {
+  rateLimitOf,
+  allocateQuotas,
+  rateOf,
+  nextShares,
+  usableRate,
+  type QuotaNode,
+  type QuotaShares,
+} from './index.js';
 
-const sum = (slices: Slices): number => Object.values(slices).reduce((all, each) => all + each, 0);
-const seats: readonly Seat[] = [
+const sum = (slices: QuotaShares): number =>
+  Object.values(slices).reduce((all, each) => all + each, 0);
+const seats: readonly QuotaNode[] = [
   ['a', 'w', 'r'],
   ['b', 'w', 'r'],
   ['c', 'n', 'r'],
   ['d', 's', 'q'],
-].map(([edge = '', zone = '', region = '']) => ({ edge, zone, region }));
+].map(([edge = '', zone = '', region = '']) => ({ nodeId: edge, zone, region }));
 
 test('a division never adds up to more than the ceiling, gives what is asked where it can, and leaves nobody out', (t) => {
-  const easy = divide(100, seats, { a: 10, b: 5, c: 20 });
+  const easy = allocateQuotas(100, seats, { a: 10, b: 5, c: 20 });
   t.true(Math.abs(sum(easy) - 1) < 1e-9);
   t.true(
     rateOf(easy, 'a', 100) >= 10 && rateOf(easy, 'c', 100) >= 20 && rateOf(easy, 'd', 100) > 0,
   );
   // The same shares under a lower bound never come to more than that bound.
-  t.true(seats.reduce((all, { edge }) => all + rateOf(easy, edge, 30), 0) <= 30 + 1e-9);
-  const hard = divide(100, seats, { a: 400, d: 100 });
+  t.true(seats.reduce((all, { nodeId: edge }) => all + rateOf(easy, edge, 30), 0) <= 30 + 1e-9);
+  const hard = allocateQuotas(100, seats, { a: 400, d: 100 });
   t.true(Math.abs(sum(hard) - 1) < 1e-9);
   t.true((hard['a'] ?? 0) > 3 * (hard['d'] ?? 0) && (hard['b'] ?? 0) > 0);
 });
 
 test('slices fall at once and rise only into room that has lapsed: in no order of steps is the whole passed', (t) => {
   const goals = [
-    divide(100, seats, { a: 400 }),
-    divide(100, seats, { c: 400 }),
-    divide(100, seats.slice(2), { c: 1, d: 300 }),
+    allocateQuotas(100, seats, { a: 400 }),
+    allocateQuotas(100, seats, { c: 400 }),
+    allocateQuotas(100, seats.slice(2), { c: 1, d: 300 }),
   ];
   const orders = [
     [0, 1, 2],
@@ -37,9 +46,9 @@
     [2, 1, 0],
   ];
   for (const order of orders) {
-    let [now, before]: [Slices, Slices] = [{}, {}];
+    let [now, before]: [QuotaShares, QuotaShares] = [{}, {}];
     for (const index of order.flatMap((each) => [each, each, each])) {
-      const next = toward(goals[index] ?? {}, [now, before]);
+      const next = nextShares(goals[index] ?? {}, [now, before]);
       // Any node may still act on any of the three, so the worst mix must fit.
       const edges = new Set([next, now, before].flatMap((slices) => Object.keys(slices)));
       const worst = [...edges].reduce(
@@ -56,17 +65,17 @@
 });
 
 test('small ceilings leave room for the token that each edge may have saved', (t) => {
-  t.true(5 * usable(20, 11) + 11 <= 1.1 * 5 * 20 + 1e-9);
-  t.is(usable(1_000, 11), 1_000);
+  t.true(5 * usableRate(20, 11) + 11 <= 1.1 * 5 * 20 + 1e-9);
+  t.is(usableRate(1_000, 11), 1_000);
 });
 
 test('a service is bound by its ceiling, and by what its instances carry', (t) => {
   t.deepEqual(
     [
-      boundOf(400, [200, 100]),
-      boundOf(250, [200, 100]),
-      boundOf(undefined, [200, 100]),
-      boundOf(400, []),
+      rateLimitOf(400, [200, 100]),
+      rateLimitOf(250, [200, 100]),
+      rateLimitOf(undefined, [200, 100]),
+      rateLimitOf(400, []),
     ],
     [300, 250, 300, 0],
   );
--- a/packages/reedyard/src/client.ts
+++ b/packages/reedyard/src/client.ts
@@ -1,6 +1,6 @@
 import http from 'node:http';
 import { readFileSync } from 'node:fs';
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 
 /** Exit codes of `reedyard`; they stay as they are. */
 export const exitCodes = {
@@ -15,7 +15,7 @@
 } as const;
 
 /** A call that did not bring what was asked. */
-export class ClientError extends LayerError {
+export class ClientError extends CodedError {
   constructor(
     readonly exit: number,
     message: string,
@@ -113,7 +113,7 @@
       failures.push(`${node}: ${problemText(reply)}`);
     } catch (thrown) {
       if (thrown instanceof ClientError) throw thrown;
-      failures.push(`${node}: ${textOf(thrown)}`);
+      failures.push(`${node}: ${errorMessage(thrown)}`);
     }
   }
   throw new ClientError(exitCodes.unreached, failures.join('\n'));
@@ -146,6 +146,8 @@
   try {
     return JSON.parse(readFileSync(file === '-' ? 0 : file, 'utf8'));
   } catch (thrown) {
-    throw new ClientError(exitCodes.usage, `${file}: ${textOf(thrown)}`, null, { cause: thrown });
+    throw new ClientError(exitCodes.usage, `${file}: ${errorMessage(thrown)}`, null, {
+      cause: thrown,
+    });
   }
 };
--- a/packages/replica/src/protocol/errors.ts
+++ b/packages/replica/src/protocol/errors.ts
@@ -1,8 +1,8 @@
 /** Errors of the replica's protocol. */
-import { LayerError } from '@reedyard/logging';
+import { CodedError } from '@reedyard/logging';
 
 /**
  * A message or record that this version does not know. Its `code` is `unknown-message` or
  * `unknown-record`.
  */
-export class ReplicaProtocolError extends LayerError {}
+export class ReplicaProtocolError extends CodedError {}
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -38,11 +38,11 @@
 };
 
 /** Answers that wait for a sync at once; more are refused. */
-const mostHeldAnswers = 4_096;
+const maxPendingReplies = 4_096;
 /**
  * ms. A sync that takes this long is of no use to who waits for it: as long as a phase of a ballot.
  */
-const stalledAfter = proposalPhaseTimeoutMs;
+const stallMs = proposalPhaseTimeoutMs;
 /** ms. First and longest pause between two tries to recover a disk that refuses. */
 const firstRecoveryPause = 250;
 const longestRecoveryPause = 1_000;
@@ -51,8 +51,8 @@
 /** ms. After a snapshot that could not be written. */
 const snapshotPause = 2_000;
 
-type HeldAnswer = {
-  readonly askedAt: number;
+type PendingReply = {
+  readonly requestedAt: number;
   readonly reply: ReplicaReply;
   readonly resolve: (reply: ReplicaReply) => void;
 };
@@ -62,17 +62,17 @@
   readonly startedAt: number;
   /** The state that is on disk once these records are. */
   state: ReplicaState;
-  readonly answers: HeldAnswer[];
+  readonly answers: PendingReply[];
 };
 
-type Asked = Extract<ReplicaEvent, { kind: 'request-received' }>;
-type TellEffect = Extract<ReplicaEffect, { kind: 'send-reply' }>;
+type RequestReceived = Extract<ReplicaEvent, { kind: 'request-received' }>;
+type SendReply = Extract<ReplicaEffect, { kind: 'send-reply' }>;
 
 const recordsIn = (effects: readonly ReplicaEffect[]): readonly ReplicaRecord[] =>
   effects.flatMap((effect) => (effect.kind === 'append-records' ? effect.records : []));
 
-const tellIn = (effects: readonly ReplicaEffect[]): TellEffect | undefined =>
-  effects.find((effect): effect is TellEffect => effect.kind === 'send-reply');
+const replyIn = (effects: readonly ReplicaEffect[]): SendReply | undefined =>
+  effects.find((effect): effect is SendReply => effect.kind === 'send-reply');
 
 export class ReplicaHost {
   readonly #log: ReplicaLog;
@@ -131,7 +131,7 @@
     if (!this.#opened) return Promise.resolve(this.#refusal());
     const id = this.#nextAsk;
     this.#nextAsk += 1;
-    const event: Asked = {
+    const event: RequestReceived = {
       kind: 'request-received',
       requestId: id,
       request: body,
@@ -167,19 +167,19 @@
    * A pull or fetch that changes nothing, answered as if it had come before what is not on disk
    * yet.
    */
-  #readDurable(event: Asked): ReplicaReply | null {
+  #readDurable(event: RequestReceived): ReplicaReply | null {
     const { kind } = event.request.operation;
     if (kind !== 'poll' && kind !== 'read-register') return null;
     const { effects } = reduceReplica(this.#durable, event);
     if (recordsIn(effects).length > 0) return null;
-    const reply = tellIn(effects)?.reply ?? null;
+    const reply = replyIn(effects)?.reply ?? null;
     return reply?.kind === 'polled' && !this.available ? { ...reply, isReadOnly: true } : reply;
   }
 
   /**
    * What a caller told of blank replicas counts also where it was answered from the disk's state.
    */
-  #noteSpare({ request: body, now }: Asked): void {
+  #noteSpare({ request: body, now }: RequestReceived): void {
     if (body.hasLiveSpare !== true) return;
     this.#state = { ...this.#state, spareSeenAt: now };
     this.#followPending();
@@ -192,7 +192,7 @@
     const step = reduceReplica(this.#state, event);
     const records = recordsIn(step.effects);
     if (records.length > 0 && !this.available) return false;
-    if (resolve !== undefined && this.#heldAnswers >= mostHeldAnswers) return false;
+    if (resolve !== undefined && this.#heldAnswers >= maxPendingReplies) return false;
     this.#state = step.state;
     if (records.length > 0) this.#append(records);
     else this.#followPending();
@@ -245,7 +245,7 @@
       return;
     }
     this.#heldAnswers += 1;
-    last.answers.push({ askedAt: this.#shell.now(), reply, resolve });
+    last.answers.push({ requestedAt: this.#shell.now(), reply, resolve });
   }
 
   #append(records: readonly ReplicaRecord[]): void {
@@ -272,20 +272,20 @@
     this.#reportStall();
   }
 
-  #unlessLate({ askedAt, reply }: HeldAnswer): ReplicaReply {
-    return this.#shell.now() - askedAt > callTimeoutMs ? this.#refusal() : reply;
+  #unlessLate({ requestedAt, reply }: PendingReply): ReplicaReply {
+    return this.#shell.now() - requestedAt > callTimeoutMs ? this.#refusal() : reply;
   }
 
   /** Whoever asked so long ago waits no more. */
   #dropLateAnswers(): void {
     const since = this.#shell.now() - callTimeoutMs;
     for (const { answers } of this.#pending) {
-      const late = answers.filter((answer) => answer.askedAt < since);
+      const late = answers.filter((answer) => answer.requestedAt < since);
       if (late.length === 0) continue;
       this.#heldAnswers -= late.length;
       for (const answer of late) answer.resolve(this.#refusal());
-      const held = answers.filter((answer) => answer.askedAt >= since);
-      answers.splice(0, answers.length, ...held);
+      const stillPending = answers.filter((answer) => answer.requestedAt >= since);
+      answers.splice(0, answers.length, ...stillPending);
     }
   }
 
@@ -349,7 +349,7 @@
 
   #stalled(): boolean {
     const oldest = this.#pending[0];
-    return oldest !== undefined && this.#shell.now() - oldest.startedAt > stalledAfter;
+    return oldest !== undefined && this.#shell.now() - oldest.startedAt > stallMs;
   }
 
   #reportStall(): void {
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -2,8 +2,8 @@
 import { randomUUID } from 'node:crypto';
 import path from 'node:path';
 import { performance } from 'node:perf_hooks';
-import { openScribe, type Scribe } from '@reedyard/logging';
-import { call, callTimeoutMs, type Listening, serveCalls, speakFrom } from '@reedyard/rpc';
+import { openLogger, type Logger } from '@reedyard/logging';
+import { call, callTimeoutMs, type RpcServer, serveCalls, setLocalAddress } from '@reedyard/rpc';
 import { type Settings, shutdownTimeoutMs } from '@reedyard/settings';
 import type { Step } from '@reedyard/task-loop';
 import type { ReplicaEffect } from './events.js';
@@ -46,12 +46,12 @@
   });
 };
 
-const shellOf = (scribe: Scribe, end: () => void): ReplicaEnvironment => ({
+const shellOf = (logger: Logger, end: () => void): ReplicaEnvironment => ({
   now,
   end,
   call: async (address, body) =>
     decodeReplicaReply(await call(address, callPath, encodeReplicaRequest(body))),
-  log: (level, event, fields) => scribe[level](event, fields),
+  log: (level, event, fields) => logger[level](event, fields),
 });
 
 /**
@@ -62,9 +62,9 @@
 };
 
 /** Ends the process once its calls and its log are closed, and in time also if the disk hangs. */
-const closeAndExit = (listening: Listening | null, log: ReplicaLog, scribe: Scribe): void => {
+const closeAndExit = (listening: RpcServer | null, log: ReplicaLog, logger: Logger): void => {
   const exit = (): never => {
-    scribe.info('stopped');
+    logger.info('stopped');
     process.exit(0);
   };
   setTimeout(exit, callTimeoutMs);
@@ -90,19 +90,19 @@
  * await runReplica(SettingsReader.start('replica', process.argv.slice(2)));
  */
 export const runReplica = async (settings: ReplicaSettings): Promise<void> => {
-  const scribe = openScribe({ program: 'replica', node: settings.name });
+  const logger = openLogger({ program: 'replica', node: settings.name });
   outliveFailedLogLines();
-  speakFrom(settings.host);
+  setLocalAddress(settings.host);
   const log = await openReplicaLog(path.join(settings.dataFolder, 'replica'));
   const opened = openState(settings, log);
-  let listening: Listening | null = null;
+  let listening: RpcServer | null = null;
   let isLeaving = false;
   const leave = (): void => {
     if (isLeaving) return;
     isLeaving = true;
-    closeAndExit(listening, log, scribe);
+    closeAndExit(listening, log, logger);
   };
-  const replica = new ReplicaHost(opened, log, shellOf(scribe, leave));
+  const replica = new ReplicaHost(opened, log, shellOf(logger, leave));
   listening = await serveCalls(
     { host: settings.listen ?? settings.host, port: settings.replica.port },
     {
@@ -111,6 +111,6 @@
   );
   setInterval(() => replica.tick(), replicaTickIntervalMs);
   const { diskId: disk, isVoting: voting } = opened.state;
-  scribe.info('started', { port: listening.port, disk, voting });
+  logger.info('started', { port: listening.port, disk, voting });
   stopOnSignals(replica, leave);
 };
