--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,26 +1,26 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { parse, stringify } from 'devalue';
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 import { callTimeoutMs, maxCallBytes } from './limits.js';
 
 export { callTimeoutMs } from './limits.js';
 
 /** A call that brought no answer, or a refused one. */
-export class RpcError extends LayerError {}
+export class RpcError extends CodedError {}
 
 /** Address of a process: an IP number and a port, as `127.0.0.1:7001`. */
 export type Address = string;
 
-const readWhole = (stream: http.IncomingMessage, most: number): Promise<string> =>
+const readBody = (stream: http.IncomingMessage, maxBytes: number): Promise<string> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     stream.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > most) {
+      if (size > maxBytes) {
         stream.destroy();
-        reject(new RpcError('too-large', `a call of over ${most} bytes`));
+        reject(new RpcError('too-large', `a call of over ${maxBytes} bytes`));
       } else chunks.push(chunk);
     });
     stream.on('end', () => resolve(Buffer.concat(chunks).toString('utf8')));
@@ -36,7 +36,7 @@
  * @example
  * speakFrom('10.0.0.7');
  */
-export const speakFrom = (host: string): void => {
+export const setLocalAddress = (host: string): void => {
   agent.destroy();
   agent = new http.Agent({
     keepAlive: true,
@@ -66,7 +66,9 @@
     const payload = stringify(body);
     const fail = (thrown: unknown): void =>
       reject(
-        new RpcError('lost', `call to ${address}${path}: ${textOf(thrown)}`, { cause: thrown }),
+        new RpcError('lost', `call to ${address}${path}: ${errorMessage(thrown)}`, {
+          cause: thrown,
+        }),
       );
     const request = http.request(
       {
@@ -81,28 +83,28 @@
         },
       },
       (response) => {
-        readWhole(response, maxCallBytes)
+        readBody(response, maxCallBytes)
           .then((text) => {
-            clearTimeout(beat);
+            clearTimeout(timeout);
             if (response.statusCode === 200) resolve(parse(text));
             else fail(new Error(`answered ${response.statusCode}`));
           })
           .catch(fail);
       },
     );
-    const beat = setTimeout(
+    const timeout = setTimeout(
       () => request.destroy(new Error(`no answer in ${limitMs} ms`)),
       limitMs,
     );
     request.on('error', (error) => {
-      clearTimeout(beat);
+      clearTimeout(timeout);
       fail(error);
     });
     request.end(payload);
   });
 
 /** A listening side of calls. */
-export type Listening = { readonly port: number; readonly close: () => Promise<void> };
+export type RpcServer = { readonly port: number; readonly close: () => Promise<void> };
 
 /**
  * Serves calls of other processes of the project.
@@ -113,7 +115,7 @@
 export const serveCalls = (
   at: { readonly host: string; readonly port: number },
   handlers: Readonly<Record<string, (body: unknown) => Promise<unknown>>>,
-): Promise<Listening> =>
+): Promise<RpcServer> =>
   new Promise((resolve, reject) => {
     const server = http.createServer((request, response) => {
       const answer = (status: number, text: string): void => {
@@ -127,14 +129,16 @@
         answer(404, '');
         return;
       }
-      readWhole(request, maxCallBytes)
+      readBody(request, maxCallBytes)
         .then((text) => handler(parse(text)))
         .then((reply) => answer(200, stringify(reply)))
-        .catch((thrown: unknown) => answer(500, textOf(thrown)));
+        .catch((thrown: unknown) => answer(500, errorMessage(thrown)));
     });
     server.keepAliveTimeout = 30_000;
     server.on('error', (error) =>
-      reject(new RpcError('listen', `${at.host}:${at.port}: ${textOf(error)}`, { cause: error })),
+      reject(
+        new RpcError('listen', `${at.host}:${at.port}: ${errorMessage(error)}`, { cause: error }),
+      ),
     );
     server.listen(at.port, at.host, () =>
       resolve({
--- a/packages/schemas/src/index.ts
+++ b/packages/schemas/src/index.ts
@@ -1,12 +1,12 @@
 import { isIP } from 'node:net';
 import { z } from 'zod';
-import { LayerError } from '@reedyard/logging';
+import { CodedError } from '@reedyard/logging';
 
 /** One fault of a document: where, and what is wrong. */
 export type Fault = { readonly path: string; readonly message: string };
 
 /** A document that can't be taken. */
-export class SchemaError extends LayerError {
+export class SchemaError extends CodedError {
   constructor(readonly faults: readonly Fault[]) {
     super('document', faults.map((fault) => `${fault.path}: ${fault.message}`).join('; '));
   }
--- a/packages/server-selection/src/server-selection.test.ts
+++ b/packages/server-selection/src/server-selection.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import {
   costOf,
-  holderOf,
+  rendezvousOwner,
   holdersOf,
-  mustSend,
+  shouldAnnounce,
   queueing,
   solve,
-  splitFor,
+  computeRoutes,
   type Network,
   type Solution,
   type Vector,
@@ -159,7 +159,7 @@
 test('an edge without a copy hands on to the one that has it, and fetches itself where nobody has', (t) => {
   const a = vector({ demand: { 'sheets /1': 1e5, 'sheets /2': 1e5 }, delays: { b: 0.001 } });
   const b = vector({ copies: ['sheets /1'], delays: { a: 0.001 } });
-  const { split } = splitFor('a', { a, b }, () => ({ servers: () => true }));
+  const { split } = computeRoutes('a', { a, b }, () => ({ servers: () => true }));
   t.deepEqual(split['sheets /1'], [['b', 1]]);
   t.deepEqual(split['sheets /2'], [['a', 1]]);
 });
@@ -167,33 +167,33 @@
 test('a far copy is not worth its delay; no link leads out of the homes', (t) => {
   const a = vector({ demand: { 'reports /1': 1e5 }, delays: { b: 0.5 } });
   const b = vector({ copies: ['reports /1'], delays: { a: 0.5 } });
-  t.deepEqual(splitFor('a', { a, b }, () => ({ servers: () => true })).split['reports /1'], [
+  t.deepEqual(computeRoutes('a', { a, b }, () => ({ servers: () => true })).split['reports /1'], [
     ['a', 1],
   ]);
   t.deepEqual(
-    splitFor('a', { a, b }, () => ({ servers: (edge) => edge === 'b' })).split['reports /1'],
+    computeRoutes('a', { a, b }, () => ({ servers: (edge) => edge === 'b' })).split['reports /1'],
     [['b', 1]],
   );
-  t.deepEqual(splitFor('a', { a, b }, () => ({ servers: () => false })).split, {});
+  t.deepEqual(computeRoutes('a', { a, b }, () => ({ servers: () => false })).split, {});
 });
 
 test('placed objects go to their holder, which the same name gives everywhere, and overflow stays where it arrives', (t) => {
   const edges = ['a', 'b', 'c'];
   const counts = new Map<string, number>();
   for (let each = 0; each < 3_000; each += 1) {
-    const holder = holderOf(`x.example/${each}`, edges) ?? '';
+    const holder = rendezvousOwner(`x.example/${each}`, edges) ?? '';
     counts.set(holder, (counts.get(holder) ?? 0) + 1);
     // Where one leaves, only its own objects move.
-    const left = holderOf(`x.example/${each}`, ['a', 'b']);
+    const left = rendezvousOwner(`x.example/${each}`, ['a', 'b']);
     t.true(holder === 'c' || left === holder);
-    t.is(holderOf(`x.example/${each}`, ['c', 'b', 'a']), holder);
+    t.is(rendezvousOwner(`x.example/${each}`, ['c', 'b', 'a']), holder);
   }
   for (const edge of edges)
     t.true(Math.abs((counts.get(edge) ?? 0) - 1_000) < 150, `${edge} ${counts.get(edge)}`);
   const delays = { a: 0.001, b: 0.001, c: 0.001 };
   const near = (edge: string): readonly string[] => (edge === 'c' ? ['c'] : ['a', 'b']);
   const rows = (demand: number, capacity = 8e6) =>
-    splitFor(
+    computeRoutes(
       'a',
       Object.fromEntries(
         edges.map((edge) => [edge, vector({ demand: { sheets: demand }, delays, capacity })]),
@@ -203,7 +203,7 @@
   t.deepEqual(rows(1e5), { 'sheets @a': [['a', 1]], 'sheets @b': [['b', 1]] });
   t.deepEqual(holdersOf(rows(1e5)), { sheets: ['a', 'b'] });
   // b is full of its own: some of what it holds is fetched where it is asked for.
-  const crowded = splitFor(
+  const crowded = computeRoutes(
     'a',
     {
       a: vector({ demand: { sheets: 1e6 }, delays }),
@@ -217,7 +217,7 @@
   t.true(crowded?.some(([edge, share]) => edge === 'a' && share > 0.1));
   // Outside its homes nothing is fetched for oneself.
   t.deepEqual(
-    splitFor(
+    computeRoutes(
       'c',
       { a: vector({ delays }), c: vector({ demand: { sheets: 1e5 }, delays }) },
       () => ({ servers: (edge) => edge === 'a', placed: () => ['a'] }),
@@ -228,9 +228,9 @@
 
 test('a vector is sent on a change of a tenth, on a marked change of delay, and else not', (t) => {
   const old = vector({ utilisation: 0.5, delays: { b: 0.01 } });
-  t.true(mustSend(old, null));
-  t.false(mustSend({ ...old, utilisation: 0.59 }, old));
-  t.true(mustSend({ ...old, utilisation: 0.6 }, old));
-  t.true(mustSend({ ...old, delays: { b: 0.02 } }, old));
-  t.false(mustSend({ ...old, delays: { b: 0.012 } }, old));
+  t.true(shouldAnnounce(old, null));
+  t.false(shouldAnnounce({ ...old, utilisation: 0.59 }, old));
+  t.true(shouldAnnounce({ ...old, utilisation: 0.6 }, old));
+  t.true(shouldAnnounce({ ...old, delays: { b: 0.02 } }, old));
+  t.false(shouldAnnounce({ ...old, delays: { b: 0.012 } }, old));
 });
--- a/packages/server-selection/src/vectors.ts
+++ b/packages/server-selection/src/vectors.ts
@@ -46,7 +46,7 @@
 };
 
 /** An even spread of numbers over names, the same on every node. @example mixed('a') === mixed('a') // true */
-export const mixed = (text: string): number => {
+export const hashOf = (text: string): number => {
   let hash = 2_166_136_261;
   for (let index = 0; index < text.length; index += 1)
     hash = Math.imul(hash ^ text.charCodeAt(index), 16_777_619);
@@ -61,12 +61,12 @@
  * @example
  * holderOf('a.example/1', ['front-1', 'front-2']) // the same one everywhere
  */
-export const holderOf = (object: string, edges: readonly string[]): string | undefined => {
-  const seed = mixed(object);
+export const rendezvousOwner = (object: string, edges: readonly string[]): string | undefined => {
+  const seed = hashOf(object);
   let best: string | undefined;
   let highest = -1;
   for (const edge of edges) {
-    const score = mixed(`${edge} ${seed}`);
+    const score = hashOf(`${edge} ${seed}`);
     if (score > highest) {
       highest = score;
       best = edge;
@@ -109,7 +109,7 @@
  * @example
  * mustSend({ ...old, utilisation: old.utilisation + 0.1 }, old) // true
  */
-export const mustSend = (next: Vector, sent: Vector | null): boolean =>
+export const shouldAnnounce = (next: Vector, sent: Vector | null): boolean =>
   sent === null ||
   changed(next.utilisation, sent.utilisation) ||
   changed(next.offered, sent.offered) ||
@@ -127,7 +127,7 @@
  * @example
  * splitFor('a', { a: vectorOfA, b: vectorOfB }, () => ({ servers: () => true }))
  */
-export const splitFor = (
+export const computeRoutes = (
   self: string,
   vectors: Readonly<Record<string, Vector>>,
   ruleOf: (route: string) => ObjectRule | null,
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -2,13 +2,13 @@
 import { isIP } from 'node:net';
 import { parseArgs } from 'node:util';
 import { z } from 'zod';
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 
 /**
  * Settings that can't be used; the text names the file, the field, what was found and what is
  * wanted.
  */
-export class SettingsError extends LayerError {}
+export class SettingsError extends CodedError {}
 
 const name = z
   .string()
@@ -186,7 +186,7 @@
       } catch (thrown) {
         throw new SettingsError(
           'file',
-          `${file}: (whole file): ${textOf(thrown)}; wanted a readable JSON file`,
+          `${file}: (whole file): ${errorMessage(thrown)}; wanted a readable JSON file`,
           { cause: thrown },
         );
       }
@@ -238,7 +238,7 @@
       }
       return settings as Settings & { readonly [K in P]: NonNullable<Settings[K]> };
     } catch (thrown) {
-      process.stderr.write(`${textOf(thrown)}\n`);
+      process.stderr.write(`${errorMessage(thrown)}\n`);
       return process.exit(2);
     }
   },
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -14,7 +14,7 @@
 import { Cache } from '@reedyard/cache';
 import {
   type Answer,
-  type Asked,
+  type ClientRequest,
   type AttemptAnswer,
   connectTimeoutMs,
   feedIntervalMs,
@@ -527,9 +527,9 @@
     );
     box.proxy = process;
     this.#every(process, proxyTickIntervalMs, () =>
-      this.#step(process, { kind: 'beat', now: this.#now(process) }),
+      this.#step(process, { kind: 'tick', now: this.#now(process) }),
     );
-    this.#step(process, { kind: 'ask', now: this.#now(process) });
+    this.#step(process, { kind: 'feed-due', now: this.#now(process) });
   }
 
   #end(process: Process<Program> | null): void {
@@ -563,7 +563,9 @@
   warn(name: string): void {
     const proxy = this.boxes.get(name)?.proxy ?? null;
     if (proxy !== null)
-      this.#inside(proxy, () => this.#step(proxy, { kind: 'stop', now: this.#now(proxy) }));
+      this.#inside(proxy, () =>
+        this.#step(proxy, { kind: 'stop-requested', now: this.#now(proxy) }),
+      );
   }
   /** Tells a machine's replica to stop; it ends by itself, as soon as nothing waits for it. */
   stopReplica(name: string): void {
@@ -831,7 +833,7 @@
   /** Hands a request to a proxy. */
   #arrive(
     process: Process<'proxy'>,
-    asked: Asked,
+    asked: ClientRequest,
     about: { submission: number; job: string },
     caller: Caller & { mark: string | null },
   ): void {
@@ -848,18 +850,18 @@
       if (this.tuning.plant === 'earn-twice' && asked.via !== null)
         process.state = {
           ...process.state,
-          repeats: Object.fromEntries(
-            Object.entries(process.state.repeats).map(([service, saved]) => [
+          retryTokens: Object.fromEntries(
+            Object.entries(process.state.retryTokens).map(([service, saved]) => [
               service,
               Math.min(3, saved + 0.15),
             ]),
           ),
         };
       this.#step(process, {
-        kind: 'arrived',
-        id,
-        asked,
-        draws: [0, 1, 2, 3, 4].map(() => this.clock.chance()),
+        kind: 'request-arrived',
+        requestId: id,
+        clientRequest: asked,
+        randomNumbers: [0, 1, 2, 3, 4].map(() => this.clock.chance()),
         token: `mark-${this.#marks}`,
         now: this.#now(process),
       });
@@ -877,13 +879,13 @@
       });
     };
     switch (effect.kind) {
-      case 'question': {
+      case 'request-feed': {
         const askedAt = this.#now(process);
         const box = this.boxes.get(name);
         const again = (): void => {
           this.clock.in(feedIntervalMs * this.clock.between(0.9, 1.1), () =>
             this.#inside(process, () =>
-              this.#step(process, { kind: 'ask', now: this.#now(process) }),
+              this.#step(process, { kind: 'feed-due', now: this.#now(process) }),
             ),
           );
         };
@@ -925,7 +927,7 @@
               this.tuning.plant === 'old-rates' ? this.#oldRates(name, held.feed) : held.feed;
             for (const row of feed.origins) this.#drained.set(row.address, row);
             this.#step(process, {
-              kind: 'fed',
+              kind: 'feed-received',
               feed: this.#select(
                 plantedFeed(
                   this.tuning.plant,
@@ -951,13 +953,13 @@
             if (this.tuning.plant === 'free-repeats')
               process.state = {
                 ...process.state,
-                repeats: Object.fromEntries(
+                retryTokens: Object.fromEntries(
                   Object.keys(process.state.policy?.document.services ?? {}).map((service) => [
                     service,
                     1e6,
                   ]),
                 ),
-                suspects: {},
+                ejectedUntil: {},
               };
             this.#watchCopies(process);
             again();
@@ -966,21 +968,21 @@
         );
         return;
       }
-      case 'ask': {
+      case 'query-agent': {
         const done = (reply: ClaimReply): void => {
           const told: ClaimReply =
             this.tuning.plant === 'claims-of-any-content' && reply.kind === 'other'
               ? { kind: 'granted' }
               : reply;
-          if (effect.call.kind === 'claim')
+          if (effect.query.kind === 'claim')
             this.#step(process, {
-              kind: 'claimed',
-              id: effect.id,
+              kind: 'claim-answered',
+              requestId: effect.requestId,
               reply: told,
               now: this.#now(process),
             });
         };
-        if (plantedClaim(this.tuning.plant, effect.call)) {
+        if (plantedClaim(this.tuning.plant, effect.query)) {
           this.clock.in(1, () => this.#inside(process, () => done({ kind: 'granted' })));
           return;
         }
@@ -996,7 +998,7 @@
                 (id) => ({
                   kind: 'proxy-request-received',
                   requestId: id,
-                  request: effect.call,
+                  request: effect.query,
                   now: this.#now(agent),
                 }),
                 reply,
@@ -1009,18 +1011,24 @@
         );
         return;
       }
-      case 'open': {
+      case 'send-attempt': {
         acted();
         if (effect.attempt > 0) this.history.push({ kind: 'repeat', at: this.clock.now() });
-        const about = this.#submissions.get(process)?.get(effect.id) ?? { submission: -1, job: '' };
+        const about = this.#submissions.get(process)?.get(effect.requestId) ?? {
+          submission: -1,
+          job: '',
+        };
         const state = { aborted: false };
-        this.#attempts.set(`${name}/${process.clockFrom}/${effect.id}/${effect.attempt}`, state);
+        this.#attempts.set(
+          `${name}/${process.clockFrom}/${effect.requestId}/${effect.attempt}`,
+          state,
+        );
         const done = (answer: AttemptAnswer): void =>
           this.#inside(process, () => {
             if (!state.aborted)
               this.#step(process, {
-                kind: 'answered',
-                id: effect.id,
+                kind: 'attempt-answered',
+                requestId: effect.requestId,
                 attempt: effect.attempt,
                 answer,
                 now: this.#now(process),
@@ -1030,8 +1038,8 @@
           this.#inside(process, () => {
             if (!state.aborted)
               this.#step(process, {
-                kind: 'failed',
-                id: effect.id,
+                kind: 'attempt-failed',
+                requestId: effect.requestId,
                 attempt: effect.attempt,
                 sent: this.tuning.plant === 'repeat-unsafe' ? 'nothing' : sent,
                 why,
@@ -1042,8 +1050,8 @@
           this.#toOrigin(
             process,
             effect.to,
-            effect.asked,
-            effect.mark,
+            effect.clientRequest,
+            effect.attemptId,
             effect.sendBy,
             about,
             done,
@@ -1054,26 +1062,26 @@
             process,
             effect.to,
             this.#granted(process, effect),
-            effect.mark,
+            effect.attemptId,
             about,
             done,
             fail,
           );
         return;
       }
-      case 'closed':
-        this.#submissions.get(process)?.delete(effect.id);
+      case 'close-request':
+        this.#submissions.get(process)?.delete(effect.requestId);
         return;
-      case 'abort': {
+      case 'abort-attempt': {
         const attempt = this.#attempts.get(
-          `${name}/${process.clockFrom}/${effect.id}/${effect.attempt}`,
+          `${name}/${process.clockFrom}/${effect.requestId}/${effect.attempt}`,
         );
         if (attempt !== undefined) attempt.aborted = true;
         return;
       }
-      case 'answer': {
-        const caller = this.#callers.get(process)?.get(effect.id);
-        this.#callers.get(process)?.delete(effect.id);
+      case 'send-answer': {
+        const caller = this.#callers.get(process)?.get(effect.requestId);
+        this.#callers.get(process)?.delete(effect.requestId);
         if (
           this.tuning.plant === 'keep-relayed' &&
           effect.answer.body.kind === 'attempt' &&
@@ -1097,11 +1105,14 @@
   }
 
   /** The request as a peer is handed it, with the attempts at origins that it is granted. */
-  #granted(process: Process<'proxy'>, effect: Extract<ProxyEffect, { kind: 'open' }>): Asked {
+  #granted(
+    process: Process<'proxy'>,
+    effect: Extract<ProxyEffect, { kind: 'send-attempt' }>,
+  ): ClientRequest {
     if (this.tuning.plant !== 'uncounted-grants')
-      return { ...effect.asked, attempts: effect.attempts };
-    process.state = plantedGrant(process.state, effect.id, effect.attempt);
-    return effect.asked;
+      return { ...effect.clientRequest, attempts: effect.delegatedAttempts };
+    process.state = plantedGrant(process.state, effect.requestId, effect.attempt);
+    return effect.clientRequest;
   }
 
   /** What each proxy's shell holds of its feed. */
@@ -1170,7 +1181,7 @@
   #leave(name: string, capacityBps: number, answer: Answer): number {
     if (answer.body.kind === 'problem') return 0;
     // A large one streams beside the others; what counts is when it begins.
-    if (answer.body.kind === 'attempt' && !answer.body.answer.whole) return 0;
+    if (answer.body.kind === 'attempt' && !answer.body.answer.isComplete) return 0;
     const size = answer.body.kind === 'copy' ? answer.body.copy.size : answer.body.answer.size;
     const relayed = answer.headers['reedyard-served'] === 'peer';
     const work = ((8 * (size + 300)) / capacityBps) * 1_000 * (relayed ? 0.2 : 1);
@@ -1223,7 +1234,7 @@
   #toOrigin(
     process: Process<'proxy'>,
     to: Extract<Target, { kind: 'origin' }>,
-    asked: Asked,
+    asked: ClientRequest,
     mark: string,
     sendBy: number,
     about: { submission: number; job: string },
@@ -1314,7 +1325,7 @@
                 done({
                   status: 200,
                   size: 10,
-                  whole: true,
+                  isComplete: true,
                   body: null,
                   headers: { 'reedyard-stamp': identity(), 'reedyard-attempt': mark },
                 });
@@ -1335,7 +1346,7 @@
             const answer: AttemptAnswer = {
               status: 200,
               size: large ? 3_000_000 : 2_000,
-              whole: !large,
+              isComplete: !large,
               body,
               headers: {
                 'reedyard-stamp': identity(),
@@ -1366,7 +1377,7 @@
   #toPeer(
     process: Process<'proxy'>,
     to: Extract<Target, { kind: 'peer' }>,
-    asked: Asked,
+    asked: ClientRequest,
     mark: string,
     about: { submission: number; job: string },
     done: (answer: AttemptAnswer) => void,
@@ -1412,7 +1423,7 @@
               headers: got.headers as AttemptAnswer['headers'],
               body: got.body,
               size: 2_000,
-              whole: true,
+              isComplete: true,
             }),
           );
         },
--- a/packages/simulator/src/plants.ts
+++ b/packages/simulator/src/plants.ts
@@ -186,7 +186,7 @@
   const request = state.requests[id];
   if (request === undefined) return state;
   const attempts = request.attempts.map((each) =>
-    each.number === attempt ? { ...each, granted: 0 } : each,
+    each.number === attempt ? { ...each, delegatedAttempts: 0 } : each,
   );
   return { ...state, requests: { ...state.requests, [id]: { ...request, attempts } } };
 };
--- a/packages/task-loop/src/index.ts
+++ b/packages/task-loop/src/index.ts
@@ -10,7 +10,7 @@
 export type Reducer<S, E, F> = (state: S, event: E) => Step<S, F>;
 
 /** A channel of one kind of event. */
-export type Inbox<E> = {
+export type EventQueue<E> = {
   /** Hands an event in; false once the inbox is full or closed. */
   readonly put: (event: E) => boolean;
   readonly close: () => void;
@@ -29,7 +29,7 @@
     readonly initial: S;
     readonly reduce: Reducer<S, E, F>;
     readonly perform: (effect: F, put: (event: E) => boolean) => void;
-  }): Inbox<E> & { readonly peek: () => S } => {
+  }): EventQueue<E> & { readonly peek: () => S } => {
     const channel = csp.chan(csp.buffers.fixed(maxQueuedEvents));
     let state = parts.initial;
     let waiting = 0;
--- a/packages/testbed/src/hollow-child.ts
+++ b/packages/testbed/src/hollow-child.ts
@@ -1,4 +1,4 @@
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import { HollowHost, type HostCalls } from './hollow-host.js';
 
 /**
@@ -18,7 +18,7 @@
     const method = host[message.method] as (...words: readonly unknown[]) => Promise<unknown>;
     method.apply(host, [...message.words]).then(
       (value) => process.send?.({ id: message.id, value }),
-      (thrown: unknown) => process.send?.({ id: message.id, fault: textOf(thrown) }),
+      (thrown: unknown) => process.send?.({ id: message.id, fault: errorMessage(thrown) }),
     );
   },
 );
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -21,7 +21,7 @@
   reduceAgent,
   type TrafficMeasurement,
 } from '@reedyard/agent';
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 import {
   demandIntervalMs,
   feedIntervalMs,
@@ -46,7 +46,7 @@
   snapshotAfterBytes,
   snapshotRecords,
 } from '@reedyard/replica';
-import { call, type Listening, serveCalls } from '@reedyard/rpc';
+import { call, type RpcServer, serveCalls } from '@reedyard/rpc';
 import {
   hollowCallTimeoutMs,
   hollowDescribeIntervalMs,
@@ -55,7 +55,7 @@
 } from './hollow-constants.js';
 
 /** A hollow fleet that can't be run. */
-export class HollowError extends LayerError {}
+export class HollowError extends CodedError {}
 
 /**
  * What a hollow node is counted as. The one that holds the quota leadership and the seeds are
@@ -231,7 +231,7 @@
   readonly #proxies = new Map<string, ProxyNode>();
   #origins: { readonly spec: OriginSpec; at: number }[] = [];
   #directory: Directory = {};
-  #listening: Listening | null = null;
+  #listening: RpcServer | null = null;
   #now = 0;
   #open = 0;
   #started = 0;
@@ -346,7 +346,7 @@
       this.#lost += 1;
       if (this.#faults.length < 10)
         this.#faults.push(
-          `${(this.#now / 1_000).toFixed(2)} s ${role} ${kindOf(body)}: ${textOf(thrown)}`,
+          `${(this.#now / 1_000).toFixed(2)} s ${role} ${kindOf(body)}: ${errorMessage(thrown)}`,
         );
       lost();
     });
@@ -796,7 +796,7 @@
         this.#waiting.push(resolve);
       });
     if (this.#failed !== null)
-      throw new HollowError('failed', textOf(this.#failed), { cause: this.#failed });
+      throw new HollowError('failed', errorMessage(this.#failed), { cause: this.#failed });
     this.#look();
     return this.#started;
   }
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { parseArgs } from 'node:util';
 import type { NodeIdentity, NodeRecord } from '@reedyard/agent';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import type { Policy } from '@reedyard/schemas';
 import {
   heapBytesPerDelay,
@@ -793,7 +793,7 @@
         },
       });
     } catch (thrown) {
-      throw new HollowError('usage', textOf(thrown));
+      throw new HollowError('usage', errorMessage(thrown));
     }
   })();
   if (values['help'] === true) return null;
@@ -911,7 +911,7 @@
     try {
       return wordsOf(argv);
     } catch (thrown) {
-      return textOf(thrown);
+      return errorMessage(thrown);
     }
   })();
   if (typeof words === 'string') {
@@ -932,7 +932,7 @@
       );
     return 0;
   } catch (thrown) {
-    process.stderr.write(`${textOf(thrown)}\n`);
+    process.stderr.write(`${errorMessage(thrown)}\n`);
     return 1;
   }
 };
--- a/packages/testbed/src/index.ts
+++ b/packages/testbed/src/index.ts
@@ -10,12 +10,12 @@
   type OriginStandInOptions,
 } from '@reedyard/origin-stand-in';
 import type { Deployment, Machine } from '@reedyard/topology';
-import { LayerError } from '@reedyard/logging';
+import { CodedError } from '@reedyard/logging';
 
 export type { Deployment, Machine, Origin } from '@reedyard/topology';
 
 /** A bench that can't be set up. */
-export class TestbedError extends LayerError {}
+export class TestbedError extends CodedError {}
 
 export type Program = 'agent' | 'proxy' | 'replica';
 
--- a/packages/testbed/src/main.ts
+++ b/packages/testbed/src/main.ts
@@ -4,7 +4,7 @@
 import { createInterface } from 'node:readline';
 import { parseArgs } from 'node:util';
 import { startLoad, sumUp, type Kind } from '@reedyard/client-stand-in';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import { runHollow } from './hollow.js';
 import { api, Fleet, type Deployment, type Program } from './index.js';
 import { runSlopes } from './slopes.js';
@@ -78,7 +78,7 @@
   try {
     return await Fleet.lay(read<Deployment>('deployment.json'), values.folder, { relays: true });
   } catch (thrown) {
-    return textOf(thrown);
+    return errorMessage(thrown);
   }
 })();
 if (typeof laid === 'string') {
@@ -117,7 +117,7 @@
       `  ${name.padEnd(10)} api ${fleet.apiOf(name)}${fleet.names('front').includes(name) ? `  callers ${fleet.callersOf(name)}` : ''}`,
     );
 } catch (thrown) {
-  process.stderr.write(`${textOf(thrown)}\n`);
+  process.stderr.write(`${errorMessage(thrown)}\n`);
   await end(1);
 }
 
@@ -238,6 +238,6 @@
     .then(() => command(rest))
     .then(
       () => say(`done: ${line.trim()}`),
-      (thrown: unknown) => say(textOf(thrown)),
+      (thrown: unknown) => say(errorMessage(thrown)),
     );
 });
--- a/packages/testbed/src/part-costs.ts
+++ b/packages/testbed/src/part-costs.ts
@@ -1,5 +1,5 @@
 import { type AgentState, type NodeIdentity, openAgent, reduceAgent } from '@reedyard/agent';
-import { splitFor, type Vector } from '@reedyard/server-selection';
+import { computeRoutes, type Vector } from '@reedyard/server-selection';
 
 /**
  * What parts of an agent cost that no hollow fleet of the target's size can afford to run on every
@@ -46,7 +46,7 @@
   [16, 32, 64, 128, 256].map((edges) => {
     const vectors = vectorsOf(edges, objects);
     const compute = (): void => {
-      splitFor('front-0', vectors, () => ({ servers: () => true }));
+      computeRoutes('front-0', vectors, () => ({ servers: () => true }));
     };
     compute();
     return {
--- a/packages/testbed/src/slopes.ts
+++ b/packages/testbed/src/slopes.ts
@@ -1,6 +1,6 @@
 import { readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import { HollowError } from './hollow-host.js';
 import type { HollowResult } from './hollow.js';
 
@@ -258,7 +258,7 @@
       );
     return 0;
   } catch (thrown) {
-    process.stderr.write(`${textOf(thrown)}\n`);
+    process.stderr.write(`${errorMessage(thrown)}\n`);
     return 2;
   }
 };
--- a/packages/testbed/src/trials.ts
+++ b/packages/testbed/src/trials.ts
@@ -1,7 +1,7 @@
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { scenarios } from '@reedyard/simulator';
-import { textOf } from '@reedyard/logging';
+import { errorMessage } from '@reedyard/logging';
 import { Schemas } from '@reedyard/schemas';
 import { TestbedError, type Deployment } from './index.js';
 import { trial } from './trial.js';
@@ -77,7 +77,7 @@
     );
     return report.wrongs.length === 0 ? 0 : 1;
   } catch (thrown) {
-    process.stderr.write(`${textOf(thrown)}\n`);
+    process.stderr.write(`${errorMessage(thrown)}\n`);
     return 2;
   }
 };
--- a/packages/write-ahead-log/src/errors.ts
+++ b/packages/write-ahead-log/src/errors.ts
@@ -1,5 +1,5 @@
 /** What goes wrong with a write-ahead log, in a form that programs can tell apart. */
-import { LayerError, textOf } from '@reedyard/logging';
+import { CodedError, errorMessage } from '@reedyard/logging';
 
 /**
  * An error of the log. Its `code` is one of
@@ -9,7 +9,7 @@
  *
  * After `full` and `disk` the log can be recovered once the disk takes writes again.
  */
-export class WriteAheadLogError extends LayerError {}
+export class WriteAheadLogError extends CodedError {}
 
 const outOfSpaceCodes: ReadonlySet<string> = new Set(['ENOSPC', 'EDQUOT']);
 
@@ -18,5 +18,5 @@
   if (thrown instanceof WriteAheadLogError) return thrown;
   const systemCode = (thrown as NodeJS.ErrnoException).code ?? '';
   const code = outOfSpaceCodes.has(systemCode) ? 'full' : 'disk';
-  return new WriteAheadLogError(code, `${folder}: ${textOf(thrown)}`, { cause: thrown });
+  return new WriteAheadLogError(code, `${folder}: ${errorMessage(thrown)}`, { cause: thrown });
 };
--- a/packages/write-ahead-log/src/log.ts
+++ b/packages/write-ahead-log/src/log.ts
@@ -19,7 +19,7 @@
 import { writeFully, writeSnapshot } from './snapshot-writer.js';
 
 /** Each restart begins a segment; past this many a snapshot is due however small they are. */
-const mostSegments = 64;
+const maxSegments = 64;
 
 /** An open log. */
 export type WriteAheadLog = {
@@ -137,7 +137,7 @@
   }
 
   fragmented(): boolean {
-    return this.#segments > mostSegments;
+    return this.#segments > maxSegments;
   }
 
   settled(): Promise<void> {
