--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -1,5 +1,6 @@
 import {
   compareProposalNumbers,
+  higherProposalNumber,
   majorityOf,
   type ProposalNumber,
   zeroProposalNumber,
@@ -8,6 +9,7 @@
 import {
   type CommittedMembership,
   isNewerMembership,
+  type JournalEntry,
   type Membership,
   type ReplicaReply,
 } from '@reedyard/replica';
@@ -171,57 +173,86 @@
     });
 };
 
-/** Takes in a value that is known to be chosen. A lower ballot than the known one is old news. */
+/** Whether a value that is known to be chosen is newer than the one known here. */
+const isNewerValue = (
+  state: AgentState,
+  key: WatchedRegister,
+  proposalNumber: ProposalNumber,
+  value: unknown,
+): boolean => {
+  const known = state.registers[key];
+  if (known === undefined) return true;
+  // A proposal may write an epoch again after the next one was chosen.
+  return key === 'members'
+    ? isNewerMembership(
+        { proposalNumber, value: value as Membership },
+        committedMembershipOf(state),
+      )
+    : compareProposalNumbers(proposalNumber, known.proposalNumber) > 0;
+};
+
+const noteAllocation = (transition: Transition, { term, beat }: QuotaAllocation): void => {
+  const { allocationSeen, now } = transition.state;
+  if (term === allocationSeen.term && beat === allocationSeen.beat) return;
+  update(transition, { allocationSeen: { term, beat, at: now } });
+};
+
+/** Polls at the next tick: there is more to read, or members that do not know the membership yet. */
+const pollAtNextTick = (transition: Transition): void => {
+  const { nextDueAt, now } = transition.state;
+  update(transition, { nextDueAt: { ...nextDueAt, pull: now } });
+};
+
+const enterMembership = (
+  transition: Transition,
+  before: Membership | undefined,
+  membership: Membership,
+): void => {
+  const { epoch, disks } = membership;
+  log(transition, 'members.in-force', { epoch, members: Object.keys(disks).length });
+  followMembership(transition, before, membership);
+  restartUnderNewMembership(transition);
+  pollAtNextTick(transition);
+};
+
+/** What follows from a new value of a register, by its key. */
+const followRegister = (
+  transition: Transition,
+  key: WatchedRegister,
+  before: unknown,
+  value: unknown,
+): void => {
+  switch (key) {
+    case 'plan':
+      noteAllocation(transition, value as QuotaAllocation);
+      return;
+    case 'members':
+      enterMembership(transition, before as Membership | undefined, value as Membership);
+      return;
+    case 'policy':
+    case 'zones':
+      log(transition, `${key}.in-force`, { revision: (value as { revision: number }).revision });
+  }
+};
+
+/** Learns a value that is known to be chosen, unless a newer one is known here already. */
 export const learnRegister = (
   transition: Transition,
   key: WatchedRegister,
   proposalNumber: ProposalNumber,
   value: unknown,
 ): void => {
-  const known = transition.state.registers[key];
-  // A ballot may write an epoch again after the next one was chosen.
-  if (
-    known !== undefined &&
-    (key === 'members'
-      ? !isNewerMembership(
-          { proposalNumber, value: value as Membership },
-          committedMembershipOf(transition.state),
-        )
-      : compareProposalNumbers(proposalNumber, known.proposalNumber) <= 0)
-  )
-    return;
+  if (!isNewerValue(transition.state, key, proposalNumber, value)) return;
+  const { registers, now, highestProposalNumber } = transition.state;
+  const before = registers[key]?.value;
   update(transition, {
-    registers: {
-      ...transition.state.registers,
-      [key]: { proposalNumber, value, at: transition.state.now },
-    },
+    registers: { ...registers, [key]: { proposalNumber, value, at: now } },
+    highestProposalNumber: higherProposalNumber(highestProposalNumber, proposalNumber),
   });
-  // The split rests on the policy's routes; which nodes serve is looked at each time.
+  // The routing table rests on the policy's routes; which nodes serve is looked at each time.
   if (key === 'policy') update(transition, { isRoutingTableStale: true });
-  if (compareProposalNumbers(proposalNumber, transition.state.highestProposalNumber) > 0)
-    update(transition, { highestProposalNumber: proposalNumber });
-  if (key === 'plan') {
-    const plan = value as QuotaAllocation;
-    const { allocationSeen: planSeen } = transition.state;
-    if (plan.term !== planSeen.term || plan.beat !== planSeen.beat)
-      update(transition, {
-        allocationSeen: { term: plan.term, beat: plan.beat, at: transition.state.now },
-      });
-  } else if (key === 'members') {
-    const members = value as Membership;
-    log(transition, 'members.in-force', {
-      epoch: members.epoch,
-      members: Object.keys(members.disks).length,
-    });
-    followMembership(transition, known?.value as Membership | undefined, members);
-    restartUnderNewMembership(transition);
-    // Those who don't know them yet learn them now, not with the next regular pull.
-    update(transition, {
-      nextDueAt: { ...transition.state.nextDueAt, pull: transition.state.now },
-    });
-  } else log(transition, `${key}.in-force`, { revision: (value as { revision: number }).revision });
-  if (key === 'zones')
-    noteRestoredZones(transition, zonesValueOf(known?.value), zonesValueOf(value));
+  followRegister(transition, key, before, value);
+  if (key === 'zones') noteRestoredZones(transition, zonesValueOf(before), zonesValueOf(value));
   renewLease(transition);
 };
 
@@ -426,56 +457,45 @@
   }
 };
 
-export const handlePollReply = (
+/** Notes how a replica answered, and that a member of the membership did. */
+const noteReplyTo = (transition: Transition, name: string, reply: ReplicaReply): void => {
+  updateView(transition, name, { lastPollReply: replicaAnswer(transition.state, name, reply) });
+  if (isDiskOfMember(transition.state, name, reply.diskId) || isBlankReply(reply))
+    updateView(transition, name, {
+      lastMemberReplyAt: transition.state.now,
+      unansweredPolls: 0,
+    });
+};
+
+const isBlankReply = (reply: ReplicaReply): boolean =>
+  reply.kind === 'not-a-member' && reply.isBlank;
+
+/** Adds journal entries that are not known here yet. */
+const learnEntries = (transition: Transition, entries: readonly JournalEntry[]): void => {
+  const { entryKeys, lastEntrySequence, now } = transition.state;
+  const added = entries
+    .filter(({ key }) => entryKeys[key] === undefined)
+    .map((entry, index) => ({ ...entry, seq: lastEntrySequence + index + 1, at: now }));
+  if (added.length === 0) return;
+  const addedKeys = added.map(({ key }) => [key, true as const] as const);
+  update(transition, {
+    lastEntrySequence: lastEntrySequence + added.length,
+    entries: [...transition.state.entries, ...added],
+    entryKeys: { ...entryKeys, ...Object.fromEntries(addedKeys) },
+  });
+};
+
+/** Counts a poll that a member answered, and learns what it shows. */
+const countPoll = (
   transition: Transition,
   name: string,
   sentAt: number,
-  reply: ReplicaReply,
+  reply: Extract<ReplicaReply, { kind: 'polled' }>,
 ): void => {
-  updateView(transition, name, { lastPollReply: replicaAnswer(transition.state, name, reply) });
-  const isBlank = reply.kind === 'not-a-member' && reply.isBlank;
-  if (isDiskOfMember(transition.state, name, reply.diskId) || isBlank) {
-    updateView(transition, name, { lastMemberReplyAt: transition.state.now, unansweredPolls: 0 });
-  }
-  if (reply.kind === 'newer-membership') {
-    updateView(transition, name, {
-      pollId: null,
-      countedPolls: null,
-      newerMembership: reply.membership,
-    });
-    learnNewerMembership(transition, reply.membership);
-    return;
-  }
-  if (reply.kind === 'recovering' && isDiskOfMember(transition.state, name, reply.diskId)) {
-    updateView(transition, name, { pollId: null, countedPolls: null });
-    restore(transition, name, reply.epoch);
-    return;
-  }
-  if (reply.kind !== 'polled' || !isDiskOfMember(transition.state, name, reply.diskId)) {
-    updateView(transition, name, { pollId: null, countedPolls: null });
-    if (isBlank) offerOwnSlot(transition, name, reply.diskId);
-    return;
-  }
-  const newest = transition.state.replicas[name]?.countedPolls;
-  if (newest && newest.sentAt > sentAt) return;
-  let { lastEntrySequence: factSeq } = transition.state;
-  const added = reply.entries
-    .filter((entry) => transition.state.entryKeys[entry.key] === undefined)
-    .map((entry) => {
-      factSeq += 1;
-      return { ...entry, seq: factSeq, at: transition.state.now };
-    });
-  if (added.length > 0) {
-    update(transition, {
-      lastEntrySequence: factSeq,
-      entries: [...transition.state.entries, ...added],
-      entryKeys: {
-        ...transition.state.entryKeys,
-        ...Object.fromEntries(added.map((entry) => [entry.key, true as const])),
-      },
-    });
-  }
-  const pulled = addPoll(transition.state, newest ?? null, {
+  const newest = transition.state.replicas[name]?.countedPolls ?? null;
+  if (newest !== null && newest.sentAt > sentAt) return;
+  learnEntries(transition, reply.entries);
+  const countedPolls = addPoll(transition.state, newest, {
     sentAt,
     hasMoreEntries: reply.hasMore,
     acceptedNumbers: reply.acceptedNumbers,
@@ -484,15 +504,33 @@
   updateView(transition, name, {
     pollId: null,
     cursor: { diskId: reply.diskId, sequence: reply.sequence },
-    countedPolls: pulled,
+    countedPolls,
     isStopping: reply.isStopping === true,
   });
   watchRegisters(transition);
   renewLease(transition);
-  if (reply.hasMore)
-    update(transition, {
-      nextDueAt: { ...transition.state.nextDueAt, pull: transition.state.now },
-    });
+  if (reply.hasMore) pollAtNextTick(transition);
+};
+
+/** Handles a replica's reply to a poll, whether or not it counts. */
+export const handlePollReply = (
+  transition: Transition,
+  name: string,
+  sentAt: number,
+  reply: ReplicaReply,
+): void => {
+  noteReplyTo(transition, name, reply);
+  const isFromMember = isDiskOfMember(transition.state, name, reply.diskId);
+  if (reply.kind === 'polled' && isFromMember) {
+    countPoll(transition, name, sentAt, reply);
+    return;
+  }
+  updateView(transition, name, { pollId: null, countedPolls: null });
+  if (reply.kind === 'newer-membership') {
+    updateView(transition, name, { newerMembership: reply.membership });
+    learnNewerMembership(transition, reply.membership);
+  } else if (reply.kind === 'recovering' && isFromMember) restore(transition, name, reply.epoch);
+  else if (isBlankReply(reply)) offerOwnSlot(transition, name, reply.diskId);
 };
 
 /**
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -1,19 +1,25 @@
+/**
+ * Quota leadership: one node at a time divides the services' rate limits among the nodes. It holds
+ * the leadership by publishing allocations under its term; one that stands still is taken over.
+ */
 import {
-  hasChangedShares,
   allocateQuotas,
+  hasChangedShares,
   hasMostOfGoal,
+  nextShares,
   type QuotaAllocation,
   type QuotaNode,
   type QuotaShares,
-  nextShares,
 } from '@reedyard/quota-division';
 import { Routes } from '@reedyard/schemas';
 import { policyOf, quotaAllocationOf } from '../control/registers.js';
 import { quotaNodes } from '../gossip/known-nodes.js';
+import type { NodeRecord } from '../messages.js';
 import { serviceRateLimits } from '../origins/origin-endpoints.js';
 import { publishAllocationChange, takeQuotaLeadershipChange } from '../proposals/changes.js';
 import { proposalTimeoutMs } from '../proposals/proposal-state.js';
 import { propose } from '../proposals/proposals.js';
+import type { AgentState } from '../state.js';
 import { log, nextRandom, type Transition, update } from '../transition.js';
 
 /** ms. The quota leader looks whether slices should move, and then publishes a division. */
@@ -38,78 +44,93 @@
  */
 export const leaderTimeoutMs = 2_500;
 
-const busy = (transition: Transition): boolean =>
+const isPublishing = (transition: Transition): boolean =>
   Object.values(transition.state.pendingChanges).some(
     (pendingChange) => pendingChange.purpose.kind === 'publish-allocation',
   );
 
-/** The holder's beat: renew the term and move slices to where the demand is. */
-const renew = (transition: Transition, current: QuotaAllocation): void => {
-  const { state } = transition;
-  const quotaLeadership = state.quotaLeadership;
-  if (quotaLeadership === null) return;
-  const held = quotaLeadership.precedingAllocations.filter((each) => each.until > state.now);
-  const nodes = quotaNodes(state);
-  const seats: readonly QuotaNode[] = nodes.map((record) => ({
-    nodeId: record.id,
-    zone: record.zone,
-    region: record.region,
-  }));
-  const policy = policyOf(state)?.document;
-  const bounds = serviceRateLimits(state);
-  const goals = Object.fromEntries(
-    Object.entries(bounds).map(([name, bound]): readonly [string, QuotaShares] => {
-      const homes = Routes.homesOf(policy?.routes ?? [], name);
-      const allowed =
-        homes === undefined ? seats : seats.filter((seat) => homes.includes(seat.region));
-      return [
-        name,
-        allocateQuotas(
-          bound,
-          allowed,
-          Object.fromEntries(nodes.map((record) => [record.id, record.wants[name] ?? 0])),
-        ),
-      ];
+type SharesByService = Readonly<Record<string, QuotaShares>>;
+
+/** What each service's nodes are to have, by what they want of it and where it has its homes. */
+const goalsOf = (
+  state: AgentState,
+  nodes: readonly NodeRecord[],
+  rateLimits: Readonly<Record<string, number>>,
+): SharesByService => {
+  const routes = policyOf(state)?.document.routes ?? [];
+  const quotaNodesOf = (homes: readonly string[] | undefined): readonly QuotaNode[] =>
+    nodes
+      .map(({ id, zone, region }) => ({ nodeId: id, zone, region }))
+      .filter(({ region }) => homes === undefined || homes.includes(region));
+  const demandFor = (service: string): QuotaShares =>
+    Object.fromEntries(nodes.map(({ id, wants }) => [id, wants[service] ?? 0]));
+  return Object.fromEntries(
+    Object.entries(rateLimits).map(([service, rateLimit]) => {
+      const allowed = quotaNodesOf(Routes.homesOf(routes, service));
+      return [service, allocateQuotas(rateLimit, allowed, demandFor(service))];
     }),
   );
-  const slices = Object.fromEntries(
-    Object.entries(goals).map(([name, aim]): readonly [string, QuotaShares] => {
-      const now = current.slices[name] ?? {};
-      const next = nextShares(aim, [now, ...held.map((each) => each.slices[name] ?? {})]);
-      return [name, hasChangedShares(next, now) ? next : now];
+};
+
+/** The next shares on the way to the goals; a service whose shares hardly move keeps its own. */
+const sharesTowards = (
+  goals: SharesByService,
+  current: SharesByService,
+  preceding: readonly { readonly slices: SharesByService }[],
+): SharesByService =>
+  Object.fromEntries(
+    Object.entries(goals).map(([service, goal]): readonly [string, QuotaShares] => {
+      const now = current[service] ?? {};
+      const earlier = preceding.map(({ slices }) => slices[service] ?? {});
+      const next = nextShares(goal, [now, ...earlier]);
+      return [service, hasChangedShares(next, now) ? next : now];
     }),
   );
-  // A service without a bound keeps no node waiting for its share.
-  const bounded = Object.fromEntries(
-    Object.entries(goals).filter(([name]) => bounds[name] !== Infinity),
-  );
-  const seated = seats
-    .map((seat) => seat.nodeId)
-    .filter((edge) => current.seated.includes(edge) || hasMostOfGoal(edge, bounded, slices));
-  const names = Object.keys(slices);
-  const still =
-    names.length === Object.keys(current.slices).length &&
-    names.every((name) => slices[name] === current.slices[name]) &&
+
+const isSameAllocation = (
+  slices: SharesByService,
+  seated: readonly string[],
+  current: QuotaAllocation,
+): boolean => {
+  const services = Object.keys(slices);
+  return (
+    services.length === Object.keys(current.slices).length &&
+    services.every((service) => slices[service] === current.slices[service]) &&
     seated.length === current.seated.length &&
-    seated.every((edge) => current.seated.includes(edge));
-  // Half a division's beat early, since the last one was chosen a little after it was looked at.
-  if (still && state.now - state.allocationSeen.at < allocationRenewalMs - allocationIntervalMs / 2)
-    return;
-  const goal: QuotaAllocation = {
-    term: current.term,
-    holder: state.self.id,
-    beat: current.beat + 1,
-    slices,
-    seated,
-  };
-  // What is in force now may be held by others for a lease after its successor is chosen.
+    seated.every((nodeId) => current.seated.includes(nodeId))
+  );
+};
+
+/** Half an interval early, since the last allocation was chosen a little after it was looked at. */
+const isRenewalDue = ({ now, allocationSeen }: AgentState): boolean =>
+  now - allocationSeen.at >= allocationRenewalMs - allocationIntervalMs / 2;
+
+/** The leader's turn: renew the term and move quotas to where the demand is. */
+const renew = (transition: Transition, current: QuotaAllocation): void => {
+  const { state } = transition;
+  const { quotaLeadership } = state;
+  if (quotaLeadership === null) return;
+  const preceding = quotaLeadership.precedingAllocations.filter(({ until }) => until > state.now);
+  const nodes = quotaNodes(state);
+  const rateLimits = serviceRateLimits(state);
+  const goals = goalsOf(state, nodes, rateLimits);
+  const slices = sharesTowards(goals, current.slices, preceding);
+  // A service without a rate limit keeps no node waiting for its share.
+  const limitedGoals = Object.fromEntries(
+    Object.entries(goals).filter(([service]) => rateLimits[service] !== Infinity),
+  );
+  const seated = nodes
+    .map(({ id }) => id)
+    .filter((id) => current.seated.includes(id) || hasMostOfGoal(id, limitedGoals, slices));
+  if (isSameAllocation(slices, seated, current) && !isRenewalDue(state)) return;
+  const { term } = current;
+  const goal = { term, holder: state.self.id, beat: current.beat + 1, slices, seated };
+  // What is in force now may be used by others for a lease after its successor is chosen.
+  const until = state.now + quotaRaiseDelayMs + proposalTimeoutMs;
   update(transition, {
     quotaLeadership: {
       ...quotaLeadership,
-      precedingAllocations: [
-        ...held,
-        { slices: current.slices, until: state.now + quotaRaiseDelayMs + proposalTimeoutMs },
-      ],
+      precedingAllocations: [...preceding, { slices: current.slices, until }],
     },
   });
   propose(transition, 'plan', publishAllocationChange(goal), { kind: 'publish-allocation', goal });
@@ -118,7 +139,7 @@
 /** Renews the quota leadership where this node has it, and takes it where nobody does. */
 export const tendQuotaLeadership = (transition: Transition): void => {
   const { state } = transition;
-  if (state.now >= state.leaseUntil || busy(transition)) return;
+  if (state.now >= state.leaseUntil || isPublishing(transition)) return;
   const current = quotaAllocationOf(state);
   if (
     state.quotaLeadership !== null &&
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -5,16 +5,17 @@
 
 import { liveRecords, publishRecord } from '@reedyard/gossip';
 import {
+  computeRoutes,
   fetchPenaltySeconds,
+  type ObjectRule,
   rendezvousOwner,
   shouldAnnounce,
-  computeRoutes,
   type Vector,
 } from '@reedyard/server-selection';
 import { pollIntervalAtRestMs } from '../control/lease.js';
 import { policyOf } from '../control/registers.js';
 import { servingNodes } from '../gossip/known-nodes.js';
-import type { PeerEndpoint, TrafficMeasurement } from '../messages.js';
+import type { NodeRecord, PeerEndpoint, TrafficMeasurement } from '../messages.js';
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
 import { delayTo } from './peer-delays.js';
@@ -79,63 +80,80 @@
   };
 };
 
-/** Computes this edge's rows from the vectors it holds, once something they rest on has changed. */
-export const computeRoutingTable = (transition: Transition): void => {
-  const { state } = transition;
-  if (state.self.proxy === null || state.now - state.routingTableCheckedAt < pollIntervalAtRestMs)
-    return;
-  const serving = new Map(servingNodes(state).map((record) => [record.id, record]));
-  const over = [...serving.keys()].sort().join(' ');
-  if (!state.isRoutingTableStale && over === state.routingTableNodes) {
-    update(transition, { routingTableCheckedAt: state.now });
-    return;
-  }
-  const policy = policyOf(state);
-  const routes = new Map((policy?.document.routes ?? []).map((route) => [route.name, route]));
-  const me = { id: state.self.id, region: state.self.region };
-  const members = [
-    ...new Map([
-      ...[...serving.values()].map(({ id, zone }) => [id, zone] as const),
-      [me.id, state.self.zone] as const,
-    ]),
-  ]
+/** Keys of the vectors in gossip begin with this; the node's id follows. */
+const vectorPrefix = 'vector/';
+/** A vector that was not announced again for so many refreshes is no longer used. */
+const maxVectorAgeRefreshes = 3;
+
+type NodePlace = { readonly id: string; readonly zone: string };
+
+/** This node and those that serve, each once, in the order of their ids. */
+const nodePlaces = (
+  { self }: AgentState,
+  serving: ReadonlyMap<string, NodeRecord>,
+): readonly NodePlace[] => {
+  const zones = new Map([...serving.values()].map(({ id, zone }) => [id, zone]));
+  zones.set(self.id, self.zone);
+  return [...zones]
     .map(([id, zone]) => ({ id, zone }))
-    .sort((a, b) => (a.id < b.id ? -1 : 1));
+    .sort((left, right) => (left.id < right.id ? -1 : 1));
+};
+
+/** Vectors of this node and of those that serve and announced one lately enough. */
+const usableVectors = (
+  { self, gossip, now }: AgentState,
+  serving: ReadonlyMap<string, NodeRecord>,
+): Readonly<Record<string, Vector>> => {
   const vectors: Record<string, Vector> = {};
-  for (const [key, value, seenAt] of liveRecords(state.gossip, 'vector/')) {
-    const edge = key.slice('vector/'.length);
-    if (edge === me.id || (serving.has(edge) && state.now - seenAt < 3 * vectorRefreshMs))
-      vectors[edge] = value as Vector;
+  for (const [key, value, seenAt] of liveRecords(gossip, vectorPrefix)) {
+    const id = key.slice(vectorPrefix.length);
+    const isFresh = serving.has(id) && now - seenAt < maxVectorAgeRefreshes * vectorRefreshMs;
+    if (id === self.id || isFresh) vectors[id] = value as Vector;
   }
-  const split =
-    vectors[me.id] === undefined
-      ? { split: {}, iterations: 0, cost: 0 }
-      : computeRoutes(me.id, vectors, (name) => {
-          const route = routes.get(name);
-          if (route === undefined) return null;
-          const servers = (edge: string): boolean => {
-            const region = edge === me.id ? me.region : serving.get(edge)?.region;
-            return (
-              region !== undefined &&
-              (edge === me.id || serving.has(edge)) &&
-              (route.homes === undefined || route.homes.includes(region))
-            );
-          };
-          return route.cache.keep === 'always'
-            ? {
-                servers,
-                placed: placementFor(
-                  members.filter(({ id }) => servers(id)),
-                  members,
-                ),
-              }
-            : { servers };
-        });
+  return vectors;
+};
+
+/** Which nodes may serve a route, and where its objects are placed; null for an unknown route. */
+const routeRulesOf = (
+  state: AgentState,
+  serving: ReadonlyMap<string, NodeRecord>,
+): ((name: string) => ObjectRule | null) => {
+  const { self } = state;
+  const routes = new Map(
+    (policyOf(state)?.document.routes ?? []).map((route) => [route.name, route]),
+  );
+  const places = nodePlaces(state, serving);
+  return (name) => {
+    const route = routes.get(name);
+    if (route === undefined) return null;
+    const servers = (id: string): boolean => {
+      const region = id === self.id ? self.region : serving.get(id)?.region;
+      return region !== undefined && (route.homes === undefined || route.homes.includes(region));
+    };
+    if (route.cache.keep !== 'always') return { servers };
+    const allowed = places.filter(({ id }) => servers(id));
+    return { servers, placed: placementFor(allowed, places) };
+  };
+};
+
+/** Computes this node's routing table anew, once something that it rests on has changed. */
+export const computeRoutingTable = (transition: Transition): void => {
+  const { state } = transition;
+  const { self, now } = state;
+  if (self.proxy === null || now - state.routingTableCheckedAt < pollIntervalAtRestMs) return;
+  const serving = new Map(servingNodes(state).map((record) => [record.id, record]));
+  const routingTableNodes = [...serving.keys()].sort().join(' ');
+  update(transition, { routingTableCheckedAt: now });
+  if (!state.isRoutingTableStale && routingTableNodes === state.routingTableNodes) return;
+  const vectors = usableVectors(state, serving);
+  const routingTable =
+    vectors[self.id] === undefined
+      ? {}
+      : computeRoutes(self.id, vectors, routeRulesOf(state, serving)).split;
   update(transition, {
-    routingTable: split.split,
-    routingTableCheckedAt: state.now,
+    routingTable,
     isRoutingTableStale: false,
-    routingTableNodes: over,
+    routingTableNodes,
     routingTableCount: state.routingTableCount + 1,
   });
 };
