--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -1,13 +1,15 @@
+/** The agent's process: its clock, ports, timers and log around the reducer. */
 import { randomInt, randomUUID } from 'node:crypto';
+import type http from 'node:http';
 import { performance } from 'node:perf_hooks';
-import { openLogger } from '@reedyard/logging';
+import { type Logger, openLogger } from '@reedyard/logging';
 import {
   decodeReplicaReply,
   encodeReplicaRequest,
   leaseDurationMs,
   type ReplicaReply,
 } from '@reedyard/replica';
-import { call, serveCalls, setLocalAddress } from '@reedyard/rpc';
+import { call, type RpcServer, serveCalls, setLocalAddress } from '@reedyard/rpc';
 import type { Settings } from '@reedyard/settings';
 import { Task } from '@reedyard/task-loop';
 import {
@@ -17,11 +19,20 @@
   type TranslatedApi,
   translatedServer,
 } from './api/api-server.js';
-import type { AgentEffect, AgentEvent, AgentReply, AgentRequest, ProxyQuery } from './messages.js';
+import type {
+  AgentEffect,
+  AgentEvent,
+  AgentReply,
+  AgentRequest,
+  NodeIdentity,
+  ProxyQuery,
+} from './messages.js';
 import { openAgent, reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import { agentTickIntervalMs } from './tick-delay.js';
+import { WaitingCallers } from './waiting-callers.js';
 
+/** ms of this process's monotonic clock. */
 const now = (): number => performance.now();
 
 type CallEffect = Extract<AgentEffect, { kind: 'send-request' }>;
@@ -43,153 +54,167 @@
   readonly api?: (act: PerformAction) => TranslatedApi;
 };
 
-/**
- * Runs an agent until the process is told to end.
- *
- * @example
- * await runAgent(SettingsReader.start('agent', process.argv.slice(2)));
- */
-export const runAgent = async (
-  settings: AgentSettings,
-  options: AgentOptions = {},
-): Promise<void> => {
-  const logger = openLogger({ program: 'agent', node: settings.name });
-  const asking = new Map<number, (reply: unknown) => void>();
-  let next = 1;
-  const perform = (effect: AgentEffect, put: (event: AgentEvent) => boolean): void => {
-    switch (effect.kind) {
-      case 'send-request':
-        sendCall(effect).then(
-          (body) =>
-            put({ kind: 'reply-received', requestId: effect.requestId, reply: body, now: now() }),
-          () => put({ kind: 'request-failed', requestId: effect.requestId, now: now() }),
-        );
-        return;
-      case 'send-reply':
-        asking.get(effect.requestId)?.(effect.reply);
-        asking.delete(effect.requestId);
-        return;
-      case 'send-answer':
-        asking.get(effect.requestId)?.({
-          status: effect.status,
-          body: effect.body,
-          ...(effect.retryAfter === undefined ? {} : { retryAfter: effect.retryAfter }),
-        } satisfies ApiReply);
-        asking.delete(effect.requestId);
-        return;
-      case 'schedule-wake-up':
-        setTimeout(() => put({ kind: 'wake-up-due', now: now() }), effect.delayMs);
-        return;
-      case 'log':
-        logger.info(effect.event, effect.fields);
-        return;
-    }
+/** What the settings say of this machine. */
+const identityOf = (settings: AgentSettings): NodeIdentity => {
+  const { host, name: id, zone, region, proxy, replica, agent } = settings;
+  return {
+    servesOn: settings.cutOff === 'serve',
+    id,
+    zone,
+    region,
+    address: `${host}:${agent.port}`,
+    proxy:
+      proxy === undefined
+        ? null
+        : {
+            callers: `${host}:${proxy.port}`,
+            peers: `${host}:${proxy.peerPort}`,
+            capacityBps: proxy.capacityBps,
+          },
+    replica: replica === undefined ? null : { address: `${host}:${replica.port}` },
   };
-  const { host } = settings;
-  const listen = settings.listen ?? host;
-  setLocalAddress(host);
-  const task = Task.run<AgentState, AgentEvent, AgentEffect>({
-    initial: openAgent({
-      self: {
-        servesOn: settings.cutOff === 'serve',
-        id: settings.name,
-        zone: settings.zone,
-        region: settings.region,
-        address: `${host}:${settings.agent.port}`,
-        proxy:
-          settings.proxy === undefined
-            ? null
-            : {
-                callers: `${host}:${settings.proxy.port}`,
-                peers: `${host}:${settings.proxy.peerPort}`,
-                capacityBps: settings.proxy.capacityBps,
-              },
-        replica:
-          settings.replica === undefined ? null : { address: `${host}:${settings.replica.port}` },
-      },
-      life: randomUUID(),
-      seeds: settings.seeds,
-      founders: settings.founders ?? {},
-      voting: settings.voting ?? null,
-      seed: randomInt(2 ** 31),
-      now: now(),
-    }),
-    reduce: reduceAgent,
-    perform,
+};
+
+const openState = (settings: AgentSettings): AgentState =>
+  openAgent({
+    self: identityOf(settings),
+    life: randomUUID(),
+    seeds: settings.seeds,
+    founders: settings.founders ?? {},
+    voting: settings.voting ?? null,
+    seed: randomInt(2 ** 31),
+    now: now(),
   });
-  const ask = <T>(event: (id: number) => AgentEvent, signal?: AbortSignal): Promise<T> =>
-    new Promise((resolve, reject) => {
-      const id = next;
-      next += 1;
-      signal?.addEventListener(
-        'abort',
-        () => {
-          if (asking.delete(id))
-            task.put({ kind: 'caller-disconnected', requestId: id, now: now() });
-        },
-        { once: true },
+
+/** Carries out an effect of the reducer. */
+const perform = (
+  effect: AgentEffect,
+  put: (event: AgentEvent) => boolean,
+  callers: WaitingCallers,
+  logger: Logger,
+): void => {
+  switch (effect.kind) {
+    case 'send-request': {
+      const { requestId } = effect;
+      sendCall(effect).then(
+        (reply) => put({ kind: 'reply-received', requestId, reply, now: now() }),
+        () => put({ kind: 'request-failed', requestId, now: now() }),
       );
-      if (signal?.aborted === true) {
-        reject(new Error('the caller is gone'));
-        return;
-      }
-      asking.set(id, resolve as (reply: unknown) => void);
-      if (!task.put(event(id))) {
-        asking.delete(id);
-        reject(new Error('too busy'));
-      }
-    });
+      return;
+    }
+    case 'send-reply':
+      callers.reply(effect.requestId, effect.reply);
+      return;
+    case 'send-answer': {
+      const { requestId, status, body, retryAfter } = effect;
+      const answer: ApiReply = {
+        status,
+        body,
+        ...(retryAfter === undefined ? {} : { retryAfter }),
+      };
+      callers.reply(requestId, answer);
+      return;
+    }
+    case 'schedule-wake-up':
+      setTimeout(() => put({ kind: 'wake-up-due', now: now() }), effect.delayMs);
+      return;
+    case 'log':
+      logger.info(effect.event, effect.fields);
+      return;
+  }
+};
 
-  const calls = await serveCalls(
-    { host: listen, port: settings.agent.port },
+/** Serves the calls of other agents. */
+const serveAgents = (settings: AgentSettings, callers: WaitingCallers): Promise<RpcServer> =>
+  serveCalls(
+    { host: settings.listen ?? settings.host, port: settings.agent.port },
     {
       '/agent': (body) =>
-        ask((id) => ({
+        callers.ask((requestId) => ({
           kind: 'agent-request-received',
-          requestId: id,
+          requestId,
           request: body as AgentRequest,
           now: now(),
         })),
     },
   );
-  // Only processes of this machine may feed from it.
-  const feeds = await serveCalls(
+
+/** Serves this machine's proxy; only processes of this machine reach it. */
+const serveProxy = (settings: AgentSettings, callers: WaitingCallers): Promise<RpcServer> =>
+  serveCalls(
     { host: '127.0.0.1', port: settings.agent.feedPort },
     {
       '/feed': (body) =>
-        ask((id) => ({
+        callers.ask((requestId) => ({
           kind: 'proxy-request-received',
-          requestId: id,
+          requestId,
           request: body as ProxyQuery,
           now: now(),
         })),
     },
   );
+
+/** Serves operators and origins. */
+const serveApi = async (
+  settings: AgentSettings,
+  callers: WaitingCallers,
+  options: AgentOptions,
+): Promise<http.Server> => {
   const act: PerformAction = (action, signal) =>
-    ask<ApiReply>((id) => ({ kind: 'action-received', requestId: id, action, now: now() }), signal);
-  const api = options.api === undefined ? apiServer(act) : translatedServer(options.api(act));
+    callers.ask<ApiReply>(
+      (requestId) => ({ kind: 'action-received', requestId, action, now: now() }),
+      signal,
+    );
+  const server = options.api === undefined ? apiServer(act) : translatedServer(options.api(act));
   await new Promise<void>((resolve, reject) => {
-    api.once('error', reject);
-    api.listen(settings.agent.apiPort, listen, resolve);
-  });
-  setInterval(() => task.put({ kind: 'tick', now: now() }), agentTickIntervalMs);
-  logger.info('started', {
-    calls: calls.port,
-    feed: feeds.port,
-    api: settings.agent.apiPort,
-    zone: settings.zone,
-    region: settings.region,
+    server.once('error', reject);
+    server.listen(settings.agent.apiPort, settings.listen ?? settings.host, resolve);
   });
+  return server;
+};
 
-  const leave = (): void => {
+/** Exits once the servers are closed, and after a lease at the latest. */
+const exitOnSignals = (logger: Logger, api: http.Server, servers: readonly RpcServer[]): void => {
+  const shutDown = async (): Promise<void> => {
     logger.info('stopping');
     api.close();
     setTimeout(() => process.exit(0), leaseDurationMs).unref();
-    void calls
-      .close()
-      .then(() => feeds.close())
-      .then(() => process.exit(0));
+    for (const server of servers) await server.close();
+    process.exit(0);
   };
-  process.on('SIGTERM', leave);
-  process.on('SIGINT', leave);
+  process.on('SIGTERM', () => void shutDown());
+  process.on('SIGINT', () => void shutDown());
+};
+
+/**
+ * Runs an agent until the process is told to end.
+ *
+ * @example
+ * await runAgent(SettingsReader.start('agent', process.argv.slice(2)));
+ */
+export const runAgent = async (
+  settings: AgentSettings,
+  options: AgentOptions = {},
+): Promise<void> => {
+  const logger = openLogger({ program: 'agent', node: settings.name });
+  setLocalAddress(settings.host);
+  const callers = new WaitingCallers({ put: (event) => task.put(event), now });
+  const task = Task.run<AgentState, AgentEvent, AgentEffect>({
+    initial: openState(settings),
+    reduce: reduceAgent,
+    perform: (effect, put) => perform(effect, put, callers, logger),
+  });
+  const agents = await serveAgents(settings, callers);
+  const feeds = await serveProxy(settings, callers);
+  const api = await serveApi(settings, callers, options);
+  setInterval(() => task.put({ kind: 'tick', now: now() }), agentTickIntervalMs);
+  const { zone, region, agent } = settings;
+  logger.info('started', {
+    calls: agents.port,
+    feed: feeds.port,
+    api: agent.apiPort,
+    zone,
+    region,
+  });
+  exitOnSignals(logger, api, [agents, feeds]);
 };
