--- /dev/null
+++ b/packages/rpc/src/rpc.ts
@@ -0,0 +1,153 @@
+/** Calls between the project's own processes. */
+
+import http from 'node:http';
+import type { AddressInfo } from 'node:net';
+import { parse, stringify } from 'devalue';
+import { CodedError, errorMessage } from '@reedyard/logging';
+import { callTimeoutMs, maxCallBytes } from './limits.js';
+
+/** A call that brought no answer, or a refused one. */
+export class RpcError extends CodedError {}
+
+/** Address of a process: an IP number and a port, as `127.0.0.1:7001`. */
+export type Address = string;
+
+const readBody = (stream: http.IncomingMessage, maxBytes: number): Promise<string> =>
+  new Promise((resolve, reject) => {
+    const chunks: Buffer[] = [];
+    let size = 0;
+    stream.on('data', (chunk: Buffer) => {
+      size += chunk.length;
+      if (size > maxBytes) {
+        stream.destroy();
+        reject(new RpcError('too-large', `a call of over ${maxBytes} bytes`));
+      } else chunks.push(chunk);
+    });
+    stream.on('end', () => resolve(Buffer.concat(chunks).toString('utf8')));
+    stream.on('error', reject);
+    stream.on('close', () => reject(new RpcError('cut', 'the conn closed inside a call')));
+  });
+
+let agent = new http.Agent({ keepAlive: true, maxSockets: 32, keepAliveMsecs: 5_000 });
+
+/**
+ * Sets the address that calls go out from: on a machine with several, the one that others know.
+ *
+ * @example
+ * speakFrom('10.0.0.7');
+ */
+export const setLocalAddress = (host: string): void => {
+  agent.destroy();
+  agent = new http.Agent({
+    keepAlive: true,
+    maxSockets: 32,
+    keepAliveMsecs: 5_000,
+    localAddress: host,
+  });
+};
+
+/**
+ * Calls another process of the project and waits for its answer.
+ *
+ * @example
+ * const reply = await call('127.0.0.1:7101', '/replica', { kind: 'pull' });
+ */
+export const call = (
+  address: Address,
+  path: string,
+  body: unknown,
+  limitMs: number = callTimeoutMs,
+): Promise<unknown> =>
+  new Promise((resolve, reject) => {
+    const [host, port] = [
+      address.slice(0, address.lastIndexOf(':')),
+      address.slice(address.lastIndexOf(':') + 1),
+    ];
+    const payload = stringify(body);
+    const fail = (thrown: unknown): void =>
+      reject(
+        new RpcError('lost', `call to ${address}${path}: ${errorMessage(thrown)}`, {
+          cause: thrown,
+        }),
+      );
+    const request = http.request(
+      {
+        host,
+        port,
+        path,
+        agent,
+        method: 'POST',
+        headers: {
+          'content-type': 'application/x-devalue',
+          'content-length': Buffer.byteLength(payload),
+        },
+      },
+      (response) => {
+        readBody(response, maxCallBytes)
+          .then((text) => {
+            clearTimeout(timeout);
+            if (response.statusCode === 200) resolve(parse(text));
+            else fail(new Error(`answered ${response.statusCode}`));
+          })
+          .catch(fail);
+      },
+    );
+    const timeout = setTimeout(
+      () => request.destroy(new Error(`no answer in ${limitMs} ms`)),
+      limitMs,
+    );
+    request.on('error', (error) => {
+      clearTimeout(timeout);
+      fail(error);
+    });
+    request.end(payload);
+  });
+
+/** A listening side of calls. */
+export type RpcServer = { readonly port: number; readonly close: () => Promise<void> };
+
+/**
+ * Serves calls of other processes of the project.
+ *
+ * @example
+ * const listening = await serveCalls({ host: '127.0.0.1', port: 0 }, { '/echo': async (body) => body });
+ */
+export const serveCalls = (
+  at: { readonly host: string; readonly port: number },
+  handlers: Readonly<Record<string, (body: unknown) => Promise<unknown>>>,
+): Promise<RpcServer> =>
+  new Promise((resolve, reject) => {
+    const server = http.createServer((request, response) => {
+      const answer = (status: number, text: string): void => {
+        if (!response.headersSent)
+          response.writeHead(status, { 'content-length': Buffer.byteLength(text) });
+        response.end(text);
+      };
+      const handler = handlers[request.url ?? ''];
+      if (handler === undefined) {
+        request.resume();
+        answer(404, '');
+        return;
+      }
+      readBody(request, maxCallBytes)
+        .then((text) => handler(parse(text)))
+        .then((reply) => answer(200, stringify(reply)))
+        .catch((thrown: unknown) => answer(500, errorMessage(thrown)));
+    });
+    server.keepAliveTimeout = 30_000;
+    server.on('error', (error) =>
+      reject(
+        new RpcError('listen', `${at.host}:${at.port}: ${errorMessage(error)}`, { cause: error }),
+      ),
+    );
+    server.listen(at.port, at.host, () =>
+      resolve({
+        port: (server.address() as AddressInfo).port,
+        close: () =>
+          new Promise((done) => {
+            server.close(() => done());
+            server.closeAllConnections();
+          }),
+      }),
+    );
+  });
--- a/packages/topology/src/index.ts
+++ b/packages/topology/src/index.ts
@@ -1,22 +1,2 @@
-export type Machine = {
-  readonly name: string;
-  readonly zone: string;
-  readonly region: string;
-  readonly kind: 'front' | 'store' | 'core';
-  readonly capacityBps?: number;
-};
-export type Origin = {
-  readonly service: string;
-  readonly instance: string;
-  readonly zone: string;
-  readonly region: string;
-  readonly capacity: number;
-  readonly maxAge?: number;
-};
-
-/** A deployment as the examples describe it. */
-export type Deployment = {
-  readonly name: string;
-  readonly machines: readonly Machine[];
-  readonly origins: readonly Origin[];
-};
+/** The example deployments that tests run on. */
+export { type Deployment, type Machine, type Origin } from './topology.js';
