--- a/packages/proxy/src/caller-sockets.test.ts
+++ b/packages/proxy/src/caller-sockets.test.ts
@@ -150,7 +150,7 @@
   await until(() => held.paths.length === 3);
   caller.socket.destroy();
   await until(() => origin.sockets.every((socket) => socket.closed));
-  await until(() => harness.proxy.underWay() === 0);
+  await until(() => harness.proxy.inFlightCount() === 0);
   t.deepEqual(harness.proxy.task.peek().requests, {});
 });
 
@@ -207,11 +207,11 @@
   caller.socket.pause();
   await until(() => Object.keys(harness.proxy.task.peek().requests).length === 0);
   harness.proxy.stop();
-  t.is(harness.proxy.underWay(), 1);
+  t.is(harness.proxy.inFlightCount(), 1);
   caller.socket.resume();
   await caller.first(1);
   t.is(caller.answers()[0]?.body.length, size);
-  await until(() => harness.proxy.underWay() === 0);
+  await until(() => harness.proxy.inFlightCount() === 0);
 });
 
 test('resting connections are kept for the time in force, and told no other', async (t) => {
--- a/packages/proxy/src/testing/proxy-harness.ts
+++ b/packages/proxy/src/testing/proxy-harness.ts
@@ -8,7 +8,7 @@
 import { SettingsReader } from '@reedyard/settings';
 import { ProxyCore } from '../core.js';
 import { ownWireFormat, type WireFormat } from '../dialect.js';
-import { openProxy, type ProxySettings, type Proxy } from '../run.js';
+import { openProxy, type ProxyHost, type ProxySettings } from '../proxy-host.js';
 
 const HOST = '127.0.0.1';
 const SERVICE = 'store';
@@ -80,7 +80,7 @@
 
 /** A running proxy with what it was told. */
 export type Harness = {
-  readonly proxy: Proxy;
+  readonly proxy: ProxyHost;
   readonly feed: FeedParts;
   readonly server: http.Server;
   readonly port: number;
@@ -161,7 +161,7 @@
     peerPort: (peers.address() as AddressInfo).port,
     logged,
     close: () => {
-      proxy.end();
+      proxy.close();
       for (const each of [server, peers]) {
         each.close();
         each.closeAllConnections();
--- a/packages/proxy/src/warm.test.ts
+++ b/packages/proxy/src/warm.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { SettingsReader } from '@reedyard/settings';
 import { type WireFormat, ownWireFormat } from './dialect.js';
-import type { ProxySettings } from './run.js';
+import type { ProxySettings } from './proxy-host.js';
 import { warmUp, warmUpConcurrency, warmUpRequests } from './warm.js';
 
 const settings = SettingsReader.check(
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -9,7 +9,7 @@
 } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import type { WireFormat } from './dialect.js';
-import { openProxy, type ProxySettings } from './run.js';
+import { openProxy, type ProxySettings } from './proxy-host.js';
 
 /** ms. Warming up ends after this at the latest: a share of a core takes some seconds for it. */
 export const maxWarmUpMs = 4_000;
@@ -184,7 +184,7 @@
     }),
   );
   agent.destroy();
-  proxy.end();
+  proxy.close();
   for (const server of [origin, ...servers]) {
     server.close();
     server.closeAllConnections();
