--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -15,6 +15,7 @@
  * finished yet: its sources keep to the rules above these alone. Take it in once it does.
  */
 const finishedPackages = [
+  'agent',
   'attempts',
   'consensus',
   'gossip',
@@ -89,7 +90,7 @@
         { selector: 'typeLike', format: ['PascalCase'] },
         { selector: 'import', format: null },
         // Header fields, codes of the system and keys of tables are what others named.
-        { selector: 'objectLiteralProperty', format: null },
+        { selector: ['objectLiteralProperty', 'objectLiteralMethod'], format: null },
         { selector: 'typeProperty', format: null, modifiers: ['requiresQuotes'] },
       ],
       '@typescript-eslint/consistent-type-definitions': ['error', 'type'],
--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -8,10 +8,11 @@
 import { isolatedAllowanceMs, undelayedForMs } from './control/reachability.js';
 import { learnRecords } from './gossip/gossip-exchange.js';
 import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './messages.js';
+import { openAgent } from './open.js';
 import { originEndpoints, serviceRateLimits, slowStartShare } from './origins/origin-endpoints.js';
 import { originsOf, warmthDoubtMs } from './origins/origins.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './proposals/changes.js';
-import { openAgent, reduceAgent } from './reducer.js';
+import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import { agentTickIntervalMs, lateTickMs } from './tick-delay.js';
 import type { Transition } from './transition.js';
@@ -27,10 +28,10 @@
 const opened = (now = 0): AgentState =>
   openAgent({
     self,
-    life: 'l',
+    incarnation: 'l',
     seeds: [],
     founders: { a: '127.0.0.1:11', b: '127.0.0.1:12', c: '127.0.0.1:13' },
-    seed: 1,
+    randomSeed: 1,
     now,
   });
 const written = (change: RegisterChange, current: unknown): unknown => {
@@ -341,10 +342,10 @@
       const rates = nodes.map((id) => {
         const opening = openAgent({
           self: { ...self, id },
-          life: 'l',
+          incarnation: 'l',
           seeds: [],
           founders: { a: '127.0.0.1:11' },
-          seed: 1,
+          randomSeed: 1,
           now: 0,
         });
         const state = learnt(
@@ -379,10 +380,10 @@
       {
         ...openAgent({
           self: { ...self, servesOn },
-          life: 'l',
+          incarnation: 'l',
           seeds: [],
           founders: { a: '127.0.0.1:11' },
-          seed: 1,
+          randomSeed: 1,
           now: 0,
         }),
         leaseUntil: 1_500,
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -56,8 +56,7 @@
 
 /** Posts a journal entry, unless a majority of disks is known to hold it. */
 const postOnce = (transition: Transition, key: string, id: number, done: unknown): void => {
-  if (transition.state.committedEntryKeys[key] === true)
-    answer(transition, id, { status: 200, body: done });
+  if (transition.state.committedEntryKeys[key]) answer(transition, id, { status: 200, body: done });
   else appendToJournal(transition, [{ key, value: true }], id, done);
 };
 
@@ -106,10 +105,7 @@
   const done = { recorded: true, admitted: why === null, ...(why === null ? {} : { reason: why }) };
   if (!told.draining) answer(transition, id, { status: 200, body: done });
   else if (!toleratesLosses(transition.state)) answer(transition, id, tooFewMembers);
-  else if (
-    isUnreachable(transition.state) &&
-    transition.state.committedEntryKeys[drainKey(told)] !== true
-  )
+  else if (isUnreachable(transition.state) && !transition.state.committedEntryKeys[drainKey(told)])
     answer(transition, id, unreachableAnswer);
   else postOnce(transition, drainKey(told), id, done);
 };
@@ -200,7 +196,7 @@
     case 'purge':
       return true;
     case 'withdraw':
-      return state.committedEntryKeys[withdrawnKey(action.instance)] !== true;
+      return !state.committedEntryKeys[withdrawnKey(action.instance)];
     default:
       return false;
   }
--- a/packages/agent/src/api/api-server.ts
+++ b/packages/agent/src/api/api-server.ts
@@ -231,11 +231,13 @@
   readonly body: Buffer;
   /** Aborted where the caller is gone. */ readonly signal?: AbortSignal;
 };
+/** The response of an API in another form. */
 export type ApiResponse = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 };
+/** An API in another form, which hands each action on. */
 export type TranslatedApi = {
   /** Bytes that the body of a request may have; a larger one is answered with 413. */
   readonly maxBodyBytes: (method: string, target: string) => number;
--- a/packages/agent/src/api/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import { learnRegister } from '../control/polling.js';
-import { openAgent } from '../reducer.js';
+import { openAgent } from '../open.js';
 import {
   addresses,
   allAnswer,
@@ -132,8 +132,8 @@
 
 test('with too few members found so far, what is wanted is shown beside what votes', (t) => {
   const seeds = ['127.0.0.1:11', '127.0.0.1:12', '127.0.0.1:13'];
-  const parts = { self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 };
-  const state = openAgent({ ...parts, voting: { losses: 2, seeds } });
+  const parts = { self, incarnation: 'l', seeds: [], founders: {}, randomSeed: 1, now: 0 };
+  const state = openAgent({ ...parts, bootstrap: { losses: 2, seeds } });
   const before = controlStatus(state);
   t.deepEqual([before.epoch, before.members.length, before.wantedMembers], [0, 0, 5]);
   t.true(before.lossesBorne < 0);
--- a/packages/agent/src/control/control-state.ts
+++ b/packages/agent/src/control/control-state.ts
@@ -7,6 +7,7 @@
 /** The registers that every agent watches. */
 export const watchedRegisters = ['members', 'policy', 'zones', 'plan'] as const;
 
+/** The key of a register that every agent watches. */
 export type WatchedRegister = (typeof watchedRegisters)[number];
 
 /** What a replica's last answer to a poll came to. */
@@ -95,6 +96,7 @@
   { readonly proposalNumber: ProposalNumber; readonly value: unknown }
 >;
 
+/** A replica that has not been asked yet. */
 export const newReplicaView = (address: string, now: number): ReplicaView => ({
   address,
   cursor: null,
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -551,5 +551,6 @@
   learnFetchedValue(transition, key);
 };
 
+/** A poll got no reply; the next one is sent at its time. */
 export const handlePollFailure = (transition: Transition, name: string): void =>
   updateView(transition, name, { pollId: null });
--- a/packages/agent/src/control/registers.ts
+++ b/packages/agent/src/control/registers.ts
@@ -23,6 +23,7 @@
 export const isDiskOfMember = (state: AgentState, replica: string, disk: string): boolean =>
   committedMembershipOf(state)?.value.disks[replica] === disk;
 
+/** The policy in force; null before any is known. */
 export const policyOf = (state: AgentState): PolicyRegister | null =>
   (state.registers.policy?.value ?? null) as PolicyRegister | null;
 
@@ -40,6 +41,7 @@
   };
 };
 
+/** The zones register; null before any order is known. */
 export const zonesOf = (state: AgentState): ZonesRegister | null =>
   state.registers.zones === undefined ? null : zonesValueOf(state.registers.zones.value);
 
@@ -47,5 +49,6 @@
 export const zonesWithClosedOrigins = (state: AgentState): readonly string[] =>
   zonesOf(state)?.closedOrigins ?? [];
 
+/** The quota allocation in force; null before any is known. */
 export const quotaAllocationOf = (state: AgentState): QuotaAllocation | null =>
   (state.registers.plan?.value ?? null) as QuotaAllocation | null;
--- a/packages/agent/src/expiry.ts
+++ b/packages/agent/src/expiry.ts
@@ -21,7 +21,7 @@
   update(transition, {
     entries: live,
     entryKeys: flags(keys),
-    committedEntryKeys: flags(keys.filter((key) => posted[key] === true)),
+    committedEntryKeys: flags(keys.filter((key) => posted[key])),
   });
 };
 
@@ -35,6 +35,7 @@
   });
 };
 
+/** Lets everything go that has expired. */
 export const expireState = (transition: Transition): void => {
   update(transition, {
     gossip: expireRecords(transition.state.gossip, transition.state.now).state,
--- a/packages/agent/src/feed/feed.test.ts
+++ b/packages/agent/src/feed/feed.test.ts
@@ -1,6 +1,7 @@
 import test from 'ava';
-import { openAgent, reduceAgent } from '../reducer.js';
 import type { AgentState, FeedPartsHeld, FeedReply, ProxyReport } from '../index.js';
+import { openAgent } from '../open.js';
+import { reduceAgent } from '../reducer.js';
 
 const self = {
   id: 'front-1',
@@ -11,7 +12,14 @@
   replica: null,
 };
 const open = (life: string): AgentState =>
-  openAgent({ self, life, seeds: [], founders: { 'core-1': '127.0.0.2:7101' }, seed: 1, now: 0 });
+  openAgent({
+    self,
+    incarnation: life,
+    seeds: [],
+    founders: { 'core-1': '127.0.0.2:7101' },
+    randomSeed: 1,
+    now: 0,
+  });
 const report: ProxyReport = {
   policyRevision: 0,
   life: '',
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -12,7 +12,6 @@
 import type { Description } from '@reedyard/schemas';
 import { eagerPollingMs } from '../control/lease.js';
 import { followMovedReplicas } from '../membership/known-replicas.js';
-import type { AgentRequest } from '../messages.js';
 import { isOutdated } from '../origins/origins.js';
 import type { AgentState } from '../state.js';
 import { nextRandom, sendToAgent, type Transition, update } from '../transition.js';
@@ -50,90 +49,112 @@
   }
 };
 
-/**
- * One gossip exchange with a neighbour, a seed, or now and then any node, so that cut parts meet
- * again.
- */
-export const exchangeGossip = (transition: Transition): void => {
-  const { state } = transition;
-  const draw = nextRandom(transition);
-  const nodes = nodesOf(state).filter(({ record }) => record.id !== state.self.id);
-  const seeds = state.seeds.filter((seed) => seed !== state.self.address);
-  const anySeed = seeds[Math.floor(nextRandom(transition) * seeds.length)];
-  const anyNode = nodes[Math.floor(nextRandom(transition) * nodes.length)];
-  const oldest = state.gossip.view.reduce<Neighbour | null>(
-    (best, each) => (best === null || each.age > best.age ? each : best),
+/** The share of exchanges that go to a seed, and to any node: so that cut parts meet again. */
+const seedShare = 0.1;
+const anyNodeShare = 0.1;
+
+const itemAt = <Item>(items: readonly Item[], random: number): Item | undefined =>
+  items[Math.floor(random * items.length)];
+
+const oldestOf = (view: readonly Neighbour[]): Neighbour | null =>
+  view.reduce<Neighbour | null>(
+    (oldest, each) => (oldest === null || each.age > oldest.age ? each : oldest),
     null,
   );
-  if (isJoining(state)) announceSelf(transition);
+
+/** Random numbers in [0, 1) that an exchange's target is chosen by. */
+type TargetDraw = { readonly kind: number; readonly seed: number; readonly node: number };
+
+/** The address of the agent to exchange with. */
+const targetOf = (
+  state: AgentState,
+  oldest: Neighbour | null,
+  draw: TargetDraw,
+): string | undefined => {
+  const seeds = state.seeds.filter((seed) => seed !== state.self.address);
   const joinTargets = isJoining(state) ? [...replicaAgents(state), ...seeds] : [];
-  const joinTarget = joinTargets[Math.floor(draw * joinTargets.length)];
-  const target =
-    joinTarget !== undefined
-      ? joinTarget
-      : oldest === null || draw < 0.1
-        ? anySeed
-        : draw < 0.2 && anyNode !== undefined
-          ? anyNode.record.address
-          : oldest.address;
+  const joinTarget = itemAt(joinTargets, draw.kind);
+  if (joinTarget !== undefined) return joinTarget;
+  if (oldest === null || draw.kind < seedShare) return itemAt(seeds, draw.seed);
+  const others = nodesOf(state).filter(({ record }) => record.id !== state.self.id);
+  const anyNode = itemAt(others, draw.node);
+  const goesToAnyNode = draw.kind < seedShare + anyNodeShare && anyNode !== undefined;
+  return goesToAnyNode ? anyNode.record.address : oldest.address;
+};
+
+/** The view after an exchange: the chosen neighbour is young again, all others are older. */
+const agedView = (view: readonly Neighbour[], chosen: Neighbour | null): readonly Neighbour[] =>
+  view.map((each) => ({ ...each, age: each.id === chosen?.id ? 0 : each.age + 1 }));
+
+/** One exchange: with the oldest neighbour, a seed, or any node. */
+export const exchangeGossip = (transition: Transition): void => {
+  const draw = {
+    kind: nextRandom(transition),
+    seed: nextRandom(transition),
+    node: nextRandom(transition),
+  };
+  const { state } = transition;
+  if (isJoining(state)) announceSelf(transition);
+  const oldest = oldestOf(state.gossip.view);
+  const target = targetOf(state, oldest, draw);
   if (target === undefined) return;
   const self = { id: state.self.id, address: state.self.address };
-  const body: AgentRequest = {
-    kind: 'exchange',
-    exchange: {
-      from: self,
-      digest: digestOf(state.gossip),
-      sample: sampleView(state.gossip.view, self, nextRandom(transition)),
-    },
+  const exchange = {
+    from: self,
+    digest: digestOf(state.gossip),
+    sample: sampleView(state.gossip.view, self, nextRandom(transition)),
   };
-  sendToAgent(transition, target, body, {
-    kind: 'exchange',
-    to: target,
-    peer: oldest !== null && target === oldest.address ? oldest.id : null,
-  });
-  update(transition, {
-    gossip: {
-      ...transition.state.gossip,
-      view: transition.state.gossip.view.map((each) =>
-        oldest !== null && each.id === oldest.id
-          ? { ...each, age: 0 }
-          : { ...each, age: each.age + 1 },
-      ),
-    },
-  });
+  const peer = target === oldest?.address ? oldest.id : null;
+  sendToAgent(
+    transition,
+    target,
+    { kind: 'exchange', exchange },
+    { kind: 'exchange', to: target, peer },
+  );
+  const { gossip } = transition.state;
+  update(transition, { gossip: { ...gossip, view: agedView(gossip.view, oldest) } });
 };
 
-/** Learns tellings; one's own that came back with a higher revision are told again above it. */
+/**
+ * Two nodes may each have heard an origin without the other: what it said later is published again
+ * above a revision that bears what it said earlier.
+ */
+const republishNewerOrigins = (
+  transition: Transition,
+  before: AgentState,
+  updates: GossipExchangeReply['newer'],
+  newKeys: readonly string[],
+): void => {
+  for (const key of newKeys.filter((each) => each.startsWith('origin/'))) {
+    const heard = updates[key]?.value as Description | null | undefined;
+    const own = before.gossip.records[key];
+    if (!heard || own === undefined || !isOutdated(before, heard)) continue;
+    const { gossip } = transition.state;
+    update(transition, { gossip: publishRecord(gossip, key, own.value, own.seenAt) });
+  }
+};
+
+/** This node's own records that came back with a higher revision are published again above it. */
+const republishOwn = (transition: Transition, newKeys: readonly string[]): void => {
+  const { id } = transition.state.self;
+  if (newKeys.includes(`node/${id}`)) heartbeat(transition, true);
+  const vectorKey = `vector/${id}`;
+  const { announcedVector, gossip, now } = transition.state;
+  if (newKeys.includes(vectorKey) && announcedVector !== null)
+    update(transition, { gossip: publishRecord(gossip, vectorKey, announcedVector, now) });
+};
+
+/** Learns what another node sent, and does what follows from it. */
 export const learnRecords = (
   transition: Transition,
-  tellings: GossipExchangeReply['newer'],
+  updates: GossipExchangeReply['newer'],
 ): void => {
   const before = transition.state;
-  const learned = mergeUpdates(before.gossip, tellings, before.now);
-  update(transition, { gossip: learned.state });
-  // Two nodes may each have heard an origin without the other: what it said later is told again
-  // above.
-  for (const key of learned.news) {
-    const told = tellings[key]?.value as Description | null | undefined;
-    const held = before.gossip.records[key];
-    if (key.startsWith('origin/') && told && held !== undefined && isOutdated(before, told))
-      update(transition, {
-        gossip: publishRecord(transition.state.gossip, key, held.value, held.seenAt),
-      });
-  }
-  const own = [`node/${transition.state.self.id}`, `vector/${transition.state.self.id}`];
-  if (learned.news.includes(own[0] ?? '')) heartbeat(transition, true);
-  if (learned.news.includes(own[1] ?? '') && transition.state.announcedVector !== null) {
-    update(transition, {
-      gossip: publishRecord(
-        transition.state.gossip,
-        own[1] ?? '',
-        transition.state.announcedVector,
-        transition.state.now,
-      ),
-    });
-  }
-  if (learned.news.some((key) => key.startsWith('vector/')))
+  const { state: gossip, news: newKeys, values } = mergeUpdates(before.gossip, updates, before.now);
+  update(transition, { gossip });
+  republishNewerOrigins(transition, before, updates, newKeys);
+  republishOwn(transition, newKeys);
+  if (newKeys.some((key) => key.startsWith('vector/')))
     update(transition, { isRoutingTableStale: true });
-  if (learned.values.some((key) => key.startsWith('node/'))) followMovedReplicas(transition);
+  if (values.some((key) => key.startsWith('node/'))) followMovedReplicas(transition);
 };
--- a/packages/agent/src/gossip/node-record.ts
+++ b/packages/agent/src/gossip/node-record.ts
@@ -6,7 +6,8 @@
 import { publishRecord, recordValue, renewalsSinceFull, renewRecord } from '@reedyard/gossip';
 import { leaseDurationMs } from '@reedyard/replica';
 import { actingAllowanceMs } from '../control/reachability.js';
-import type { NodeRecord } from '../messages.js';
+import type { NodeRecord, ProxyReport } from '../messages.js';
+import type { AgentState } from '../state.js';
 import { nextRandom, type Transition, update } from '../transition.js';
 
 /** ms. A node's own record gets a new revision, which is its heartbeat. */
@@ -55,45 +56,52 @@
     }),
   );
 
+/** What this machine's replica last said of its disk, while that is not outdated. */
+const replicaFields = ({ self, ownReplica, now }: AgentState): NodeRecord['replica'] => {
+  if (self.replica === null || ownReplica === null) return self.replica;
+  if (now - ownReplica.at > leaseDurationMs) return self.replica;
+  return { ...self.replica, disk: ownReplica.diskId, fresh: ownReplica.isBlank };
+};
+
+/** The report of this machine's proxy, while it asks for its feed. */
+const liveReport = ({ proxyReport, now }: AgentState): ProxyReport | null =>
+  proxyReport !== null && now - proxyReport.at < leaseDurationMs ? proxyReport.proxyReport : null;
+
+const ownRecord = (state: AgentState, announced: NodeRecord | null): NodeRecord => {
+  const { id, zone, region, address, proxy } = state.self;
+  const report = liveReport(state);
+  const staying = proxy !== null && report !== null && !report.stopping;
+  return {
+    id,
+    zone,
+    region,
+    address,
+    proxy,
+    replica: replicaFields(state),
+    ready: staying && actingAllowanceMs(state) > 0,
+    staying,
+    proxyLife: state.proxyReport?.proxyReport.proxyLife ?? '',
+    wants: report === null ? {} : steadyDemand(report.wants, announced?.wants ?? {}),
+  };
+};
+
 /**
- * Tells this node's own record again; each new revision is a heartbeat. It is sent in full where it
- * changed, where a life begins and now and then.
+ * Announces this node's own record; each new revision is a heartbeat. It is sent in full where it
+ * changed, where an incarnation begins and now and then.
  */
-export const heartbeat = (transition: Transition, whole = false): void => {
-  const { self, proxyReport: report, now } = transition.state;
-  const own = transition.state.ownReplica;
-  const key = `node/${self.id}`;
-  const told = recordValue(transition.state.gossip, key) as NodeRecord | null | undefined;
-  const fed = report !== null && now - report.at < leaseDurationMs;
-  const record: NodeRecord = {
-    id: self.id,
-    zone: self.zone,
-    region: self.region,
-    address: self.address,
-    proxy: self.proxy,
-    replica:
-      self.replica === null || own === null || now - own.at > leaseDurationMs
-        ? self.replica
-        : { ...self.replica, disk: own.diskId, fresh: own.isBlank },
-    ready:
-      self.proxy !== null &&
-      fed &&
-      !report.proxyReport.stopping &&
-      actingAllowanceMs(transition.state) > 0,
-    staying: self.proxy !== null && fed && !report.proxyReport.stopping,
-    proxyLife: report?.proxyReport.proxyLife ?? '',
-    wants: fed ? steadyDemand(report.proxyReport.wants, told?.wants ?? {}) : {},
-  };
-  if (
-    !whole &&
-    told &&
-    renewalsSinceFull(transition.state.gossip, key) < heartbeatsToFullRecord &&
-    JSON.stringify(told) === JSON.stringify(record)
-  ) {
-    update(transition, { gossip: renewRecord(transition.state.gossip, key, now) });
+export const heartbeat = (transition: Transition, isFull = false): void => {
+  const { state } = transition;
+  const { gossip, now } = state;
+  const key = `node/${state.self.id}`;
+  const announced = (recordValue(gossip, key) as NodeRecord | null | undefined) ?? null;
+  const record = ownRecord(state, announced);
+  const isUnchanged = announced !== null && JSON.stringify(announced) === JSON.stringify(record);
+  if (!isFull && isUnchanged && renewalsSinceFull(gossip, key) < heartbeatsToFullRecord) {
+    update(transition, { gossip: renewRecord(gossip, key, now) });
     return;
   }
-  // A life begins anywhere, so that the revisions of two incarnations do not pass for one row.
-  const least = told ? 1 : 1 + Math.floor(nextRandom(transition) * maxFirstRevision);
-  update(transition, { gossip: publishRecord(transition.state.gossip, key, record, now, least) });
+  // An incarnation's revisions begin anywhere, so that those of two do not pass for one row.
+  const minRevision =
+    announced === null ? 1 + Math.floor(nextRandom(transition) * maxFirstRevision) : 1;
+  update(transition, { gossip: publishRecord(gossip, key, record, now, minRevision) });
 };
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,5 +1,6 @@
 export * from './messages.js';
-export { openAgent, reduceAgent } from './reducer.js';
+export { openAgent, type AgentParts } from './open.js';
+export { reduceAgent } from './reducer.js';
 export type { AgentState } from './state.js';
 export { runAgent, type AgentOptions, type AgentSettings } from './run.js';
 export {
--- a/packages/agent/src/membership/membership.test.ts
+++ b/packages/agent/src/membership/membership.test.ts
@@ -2,7 +2,8 @@
 import { type CommittedMembership, leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import { pollIntervalAtRestMs } from '../control/lease.js';
 import type { AgentEffect, AgentEvent, NodeRecord } from '../messages.js';
-import { openAgent, reduceAgent } from '../reducer.js';
+import { openAgent } from '../open.js';
+import { reduceAgent } from '../reducer.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import { joinBudgetMs } from './membership.js';
 
@@ -46,11 +47,11 @@
         proxy: null,
         replica: { address: 'a' },
       },
-      life: 'life-1',
+      incarnation: 'life-1',
       seeds: ['b/agent'],
       founders: {},
-      voting: { losses: 1, seeds: ['a', 'b', 'c'], catchUpMs },
-      seed: 7,
+      bootstrap: { losses: 1, seeds: ['a', 'b', 'c'], catchUpMs },
+      randomSeed: 7,
       now: 0,
     });
   }
--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -79,8 +79,9 @@
   readonly changes: readonly { readonly id: string; readonly revision: number }[];
 };
 
-/** What a claim's register holds: never a body. */
+/** How far a claimed request got. */
 export type ClaimState = 'pending' | 'ran' | 'not-run' | 'unknown';
+/** What a claim's register holds: never a body. */
 export type ClaimRegister = {
   readonly token: string;
   readonly state: ClaimState;
@@ -112,6 +113,7 @@
   readonly counters: Readonly<Record<string, number>>;
 };
 
+/** An origin as the proxy uses it. */
 export type OriginEndpoint = {
   readonly service: string;
   readonly instance: string;
@@ -129,6 +131,7 @@
   /** Attempts a second that this node may make to it; Infinity where nothing bounds them. */
   readonly rate: number;
 };
+/** Another node's proxy as a proxy uses it. */
 export type PeerEndpoint = {
   readonly id: string;
   readonly zone: string;
@@ -161,6 +164,7 @@
 
 /** Parts of a feed that are told only to a proxy that does not hold them as they are. */
 export const feedParts = ['origins', 'peers', 'emptied', 'split', 'slices'] as const;
+/** The name of a part of the feed that is sent only where it changed. */
 export type FeedPart = (typeof feedParts)[number];
 /** For each part a number that grows when it changes, within one incarnation of the agent. */
 export type Revisions = Readonly<Record<FeedPart, number>>;
@@ -187,6 +191,7 @@
       readonly state: ClaimState;
     };
 
+/** What a proxy is told of its claim. */
 export type ClaimReply =
   | { readonly kind: 'granted' }
   | { readonly kind: 'taken'; readonly state: ClaimState }
@@ -199,6 +204,7 @@
   | { readonly kind: 'exchange'; readonly exchange: GossipExchange }
   | { readonly kind: 'push'; readonly tellings: Readonly<Record<string, RecordUpdate>> }
   | { readonly kind: 'ping' };
+/** What agents reply to each other. */
 export type AgentReply =
   { readonly kind: 'exchanged'; readonly exchanged: GossipExchangeReply } | { readonly kind: 'ok' };
 
@@ -223,6 +229,7 @@
     }
   | { readonly kind: 'status' | 'shares' | 'peers' | 'ready' | 'live' };
 
+/** What happens to an agent, with the ms of its clock at which it came. */
 export type AgentEvent =
   | { readonly kind: 'tick'; readonly now: number }
   | {
@@ -255,6 +262,7 @@
   /** The time that a `wake` effect asked for has come. */
   | { readonly kind: 'wake-up-due'; readonly now: number };
 
+/** What an agent's reducer wants done, in order. */
 export type AgentEffect =
   | {
       readonly kind: 'send-request';
--- a/packages/agent/src/origins/origins.ts
+++ b/packages/agent/src/origins/origins.ts
@@ -27,6 +27,7 @@
   return null;
 };
 
+/** The journal's key of a notice that an incarnation of an origin drains. */
 export const drainKey = (description: Description): string =>
   `drain/${description.service}/${description.instance}/${description.incarnation}`;
 
@@ -53,6 +54,7 @@
   return known !== undefined && known !== null && isOlder(description, known);
 };
 
+/** The key of an origin's record in gossip. */
 export const originKey = (description: Description): string =>
   `origin/${description.service}/${description.instance}`;
 
--- a/packages/agent/src/proposals/change-ids.ts
+++ b/packages/agent/src/proposals/change-ids.ts
@@ -28,6 +28,7 @@
 
 /** Registers whose changes have ids. */
 export const identified = ['policy', 'zones'] as const;
+/** The key of a register whose changes have ids. */
 export type Identified = (typeof identified)[number];
 
 /** Bytes of one remembered change beside its id: quotes, names and the revision. */
--- a/packages/agent/src/proposals/changes.test.ts
+++ b/packages/agent/src/proposals/changes.test.ts
@@ -3,7 +3,8 @@
 import { learnRegister } from '../control/polling.js';
 import { zonesValueOf } from '../control/registers.js';
 import type { PolicyRegister } from '../messages.js';
-import { openAgent, reduceAgent } from '../reducer.js';
+import { openAgent } from '../open.js';
+import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
 import { lapsedRevision, recentChangesMaxBytes, repeatWindowMs } from './change-ids.js';
@@ -120,7 +121,14 @@
 });
 
 test('a revision counts as lapsed once this node has known it for the repeat window, by its own clock', (t) => {
-  let state: AgentState = openAgent({ self, life: 'l', seeds: [], founders: {}, seed: 1, now: 0 });
+  let state: AgentState = openAgent({
+    self,
+    incarnation: 'l',
+    seeds: [],
+    founders: {},
+    randomSeed: 1,
+    now: 0,
+  });
   const learn = (revision: number, now: number): void => {
     const transition: Transition = { state: { ...state, now }, effects: [] };
     learnRegister(
@@ -140,7 +148,7 @@
   // A node that has just started knows nothing to be old.
   t.is(
     lapsedRevision(
-      openAgent({ self, life: 'm', seeds: [], founders: {}, seed: 1, now: 90_000 }),
+      openAgent({ self, incarnation: 'm', seeds: [], founders: {}, randomSeed: 1, now: 90_000 }),
       'zones',
     ),
     0,
--- a/packages/agent/src/proposals/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -23,7 +23,7 @@
 export type RegisterChange = (current: unknown, reading?: ReadHistory) => ChangeResult;
 
 /** Why an operator's change was refused. */
-export const Refusals = {
+export const refusalReasons = {
   staleRevision: 'stale-revision',
   /** Another configuration is held under the same version. */
   versionTaken: 'version-taken',
@@ -56,29 +56,54 @@
  * one may be confirmed under a version.
  */
 export const putPolicyChange =
-  ({ document, ifMatch, changeId, lapsed }: PolicyOrder): RegisterChange =>
+  (order: PolicyOrder): RegisterChange =>
   (current) => {
-    const old = current as PolicyRegister | null;
-    if (findChange(old?.changes ?? [], changeId) !== undefined) return keep;
-    const order = old === null ? 'newer' : compareVersions(old.document, document);
-    const revision = old?.revision ?? 0;
-    // Sent again under the revision that it replaced: it was taken then.
-    const isRepeat = ifMatch === revision - 1;
-    const mayBeInForce =
-      isRepeat || (order === 'equal' && (ifMatch === null || ifMatch === revision));
-    if (old !== null && mayBeInForce && hasSameContent(old.document, document)) return keep;
-    if (ifMatch !== null && ifMatch !== revision)
-      return { kind: 'refuse', reason: Refusals.staleRevision };
-    if (order === 'older') return keep;
-    if (order === 'equal') return { kind: 'refuse', reason: Refusals.versionTaken };
-    const made = { id: changeId, revision: revision + 1 };
-    const changes = rememberChange(old?.changes ?? [], made, lapsed);
-    return {
-      kind: 'write',
-      value: { revision: made.revision, document, changes } satisfies PolicyRegister,
-    };
+    const inForce = current as PolicyRegister | null;
+    if (inForce === null) return putFirstPolicy(order);
+    if (findChange(inForce.changes, order.changeId) !== undefined) return keep;
+    if (isHeldAlready(inForce, order)) return keep;
+    if (order.ifMatch !== null && order.ifMatch !== inForce.revision)
+      return { kind: 'refuse', reason: refusalReasons.staleRevision };
+    switch (compareVersions(inForce.document, order.document)) {
+      case 'older':
+        return keep;
+      case 'equal':
+        return { kind: 'refuse', reason: refusalReasons.versionTaken };
+      case 'newer':
+        return writePolicy(order, inForce.revision, inForce.changes);
+    }
   };
 
+/** The first policy of all; it can't be conditional on an earlier revision. */
+const putFirstPolicy = (order: PolicyOrder): ChangeResult =>
+  order.ifMatch !== null && order.ifMatch !== 0
+    ? { kind: 'refuse', reason: refusalReasons.staleRevision }
+    : writePolicy(order, 0, []);
+
+/**
+ * Whether the order's very content is in force: sent again under its own version, or under the
+ * revision that it replaced, since it was taken then.
+ */
+const isHeldAlready = (
+  { revision, document }: PolicyRegister,
+  { ifMatch, document: sent }: PolicyOrder,
+): boolean => {
+  const isRepeat = ifMatch === revision - 1;
+  const isEqualVersion = compareVersions(document, sent) === 'equal';
+  const mayBeInForce = isRepeat || (isEqualVersion && (ifMatch === null || ifMatch === revision));
+  return mayBeInForce && hasSameContent(document, sent);
+};
+
+const writePolicy = (
+  { document, changeId, lapsed }: PolicyOrder,
+  revisionBefore: number,
+  changesBefore: PolicyRegister['changes'],
+): ChangeResult => {
+  const revision = revisionBefore + 1;
+  const changes = rememberChange(changesBefore, { id: changeId, revision }, lapsed);
+  return { kind: 'write', value: { revision, document, changes } satisfies PolicyRegister };
+};
+
 /** An order for a zone, with what tells a repeat of it from a new one. */
 export type ZoneOrderChange = {
   readonly zone: string;
@@ -133,7 +158,9 @@
     const { zone } = sent;
     const next = zonesAfter(old, sent);
     if (isOvertaken(reading, zone)) {
-      return isInForce(old, next, zone) ? keep : { kind: 'refuse', reason: Refusals.overtaken };
+      return isInForce(old, next, zone)
+        ? keep
+        : { kind: 'refuse', reason: refusalReasons.overtaken };
     }
     const revision = old.revision + 1;
     const isReopened = old.closedOrigins.includes(zone) && !next.closedOrigins.includes(zone);
@@ -185,19 +212,21 @@
       : { kind: 'refuse', reason: 'fenced' };
   };
 
+/** What tells one allocation from the next. */
+const allocationId = (allocation: QuotaAllocation | null): string =>
+  `${allocation?.term ?? 0}/${allocation?.beat ?? 0}`;
+
 /** Takes the quota leadership where it was found vacant, unless anything moved since. */
 export const takeQuotaLeadershipChange =
   (seen: QuotaAllocation | null, goal: QuotaAllocation): RegisterChange =>
   (current) => {
-    const old = current as QuotaAllocation | null;
-    if (old !== null && old.term === goal.term && old.holder === goal.holder) return keep;
-    if ((old?.term ?? 0) !== (seen?.term ?? 0) || (old?.beat ?? 0) !== (seen?.beat ?? 0)) {
+    const inForce = current as QuotaAllocation | null;
+    const isTaken = inForce?.term === goal.term && inForce.holder === goal.holder;
+    if (isTaken) return keep;
+    if (allocationId(inForce) !== allocationId(seen))
       return { kind: 'refuse', reason: 'not vacant' };
-    }
-    return {
-      kind: 'write',
-      value: { ...goal, slices: old?.slices ?? {}, seated: old?.seated ?? [] },
-    };
+    const { slices = {}, seated = [] } = inForce ?? {};
+    return { kind: 'write', value: { ...goal, slices, seated } };
   };
 
 /**
@@ -213,34 +242,40 @@
   return { predecessors: without(members.predecessors, member) };
 };
 
+const membershipChanged: ChangeResult = {
+  kind: 'refuse',
+  reason: 'the members have changed',
+};
+
+/** The fields that change where a slot gets another disk, and where its address changes. */
+const withSlot = (
+  before: Membership,
+  slot: string,
+  diskId: string,
+  address: string | undefined,
+): Membership => {
+  const epoch = before.epoch + 1;
+  const isNewDisk = before.disks[slot] !== diskId;
+  return {
+    ...before,
+    epoch,
+    disks: { ...before.disks, [slot]: diskId },
+    ...(address === undefined ? {} : { addresses: { ...before.addresses, [slot]: address } }),
+    ...predecessorsWithout(before, isNewDisk ? slot : undefined),
+    ...(isNewDisk ? { joinedIn: { ...before.joinedIn, [slot]: epoch } } : {}),
+  };
+};
+
 /** Gives a slot to another disk: one at a time, and only by the members just before. */
 export const assignSlotChange =
-  (known: Membership, replica: string, disk: string, address?: string): RegisterChange =>
+  (known: Membership, slot: string, diskId: string, address?: string): RegisterChange =>
   (current) => {
-    const old = current as Membership | null;
-    const isThere = (held: Membership): boolean =>
-      held.disks[replica] === disk &&
-      (address === undefined || held.addresses?.[replica] === address);
-    if (old === null || isThere(old)) return keep;
-    if (old.epoch !== known.epoch) return { kind: 'refuse', reason: 'the members have changed' };
-    const addresses =
-      address === undefined ? {} : { addresses: { ...old.addresses, [replica]: address } };
-    const disks = { ...old.disks, [replica]: disk };
-    const predecessors = predecessorsWithout(
-      old,
-      old.disks[replica] === disk ? undefined : replica,
-    );
-    const isNewDisk = old.disks[replica] !== disk;
-    const joinedIn = isNewDisk ? { joinedIn: { ...old.joinedIn, [replica]: old.epoch + 1 } } : {};
-    const value = {
-      ...old,
-      epoch: old.epoch + 1,
-      disks,
-      ...addresses,
-      ...predecessors,
-      ...joinedIn,
-    };
-    return { kind: 'write', value: value satisfies Membership };
+    const before = current as Membership | null;
+    if (before === null) return keep;
+    const isSameAddress = address === undefined || before.addresses?.[slot] === address;
+    if (before.disks[slot] === diskId && isSameAddress) return keep;
+    if (before.epoch !== known.epoch) return membershipChanged;
+    return { kind: 'write', value: withSlot(before, slot, diskId, address) };
   };
 
 /** Gives a slot up, and another, of a disk without one, in its stead. */
@@ -256,7 +291,7 @@
     const old = current as Membership | null;
     if (old === null || old.disks[replica] === disk) return keep;
     if (old.epoch !== known.epoch || old.disks[gone] === undefined) {
-      return { kind: 'refuse', reason: 'the members have changed' };
+      return membershipChanged;
     }
     const disks = { ...without(old.disks, gone), [replica]: disk };
     const addresses = { ...without(old.addresses ?? {}, gone), [replica]: address };
--- a/packages/agent/src/proposals/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -16,7 +16,7 @@
 import { quotaRaiseDelayMs } from '../quota/quota-leadership.js';
 import { log, type Transition, update } from '../transition.js';
 import { findChange } from './change-ids.js';
-import { Refusals } from './changes.js';
+import { refusalReasons } from './changes.js';
 import type { Purpose } from './proposal-state.js';
 
 /** How a change of a register ended, and what the register held after it. */
@@ -33,7 +33,7 @@
 
 const refusedPolicy = (reason: string, value: PolicyRegister | null): ApiAnswer => {
   const revision = value?.revision ?? 0;
-  const isTaken = reason === Refusals.versionTaken;
+  const isTaken = reason === refusalReasons.versionTaken;
   const detail = isTaken
     ? `another policy is in force under version ${value?.document.version ?? 0}`
     : `the policy in force has revision ${revision}`;
--- a/packages/agent/src/proposals/journal-appends.ts
+++ b/packages/agent/src/proposals/journal-appends.ts
@@ -9,7 +9,7 @@
 import { isDiskOfMember } from '../control/registers.js';
 import { without } from '../table.js';
 import { sendToReplica, takeRequestId, type Transition, update } from '../transition.js';
-import { proposalTimeoutMs, resendMs } from './proposal-state.js';
+import { type PendingAppend, proposalTimeoutMs, resendMs } from './proposal-state.js';
 
 /**
  * Posts journal entries; the waiting caller is answered with `done` once a majority has them on
@@ -34,6 +34,7 @@
   tendAppends(transition);
 };
 
+/** Counts a replica that appended; answers the caller once a majority has. */
 export const handleAppendReply = (
   transition: Transition,
   which: number,
@@ -70,41 +71,33 @@
   });
 };
 
-/**
- * Sends journal entries again to replicas that did not answer; gives a posting up that has taken
- * too long.
- */
+const failAppend = (transition: Transition, appendId: number, append: PendingAppend): void => {
+  update(transition, { pendingAppends: without(transition.state.pendingAppends, appendId) });
+  const requestId = append.callerId;
+  transition.effects.push({ kind: 'send-answer', requestId, ...unreached('The order') });
+};
+
+/** Sends an append to the replicas that have not acknowledged it. */
+const sendAppend = (transition: Transition, appendId: number, append: PendingAppend): void => {
+  const { pendingAppends, now, replicas } = transition.state;
+  update(transition, {
+    pendingAppends: { ...pendingAppends, [appendId]: { ...append, lastSentAt: now } },
+  });
+  for (const [replica, { address }] of Object.entries(replicas)) {
+    if (append.acknowledgedBy.includes(replica)) continue;
+    const operation = { kind: 'append-entries', entries: append.entries } as const;
+    sendToReplica(transition, address, operation, { kind: 'append-entries', appendId, replica });
+  }
+};
+
+/** Sends appends again to replicas that did not answer; fails one that has taken too long. */
 export const tendAppends = (transition: Transition): void => {
   const { now } = transition.state;
-  for (const [name, posting] of Object.entries(transition.state.pendingAppends)) {
-    const which = Number(name);
-    if (
-      now - posting.requestedAt > proposalTimeoutMs ||
-      isAppendIsolated(transition.state, posting)
-    ) {
-      update(transition, { pendingAppends: without(transition.state.pendingAppends, which) });
-      transition.effects.push({
-        kind: 'send-answer',
-        requestId: posting.callerId,
-        ...unreached('The order'),
-      });
-    } else if (now - posting.lastSentAt >= resendMs) {
-      update(transition, {
-        pendingAppends: {
-          ...transition.state.pendingAppends,
-          [which]: { ...posting, lastSentAt: now },
-        },
-      });
-      for (const [replica, view] of Object.entries(transition.state.replicas)) {
-        if (posting.acknowledgedBy.includes(replica)) continue;
-        const pending = { kind: 'append-entries', appendId: which, replica } as const;
-        sendToReplica(
-          transition,
-          view.address,
-          { kind: 'append-entries', entries: posting.entries },
-          pending,
-        );
-      }
-    }
+  for (const [name, append] of Object.entries(transition.state.pendingAppends)) {
+    const appendId = Number(name);
+    const isOverdue = now - append.requestedAt > proposalTimeoutMs;
+    if (isOverdue || isAppendIsolated(transition.state, append))
+      failAppend(transition, appendId, append);
+    else if (now - append.lastSentAt >= resendMs) sendAppend(transition, appendId, append);
   }
 };
--- a/packages/agent/src/proposals/proposal-state.ts
+++ b/packages/agent/src/proposals/proposal-state.ts
@@ -69,6 +69,7 @@
   readonly retryAt: number | null;
 };
 
+/** Journal entries on their way to a majority of disks, for a caller that waits. */
 export type PendingAppend = {
   readonly entries: readonly JournalEntry[];
   readonly acknowledgedBy: readonly string[];
--- a/packages/agent/src/proposals/proposals.test.ts
+++ b/packages/agent/src/proposals/proposals.test.ts
@@ -8,7 +8,8 @@
 import { Schemas } from '@reedyard/schemas';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect, AgentEvent, ApiAction } from '../messages.js';
-import { openAgent, reduceAgent } from '../reducer.js';
+import { openAgent } from '../open.js';
+import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
 import { resendMs } from './proposal-state.js';
@@ -30,7 +31,14 @@
 
   constructor(life = 'l') {
     const founders = Object.fromEntries(replicas.map((name) => [name, name]));
-    const opened = openAgent({ self, life, seeds: [], founders, seed: 1, now: 0 });
+    const opened = openAgent({
+      self,
+      incarnation: life,
+      seeds: [],
+      founders,
+      randomSeed: 1,
+      now: 0,
+    });
     const transition: Transition = { state: opened, effects: [] };
     const disks = Object.fromEntries(replicas.map((name) => [name, `disk-${name}`]));
     learnRegister(transition, 'members', { counter: 1, proposerId: 'x' }, { epoch: 1, disks });
--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -66,7 +66,14 @@
  * what an exchange with the replicas took, two proposals, so that the one that won can end; at most
  * 32 times, which is room for sixteen.
  */
-const Backoff = { leastExchange: 4, firstExchanges: 4, mostExchanges: 32, longest: 640 } as const;
+const firstBackoffExchanges = 4;
+const maxBackoffExchanges = 32;
+
+/** ms. An exchange with the replicas counts as this long at least. */
+const minExchangeMs = 4;
+
+/** ms. The longest wait of a preempted proposer. */
+const maxBackoffMs = 640;
 
 const noRetryYet: Retries = { preempted: 0, timedOut: 0 };
 
@@ -260,12 +267,12 @@
  * each other for ever.
  */
 const backOff = (transition: Transition, active: ActiveProposal): void => {
-  const exchange = Math.max(Backoff.leastExchange, transition.state.now - active.phaseStartedAt);
+  const exchange = Math.max(minExchangeMs, transition.state.now - active.phaseStartedAt);
   const exchanges = Math.min(
-    Backoff.mostExchanges,
-    Backoff.firstExchanges * 2 ** active.retries.preempted,
+    maxBackoffExchanges,
+    firstBackoffExchanges * 2 ** active.retries.preempted,
   );
-  const wait = Math.min(Backoff.longest, exchange * exchanges) * nextRandom(transition);
+  const wait = Math.min(maxBackoffMs, exchange * exchanges) * nextRandom(transition);
   setActiveProposal(transition, active.proposal.key, {
     ...active,
     retryAt: transition.state.now + wait,
@@ -295,6 +302,7 @@
   if (transition.state.activeProposals[key] === undefined) startProposalFor(transition, key);
 };
 
+/** Handles a replica's reply to either phase of a proposal. */
 export const handleVoteReply = (
   transition: Transition,
   key: string,
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -136,39 +136,41 @@
   propose(transition, 'plan', publishAllocationChange(goal), { kind: 'publish-allocation', goal });
 };
 
+/** The probability that a node proposes itself at one look, where the leadership is vacant. */
+const proposeLeaderProbability = 0.3;
+
+const isLeader = ({ self, quotaLeadership }: AgentState, current: QuotaAllocation): boolean =>
+  quotaLeadership !== null && current.holder === self.id && current.term === quotaLeadership.term;
+
+const giveUpLeadership = (transition: Transition): void => {
+  const { quotaLeadership } = transition.state;
+  if (quotaLeadership === null) return;
+  const { term } = quotaLeadership;
+  log(transition, 'quota-leadership.lost', { term, how: 'another holder' });
+  update(transition, { quotaLeadership: null });
+};
+
+const isVacant = ({ now, allocationSeen }: AgentState, current: QuotaAllocation | null): boolean =>
+  current === null || now - allocationSeen.at > leaderTimeoutMs;
+
+const proposeSelf = (transition: Transition, current: QuotaAllocation | null): void => {
+  const { term = 0, slices = {}, seated = [] } = current ?? {};
+  const holder = transition.state.self.id;
+  const goal: QuotaAllocation = { term: term + 1, holder, beat: 1, slices, seated };
+  const change = takeQuotaLeadershipChange(current, goal);
+  propose(transition, 'plan', change, { kind: 'publish-allocation', goal });
+};
+
 /** Renews the quota leadership where this node has it, and takes it where nobody does. */
 export const tendQuotaLeadership = (transition: Transition): void => {
   const { state } = transition;
   if (state.now >= state.leaseUntil || isPublishing(transition)) return;
   const current = quotaAllocationOf(state);
-  if (
-    state.quotaLeadership !== null &&
-    current !== null &&
-    current.holder === state.self.id &&
-    current.term === state.quotaLeadership.term
-  ) {
+  if (current !== null && isLeader(state, current)) {
     renew(transition, current);
     return;
   }
-  if (state.quotaLeadership !== null) {
-    log(transition, 'quota-leadership.lost', {
-      term: state.quotaLeadership.term,
-      how: 'another holder',
-    });
-    update(transition, { quotaLeadership: null });
-  }
-  if (policyOf(state) === null) return;
-  const vacant = current === null || state.now - state.allocationSeen.at > leaderTimeoutMs;
-  if (!vacant || nextRandom(transition) > 0.3) return;
-  const goal: QuotaAllocation = {
-    term: (current?.term ?? 0) + 1,
-    holder: state.self.id,
-    beat: 1,
-    slices: current?.slices ?? {},
-    seated: current?.seated ?? [],
-  };
-  propose(transition, 'plan', takeQuotaLeadershipChange(current, goal), {
-    kind: 'publish-allocation',
-    goal,
-  });
+  giveUpLeadership(transition);
+  if (policyOf(state) === null || !isVacant(state, current)) return;
+  if (nextRandom(transition) <= proposeLeaderProbability) proposeSelf(transition, current);
 };
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -1,11 +1,8 @@
 /** The agent's reducer: takes each event to the module that it is about. */
-import { Map as Table } from 'immutable';
-import { zeroProposalNumber } from '@reedyard/consensus';
-import { compareDigest, emptyGossip, pickUpdates, sampleView, shuffleView } from '@reedyard/gossip';
+import { compareDigest, pickUpdates, sampleView, shuffleView } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
 import { operator } from './api/api-actions.js';
-import { newReplicaView } from './control/control-state.js';
 import { noLeasePollIntervalMs, pollIntervalMs, renewLease } from './control/lease.js';
 import {
   handleLookUpReply,
@@ -27,14 +24,7 @@
 } from './gossip/gossip-exchange.js';
 import { heartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
 import { lookUpOwnReplica, tendMembership } from './membership/membership.js';
-import type {
-  AgentBootstrap,
-  AgentEffect,
-  AgentEvent,
-  AgentReply,
-  AgentRequest,
-  NodeIdentity,
-} from './messages.js';
+import type { AgentEffect, AgentEvent, AgentReply, AgentRequest } from './messages.js';
 import { noteRevisions } from './proposals/change-ids.js';
 import { handleAppendReply, tendAppends } from './proposals/journal-appends.js';
 import { abandonCaller, handleVoteReply, tendProposals } from './proposals/proposals.js';
@@ -179,77 +169,11 @@
 };
 
 /**
- * An agent that knows only itself, its seeds and the founding replicas.
+ * The state after an event, and what is to be done outside, in order.
  *
  * @example
- * openAgent({ self, life: 'l1', seeds: [], founders: { 'core-1': '127.0.0.1:7101' }, seed: 1, now: 0 })
+ * reduceAgent(state, { kind: 'tick', now: 50 }).effects
  */
-export const openAgent = (parts: {
-  readonly self: NodeIdentity;
-  readonly life: string;
-  readonly seeds: readonly string[];
-  readonly founders: Readonly<Record<string, string>>;
-  readonly seed: number;
-  readonly now: number;
-  /** Where members found themselves from seeds; `founders` is then not looked at. */
-  readonly voting?: AgentBootstrap | null;
-}): AgentState => {
-  const founders = parts.voting ? [] : Object.entries(parts.founders);
-  const { self, life, seeds, seed, now } = parts;
-  return {
-    self,
-    incarnation: life,
-    seeds,
-    randomSeed: seed,
-    now,
-    nextRequestId: 1,
-    pendingRequests: {},
-    bootstrap: parts.voting ?? null,
-    startedAt: now,
-    ownReplica: null,
-    spares: {},
-    replicas: Object.fromEntries(
-      founders.map(([name, address]) => [name, newReplicaView(address, now)]),
-    ),
-    registers: {},
-    highestProposalNumber: zeroProposalNumber,
-    fetchedValues: {},
-    incompleteWrites: {},
-    leaseUntil: 0,
-    lastTickAt: now,
-    lastLateTickAt: now,
-    lastReplicaReturnAt: now,
-    cacheFlushCount: 0,
-    entries: [],
-    entryKeys: {},
-    lastEntrySequence: 0,
-    committedEntryKeys: {},
-    zonesRestoredAt: {},
-    claimSpans: [Table(), Table(), Table()],
-    claimSpanStartedAt: now,
-    pendingChanges: {},
-    activeProposals: {},
-    learntRevisions: { policy: [], zones: [] },
-    pendingAppends: {},
-    gossip: emptyGossip,
-    delaysByPeer: {},
-    proxyReport: null,
-    lastFeedParts: {},
-    announcedVector: null,
-    vectorAnnouncedAt: 0,
-    vectorAnnouncementCount: 0,
-    routingTable: {},
-    routingTableCheckedAt: 0,
-    isRoutingTableStale: true,
-    routingTableNodes: '',
-    routingTableCount: 0,
-    allocationSeen: { term: 0, beat: 0, at: now },
-    quotaLeadership: null,
-    nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
-  };
-};
-
-/** @example reduceAgent(state, { kind: 'beat', now: 50 }).effects */
 export const reduceAgent = (
   state: AgentState,
   event: AgentEvent,
--- a/packages/agent/src/routing/peer-delays.ts
+++ b/packages/agent/src/routing/peer-delays.ts
@@ -32,6 +32,7 @@
   }
 };
 
+/** Notes how long a peer took to answer a ping; the last two count. */
 export const handlePingReply = (transition: Transition, edge: string, seconds: number): void => {
   update(transition, {
     delaysByPeer: {
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -158,6 +158,7 @@
   });
 };
 
+/** The other nodes that serve, the nearest first. */
 export const peerEndpoints = (state: AgentState): readonly PeerEndpoint[] =>
   servingNodes(state)
     .flatMap((record) =>
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -27,7 +27,8 @@
   NodeIdentity,
   ProxyQuery,
 } from './messages.js';
-import { openAgent, reduceAgent } from './reducer.js';
+import { openAgent } from './open.js';
+import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import { agentTickIntervalMs } from './tick-delay.js';
 import { WaitingCallers } from './waiting-callers.js';
@@ -45,7 +46,9 @@
   return decodeReplicaReply(await call(effect.to, effect.path, body));
 };
 
+/** The settings of a machine with an agent. */
 export type AgentSettings = Settings & { readonly agent: NonNullable<Settings['agent']> };
+/** What a deployment may replace. */
 export type AgentOptions = {
   /**
    * Takes requests in another form than this API's; it decides nothing, and hands on what it was
@@ -78,11 +81,11 @@
 const openState = (settings: AgentSettings): AgentState =>
   openAgent({
     self: identityOf(settings),
-    life: randomUUID(),
+    incarnation: randomUUID(),
     seeds: settings.seeds,
     founders: settings.founders ?? {},
-    voting: settings.voting ?? null,
-    seed: randomInt(2 ** 31),
+    bootstrap: settings.voting ?? null,
+    randomSeed: randomInt(2 ** 31),
     now: now(),
   });
 
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -8,6 +8,7 @@
 import type { Identified, LearntRevision } from './proposals/change-ids.js';
 import type { ActiveProposal, PendingAppend, PendingChange } from './proposals/proposal-state.js';
 
+/** A request under way, and what its reply is for. */
 export type PendingRequest =
   | { readonly kind: 'poll'; readonly replica: string; readonly sentAt: number }
   /**
@@ -33,6 +34,7 @@
     }
   | { readonly kind: 'ping'; readonly peerId: string; readonly sentAt: number };
 
+/** The state of an agent. All times are ms of its own monotonic clock. */
 export type AgentState = {
   readonly self: NodeIdentity;
   readonly incarnation: string;
@@ -55,28 +57,43 @@
   readonly nextRequestId: number;
   readonly pendingRequests: Readonly<Record<number, PendingRequest>>;
   readonly replicas: Readonly<Record<string, ReplicaView>>;
-  readonly registers: {
-    readonly [K in WatchedRegister]?: {
-      readonly proposalNumber: ProposalNumber;
-      readonly value: unknown;
-      readonly at: number;
-    };
-  };
+  readonly registers: Readonly<
+    Partial<
+      Record<
+        WatchedRegister,
+        {
+          readonly proposalNumber: ProposalNumber;
+          readonly value: unknown;
+          readonly at: number;
+        }
+      >
+    >
+  >;
   readonly highestProposalNumber: ProposalNumber;
   /** The newest value fetched of a register, until polls show whether it is chosen. */
-  readonly fetchedValues: {
-    readonly [K in WatchedRegister]?: {
-      readonly proposalNumber: ProposalNumber;
-      readonly value: unknown;
-    };
-  };
+  readonly fetchedValues: Readonly<
+    Partial<
+      Record<
+        WatchedRegister,
+        {
+          readonly proposalNumber: ProposalNumber;
+          readonly value: unknown;
+        }
+      >
+    >
+  >;
   /** The newest proposal of a register that only a minority showed, and since when. */
-  readonly incompleteWrites: {
-    readonly [K in WatchedRegister]?: {
-      readonly proposalNumber: ProposalNumber;
-      readonly since: number;
-    };
-  };
+  readonly incompleteWrites: Readonly<
+    Partial<
+      Record<
+        WatchedRegister,
+        {
+          readonly proposalNumber: ProposalNumber;
+          readonly since: number;
+        }
+      >
+    >
+  >;
   /** Monotonic ms until which this node may act on what it knows. */
   readonly leaseUntil: number;
   /** When the last beat came, and when one last came late. */
@@ -103,15 +120,21 @@
   readonly pendingAppends: Readonly<Record<number, PendingAppend>>;
   readonly gossip: GossipState;
   readonly delaysByPeer: Readonly<Record<string, readonly number[]>>;
+  /** What this machine's proxy last reported, and when. */
   readonly proxyReport: { readonly proxyReport: ProxyReport; readonly at: number } | null;
   /** Parts of the feed as they were last told to the proxy. */
-  readonly lastFeedParts: {
-    readonly [K in FeedPart]?: {
-      readonly revision: number;
-      readonly value: unknown;
-      readonly text: string;
-    };
-  };
+  readonly lastFeedParts: Readonly<
+    Partial<
+      Record<
+        FeedPart,
+        {
+          readonly revision: number;
+          readonly value: unknown;
+          readonly text: string;
+        }
+      >
+    >
+  >;
   readonly announcedVector: Vector | null;
   readonly vectorAnnouncedAt: number;
   readonly vectorAnnouncementCount: number;
--- a/packages/agent/src/table.ts
+++ b/packages/agent/src/table.ts
@@ -1,5 +1,6 @@
 /** Tables that are never changed in place. */
 
+/** A table without one key. */
 export const without = <T>(
   table: Readonly<Record<number | string, T>>,
   key: number | string,
--- a/packages/agent/src/testing/answered-polls.ts
+++ b/packages/agent/src/testing/answered-polls.ts
@@ -5,7 +5,8 @@
 import type { Membership, ReplicaReply } from '@reedyard/replica';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect } from '../messages.js';
-import { openAgent, reduceAgent } from '../reducer.js';
+import { openAgent } from '../open.js';
+import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
 
@@ -26,7 +27,7 @@
   Object.fromEntries(names.map((name) => [name, `${name}/${suffix}`] as const));
 
 export const opened = (): AgentState =>
-  openAgent({ self, life: 'l', seeds: [], founders: addresses, seed: 1, now: 0 });
+  openAgent({ self, incarnation: 'l', seeds: [], founders: addresses, randomSeed: 1, now: 0 });
 
 /** The agent after it learnt of a membership. */
 export const withMembers = (
--- a/packages/agent/src/testing/scripted-replicas.ts
+++ b/packages/agent/src/testing/scripted-replicas.ts
@@ -3,7 +3,8 @@
 import type { WatchedRegister } from '../control/control-state.js';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect, ApiAction } from '../messages.js';
-import { openAgent, reduceAgent } from '../reducer.js';
+import { openAgent } from '../open.js';
+import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import type { Transition } from '../transition.js';
@@ -59,10 +60,10 @@
   constructor(servesOn = false) {
     this.state = openAgent({
       self: { ...self, servesOn },
-      life: 'l',
+      incarnation: 'l',
       seeds: [],
       founders: addresses,
-      seed: 1,
+      randomSeed: 1,
       now: 0,
     });
     this.learn('members', 1, members);
--- a/packages/agent/src/transition.ts
+++ b/packages/agent/src/transition.ts
@@ -9,6 +9,7 @@
 /** What a reducer works with inside one step; the states themselves never change. */
 export type Transition = { state: AgentState; readonly effects: AgentEffect[] };
 
+/** Replaces some fields of the state. */
 export const update = (transition: Transition, change: Partial<AgentState>): void => {
   transition.state = { ...transition.state, ...change };
 };
@@ -22,6 +23,7 @@
   return ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296;
 };
 
+/** The id of the next request, which is used once. */
 export const takeRequestId = (transition: Transition): number => {
   const id = transition.state.nextRequestId;
   update(transition, { nextRequestId: id + 1 });
@@ -41,6 +43,7 @@
   return id;
 };
 
+/** Sends a request to another agent. */
 export const sendToAgent = (
   transition: Transition,
   to: string,
@@ -67,6 +70,7 @@
     },
   });
 
+/** Writes a line to the log. */
 export const log = (
   transition: Transition,
   event: string,
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/fleet.ts
@@ -493,14 +493,14 @@
             : null,
           replica: fronts ? null : { address: `${machine.name}/replica` },
         },
-        life: `life-${this.#lives}`,
+        incarnation: `life-${this.#lives}`,
         seeds: this.seeds,
         founders: this.founders(),
-        voting:
+        bootstrap:
           this.tuning.voting === undefined
             ? null
             : { ...this.tuning.voting, seeds: this.#replicaSeeds() },
-        seed: Math.floor(this.clock.chance() * 2 ** 31),
+        randomSeed: Math.floor(this.clock.chance() * 2 ** 31),
         now,
       }),
     );
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -564,10 +564,10 @@
         orders: new Map(),
         state: openAgent({
           self: spec.self,
-          life: `life-of-${spec.self.id}`,
+          incarnation: `life-of-${spec.self.id}`,
           seeds: spec.seeds,
           founders: spec.founders,
-          seed: spec.seed,
+          randomSeed: spec.seed,
           now: this.#now,
         }),
       };
--- a/packages/testbed/src/part-costs.ts
+++ b/packages/testbed/src/part-costs.ts
@@ -83,10 +83,10 @@
   );
   let state: AgentState = openAgent({
     self: front(0),
-    life: '',
+    incarnation: '',
     seeds: [],
     founders: {},
-    seed: 1,
+    randomSeed: 1,
     now: 0,
   });
   state = reduceAgent(state, {
