--- /dev/null
+++ b/packages/simulator/src/checks/rule-01-no-double-execution.ts
@@ -0,0 +1,29 @@
+/** Rule 1. A handover confirmation or work order runs twice. */
+
+import { entriesOf, groupBy } from './history-queries.js';
+import type { RuleCheck } from './rule-check.js';
+
+/** What broke rule 1 in a history. */
+export const checkNoDoubleExecution: RuleCheck = (history) => [
+  ...[...groupBy(entriesOf(history, 'ran'), (entry) => entry.job)].flatMap(([job, runs]) =>
+    runs.length > 1
+      ? [{ rule: 1, at: runs[1]?.at ?? 0, what: `${job} ran ${runs.length} times` }]
+      : [],
+  ),
+  ...[
+    ...groupBy(
+      entriesOf(history, 'ran').filter((entry) => entry.key !== null),
+      (entry) => entry.key ?? '',
+    ),
+  ].flatMap(([key, runs]) =>
+    new Set(runs.map((run) => run.job)).size > 1
+      ? [
+          {
+            rule: 1,
+            at: runs[1]?.at ?? 0,
+            what: `key ${key} ran for ${runs.map((run) => run.job).join(' and ')}`,
+          },
+        ]
+      : [],
+  ),
+];
--- /dev/null
+++ b/packages/simulator/src/checks/rule-04-allowed-services.ts
@@ -0,0 +1,34 @@
+/** Rule 4. A request reaches a service that no policy in force allowed, also at a reused address. */
+
+import { Routes } from '@reedyard/schemas';
+import type { Violation } from '../history.js';
+import { entriesOf, policiesDuring, type PolicySpan, routeIn } from './history-queries.js';
+import type { RuleCheck } from './rule-check.js';
+
+/** What broke rule 4 in a history. */
+export const checkAllowedServices: RuleCheck = (history) =>
+  entriesOf(history, 'attempt').flatMap((entry): readonly Violation[] => {
+    const me = `${entry.service}/${entry.instance}/${entry.incarnation}`;
+    if (entry.expected !== me)
+      return [{ rule: 4, at: entry.at, what: `an attempt for ${entry.expected} reached ${me}` }];
+    const allows = (span: PolicySpan): boolean => {
+      const route = routeIn(span, entry);
+      const service = span.document.services[entry.service];
+      return (
+        route !== undefined &&
+        Routes.allows(route, entry.service) &&
+        service !== undefined &&
+        (service.instances === undefined || service.instances.includes(entry.instance)) &&
+        (route.methods as readonly string[]).includes(entry.method)
+      );
+    };
+    return policiesDuring(history, entry.at).some(allows)
+      ? []
+      : [
+          {
+            rule: 4,
+            at: entry.at,
+            what: `${entry.method} ${entry.target} reached ${me}, which no policy in force allowed`,
+          },
+        ];
+  });
--- /dev/null
+++ b/packages/simulator/src/checks/rule-08-evacuated-zones.ts
@@ -0,0 +1,35 @@
+/** Rule 8. An emptied zone gets requests more than 5 s after the order. */
+
+import type { Violation } from '../history.js';
+import { entriesOf, type EntryOf } from './history-queries.js';
+import type { RuleCheck } from './rule-check.js';
+
+/** What broke rule 8 in a history. */
+export const checkEvacuatedZones: RuleCheck = (history) => {
+  const orders = entriesOf(history, 'zone');
+  // The order with the highest revision holds, however late the word of an earlier one came; and
+  // a zone may be used again from the moment that its taking back was sent.
+  const emptiedAt = (zone: string, at: number): number | null => {
+    const known = orders.filter(
+      (order) => order.zone === zone && (order.order === 'empty' ? order.at : order.sentAt) <= at,
+    );
+    const last = known.reduce<EntryOf<'zone'> | null>(
+      (best, order) => (best === null || order.revision > best.revision ? order : best),
+      null,
+    );
+    return last !== null && last.order === 'empty' ? last.at : null;
+  };
+  return history.flatMap((entry): readonly Violation[] => {
+    if (entry.kind !== 'asked' && entry.kind !== 'attempt' && entry.kind !== 'relay') return [];
+    const since = emptiedAt(entry.zone, entry.at);
+    return since !== null && entry.at > since + 5_000
+      ? [
+          {
+            rule: 8,
+            at: entry.at,
+            what: `${entry.zone} got ${entry.kind === 'asked' ? 'a caller' : entry.kind === 'relay' ? 'a forwarded request' : 'an attempt'} ${Math.round(entry.at - since)} ms after the order`,
+          },
+        ]
+      : [];
+  });
+};
--- /dev/null
+++ b/packages/simulator/src/checks/rule-14-attempt-budget.ts
@@ -0,0 +1,28 @@
+/** Rule 14. One request runs at more origins than its route allows, summed over all nodes. */
+
+import type { Violation } from '../history.js';
+import { entriesOf, groupBy, maxAttemptsAllowed } from './history-queries.js';
+import type { RuleCheck } from './rule-check.js';
+
+/** What broke rule 14 in a history. */
+export const checkAttemptBudget: RuleCheck = (history) =>
+  [
+    ...groupBy(
+      entriesOf(history, 'attempt').filter((attempt) => attempt.submission >= 0),
+      (attempt) => String(attempt.submission),
+    ),
+  ].flatMap(([submission, attempts]): readonly Violation[] => {
+    const origins = new Set(
+      attempts.map((attempt) => `${attempt.service}/${attempt.instance}/${attempt.incarnation}`),
+    );
+    const most = maxAttemptsAllowed(history, attempts);
+    return origins.size > most
+      ? [
+          {
+            rule: 14,
+            at: attempts.at(-1)?.at ?? 0,
+            what: `request ${submission} ran at ${origins.size} origins; ${most} are allowed`,
+          },
+        ]
+      : [];
+  });
--- a/packages/simulator/src/cut-checks.ts
+++ b/packages/simulator/src/cut-checks.ts
@@ -1,4 +1,4 @@
-import type { Entry, Wrong } from './history.js';
+import type { Entry, Violation } from './history.js';
 
 /** Checkers of what holds around a cut, for fleets whose nodes serve on while they are cut off. */
 
@@ -49,7 +49,7 @@
 /** Rules around cuts, numbered after those of the brief. */
 const rules = { servedOn: 14, lateAnswer: 15, minority: 16, lateReturn: 17 } as const;
 
-const servedOnInTouch = (history: readonly Entry[]): readonly Wrong[] =>
+const servedOnInTouch = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'served-on')
     .filter((entry) => entry.reachesMs > settledMs)
     .map(({ at, node, reachesMs }) => ({
@@ -61,7 +61,7 @@
 /**
  * A call without any end (status 0) was lost on its way: an agent's own longest wait ends before.
  */
-const lateAnswers = (history: readonly Entry[]): readonly Wrong[] =>
+const lateAnswers = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'called')
     .filter((call) => call.cutOff && call.steady && call.status !== 0)
     .filter((call) => call.at - call.sentAt > patienceMs)
@@ -71,7 +71,7 @@
       what: `${node}, cut off, kept ${action} waiting for ${Math.round(at - sentAt)} ms`,
     }));
 
-const confirmedByMinority = (history: readonly Entry[]): readonly Wrong[] =>
+const confirmedByMinority = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'called')
     .filter((call) => call.cutOff && call.steady && call.status === 200)
     .map(({ at, node, action }) => ({
@@ -80,7 +80,7 @@
       what: `${node}, cut off, confirmed ${action}`,
     }));
 
-const lateReturns = (history: readonly Entry[]): readonly Wrong[] =>
+const lateReturns = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'lease-back')
     .filter((entry) => entry.afterMs > inTouchMs)
     .map(({ at, node, afterMs }) => ({
@@ -90,7 +90,7 @@
     }));
 
 /** All that was wrong around cuts, a few of each rule. */
-export const judgeCuts = (history: readonly Entry[]): readonly Wrong[] =>
+export const judgeCuts = (history: readonly Entry[]): readonly Violation[] =>
   [servedOnInTouch, lateAnswers, confirmedByMinority, lateReturns].flatMap((check) =>
     check(history).slice(0, 3),
   );
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 import { parseArgs } from 'node:util';
 import type { Entry } from './history.js';
-import type { SimFleet } from './fleet.js';
-import type { Selection } from './plants.js';
+import type { SimulatedFleet } from './simulated-fleet.js';
+import type { Selection } from './injected-faults.js';
 import { run } from './run.js';
 import { scenarios } from './scenarios.js';
 
@@ -50,8 +50,8 @@
   ).length /
   ((seconds - 17) * ceiling);
 
-const sumOf = (fleet: SimFleet, counter: string): number =>
-  [...fleet.boxes.values()].reduce(
+const sumOf = (fleet: SimulatedFleet, counter: string): number =>
+  [...fleet.machines.values()].reduce(
     (sum, box) => sum + (box.proxy?.state.counters[counter] ?? 0),
     0,
   );
@@ -73,7 +73,7 @@
   )?.document;
   const own = sumOf(fleet, 'requests');
   const waits = fleet.waits.filter((wait) => wait.at > 10_000).map((wait) => wait.ms);
-  const notices = [...fleet.boxes.values()].reduce(
+  const notices = [...fleet.machines.values()].reduce(
     (sum, box) => sum + (box.agent?.state.vectorAnnouncementCount ?? 0),
     0,
   );
--- a/packages/simulator/src/history.ts
+++ b/packages/simulator/src/history.ts
@@ -194,4 +194,4 @@
   readonly maxAgeMs: number;
 };
 
-export type Wrong = { readonly rule: number; readonly at: number; readonly what: string };
+export type Violation = { readonly rule: number; readonly at: number; readonly what: string };
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,7 +1,9 @@
-export { run, exampleOf, startCallers, sampleOf, type Report, type RunOptions } from './run.js';
-export { Checks, available, judge } from './checks.js';
-export { scenarios, type CalledFleet, type StageOrigin } from './scenarios.js';
-export { plantNames, type Plant } from './plants.js';
-export { SimFleet } from './fleet.js';
-export { Clockwork } from './clockwork.js';
-export type { Entry, SimBody, Wrong } from './history.js';
+/** The simulator: the fleet's own reducers in virtual time, scenarios, and the checks of the rules. */
+export { availability, checks, judge } from './checks.js';
+export { VirtualClock } from './virtual-clock.js';
+export { SimulatedFleet } from './simulated-fleet.js';
+export type { Entry, SimBody, Violation } from './history.js';
+export { injectedFaultNames, type InjectedFault } from './injected-faults.js';
+export { exampleOf, run, sampleOf, startCallers, type Report, type RunOptions } from './run.js';
+export { scenarios } from './scenarios.js';
+export type { RequestedFleet, ScenarioOrigin } from './scenarios/environment.js';
--- a/packages/simulator/src/planted.ts
+++ b/packages/simulator/src/injected-fault-runs.ts
@@ -1,6 +1,6 @@
 import type { ExecutionContext } from 'ava';
-import type { Plant } from './plants.js';
-import type { Wrong } from './history.js';
+import type { InjectedFault } from './injected-faults.js';
+import type { Violation } from './history.js';
 import { run } from './run.js';
 
 /**
@@ -10,7 +10,7 @@
 export type Case = {
   readonly rule: number;
   readonly what: string;
-  readonly plant: Plant;
+  readonly plant: InjectedFault;
   readonly scenario: string;
   /** How many seeds to look through, where the failure does not meet the fault in every one. */
   readonly seeds?: number;
@@ -193,12 +193,12 @@
 
 const sound = new Map<
   string,
-  { readonly wrongs: readonly Wrong[]; readonly asked: number; readonly replay: string }
+  { readonly wrongs: readonly Violation[]; readonly asked: number; readonly replay: string }
 >();
 const soundRun = (
   scenario: string,
   seed: number,
-): { readonly wrongs: readonly Wrong[]; readonly asked: number; readonly replay: string } => {
+): { readonly wrongs: readonly Violation[]; readonly asked: number; readonly replay: string } => {
   const name = `${scenario} ${seed}`;
   const known = sound.get(name);
   if (known !== undefined) return known;
@@ -222,7 +222,7 @@
   const first = seeds[0] ?? 1;
   await turn();
   const broken = Array.from({ length: tries }, (_, index) => first + index).some((seed) =>
-    run({ scenario, seed, plant }).wrongs.some((wrong) => wrong.rule === rule),
+    run({ scenario, seed, plant }).wrongs.some((violation) => violation.rule === rule),
   );
   t.true(broken, `with ${plant}, rule ${rule} should break in ${scenario}`);
   for (const seed of seeds) {
--- a/packages/simulator/src/plants.ts
+++ b/packages/simulator/src/injected-faults.ts
@@ -6,7 +6,7 @@
  * Faults planted into the fleet, one at a time, to show that a checker can fail: each takes one
  * safeguard away at the border of a process and leaves all other code as it is.
  */
-export const plantNames = [
+export const injectedFaultNames = [
   'none',
   'deaf-lease',
   'tell-unsynced',
@@ -49,7 +49,7 @@
   'quorum-of-the-reached',
   'no-return',
 ] as const;
-export type Plant = (typeof plantNames)[number];
+export type InjectedFault = (typeof injectedFaultNames)[number];
 
 const withoutHomes = (policy: Policy): Policy => ({
   ...policy,
@@ -57,8 +57,8 @@
 });
 
 /** What a planted fault makes of the feed. */
-export const plantedFeed = (
-  plant: Plant,
+export const feedWithFault = (
+  plant: InjectedFault,
   feed: Feed,
   drained: Feed['origins'],
   peers: Feed['peers'],
@@ -192,11 +192,14 @@
 };
 
 /** Whether a claim is granted without asking. */
-export const plantedClaim = (plant: Plant, call: ProxyQuery): boolean =>
+export const claimWithFault = (plant: InjectedFault, call: ProxyQuery): boolean =>
   plant === 'claims-granted' && call.kind === 'claim';
 
 /** What a planted fault makes of an agent's answer to an operator. */
-export const plantedReply = <T extends { readonly status: number }>(plant: Plant, reply: T): T =>
+export const plantedReply = <T extends { readonly status: number }>(
+  plant: InjectedFault,
+  reply: T,
+): T =>
   plant === 'any-content-confirmed' && reply.status === 412 ? { ...reply, status: 200 } : reply;
 
 type Views = AgentState['replicas'];
@@ -204,7 +207,7 @@
   Object.fromEntries(Object.entries(views).map(([name, view]) => [name, change(view)]));
 
 /** What a planted fault makes of an agent's state before each step. */
-export const plantedAgent = (plant: Plant, state: AgentState, now: number): AgentState => {
+export const plantedAgent = (plant: InjectedFault, state: AgentState, now: number): AgentState => {
   switch (plant) {
     // Answers that do not count are taken for silence.
     case 'answers-ignored':
--- a/packages/simulator/src/long-cuts.test.ts
+++ b/packages/simulator/src/long-cuts.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type { Entry } from './history.js';
-import type { Plant } from './plants.js';
+import type { InjectedFault } from './injected-faults.js';
 import { run } from './run.js';
 
 /** Lets the runner tell what is done so far before the next long run. */
@@ -45,7 +45,7 @@
 }
 
 const plants: readonly {
-  readonly plant: Plant;
+  readonly plant: InjectedFault;
   readonly what: string;
   readonly scenario: string;
   readonly seed: number;
@@ -84,7 +84,7 @@
 for (const { plant, what, scenario, seed, rules } of plants) {
   test.serial(`${scenario}: rules ${rules.join(' and ')} are broken when ${what}`, async (t) => {
     await turn();
-    const broken = run({ scenario, seed, plant }).wrongs.map((wrong) => wrong.rule);
+    const broken = run({ scenario, seed, plant }).wrongs.map((violation) => violation.rule);
     for (const rule of rules)
       t.true(broken.includes(rule), `rule ${rule} should break; broken: ${broken.join()}`);
     if (!seeds.includes(seed)) t.deepEqual(run({ scenario, seed }).wrongs, []);
--- a/packages/simulator/src/long-cuts.ts
+++ b/packages/simulator/src/long-cuts.ts
@@ -1,4 +1,4 @@
-import type { Scenario, Stage, StageFleet } from './scenarios.js';
+import type { Scenario, ScenarioEnvironment, ScenarioFleet } from './scenarios/environment.js';
 
 /**
  * Scenarios in which machines are cut off from a majority for 20 s and more, and served on by it.
@@ -6,13 +6,13 @@
 
 type Way = 'both' | 'out' | 'in';
 
-const machines = (fleet: StageFleet, isReplica: boolean): readonly string[] =>
+const machines = (fleet: ScenarioFleet, isReplica: boolean): readonly string[] =>
   fleet.deployment.machines
     .filter((machine) => (machine.kind !== 'front') === isReplica)
     .map((machine) => machine.name);
 
 /** Cuts some machines from all others; origins, callers and operators still reach both sides. */
-const sever = (fleet: StageFleet, side: readonly string[], way: Way): void => {
+const sever = (fleet: ScenarioFleet, side: readonly string[], way: Way): void => {
   const others = fleet.places().filter((name) => !side.includes(name));
   for (const inside of side) {
     for (const outside of others) {
@@ -23,8 +23,14 @@
   fleet.fault(`${side.join(', ')} cut off, ${way}`);
 };
 
-const repeat = (stage: Stage, from: number, to: number, everyMs: number, act: () => void): void => {
-  const { clock } = stage.fleet;
+const repeat = (
+  environment: ScenarioEnvironment,
+  from: number,
+  to: number,
+  everyMs: number,
+  act: () => void,
+): void => {
+  const { clock } = environment.fleet;
   const next = (): void => {
     if (clock.now() > to) return;
     act();
@@ -34,7 +40,10 @@
 };
 
 /** A policy that differs from the first by one more route, by a number. */
-const withRoute = ({ policy }: Stage, number: number): Stage['policy'] => {
+const withRoute = (
+  { policy }: ScenarioEnvironment,
+  number: number,
+): ScenarioEnvironment['policy'] => {
   const [first] = policy.routes;
   if (first === undefined) return policy;
   const extra = { ...first, name: `extra-${number}`, path: `/extra-${number}/` };
@@ -42,21 +51,25 @@
 };
 
 /** Orders and reads that go to any node, and as often to one that is cut off. */
-const operateOn = (stage: Stage, side: () => readonly string[], until: number): void => {
-  const { fleet } = stage;
+const operateOn = (
+  environment: ScenarioEnvironment,
+  side: () => readonly string[],
+  until: number,
+): void => {
+  const { fleet } = environment;
   const { clock } = fleet;
-  const target = (): string | undefined => (clock.chance() < 0.5 ? clock.pick(side()) : undefined);
-  const number = (): number => Math.floor(1e6 * clock.chance());
-  repeat(stage, 9_000, until, 1_500, () =>
-    fleet.put(withRoute(stage, number()), undefined, target()),
+  const target = (): string | undefined => (clock.random() < 0.5 ? clock.pick(side()) : undefined);
+  const number = (): number => Math.floor(1e6 * clock.random());
+  repeat(environment, 9_000, until, 1_500, () =>
+    fleet.put(withRoute(environment, number()), undefined, target()),
   );
-  repeat(stage, 9_000, until, 400, () => fleet.read(target()));
-  repeat(stage, 9_000, until, 1_100, () => {
-    fleet.purge([], [String(Math.floor(8 * clock.chance()))], undefined, target());
+  repeat(environment, 9_000, until, 400, () => fleet.read(target()));
+  repeat(environment, 9_000, until, 1_100, () => {
+    fleet.purge([], [String(Math.floor(8 * clock.random()))], undefined, target());
   });
 };
 
-const drainOne = ({ fleet }: Stage): void => {
+const drainOne = ({ fleet }: ScenarioEnvironment): void => {
   const origin = fleet.clock.pick(fleet.origins.filter((each) => each.alive && !each.draining));
   if (origin === undefined) return;
   origin.draining = true;
@@ -67,7 +80,7 @@
   });
 };
 
-const restart = (fleet: StageFleet, name: string, downMs: number): void => {
+const restart = (fleet: ScenarioFleet, name: string, downMs: number): void => {
   fleet.kill(name);
   fleet.fault(`${name} killed`);
   fleet.clock.in(downMs, () => fleet.start(name));
@@ -76,8 +89,8 @@
 /** One core machine and one front, cut off by themselves for 22 s. */
 const oneOfEach =
   (way: Way) =>
-  (stage: Stage): void => {
-    const { fleet } = stage;
+  (environment: ScenarioEnvironment): void => {
+    const { fleet } = environment;
     const { clock } = fleet;
     let side: readonly string[] = [];
     clock.in(10_000, () => {
@@ -89,26 +102,26 @@
       fleet.fault('healed');
       side = [];
     });
-    repeat(stage, 11_000, 30_000, 4_000, () => drainOne(stage));
-    operateOn(stage, () => side, 40_000);
+    repeat(environment, 11_000, 30_000, 4_000, () => drainOne(environment));
+    operateOn(environment, () => side, 40_000);
   };
 
 /**
  * Both halves: two of five replicas and half of the fronts on one side; seeds are exchanged,
  * machines restart.
  */
-const halves = (stage: Stage): void => {
-  const { fleet } = stage;
+const halves = (environment: ScenarioEnvironment): void => {
+  const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
   clock.in(10_000, () => {
     const fronts = machines(fleet, false).filter((_name, index) => index % 2 === 0);
-    const replicas = [...machines(fleet, true)].sort(() => clock.chance() - 0.5).slice(0, 2);
+    const replicas = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, 2);
     side = [...replicas, ...fronts];
     sever(fleet, side, 'both');
   });
   clock.in(14_000, () => {
-    const [first, second, third] = [...fleet.places()].sort(() => clock.chance() - 0.5);
+    const [first, second, third] = [...fleet.places()].sort(() => clock.random() - 0.5);
     fleet.seeds = [first, second, third].map((name) => `${name}/agent`);
     fleet.fault(`seeds are now ${fleet.seeds.join(', ')}`);
   });
@@ -128,17 +141,17 @@
     fleet.fault('healed');
     side = [];
   });
-  operateOn(stage, () => side, 42_000);
+  operateOn(environment, () => side, 42_000);
 };
 
 /** A cut-off core machine restarts inside the cut, a front as well, and a freeze ends in it. */
-const restarts = (stage: Stage): void => {
-  const { fleet } = stage;
+const restarts = (environment: ScenarioEnvironment): void => {
+  const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
   clock.in(9_000, () => {
     const replica = clock.pick(machines(fleet, true)) ?? '';
-    const fronts = [...machines(fleet, false)].sort(() => clock.chance() - 0.5);
+    const fronts = [...machines(fleet, false)].sort(() => clock.random() - 0.5);
     side = [replica, ...fronts.slice(0, 3)];
     const [, restarted, frozenBefore, frozenInside] = side;
     fleet.freeze(frozenBefore ?? '');
@@ -156,15 +169,15 @@
     fleet.fault('healed');
     side = [];
   });
-  operateOn(stage, () => side, 40_000);
+  operateOn(environment, () => side, 40_000);
 };
 
 /** Replicas that answer and do not count: disks are wiped in turn, and every message waits. */
-const refusals = (stage: Stage): void => {
-  const { fleet } = stage;
+const refusals = (environment: ScenarioEnvironment): void => {
+  const { fleet } = environment;
   const { clock } = fleet;
   const wipe = (count: number): void => {
-    const chosen = [...machines(fleet, true)].sort(() => clock.chance() - 0.5).slice(0, count);
+    const chosen = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, count);
     for (const name of chosen) {
       fleet.kill(name);
       fleet.wipe(name);
@@ -174,7 +187,7 @@
   };
   clock.in(12_000, () => wipe(3));
   clock.in(26_000, () => wipe(4));
-  repeat(stage, 9_000, 36_000, 700, () => fleet.read());
+  repeat(environment, 9_000, 36_000, 700, () => fleet.read());
 };
 
 export const longCuts: Readonly<Record<string, Scenario>> = {
--- a/packages/simulator/src/main.ts
+++ b/packages/simulator/src/main.ts
@@ -2,7 +2,7 @@
 import { fork } from 'node:child_process';
 import os from 'node:os';
 import { parseArgs } from 'node:util';
-import { plantNames, type Plant } from './plants.js';
+import { injectedFaultNames, type InjectedFault } from './injected-faults.js';
 import { run } from './run.js';
 import { scenarios } from './scenarios.js';
 
@@ -25,7 +25,7 @@
       scenarios,
     )
       .map(([name, scenario]) => `  ${name.padEnd(16)} ${scenario.what}`)
-      .join('\n')}\n\nplants: ${plantNames.join(', ')}\n`,
+      .join('\n')}\n\nplants: ${injectedFaultNames.join(', ')}\n`,
   );
   process.exit(0);
 }
@@ -47,8 +47,8 @@
   readonly share: number;
 };
 const one = (scenario: string, seed: number): Result => {
-  const report = run({ scenario, seed, plant: values.plant as Plant, ...rate, ...example });
-  const rules = [...new Set(report.wrongs.map((wrong) => wrong.rule))];
+  const report = run({ scenario, seed, plant: values.plant as InjectedFault, ...rate, ...example });
+  const rules = [...new Set(report.wrongs.map((violation) => violation.rule))];
   const lines = [
     `scenario=${scenario} seed=${seed} asked=${report.asked} served=${(100 * report.share).toFixed(2)}% rest=${JSON.stringify(
       Object.fromEntries(
@@ -58,8 +58,10 @@
       ),
     )} broken=${rules.length === 0 ? 'none' : rules.join(',')}`,
   ];
-  for (const wrong of report.wrongs)
-    lines.push(`  rule ${wrong.rule} at ${(wrong.at / 1_000).toFixed(3)} s: ${wrong.what}`);
+  for (const violation of report.wrongs)
+    lines.push(
+      `  rule ${violation.rule} at ${(violation.at / 1_000).toFixed(3)} s: ${violation.what}`,
+    );
   if (values.faults)
     for (const entry of report.fleet.history)
       if (entry.kind === 'fault')
--- a/packages/simulator/src/members.test.ts
+++ b/packages/simulator/src/members.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { Membership } from '@reedyard/replica';
 import type { Policy } from '@reedyard/schemas';
-import { SimFleet } from './fleet.js';
+import { SimulatedFleet } from './simulated-fleet.js';
 
 // Members that found themselves from seeds: a fleet of machines with disks alone, in virtual time.
 
@@ -9,14 +9,19 @@
 const machine = (index: number): string => `core-${index}`;
 
 /** Machines core-1 … core-n, of which the first three are seeds; those in `up` are started. */
-const yard = (seed: number, count: number, losses: number, up: readonly number[]): SimFleet => {
+const yard = (
+  seed: number,
+  count: number,
+  losses: number,
+  up: readonly number[],
+): SimulatedFleet => {
   const machines = Array.from({ length: count }, (_, index) => ({
     name: machine(index + 1),
     zone: `zone-${index + 1}`,
     region: 'home',
     kind: 'core' as const,
   }));
-  const fleet = new SimFleet({ name: 'yard', machines, origins: [] }, seed, {
+  const fleet = new SimulatedFleet({ name: 'yard', machines, origins: [] }, seed, {
     loss: 0.002,
     plant: 'none',
     regionsMs: 0,
@@ -25,30 +30,32 @@
   up.forEach((index) => fleet.start(machine(index)));
   return fleet;
 };
-const membersOf = (fleet: SimFleet, index: number): Membership | undefined =>
-  fleet.boxes.get(machine(index))?.agent?.state.registers.members?.value as Membership | undefined;
+const membersOf = (fleet: SimulatedFleet, index: number): Membership | undefined =>
+  fleet.machines.get(machine(index))?.agent?.state.registers.members?.value as
+    Membership | undefined;
 /** Machines whose replica is a place of the members that an agent knows. */
-const placesOf = (fleet: SimFleet, index: number): readonly string[] =>
+const placesOf = (fleet: SimulatedFleet, index: number): readonly string[] =>
   Object.values(membersOf(fleet, index)?.addresses ?? {})
     .map((address) => address.replace('/replica', ''))
     .sort();
-const votes = (fleet: SimFleet, index: number): boolean => {
-  const state = fleet.boxes.get(machine(index))?.replica?.state;
+const votes = (fleet: SimulatedFleet, index: number): boolean => {
+  const state = fleet.machines.get(machine(index))?.replica?.state;
   return (
     state !== undefined &&
     state.isVoting &&
     Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId)
   );
 };
-const runFor = (fleet: SimFleet, ms: number): void => fleet.clock.runUntil(fleet.clock.now() + ms);
+const runFor = (fleet: SimulatedFleet, ms: number): void =>
+  fleet.clock.runUntil(fleet.clock.now() + ms);
 /**
  * What an operator is answered by a node. Messages get lost, so it asks again, at most twice, where
  * none came.
  */
 const answerOf = (
-  fleet: SimFleet,
+  fleet: SimulatedFleet,
   index: number,
-  action: Parameters<SimFleet['operate']>[0],
+  action: Parameters<SimulatedFleet['operate']>[0],
 ): { readonly status: number; readonly body: unknown } => {
   let got = { status: 0, body: null as unknown };
   for (let tries = 0; tries < 3 && got.status === 0; tries += 1) {
@@ -64,13 +71,13 @@
   }
   return got;
 };
-const tryPut = (fleet: SimFleet, index: number, changeId: string): number =>
+const tryPut = (fleet: SimulatedFleet, index: number, changeId: string): number =>
   answerOf(fleet, index, { kind: 'put-policy', document: policy, ifMatch: null, changeId }).status;
-const revisionAt = (fleet: SimFleet, index: number): number | undefined => {
+const revisionAt = (fleet: SimulatedFleet, index: number): number | undefined => {
   const { status, body } = answerOf(fleet, index, { kind: 'get-policy' });
   return status === 200 ? (body as { revision: number }).revision : undefined;
 };
-const founded = (seed: number, count: number, losses = 1): SimFleet => {
+const founded = (seed: number, count: number, losses = 1): SimulatedFleet => {
   const fleet = yard(
     seed,
     count,
@@ -295,7 +302,7 @@
     t.is(tryPut(fleet, 3, 'one'), 200);
     fleet.kill('core-1');
     fleet.kill('core-2');
-    const [gone, back] = [fleet.boxes.get('core-1'), fleet.boxes.get('core-2')];
+    const [gone, back] = [fleet.machines.get('core-1'), fleet.machines.get('core-2')];
     if (gone === undefined || back === undefined) {
       t.fail();
       return;
@@ -315,10 +322,10 @@
     const fleet = founded(seed, 6);
     t.is(tryPut(fleet, 4, 'one'), 200);
     for (const index of [1, 2, 3, 4, 5, 6]) fleet.kill(machine(index));
-    const disks = [1, 2, 3].map((index) => fleet.boxes.get(machine(index))?.disk);
-    const blanks = [4, 5, 6].map((index) => fleet.boxes.get(machine(index))?.disk);
+    const disks = [1, 2, 3].map((index) => fleet.machines.get(machine(index))?.disk);
+    const blanks = [4, 5, 6].map((index) => fleet.machines.get(machine(index))?.disk);
     [4, 5, 6, 1, 2, 3].forEach((index, at) => {
-      const box = fleet.boxes.get(machine(index));
+      const box = fleet.machines.get(machine(index));
       const disk = [...disks, ...blanks][at];
       if (box !== undefined && disk !== undefined) box.disk = disk;
     });
@@ -352,7 +359,7 @@
   for (const seed of seeds) {
     const fleet = founded(seed, 4);
     fleet.kill('core-1');
-    const [from, to] = [fleet.boxes.get('core-1'), fleet.boxes.get('core-4')];
+    const [from, to] = [fleet.machines.get('core-1'), fleet.machines.get('core-4')];
     fleet.kill('core-4');
     if (from === undefined || to === undefined) {
       t.fail();
--- a/packages/simulator/src/order-client.ts
+++ b/packages/simulator/src/order-client.ts
@@ -4,7 +4,7 @@
  * unchanged, as operators do.
  */
 import type { ApiAction } from '@reedyard/agent';
-import type { SimFleet } from './fleet.js';
+import type { SimulatedFleet } from './simulated-fleet.js';
 
 /** ms without an answer after which the client gives a node up. */
 const silenceMs = 1_000;
@@ -45,7 +45,7 @@
  * sendOrder(fleet, { patienceMs: 4_000, action: () => ({ kind: 'get-policy' }) }, (outcome) => outcome.ms);
  */
 export const sendOrder = (
-  fleet: SimFleet,
+  fleet: SimulatedFleet,
   options: OrderOptions,
   done: (outcome: OrderOutcome) => void,
 ): void => {
--- a/packages/simulator/src/order-times.ts
+++ b/packages/simulator/src/order-times.ts
@@ -4,7 +4,7 @@
  * holds.
  */
 import { parseArgs } from 'node:util';
-import { SimFleet } from './fleet.js';
+import { SimulatedFleet } from './simulated-fleet.js';
 import { sendOrder, type OrderOutcome } from './order-client.js';
 import { exampleOf } from './run.js';
 
@@ -69,7 +69,7 @@
 const outcomesOf = (setup: Setup, seed: number): readonly OrderOutcome[] => {
   const { deployment, policy } = exampleOf(setup.example);
   const tuning = { loss: 0.001, plant: 'none' as const, regionsMs: setup.regionsMs };
-  const fleet = new SimFleet(deployment, seed, tuning);
+  const fleet = new SimulatedFleet(deployment, seed, tuning);
   for (const machine of deployment.machines) fleet.start(machine.name);
   fleet.clock.in(500, () => fleet.put(policy));
   fleet.clock.runUntil(warmUpMs);
@@ -78,7 +78,7 @@
   const places = fleet.places();
   for (let round = 0; round < Number(values.rounds); round += 1) {
     const order = round % 2 === 0 ? 'empty' : 'take-back';
-    const first = Math.floor(fleet.clock.chance() * places.length);
+    const first = Math.floor(fleet.clock.random() * places.length);
     for (let each = 0; each < ordersAtOnce; each += 1) {
       const node = places[(first + (setup.isSpread ? each : 0)) % places.length];
       const action = (attempt: number) =>
--- a/packages/simulator/src/order-trial.test.ts
+++ b/packages/simulator/src/order-trial.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import type { ApiAction, ZonesRegister } from '@reedyard/agent';
-import { SimFleet } from './fleet.js';
+import { SimulatedFleet } from './simulated-fleet.js';
 import { sendOrder } from './order-client.js';
 import { runOrderTrial } from './order-trial.js';
-import type { Plant } from './plants.js';
+import type { InjectedFault } from './injected-faults.js';
 import { exampleOf } from './run.js';
 
 const seeds = [1, 2, 3, 4];
@@ -28,9 +28,9 @@
  * acknowledged elsewhere, takes it back, and that is acknowledged too; then the cut heals. Tells
  * whether the zone is open at the end, as it must be.
  */
-const staysOpen = (seed: number, plant: Plant): boolean => {
+const staysOpen = (seed: number, plant: InjectedFault): boolean => {
   const { deployment, policy } = exampleOf('brandlhuber');
-  const fleet = new SimFleet(deployment, seed, { loss: 0.001, plant, regionsMs: 12 });
+  const fleet = new SimulatedFleet(deployment, seed, { loss: 0.001, plant, regionsMs: 12 });
   for (const machine of deployment.machines) fleet.start(machine.name);
   fleet.clock.in(500, () => fleet.put(policy));
   fleet.clock.runUntil(8_000);
@@ -55,7 +55,7 @@
     }),
   );
   fleet.clock.runUntil(25_000);
-  const zones = fleet.boxes.get('core-1')?.agent?.state.registers.zones?.value as
+  const zones = fleet.machines.get('core-1')?.agent?.state.registers.zones?.value as
     ZonesRegister | undefined;
   return isTakenBack && zones !== undefined && !zones.closedOrigins.includes('west');
 };
@@ -77,7 +77,7 @@
     (seed) => runOrderTrial({ seed, plant: 'any-content-confirmed' }).wrongs,
   );
   t.true(
-    wrongs.some((wrong) => wrong.includes('confirmed with two contents')),
+    wrongs.some((violation) => violation.includes('confirmed with two contents')),
     wrongs.join('; '),
   );
 });
--- a/packages/simulator/src/order-trial.ts
+++ b/packages/simulator/src/order-trial.ts
@@ -11,9 +11,9 @@
   type ZonesRegister,
 } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
-import { SimFleet } from './fleet.js';
+import { SimulatedFleet } from './simulated-fleet.js';
 import { type OrderOutcome, sendOrder } from './order-client.js';
-import type { Plant } from './plants.js';
+import type { InjectedFault } from './injected-faults.js';
 import { exampleOf } from './run.js';
 
 const warmUpMs = 8_000;
@@ -24,7 +24,7 @@
 
 export type TrialOptions = {
   readonly seed: number;
-  readonly plant?: Plant;
+  readonly plant?: InjectedFault;
   readonly example?: string;
   /** Share of answers that are lost. */
   readonly lostAnswers?: number;
@@ -60,7 +60,7 @@
 
 /** One trial while it runs. */
 class OrderTrial {
-  readonly fleet: SimFleet;
+  readonly fleet: SimulatedFleet;
   readonly policies: SentPolicy[] = [];
   readonly zoneEnds = new Map<string, ZoneEnd[]>();
   readonly sentContents = new Map<number, Set<string>>();
@@ -74,14 +74,14 @@
   constructor(options: TrialOptions) {
     const { deployment, policy } = exampleOf(options.example ?? 'brandlhuber');
     const tuning = { loss: 0.001, plant: options.plant ?? 'none', regionsMs: 12 };
-    this.fleet = new SimFleet(deployment, options.seed, tuning);
+    this.fleet = new SimulatedFleet(deployment, options.seed, tuning);
     this.#base = policy;
     this.#lostAnswers = options.lostAnswers ?? 0.3;
     for (const machine of deployment.machines) this.fleet.start(machine.name);
   }
 
   #order(action: () => ApiAction, done: (outcome: OrderOutcome) => void): void {
-    const losesAnswer = (): boolean => this.fleet.clock.chance() < this.#lostAnswers;
+    const losesAnswer = (): boolean => this.fleet.clock.random() < this.#lostAnswers;
     sendOrder(this.fleet, { patienceMs, action, losesAnswer }, (outcome) => {
       this.outcomes.push(outcome);
       done(outcome);
@@ -103,8 +103,8 @@
    */
   operatePolicies(operator: string): void {
     if (this.fleet.clock.now() > endMs) return;
-    const isRace = this.fleet.clock.chance() < 0.5;
-    if (!isRace) this.#version += 1 + Math.floor(3 * this.fleet.clock.chance());
+    const isRace = this.fleet.clock.random() < 0.5;
+    if (!isRace) this.#version += 1 + Math.floor(3 * this.fleet.clock.random());
     const version = this.#version;
     const content = `${operator}-${this.#nextId()}`;
     const contents = this.sentContents.get(version) ?? new Set();
@@ -149,7 +149,7 @@
 
   /** Agents that may act, with what they know of the zones. */
   #informed(): readonly ZonesRegister[] {
-    return [...this.fleet.boxes.values()].flatMap(({ agent }) => {
+    return [...this.fleet.machines.values()].flatMap(({ agent }) => {
       if (agent === null || agent.frozen || agent.state.now >= agent.state.leaseUntil) return [];
       const zones = agent.state.registers.zones;
       return zones === undefined ? [] : [zones.value as ZonesRegister];
@@ -175,7 +175,7 @@
     const { clock } = fleet;
     if (clock.now() > endMs) return;
     const name = clock.pick(fleet.places()) ?? '';
-    const draw = clock.chance();
+    const draw = clock.random();
     if (draw < 0.4) {
       fleet.isolate(name);
       clock.in(clock.between(500, 3_000), () => fleet.heal());
--- a/packages/simulator/src/rules-4.test.ts
+++ b/packages/simulator/src/rules-4.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { casesOf, show } from './planted.js';
+import { casesOf, show } from './injected-fault-runs.js';
 
 for (const each of casesOf(3)) {
   test.serial(
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -1,14 +1,15 @@
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { Schemas, type Policy } from '@reedyard/schemas';
+import { type Policy, Schemas } from '@reedyard/schemas';
 import type { Deployment } from '@reedyard/topology';
-import { available, judge } from './checks.js';
+import { availability, judge } from './checks.js';
 import { inTouch, judgeCuts } from './cut-checks.js';
-import { SimFleet } from './fleet.js';
-import type { Wrong } from './history.js';
-import type { Plant, Selection } from './plants.js';
-import { scenarios, type CalledFleet, type StageFleet } from './scenarios.js';
+import { SimulatedFleet } from './simulated-fleet.js';
+import type { Violation } from './history.js';
+import type { InjectedFault, Selection } from './injected-faults.js';
+import { scenarios } from './scenarios.js';
+import type { RequestedFleet, ScenarioFleet } from './scenarios/environment.js';
 
 const examples = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../../../examples');
 
@@ -27,7 +28,7 @@
 export type RunOptions = {
   readonly scenario: string;
   readonly seed: number;
-  readonly plant?: Plant;
+  readonly plant?: InjectedFault;
   readonly example?: string;
   readonly rate?: number;
   readonly selection?: Selection;
@@ -37,11 +38,11 @@
 export type Report = {
   readonly scenario: string;
   readonly seed: number;
-  readonly wrongs: readonly Wrong[];
+  readonly wrongs: readonly Violation[];
   readonly asked: number;
   readonly share: number;
   readonly rest: Readonly<Record<string, number>>;
-  readonly fleet: SimFleet;
+  readonly fleet: SimulatedFleet;
   readonly replay: string;
 };
 
@@ -49,9 +50,9 @@
 type Sample = { readonly method: string; readonly target: string };
 
 /** What callers ask for, by deployment: the largest share first. */
-export const sampleOf = (example: string, clock: StageFleet['clock']): Sample => {
-  const draw = clock.chance();
-  const hot = (count: number): number => Math.floor(count * clock.chance() ** 2.5);
+export const sampleOf = (example: string, clock: ScenarioFleet['clock']): Sample => {
+  const draw = clock.random();
+  const hot = (count: number): number => Math.floor(count * clock.random() ** 2.5);
   if (example === 'association') {
     if (draw < 0.4) return { method: 'GET', target: `/icing/tag-${hot(8)}/${hot(60)}` };
     if (draw < 0.6) return { method: 'GET', target: `/reports/ticino/${hot(40)}` };
@@ -70,7 +71,7 @@
  * none.
  */
 export const startCallers = (
-  fleet: CalledFleet,
+  fleet: RequestedFleet,
   example: string,
   policy: Policy,
   rate: () => number,
@@ -89,7 +90,7 @@
   };
   const one = (): void => {
     if (clock.now() > until) return;
-    clock.in((-Math.log(1 - clock.chance()) * 1_000) / rate(), one);
+    clock.in((-Math.log(1 - clock.random()) * 1_000) / rate(), one);
     const zone = skew() ?? clock.pick(zones) ?? '';
     const sample = sampleOf(example, fleet.clock);
     job += 1;
@@ -105,18 +106,18 @@
       fleet.ask(node, { ...sample, host, job: name, key }, (status) => {
         // What got no good answer is asked again, an order with the same key.
         const bad = status === 0 || status === 502 || status === 503 || status === 504;
-        if (bad && left > 0) clock.in(1_000 + 200 * clock.chance(), () => attempt(left - 1));
+        if (bad && left > 0) clock.in(1_000 + 200 * clock.random(), () => attempt(left - 1));
       });
       // A caller uses its key once more for another order.
-      if (key !== null && left === 2 && clock.chance() < 0.05) {
+      if (key !== null && left === 2 && clock.random() < 0.05) {
         const other = choose(zone);
         if (other !== undefined)
-          clock.in(800 * clock.chance(), () =>
+          clock.in(800 * clock.random(), () =>
             fleet.ask(other, { ...sample, host, job: `${name}-other`, key }, () => undefined),
           );
       }
       // An impatient caller sends the same key twice at once.
-      if (key !== null && left === 2 && clock.chance() < 0.1) {
+      if (key !== null && left === 2 && clock.random() < 0.1) {
         const other = choose(zone);
         if (other !== undefined)
           fleet.ask(other, { ...sample, host, job: name, key }, () => undefined);
@@ -147,7 +148,7 @@
       ? asGiven
       : { ...asGiven, machines: asGiven.machines.map((machine) => ({ ...machine, capacityBps })) };
   const used = scenario.policy?.(policy) ?? policy;
-  const fleet = new SimFleet(deployment, options.seed, {
+  const fleet = new SimulatedFleet(deployment, options.seed, {
     loss: scenario.loss ?? 0.001,
     plant: options.plant ?? 'none',
     regionsMs: 12,
@@ -181,7 +182,7 @@
     scenario.servesOn === true
       ? [...judge(inTouch(fleet.history)), ...judgeCuts(fleet.history)]
       : judge(fleet.history);
-  const measured = available(fleet.history, 8_000);
+  const measured = availability(fleet.history, 8_000);
   return {
     scenario: options.scenario,
     seed: options.seed,
--- /dev/null
+++ b/packages/simulator/src/scenarios/origin-faults.ts
@@ -0,0 +1,42 @@
+/** Faults of origins that several scenarios bring about. */
+
+import type { ScenarioFleet, ScenarioOrigin } from './environment.js';
+
+export const faultOrigins = (fleet: ScenarioFleet): void => {
+  for (const origin of fleet.origins)
+    Object.assign(origin.mode, {
+      lose: 0.1,
+      aged: fleet.clock.random() < 0.3 ? 1 : 0,
+      large: 0.002,
+      garbage: 0.03,
+      short: 0.03,
+      foreign: 0.05,
+    });
+};
+
+/** An origin comes back as a new incarnation, cold, and warms with the work it gets. */
+export const replaceOrigin = (
+  fleet: ScenarioFleet,
+  origin: ScenarioOrigin,
+  downMs: number,
+): void => {
+  origin.alive = false;
+  fleet.clock.in(downMs, () => {
+    Object.assign(origin, {
+      alive: true,
+      cold: true,
+      draining: false,
+      incarnation: origin.incarnation + 1,
+    });
+    fleet.describe(origin);
+    fleet.clock.in(8_000, () => {
+      if (origin.alive) origin.cold = false;
+    });
+  });
+};
+
+export const drain = (fleet: ScenarioFleet, origin: ScenarioOrigin, thenDown: boolean): void => {
+  origin.draining = true;
+  fleet.describe(origin);
+  if (thenDown) fleet.clock.in(5_000, () => replaceOrigin(fleet, origin, 1_000));
+};
--- /dev/null
+++ b/packages/simulator/src/scenarios/policy-changes.ts
@@ -0,0 +1,163 @@
+/** Changes of the policy that scenarios send: variants of the example's, and mutations of it. */
+
+import { type Policy, Routes } from '@reedyard/schemas';
+import type { ScenarioEnvironment, ScenarioFleet } from './environment.js';
+
+/**
+ * A policy that differs from the first and from every other by one service's ceiling and one route.
+ */
+export const variant = (policy: Policy, number: number): Policy => ({
+  services: policy.services,
+  routes: [
+    ...policy.routes,
+    {
+      ...policy.routes[0],
+      name: `extra-${number}`,
+      path: `/extra-${number}/`,
+    },
+  ],
+});
+
+export type RouteOf = Policy['routes'][number];
+
+export const onRoute = (
+  policy: Policy,
+  clock: ScenarioFleet['clock'],
+  fits: (route: RouteOf) => boolean,
+  change: (route: RouteOf) => readonly RouteOf[],
+): Policy => {
+  const chosenRoute = clock.pick(policy.routes.filter(fits));
+  return {
+    ...policy,
+    routes: policy.routes.flatMap((route) => (route === chosenRoute ? change(route) : [route])),
+  };
+};
+
+export const onService = (
+  policy: Policy,
+  clock: ScenarioFleet['clock'],
+  change: (service: Policy['services'][string], name: string) => Policy['services'][string],
+): Policy => {
+  const chosenName = clock.pick(Object.keys(policy.services)) ?? '';
+  return {
+    ...policy,
+    services: Object.fromEntries(
+      Object.entries(policy.services).map(([name, service]) => [
+        name,
+        name === chosenName ? change(service, name) : service,
+      ]),
+    ),
+  };
+};
+
+/**
+ * What a next policy may take away, move or bring back; each put begins again from the first
+ * policy.
+ */
+const mutations: Readonly<Record<string, (policy: Policy, fleet: ScenarioFleet) => Policy>> = {
+  'route removed': (policy, { clock }) =>
+    onRoute(
+      policy,
+      clock,
+      () => true,
+      () => [],
+    ),
+  'service removed': (policy, { clock }) => {
+    const chosenName = clock.pick(Object.keys(policy.services)) ?? '';
+    const { [chosenName]: _gone, ...services } = policy.services;
+    return { services, routes: policy.routes.filter((route) => !Routes.allows(route, chosenName)) };
+  },
+  'route moved': (policy, { clock }) =>
+    onRoute(
+      policy,
+      clock,
+      () => true,
+      (route) => [
+        {
+          ...route,
+          service:
+            clock.pick(
+              Object.keys(policy.services).filter((name) => name !== Routes.mainService(route)),
+            ) ?? Routes.mainService(route),
+        },
+      ],
+    ),
+  'instances narrowed': (policy, { clock, origins }) =>
+    onService(policy, clock, (service, name) => {
+      const instances = origins
+        .filter((origin) => origin.service === name)
+        .map((origin) => origin.instance);
+      const kept = instances.filter(() => clock.random() < 0.4);
+      return { ...service, instances: kept.length > 0 ? kept : instances.slice(0, 1) };
+    }),
+  'ceiling changed': (policy, { clock }) =>
+    onService(policy, clock, (service) => ({ ...service, ceiling: clock.between(20, 150) })),
+  'cold rate changed': (policy, { clock }) =>
+    onService(policy, clock, (service) => ({ ...service, coldRate: clock.between(4, 40) })),
+  'homes narrowed': (policy, { clock, deployment }) => {
+    const regions = [...new Set(deployment.machines.map((machine) => machine.region))];
+    return onRoute(
+      policy,
+      clock,
+      (route) => !route.methods.includes('POST'),
+      (route) => [
+        {
+          ...route,
+          homes: [
+            clock.pick(regions.filter((region) => route.homes?.includes(region) !== true)) ??
+              regions[0] ??
+              '',
+          ],
+        },
+      ],
+    );
+  },
+  'copies shortened': (policy, { clock }) =>
+    onRoute(
+      policy,
+      clock,
+      (route) => route.cache.keep === 'origin',
+      (route) => [{ ...route, cache: { keep: 'origin', mostSeconds: 1 } }],
+    ),
+  'copies ended': (policy, { clock }) =>
+    onRoute(
+      policy,
+      clock,
+      (route) => route.cache.keep === 'origin',
+      (route) => [{ ...route, cache: { keep: 'never' } }],
+    ),
+  'methods taken away': (policy, { clock }) =>
+    onRoute(
+      policy,
+      clock,
+      () => true,
+      (route) => [{ ...route, methods: ['OPTIONS'] }],
+    ),
+  'limits shortened': (policy, { clock }) =>
+    onRoute(
+      policy,
+      clock,
+      () => true,
+      (route) => [{ ...route, limits: { ...route.limits, requestMs: 600, attemptMs: 300 } }],
+    ),
+};
+
+/** A policy with one to three changes. */
+export const mutated = ({ fleet, policy }: ScenarioEnvironment): Policy => {
+  let next = policy;
+  const count = 1 + Math.floor(3 * fleet.clock.random());
+  const named: string[] = [];
+  for (let each = 0; each < count; each += 1) {
+    const name = fleet.clock.pick(Object.keys(mutations)) ?? '';
+    next = mutations[name]?.(next, fleet) ?? next;
+    named.push(name);
+  }
+  fleet.fault(`policy sent: ${named.join(', ')}`);
+  return next;
+};
+
+export const putVariant = (environment: ScenarioEnvironment): void => {
+  environment.fleet.put(
+    variant(environment.policy, Math.floor(1e6 * environment.fleet.clock.random())),
+  );
+};
--- /dev/null
+++ b/packages/simulator/src/scenarios/random-faults.ts
@@ -0,0 +1,81 @@
+/** Faults that happen at random while a scenario runs. */
+
+import { disks, every, names, restart, type ScenarioEnvironment, zones } from './environment.js';
+import { drain, replaceOrigin } from './origin-faults.js';
+import { mutated } from './policy-changes.js';
+
+/**
+ * Policies that take things away, now and then the first one again, while origins are slow and
+ * machines fail.
+ */
+export const changing = (environment: ScenarioEnvironment): void => {
+  const { fleet } = environment;
+  every(environment, 9_000, 46_000, 2_200, () => {
+    if (fleet.clock.random() < 0.25) fleet.put(environment.policy);
+    else fleet.put(mutated(environment));
+  });
+  every(environment, 9_000, 46_000, 900, () => faults.slow?.(environment));
+  every(environment, 9_000, 46_000, 900, () => faults.read?.(environment));
+  every(environment, 10_000, 44_000, 4_000, () => faults.kill?.(environment));
+  every(environment, 11_000, 44_000, 4_000, () => faults.freeze?.(environment));
+  every(environment, 12_000, 44_000, 9_000, () => faults.cut?.(environment));
+};
+
+export const faults: Readonly<Record<string, (environment: ScenarioEnvironment) => void>> = {
+  kill: ({ fleet }) => {
+    const name = fleet.clock.pick(names(fleet));
+    if (name !== undefined) restart(fleet, name, fleet.clock.between(500, 5_000));
+  },
+  herd: ({ fleet }) => {
+    for (const name of names(fleet, 'front'))
+      if (fleet.clock.random() < 0.3) restart(fleet, name, fleet.clock.between(500, 4_000));
+  },
+  freeze: ({ fleet }) => {
+    const name = fleet.clock.pick(names(fleet));
+    if (name !== undefined) {
+      fleet.freeze(name);
+      fleet.fault(`${name} frozen`);
+      fleet.clock.in(fleet.clock.between(500, 9_000), () => fleet.thaw(name));
+    }
+  },
+  cut: ({ fleet }) => {
+    const name = fleet.clock.pick(names(fleet));
+    if (name === undefined) return;
+    fleet.isolate(name, fleet.clock.pick(['both', 'in', 'out'] as const));
+    fleet.fault(`${name} cut off`);
+    fleet.clock.in(fleet.clock.between(1_000, 8_000), () => fleet.heal());
+  },
+  wipe: ({ fleet }) => {
+    const name = fleet.clock.pick(disks(fleet));
+    if (name !== undefined) restart(fleet, name, fleet.clock.between(300, 3_000), true);
+  },
+  drain: ({ fleet }) => {
+    const origin = fleet.clock.pick(fleet.origins.filter((each) => each.alive && !each.draining));
+    if (origin !== undefined) drain(fleet, origin, true);
+  },
+  crash: ({ fleet }) => {
+    const origin = fleet.clock.pick(fleet.origins.filter((each) => each.alive));
+    if (origin !== undefined) replaceOrigin(fleet, origin, fleet.clock.between(300, 4_000));
+  },
+  slow: ({ fleet }) => {
+    const origin = fleet.clock.pick(fleet.origins);
+    if (origin !== undefined) {
+      origin.mode.slowMs = 1_500;
+      fleet.clock.in(4_000, () => {
+        origin.mode.slowMs = 5;
+      });
+    }
+  },
+  purge: ({ fleet, policy, sample }) => {
+    if (fleet.clock.random() < 0.5) fleet.purge([], [String(Math.floor(8 * fleet.clock.random()))]);
+    else fleet.purge([`http://${policy.routes[0]?.host ?? ''}${sample().target}`], []);
+  },
+  zone: ({ fleet }) => {
+    const zone = fleet.clock.pick(zones(fleet));
+    if (zone !== undefined) {
+      fleet.zone(zone, 'empty');
+      fleet.clock.in(9_000, () => fleet.zone(zone, 'take-back'));
+    }
+  },
+  read: ({ fleet }) => fleet.read(),
+};
--- a/packages/simulator/src/second-loss.test.ts
+++ b/packages/simulator/src/second-loss.test.ts
@@ -77,7 +77,7 @@
   return [1, 2, 3, 4].map((round) => {
     const successor = coreName(options.members + round);
     const lost = site.anyVoting();
-    if (fleet.clock.chance() < 0.5) fleet.stopReplica(lost);
+    if (fleet.clock.random() < 0.5) fleet.stopReplica(lost);
     // The operator's list of seeds is some seconds old: the lost one may stand in it.
     fleet.seeds = site
       .voting()
@@ -154,8 +154,8 @@
       await turn();
       const site = siteFor(seed);
       t.not(site.timeToAcknowledge(acknowledgement), null, `seed ${seed}`);
-      const machines = [...site.fleet.boxes.keys()].filter(
-        (each) => site.fleet.boxes.get(each)?.powered === true,
+      const machines = [...site.fleet.machines.keys()].filter(
+        (each) => site.fleet.machines.get(each)?.isPowered === true,
       );
       const lost = site.anyVoting();
       machines.forEach((each) => site.fleet.kill(each));
@@ -199,7 +199,7 @@
   const second = fleet.clock.pick(site.voting().filter((each) => each !== leaver)) ?? '';
   site.resetGap();
   fleet.stopReplica(leaver);
-  if (fleet.clock.chance() < 0.5) site.runFor(fleet.clock.between(0, 1_200));
+  if (fleet.clock.random() < 0.5) site.runFor(fleet.clock.between(0, 1_200));
   else {
     site.runUntilEpochAfter(epoch, 1_200);
     site.runFor(fleet.clock.between(0, 10));
@@ -227,7 +227,7 @@
         const { took, leaver } = leave(site, crash);
         times.push(took);
         site.runFor(6_000);
-        const running = site.fleet.boxes.get(leaver)?.replica !== null;
+        const running = site.fleet.machines.get(leaver)?.replica !== null;
         if (crash === 'nobody') t.false(running, `seed ${seed}: the leaver has ended`);
         t.true(site.keepsAcknowledged(), `seed ${seed}`);
         const others = site.voting().filter((each) => each !== leaver);
@@ -299,8 +299,8 @@
     site.runFor(lasting);
     fleet.heal();
   } else {
-    const machines = [...fleet.boxes.keys()].filter(
-      (each) => fleet.boxes.get(each)?.powered === true,
+    const machines = [...fleet.machines.keys()].filter(
+      (each) => fleet.machines.get(each)?.isPowered === true,
     );
     if (trouble === 'power') machines.forEach((each) => fleet.kill(each));
     for (const machine of machines) {
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -1,6 +1,6 @@
 import type { Machine } from '@reedyard/topology';
 import type { Policy } from '@reedyard/schemas';
-import { SimFleet, type Tuning } from './fleet.js';
+import { SimulatedFleet, type Tuning } from './simulated-fleet.js';
 
 /**
  * Trials of membership changes: a fleet of a few front machines and of machines with a replica, in
@@ -52,21 +52,25 @@
 
 /** A fleet whose members are founded and whose successors are not started yet. */
 export class Site {
-  readonly fleet: SimFleet;
+  readonly fleet: SimulatedFleet;
   /** ms. The longest time without a voting majority since `resetGap`. */
   longestGap = 0;
   #gapSince: number | null = null;
 
   constructor(readonly options: SiteOptions) {
     const { seed, losses, loss = 0.002, busyMs, drift, catchUpMs, plant = 'none' } = options;
-    this.fleet = new SimFleet({ name: 'site', machines: machinesOf(options), origins: [] }, seed, {
-      loss,
-      plant,
-      regionsMs: 0,
-      voting: { losses, ...(catchUpMs === undefined ? {} : { catchUpMs }) },
-      ...(busyMs === undefined ? {} : { busyMs }),
-      ...(drift === undefined ? {} : { drift }),
-    });
+    this.fleet = new SimulatedFleet(
+      { name: 'site', machines: machinesOf(options), origins: [] },
+      seed,
+      {
+        loss,
+        plant,
+        regionsMs: 0,
+        voting: { losses, ...(catchUpMs === undefined ? {} : { catchUpMs }) },
+        ...(busyMs === undefined ? {} : { busyMs }),
+        ...(drift === undefined ? {} : { drift }),
+      },
+    );
     for (let index = 1; index <= options.members; index += 1) this.fleet.start(coreName(index));
     for (let index = 1; index <= frontCount; index += 1) this.fleet.start(`front-${index}`);
     this.runFor(foundingMs);
@@ -83,7 +87,7 @@
    * still reads.
    */
   votingDisk(machine: string): string | null {
-    const replica = this.fleet.boxes.get(machine)?.replica ?? null;
+    const replica = this.fleet.machines.get(machine)?.replica ?? null;
     if (replica === null || !replica.alive || replica.frozen) return null;
     const { committedMembership: told, isVoting: voting, diskId: disk } = replica.state;
     return voting && told !== null && Object.values(told.value.disks).includes(disk) ? disk : null;
@@ -100,7 +104,7 @@
       epoch: 0,
       disks: [],
     };
-    for (const box of this.fleet.boxes.values()) {
+    for (const box of this.fleet.machines.values()) {
       const told = box.replica?.state.committedMembership ?? null;
       if (told === null || told.value.epoch <= newest.epoch) continue;
       newest = { epoch: told.value.epoch, disks: Object.values(told.value.disks) };
@@ -111,7 +115,7 @@
   /** Machines whose replica is a member of the newest epoch and votes. */
   voting(): readonly string[] {
     const { disks } = this.committed();
-    return [...this.fleet.boxes.keys()].filter((machine) => {
+    return [...this.fleet.machines.keys()].filter((machine) => {
       const disk = this.votingDisk(machine);
       return disk !== null && disks.includes(disk);
     });
--- a/packages/simulator/src/fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -14,8 +14,8 @@
 import { Cache } from '@reedyard/cache';
 import {
   type Answer,
-  type ClientRequest,
   type AttemptAnswer,
+  type ClientRequest,
   connectTimeoutMs,
   feedIntervalMs,
   Feeds,
@@ -41,20 +41,20 @@
 import { callTimeoutMs } from '@reedyard/rpc';
 import type { Description, Policy } from '@reedyard/schemas';
 import type { Deployment, Machine } from '@reedyard/topology';
-import { Clockwork } from './clockwork.js';
+import { VirtualClock } from './virtual-clock.js';
 import type { Entry, SimBody } from './history.js';
 import {
-  type Plant,
+  claimWithFault,
+  feedWithFault,
+  type InjectedFault,
   plantedAgent,
-  plantedClaim,
-  plantedFeed,
   plantedGrant,
   plantedReply,
   selected,
   type Selection,
-} from './plants.js';
-import { Reach } from './reach.js';
-import type { CalledFleet, StageOrigin } from './scenarios.js';
+} from './injected-faults.js';
+import { SimulatedNetwork } from './simulated-network.js';
+import type { RequestedFleet, ScenarioOrigin } from './scenarios/environment.js';
 
 type Program = 'agent' | 'proxy' | 'replica';
 type Reducers = {
@@ -93,19 +93,22 @@
   waiters: [],
 });
 
-type Box = {
+type SimulatedMachine = {
   readonly machine: Machine;
-  /** Name that it goes by; two machines may claim one. */ readonly as: string;
+  /** Name that it goes by; two machines may claim one. */ readonly memberName: string;
   agent: Process<'agent'> | null;
   proxy: Process<'proxy'> | null;
   replica: Process<'replica'> | null;
   disk: Disk;
-  powered: boolean;
-  namePlate: readonly ReplicaRecord[];
+  isPowered: boolean;
+  identityRecords: readonly ReplicaRecord[];
 };
 
 /** A stand-in origin: an identity at an address. */
-export type SimOrigin = StageOrigin & { readonly address: string; previous: AttemptAnswer | null };
+export type SimulatedOrigin = ScenarioOrigin & {
+  readonly address: string;
+  previous: AttemptAnswer | null;
+};
 
 /** A field of an answer as text; empty where there is none. */
 const fieldOf = (headers: Readonly<Record<string, unknown>>, name: string): string => {
@@ -134,7 +137,7 @@
 
 export type Tuning = {
   readonly loss: number;
-  readonly plant: Plant;
+  readonly plant: InjectedFault;
   readonly regionsMs: number;
   readonly selection?: Selection;
   /** ms that a message may wait more. */
@@ -148,12 +151,12 @@
 };
 
 /** A whole fleet in virtual time. */
-export class SimFleet implements CalledFleet {
-  readonly clock: Clockwork;
+export class SimulatedFleet implements RequestedFleet {
+  readonly clock: VirtualClock;
   readonly history: Entry[] = [];
-  readonly boxes = new Map<string, Box>();
-  readonly origins: SimOrigin[] = [];
-  readonly #reach: Reach;
+  readonly machines = new Map<string, SimulatedMachine>();
+  readonly origins: SimulatedOrigin[] = [];
+  readonly #reach: SimulatedNetwork;
   readonly #drained = new Map<string, Feed['origins'][number]>();
   /** What settings name as seeds to those that start from now on. */
   seeds: readonly string[] = [];
@@ -176,8 +179,8 @@
     seed: number,
     readonly tuning: Tuning,
   ) {
-    this.clock = new Clockwork(seed);
-    this.#reach = new Reach(
+    this.clock = new VirtualClock(seed);
+    this.#reach = new SimulatedNetwork(
       Object.keys(this.founders()),
       () => this.clock.now(),
       (entry) => this.history.push(entry),
@@ -187,15 +190,15 @@
       .slice(0, 3)
       .map((each) => `${each.name}/agent`);
     for (const machine of deployment.machines) {
-      this.boxes.set(machine.name, {
+      this.machines.set(machine.name, {
         machine,
-        as: machine.name,
+        memberName: machine.name,
         agent: null,
         proxy: null,
         replica: null,
-        powered: false,
+        isPowered: false,
         disk: blankDisk(),
-        namePlate: [],
+        identityRecords: [],
       });
       const drift = tuning.plant === 'wild-clocks' ? 0.45 : (tuning.drift ?? 0);
       if (drift > 0) this.#clockRates.set(machine.name, this.clock.between(1 - drift, 1 + drift));
@@ -221,36 +224,36 @@
   }
 
   places(): readonly string[] {
-    return [...this.boxes.keys()];
+    return [...this.machines.keys()];
   }
   runs(name: string): boolean {
-    return this.boxes.get(name)?.agent?.alive === true;
+    return this.machines.get(name)?.agent?.alive === true;
   }
   /** The machine that has the quotaLeadership. */
   holder(): string | undefined {
-    return [...this.boxes.values()].find(
+    return [...this.machines.values()].find(
       (box) => box.agent !== null && box.agent.state.quotaLeadership !== null,
     )?.machine.name;
   }
 
   #machineAt(place: string): Machine | undefined {
-    return this.boxes.get(place)?.machine;
+    return this.machines.get(place)?.machine;
   }
 
   /** Another machine, with a blank disk, that goes by the name of one which may still run. */
   twin(name: string): string {
-    const box = this.boxes.get(name);
+    const box = this.machines.get(name);
     const place = `${name}~2`;
     if (box !== undefined)
-      this.boxes.set(place, {
+      this.machines.set(place, {
         machine: { ...box.machine, name: place },
-        as: name,
+        memberName: name,
         agent: null,
         proxy: null,
         replica: null,
-        powered: false,
+        isPowered: false,
         disk: blankDisk(),
-        namePlate: [],
+        identityRecords: [],
       });
     this.start(place);
     return place;
@@ -277,7 +280,7 @@
           : a.zone !== b.zone
             ? 0.4
             : 0.2;
-    return base + this.clock.chance() * (0.3 + (from === to ? 0 : (this.tuning.busyMs ?? 0)));
+    return base + this.clock.random() * (0.3 + (from === to ? 0 : (this.tuning.busyMs ?? 0)));
   }
 
   cut(from: string, to: string): void {
@@ -285,7 +288,10 @@
   }
   /** Cuts a machine off, both ways or only what it sends or only what it hears. */
   isolate(name: string, way: 'both' | 'out' | 'in' = 'both'): void {
-    for (const other of [...this.boxes.keys(), ...this.origins.map((origin) => origin.address)]) {
+    for (const other of [
+      ...this.machines.keys(),
+      ...this.origins.map((origin) => origin.address),
+    ]) {
       if (other === name) continue;
       if (way !== 'in') this.cut(name, other);
       if (way !== 'out') this.cut(other, name);
@@ -299,7 +305,7 @@
   #carry(from: string, to: string, act: () => void): void {
     this.counts.messages += 1;
     if (this.#reach.isCut(from, to)) return;
-    if (from !== to && this.clock.chance() < this.tuning.loss) return;
+    if (from !== to && this.clock.random() < this.tuning.loss) return;
     this.clock.in(this.delay(from, to), act);
   }
 
@@ -407,35 +413,35 @@
 
   /** Starts a machine's programs, each a little after the other. */
   start(name: string): void {
-    const box = this.boxes.get(name);
+    const box = this.machines.get(name);
     if (box === undefined) return;
-    box.powered = true;
+    box.isPowered = true;
     this.#reach.changed(name);
     const { machine } = box;
     if (machine.kind !== 'front' && box.replica === null)
       this.clock.in(this.clock.between(50, 400), () => {
-        if (box.powered && box.replica === null) this.#startReplica(box);
+        if (box.isPowered && box.replica === null) this.#startReplica(box);
       });
     if (box.agent === null)
       this.clock.in(this.clock.between(50, 400), () => {
-        if (box.powered && box.agent === null) this.#startAgent(box);
+        if (box.isPowered && box.agent === null) this.#startAgent(box);
       });
     if (machine.kind === 'front' && box.proxy === null)
       this.clock.in(this.clock.between(50, 400), () => {
-        if (box.powered && box.proxy === null) this.#startProxy(box);
+        if (box.isPowered && box.proxy === null) this.#startProxy(box);
       });
   }
 
-  #startReplica(box: Box): void {
+  #startReplica(box: SimulatedMachine): void {
     this.#lives += 1;
     const { machine } = box;
     const others = Object.fromEntries(
-      Object.entries(this.founders()).filter(([name]) => name !== box.as),
+      Object.entries(this.founders()).filter(([name]) => name !== box.memberName),
     );
     // A wiped disk that still goes by its old name votes as if it knew all that it promised.
     const records =
       this.tuning.plant === 'wiped-votes' && box.disk.synced.length === 0
-        ? box.namePlate
+        ? box.identityRecords
         : box.disk.synced;
     let effects: readonly ReplicaEffect[] = [];
     const process = this.#make('replica', machine, (now) => {
@@ -448,7 +454,7 @@
               isFirstStart: this.firstStart,
             };
       const opened = openReplica({
-        name: box.as,
+        name: box.memberName,
         otherFounders: others,
         bootstrap,
         records,
@@ -467,19 +473,19 @@
   }
 
   /** Compaction rewrites the disk from the state, as the real log does. */
-  #compact(box: Box, process: Process<'replica'>): void {
+  #compact(box: SimulatedMachine, process: Process<'replica'>): void {
     if (box.disk.synced.length > 4_000 && box.disk.unsynced.length === 0)
       box.disk.synced = [...snapshotRecords(process.state)];
   }
 
-  #startAgent(box: Box): void {
+  #startAgent(box: SimulatedMachine): void {
     this.#lives += 1;
     const { machine } = box;
     const fronts = machine.kind === 'front';
     const process = this.#make('agent', machine, (now) =>
       openAgent({
         self: {
-          id: box.as,
+          id: box.memberName,
           servesOn: this.tuning.servesOn === true,
           zone: machine.zone,
           region: machine.region,
@@ -500,7 +506,7 @@
           this.tuning.voting === undefined
             ? null
             : { ...this.tuning.voting, seeds: this.#replicaSeeds() },
-        randomSeed: Math.floor(this.clock.chance() * 2 ** 31),
+        randomSeed: Math.floor(this.clock.random() * 2 ** 31),
         now,
       }),
     );
@@ -510,7 +516,7 @@
     );
   }
 
-  #startProxy(box: Box): void {
+  #startProxy(box: SimulatedMachine): void {
     this.#lives += 1;
     const { machine } = box;
     const process = this.#make('proxy', machine, (now) =>
@@ -540,7 +546,7 @@
 
   /** Kills a machine's processes at once. Unsynced writes are lost, or some of them are. */
   kill(name: string): void {
-    const box = this.boxes.get(name);
+    const box = this.machines.get(name);
     if (box === undefined) return;
     this.#reach.changed(name);
     this.#end(box.agent);
@@ -551,8 +557,8 @@
     box.agent = null;
     box.proxy = null;
     box.replica = null;
-    box.powered = false;
-    const kept = Math.floor(this.clock.chance() * (box.disk.unsynced.length + 1));
+    box.isPowered = false;
+    const kept = Math.floor(this.clock.random() * (box.disk.unsynced.length + 1));
     if (this.tuning.plant === 'forgetful-disks') {
       box.disk = blankDisk();
       return;
@@ -561,7 +567,7 @@
   }
   /** The warning before a stop: the proxy leaves, the rest goes on until it is killed. */
   warn(name: string): void {
-    const proxy = this.boxes.get(name)?.proxy ?? null;
+    const proxy = this.machines.get(name)?.proxy ?? null;
     if (proxy !== null)
       this.#inside(proxy, () =>
         this.#step(proxy, { kind: 'stop-requested', now: this.#now(proxy) }),
@@ -569,7 +575,7 @@
   }
   /** Tells a machine's replica to stop; it ends by itself, as soon as nothing waits for it. */
   stopReplica(name: string): void {
-    const replica = this.boxes.get(name)?.replica ?? null;
+    const replica = this.machines.get(name)?.replica ?? null;
     if (replica === null) return;
     this.#inside(replica, () =>
       this.#step(replica, { kind: 'stop-requested', now: this.#now(replica) }),
@@ -577,9 +583,9 @@
   }
   /** Takes a dead machine's disk away. */
   wipe(name: string): void {
-    const box = this.boxes.get(name);
-    if (box === undefined || box.powered) return;
-    box.namePlate = box.disk.synced.filter(
+    const box = this.machines.get(name);
+    if (box === undefined || box.isPowered) return;
+    box.identityRecords = box.disk.synced.filter(
       (record) =>
         record.kind === 'disk-named' ||
         record.kind === 'voting-begun' ||
@@ -589,13 +595,13 @@
   }
   freeze(name: string): void {
     this.#reach.changed(name);
-    const box = this.boxes.get(name);
+    const box = this.machines.get(name);
     for (const process of [box?.agent, box?.proxy, box?.replica])
       if (process) process.frozen = true;
   }
   thaw(name: string): void {
     this.#reach.changed(name);
-    const box = this.boxes.get(name);
+    const box = this.machines.get(name);
     for (const process of [box?.agent, box?.proxy, box?.replica]) {
       if (!process || !process.frozen) continue;
       process.frozen = false;
@@ -612,7 +618,7 @@
   #call(
     from: Process<Program>,
     to: string,
-    deliver: (target: Box, reply: (body: unknown) => void) => void,
+    deliver: (target: SimulatedMachine, reply: (body: unknown) => void) => void,
     returned: (body: unknown) => void,
     lost: () => void,
     limitMs: number = callTimeoutMs,
@@ -628,7 +634,7 @@
       }),
     );
     this.#carry(from.machine.name, name, () => {
-      const box = this.boxes.get(name);
+      const box = this.machines.get(name);
       if (box === undefined) return;
       deliver(box, (body) =>
         this.#carry(name, from.machine.name, () =>
@@ -744,7 +750,7 @@
   }
 
   #replicaEffect(process: Process<'replica'>, effect: ReplicaEffect): void {
-    const box = this.boxes.get(process.machine.name);
+    const box = this.machines.get(process.machine.name);
     if (box === undefined) return;
     const { disk } = box;
     switch (effect.kind) {
@@ -800,7 +806,7 @@
     }
   }
 
-  #sync(box: Box, disk: Disk): void {
+  #sync(box: SimulatedMachine, disk: Disk): void {
     if (disk.syncing) return;
     disk.syncing = true;
     const batch = disk.unsynced.length;
@@ -861,7 +867,7 @@
         kind: 'request-arrived',
         requestId: id,
         clientRequest: asked,
-        randomNumbers: [0, 1, 2, 3, 4].map(() => this.clock.chance()),
+        randomNumbers: [0, 1, 2, 3, 4].map(() => this.clock.random()),
         token: `mark-${this.#marks}`,
         now: this.#now(process),
       });
@@ -881,7 +887,7 @@
     switch (effect.kind) {
       case 'request-feed': {
         const askedAt = this.#now(process);
-        const box = this.boxes.get(name);
+        const box = this.machines.get(name);
         const again = (): void => {
           this.clock.in(feedIntervalMs * this.clock.between(0.9, 1.1), () =>
             this.#inside(process, () =>
@@ -929,7 +935,7 @@
             this.#step(process, {
               kind: 'feed-received',
               feed: this.#select(
-                plantedFeed(
+                feedWithFault(
                   this.tuning.plant,
                   feed,
                   [...this.#drained.values()],
@@ -982,11 +988,11 @@
               now: this.#now(process),
             });
         };
-        if (plantedClaim(this.tuning.plant, effect.query)) {
+        if (claimWithFault(this.tuning.plant, effect.query)) {
           this.clock.in(1, () => this.#inside(process, () => done({ kind: 'granted' })));
           return;
         }
-        const box = this.boxes.get(name);
+        const box = this.machines.get(name);
         this.#call(
           process,
           name,
@@ -1310,17 +1316,17 @@
             });
           const sentAt = this.clock.now();
           const madeAt = sentAt - 1_000 * origin.mode.aged;
-          const large = !unsafe && this.clock.chance() < origin.mode.large;
+          const large = !unsafe && this.clock.random() < origin.mode.large;
           this.clock.in(origin.mode.slowMs * this.clock.between(0.5, 1.5), () => {
-            if (!origin.alive || (unsafe && this.clock.chance() < origin.mode.lose)) {
+            if (!origin.alive || (unsafe && this.clock.random() < origin.mode.lose)) {
               this.clock.in(1, () => fail('maybe', 'cut'));
               return;
             }
-            if (this.clock.chance() < origin.mode.garbage) {
+            if (this.clock.random() < origin.mode.garbage) {
               fail('maybe', 'garbled');
               return;
             }
-            if (this.clock.chance() < origin.mode.short) {
+            if (this.clock.random() < origin.mode.short) {
               if (this.tuning.plant === 'short-as-whole')
                 done({
                   status: 200,
@@ -1359,7 +1365,7 @@
                 ...(tags.length === 0 ? {} : { 'surrogate-key': tags.join(' ') }),
               },
             };
-            const foreign = this.clock.chance() < origin.mode.foreign ? origin.previous : null;
+            const foreign = this.clock.random() < origin.mode.foreign ? origin.previous : null;
             origin.previous = answer;
             const sent =
               foreign === null
@@ -1384,7 +1390,7 @@
     fail: (sent: 'nothing' | 'maybe', why: string) => void,
   ): void {
     const from = process.machine.name;
-    const box = this.boxes.get(to.row.id);
+    const box = this.machines.get(to.row.id);
     if (
       box === undefined ||
       box.proxy === null ||
@@ -1433,14 +1439,14 @@
 
   // What the outside does -------------------------------------------------------------------------
 
-  #announce(origin: SimOrigin): void {
+  #announce(origin: SimulatedOrigin): void {
     this.clock.in(this.clock.between(900, 1_100), () => this.#announce(origin));
     if (origin.alive && !origin.silent) this.describe(origin);
   }
 
   readonly #carries = new Map<string, number>();
   /** An origin describes itself to some node. */
-  describe(origin: StageOrigin, noticed: () => void = () => undefined, node?: string): void {
+  describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
     const description = {
       service: origin.service,
       instance: origin.instance,
@@ -1494,7 +1500,7 @@
       node,
     );
   }
-  #addressOf(origin: StageOrigin): string {
+  #addressOf(origin: ScenarioOrigin): string {
     return this.origins.find((each) => each === origin)?.address ?? '';
   }
 
@@ -1522,8 +1528,10 @@
     from = 'outside',
     node?: string,
   ): () => void {
-    const live = [...this.boxes.values()].filter((box) => box.agent !== null && !box.agent.frozen);
-    const box = node === undefined ? this.clock.pick(live) : this.boxes.get(node);
+    const live = [...this.machines.values()].filter(
+      (box) => box.agent !== null && !box.agent.frozen,
+    );
+    const box = node === undefined ? this.clock.pick(live) : this.machines.get(node);
     if (box?.agent === undefined || box.agent === null) {
       done({ status: 0, body: null });
       return () => undefined;
@@ -1702,7 +1710,7 @@
   /** What the platform knows: nodes that said they were ready when it last asked. */
   readonly ready = new Map<string, boolean>();
   watchReady(): void {
-    for (const box of this.boxes.values()) {
+    for (const box of this.machines.values()) {
       if (box.machine.kind !== 'front') continue;
       const { proxy } = box;
       const answers =
@@ -1731,7 +1739,7 @@
   ): void {
     this.#submission += 1;
     const submission = this.#submission;
-    const box = this.boxes.get(node);
+    const box = this.machines.get(node);
     if (box === undefined) return;
     const { proxy } = box;
     const askedAt = this.clock.now();
--- a/packages/simulator/src/reach.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -8,7 +8,7 @@
 type Note = (entry: Entry) => void;
 
 /** Paths between machines, each in one direction; those named are cut. */
-export class Reach {
+export class SimulatedNetwork {
   readonly #cuts = new Set<string>();
   /** When something last changed about a machine's processes and links. */
   readonly #changedAt = new Map<string, number>();
--- a/packages/simulator/src/spread.ts
+++ b/packages/simulator/src/spread.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import { parseArgs } from 'node:util';
-import { SimFleet } from './fleet.js';
+import { SimulatedFleet } from './simulated-fleet.js';
 import { exampleOf } from './run.js';
 
 /**
@@ -16,7 +16,7 @@
   },
 });
 const { deployment, policy } = exampleOf(values.example);
-const fleet = new SimFleet(deployment, Number(values.seed), {
+const fleet = new SimulatedFleet(deployment, Number(values.seed), {
   loss: Number(values.loss),
   plant: 'none',
   regionsMs: 12,
@@ -25,7 +25,7 @@
 fleet.clock.in(500, () => fleet.put(policy));
 fleet.clock.runUntil(8_000);
 const proxies = (): readonly { revision: number; purges: number }[] =>
-  [...fleet.boxes.values()].flatMap((box) =>
+  [...fleet.machines.values()].flatMap((box) =>
     box.proxy === null
       ? []
       : [{ revision: box.proxy.state.policy?.revision ?? 0, purges: box.proxy.state.purgeSeq }],
--- a/packages/simulator/src/clockwork.ts
+++ b/packages/simulator/src/virtual-clock.ts
@@ -1,5 +1,5 @@
 /** Virtual time and seeded chance: the same seed gives the same run, event for event. */
-export class Clockwork {
+export class VirtualClock {
   #now = 0;
   #order = 0;
   #seed: number;
@@ -13,8 +13,8 @@
     return this.#now;
   }
 
-  /** @example new Clockwork(1).chance() // always the same number in [0, 1) */
-  chance(): number {
+  /** @example new Clockwork(1).random() // always the same number in [0, 1) */
+  random(): number {
     this.#seed = (this.#seed + 0x6d2b79f5) | 0;
     let mixed = Math.imul(this.#seed ^ (this.#seed >>> 15), 1 | this.#seed);
     mixed = (mixed + Math.imul(mixed ^ (mixed >>> 7), 61 | mixed)) ^ mixed;
@@ -22,10 +22,10 @@
   }
 
   between(low: number, high: number): number {
-    return low + (high - low) * this.chance();
+    return low + (high - low) * this.random();
   }
   pick<T>(list: readonly T[]): T | undefined {
-    return list[Math.floor(this.chance() * list.length)];
+    return list[Math.floor(this.random() * list.length)];
   }
 
   in(ms: number, act: () => void): void {
@@ -36,7 +36,7 @@
     let index = heap.length - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (!Clockwork.#before(entry, heap[parent])) break;
+      if (!VirtualClock.#before(entry, heap[parent])) break;
       heap[index] = heap[parent];
       index = parent;
     }
@@ -65,10 +65,10 @@
           const left = 2 * index + 1;
           if (left >= heap.length) break;
           const child =
-            left + 1 < heap.length && Clockwork.#before(heap[left + 1], heap[left])
+            left + 1 < heap.length && VirtualClock.#before(heap[left + 1], heap[left])
               ? left + 1
               : left;
-          if (!Clockwork.#before(heap[child], last)) break;
+          if (!VirtualClock.#before(heap[child], last)) break;
           heap[index] = heap[child];
           index = child;
         }
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -1,21 +1,21 @@
 import { readFileSync } from 'node:fs';
 import http from 'node:http';
 import { feel } from '@reedyard/client-stand-in';
-import type { Deployment } from '@reedyard/topology';
+import type { Policy } from '@reedyard/schemas';
 import {
-  available,
-  Clockwork,
+  availability,
+  type Entry,
   judge,
+  type RequestedFleet,
   sampleOf,
+  type ScenarioOrigin,
   scenarios,
-  startCallers,
-  type CalledFleet,
-  type Entry,
   type SimBody,
-  type StageOrigin,
-  type Wrong,
+  startCallers,
+  type Violation,
+  VirtualClock,
 } from '@reedyard/simulator';
-import type { Policy } from '@reedyard/schemas';
+import type { Deployment } from '@reedyard/topology';
 import { api, Fleet, TestbedError } from './index.js';
 
 /** One line of a log as its pairs. @example pairsOf('time=… event="a b" n=1').event // 'a b' */
@@ -62,15 +62,15 @@
 };
 
 /** A fleet of real processes that a scenario plays on, and that writes what the checkers judge. */
-export class TrialFleet implements CalledFleet {
-  readonly clock: Clockwork;
+export class TrialFleet implements RequestedFleet {
+  readonly clock: VirtualClock;
   readonly history: Entry[] = [];
   readonly ready = new Map<string, boolean>();
-  readonly origins: readonly StageOrigin[];
+  readonly origins: readonly ScenarioOrigin[];
   readonly refused: string[] = [];
   readonly #startedAt = Date.now();
   readonly #began = performance.now();
-  readonly #applied = new Map<StageOrigin, string>();
+  readonly #applied = new Map<ScenarioOrigin, string>();
   readonly #carries = new Map<string, number>();
   #holder: string | undefined;
   #seeds: readonly string[] = [];
@@ -82,7 +82,7 @@
     readonly fleet: Fleet,
     seed: number,
   ) {
-    this.clock = new Clockwork(seed);
+    this.clock = new VirtualClock(seed);
     this.origins = fleet.deployment.origins.map((spec) => ({
       spec,
       service: spec.service,
@@ -164,7 +164,7 @@
   };
 
   /** Makes a stand-in origin what the scenario wants it to be. */
-  #apply(origin: StageOrigin): void {
+  #apply(origin: ScenarioOrigin): void {
     const blank = this.fleet.originStandIns.get(origin.spec.instance);
     if (blank === undefined) return;
     const wanted = JSON.stringify([
@@ -214,7 +214,7 @@
     if (!wasAlive && origin.alive) blank.revive();
     this.#carry(origin, this.#now());
   }
-  #carry(origin: StageOrigin, sentAt: number): void {
+  #carry(origin: ScenarioOrigin, sentAt: number): void {
     const { service, instance, incarnation, capacity } = origin;
     const name = `${service}/${instance}/${incarnation}`;
     if (this.#carries.get(name) === capacity) return;
@@ -405,7 +405,7 @@
       },
     );
   }
-  describe(origin: StageOrigin, noticed: () => void = () => undefined, node?: string): void {
+  describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
     this.#apply(origin);
     const { instance, incarnation, draining } = origin;
     const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
@@ -563,7 +563,7 @@
   readonly asked: number;
   readonly share: number;
   readonly rest: Readonly<Record<string, number>>;
-  readonly wrongs: readonly Wrong[];
+  readonly wrongs: readonly Violation[];
   readonly refused: readonly string[];
   readonly attempts: number;
   readonly repeats: number;
@@ -620,7 +620,7 @@
   }
   fleet.readLogs();
   return {
-    ...available(fleet.history, 8_000),
+    ...availability(fleet.history, 8_000),
     wrongs: judge(fleet.history, options.rules),
     refused: fleet.refused,
     attempts: fleet.history.filter((entry) => entry.kind === 'acted').length,
--- a/packages/testbed/src/trials.ts
+++ b/packages/testbed/src/trials.ts
@@ -68,10 +68,10 @@
             .sort(([, a], [, b]) => b - a)
             .slice(0, 6),
         ),
-      )} broken=${[...new Set(report.wrongs.map((wrong) => wrong.rule))].join(',') || 'none'}`,
+      )} broken=${[...new Set(report.wrongs.map((violation) => violation.rule))].join(',') || 'none'}`,
     );
-    for (const wrong of report.wrongs)
-      say(`  rule ${wrong.rule} at ${(wrong.at / 1_000).toFixed(3)} s: ${wrong.what}`);
+    for (const violation of report.wrongs)
+      say(`  rule ${violation.rule} at ${(violation.at / 1_000).toFixed(3)} s: ${violation.what}`);
     say(
       `  replay: npm run -s testbed -- trial ${example} --scenario ${scenario} --seed ${seed}${seconds === undefined ? '' : ` --seconds ${seconds}`}${rate === undefined ? '' : ` --rate ${rate}`}`,
     );
