--- a/packages/agent/src/api/api-server.ts
+++ b/packages/agent/src/api/api-server.ts
@@ -1,3 +1,6 @@
+/**
+ * The HTTP API of operators and origins: reads a request, hands its action on, writes the reply.
+ */
 import { randomUUID } from 'node:crypto';
 import http from 'node:http';
 import { CodedError, errorMessage } from '@reedyard/logging';
--- a/packages/agent/src/control/lease.ts
+++ b/packages/agent/src/control/lease.ts
@@ -1,3 +1,8 @@
+/**
+ * The lease: the proof, from a majority of replicas, that this node knows all that was acknowledged
+ * before a moment. It is renewed by polls and lasts `leaseDurationMs` from the sending of the
+ * oldest poll that it rests on.
+ */
 import {
   compareProposalNumbers,
   majorityOf,
@@ -51,12 +56,6 @@
 /** ms. A poll without an answer is sent again: two beats, so that a lost one costs no lease. */
 export const pollResendMs = 500;
 
-/**
- * The lease: the proof, from a majority of replicas, that this node knows all that was acknowledged
- * before a moment. It is renewed by polls and lasts `leaseDurationMs` from the sending of the
- * oldest poll that it rests on.
- */
-
 /** What a lease proves to be known: the newest value of each register, and all journal entries. */
 type Subject = WatchedRegister | 'facts';
 const subjects: readonly Subject[] = [...watchedRegisters, 'facts'];
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -1,3 +1,7 @@
+/**
+ * Polls of the replicas: what they show of the registers and the journal is learned, incomplete
+ * writes are repaired, and replicas that ask for it are restored.
+ */
 import {
   compareProposalNumbers,
   higherProposalNumber,
--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -1,3 +1,10 @@
+/**
+ * What this node can know of its connection to the replicas. Silence and refusal differ: a replica
+ * that answers anything, also that it is not a member, still settles or knows newer members, is in
+ * touch. Only a node that a majority of replicas leaves without any answer is cut off. Whether its
+ * calls or their answers are lost can't be known from here, and need not be: either way it is not
+ * in touch.
+ */
 import { majorityOf } from '@reedyard/consensus';
 import { type ApiAnswer, unavailable } from '../api/api-answers.js';
 import type { PendingAppend, PendingChange, Purpose } from '../proposals/proposal-state.js';
@@ -34,14 +41,6 @@
  */
 export const isolatedChangeTimeoutMs = 600;
 
-/**
- * What this node can know of its connection to the replicas. Silence and refusal differ: a replica
- * that answers anything, also that it is not a member, still settles or knows newer members, is in
- * touch. Only a node that a majority of replicas leaves without any answer is cut off. Whether its
- * calls or their answers are lost can't be known from here, and need not be: either way it is not
- * in touch.
- */
-
 /** How many replicas answered anything since a moment. */
 const answeredSince = (state: AgentState, since: number): number =>
   Object.values(state.replicas).filter((view) => view.lastReplyAt >= since).length;
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,3 +1,6 @@
+/**
+ * The agent: a node's lease, its part in gossip and proposals, the API, and the feed of its proxy.
+ */
 export * from './messages.js';
 export { openAgent, type AgentParts } from './open.js';
 export { reduceAgent } from './reducer.js';
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Starts an agent from its settings. */
 import { openLogger, errorMessage } from '@reedyard/logging';
 import { SettingsReader } from '@reedyard/settings';
 import { runAgent } from './run.js';
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -1,3 +1,9 @@
+/**
+ * Membership: which replica should be a member next, and when an agent opens the proposal for it.
+ * Nothing here decides who votes: a change takes effect only once a majority of the present members
+ * has chosen it, and one that was opened on a wrong suspicion costs a change of place, and neither
+ * data nor a majority.
+ */
 import type { Membership, ReplicaReply } from '@reedyard/replica';
 import type { ReplicaView } from '../control/control-state.js';
 import { pollNow } from '../control/polling.js';
@@ -36,13 +42,6 @@
 /** ms. A silent member is asked more often after this: one poll and its answer. */
 export const healthCheckAfterMs = 700;
 
-/**
- * Membership: which replica should be a member next, and when an agent opens the proposal for it.
- * Nothing here decides who votes: a change takes effect only once a majority of the present members
- * has chosen it, and one that was opened on a wrong suspicion costs a change of place, and neither
- * data nor a majority.
- */
-
 /** How likely an agent on a machine with a replica opens a due change at one of its intervals. */
 const proposeProbability = 0.5;
 /** The same for agents of other machines, which only help out; each at one of its polls. */
--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -1,3 +1,7 @@
+/**
+ * What agents, proxies, operators and origins say to an agent, and what registers and gossip hold.
+ * Fields that are sent or stored keep their names, since versions run side by side.
+ */
 import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
 import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
 import type { GossipExchange, GossipExchangeReply, RecordUpdate } from '@reedyard/gossip';
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -1,3 +1,4 @@
+/** The state of an agent. */
 import type { ProposalNumber } from '@reedyard/consensus';
 import type { GossipState } from '@reedyard/gossip';
 import type { QuotaShares } from '@reedyard/quota-division';
--- a/packages/origin-stand-in/src/main.ts
+++ b/packages/origin-stand-in/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Starts an origin for tests. */
 import { parseArgs } from 'node:util';
 import http from 'node:http';
 import { openLogger } from '@reedyard/logging';
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/choice.ts
@@ -1,3 +1,7 @@
+/**
+ * Whom a request goes to: the server drawn by the routing table, the origin ranked first by its
+ * health, and whether a quota token, a retry token and a free slot are left for it.
+ */
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import { isIdempotentMethod } from '@reedyard/attempts';
 import { type Route, Routes } from '@reedyard/schemas';
--- a/packages/proxy/src/dialect.ts
+++ b/packages/proxy/src/dialect.ts
@@ -1,3 +1,7 @@
+/**
+ * How a proxy is spoken to by clients and speaks to origins: names of header fields and what they
+ * mean.
+ */
 import type { OriginEndpoint } from '@reedyard/agent';
 import type { Headers } from '@reedyard/cache';
 
--- a/packages/proxy/src/feeds.ts
+++ b/packages/proxy/src/feeds.ts
@@ -1,3 +1,4 @@
+/** The feed as the agent sends it: only the parts that changed, merged with those held. */
 import type { Feed, FeedReply, FeedPartsHeld, Revisions } from '@reedyard/agent';
 
 /** The last feed as a proxy's shell holds it. */
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,3 +1,4 @@
+/** The caching proxy: the reducer, its host, and the process. */
 export { ProxyCore } from './core.js';
 export * from './state.js';
 export { present, stamped } from './present.js';
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Starts a proxy from its settings. */
 import { openLogger, errorMessage } from '@reedyard/logging';
 import { SettingsReader } from '@reedyard/settings';
 import { runProxy } from './run.js';
--- a/packages/proxy/src/present.ts
+++ b/packages/proxy/src/present.ts
@@ -1,3 +1,4 @@
+/** How a kept object answers a request: complete, a part of it, or not modified (RFC 9110). */
 import fresh from 'fresh';
 import parseRange from 'range-parser';
 import type { Headers } from '@reedyard/cache';
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -1,3 +1,4 @@
+/** The state of a proxy, its events and its effects. */
 import type {
   ClaimReply,
   Feed,
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -1,3 +1,4 @@
+/** Warms a proxy up: it plays requests to itself until the code of each step is compiled. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
--- a/packages/reedyard/src/base.ts
+++ b/packages/reedyard/src/base.ts
@@ -1,3 +1,4 @@
+/** What the commands of the command line share: flags, calls of the API, output. */
 import { randomUUID } from 'node:crypto';
 import { Args, Command, Flags } from '@oclif/core';
 import { parametersOf, TemplateError, resolve } from '@reedyard/config-templates';
--- a/packages/reedyard/src/client.ts
+++ b/packages/reedyard/src/client.ts
@@ -1,3 +1,4 @@
+/** Calls the API, at one node after another until one answers. */
 import http from 'node:http';
 import { readFileSync } from 'node:fs';
 import { CodedError, errorMessage } from '@reedyard/logging';
--- a/packages/reedyard/src/commands/describe.ts
+++ b/packages/reedyard/src/commands/describe.ts
@@ -1,3 +1,4 @@
+/** Command: describes an origin to the fleet. */
 import { Args } from '@oclif/core';
 import { BaseCommand } from '../base.js';
 import { readDocument } from '../client.js';
--- a/packages/reedyard/src/commands/live.ts
+++ b/packages/reedyard/src/commands/live.ts
@@ -1,3 +1,4 @@
+/** Command: whether a node's agent runs. */
 import { ReadCommand } from '../base.js';
 
 export default class Live extends ReadCommand {
--- a/packages/reedyard/src/commands/peers.ts
+++ b/packages/reedyard/src/commands/peers.ts
@@ -1,3 +1,4 @@
+/** Command: the nodes that a node knows. */
 import { ReadCommand } from '../base.js';
 
 export default class Peers extends ReadCommand {
--- a/packages/reedyard/src/commands/plan.ts
+++ b/packages/reedyard/src/commands/plan.ts
@@ -1,3 +1,4 @@
+/** Command: what an order would move; sends nothing. */
 import { Flags } from '@oclif/core';
 import type { NodeRecord } from '@reedyard/agent';
 import type { Description, Policy } from '@reedyard/schemas';
--- a/packages/reedyard/src/commands/policy/check.ts
+++ b/packages/reedyard/src/commands/policy/check.ts
@@ -1,3 +1,4 @@
+/** Command: checks a policy; sends nothing. */
 import { Args } from '@oclif/core';
 import { BaseCommand } from '../../base.js';
 
--- a/packages/reedyard/src/commands/policy/get.ts
+++ b/packages/reedyard/src/commands/policy/get.ts
@@ -1,3 +1,4 @@
+/** Command: reads the policy in force. */
 import { ReadCommand } from '../../base.js';
 
 export default class PolicyGet extends ReadCommand {
--- a/packages/reedyard/src/commands/policy/put.ts
+++ b/packages/reedyard/src/commands/policy/put.ts
@@ -1,3 +1,4 @@
+/** Command: sends a policy. */
 import { Args, Flags } from '@oclif/core';
 import { BaseCommand } from '../../base.js';
 
--- a/packages/reedyard/src/commands/purge.ts
+++ b/packages/reedyard/src/commands/purge.ts
@@ -1,3 +1,4 @@
+/** Command: purges objects by URL or tag. */
 import { Flags } from '@oclif/core';
 import { BaseCommand } from '../base.js';
 import { ClientError, exitCodes } from '../client.js';
--- a/packages/reedyard/src/commands/ready.ts
+++ b/packages/reedyard/src/commands/ready.ts
@@ -1,3 +1,4 @@
+/** Command: whether a node is ready for clients. */
 import { BaseCommand } from '../base.js';
 import { ClientError, exitCodes } from '../client.js';
 
--- a/packages/reedyard/src/commands/safe-to-stop.ts
+++ b/packages/reedyard/src/commands/safe-to-stop.ts
@@ -1,3 +1,4 @@
+/** Command: whether a machine may be stopped now. */
 import { Args, Flags } from '@oclif/core';
 import type { NodeStatus } from '@reedyard/agent';
 import { BaseCommand } from '../base.js';
--- a/packages/reedyard/src/commands/shares.ts
+++ b/packages/reedyard/src/commands/shares.ts
@@ -1,3 +1,4 @@
+/** Command: the quotas in force. */
 import { ReadCommand } from '../base.js';
 
 export default class Shares extends ReadCommand {
--- a/packages/reedyard/src/commands/status.ts
+++ b/packages/reedyard/src/commands/status.ts
@@ -1,3 +1,4 @@
+/** Command: what a node says of itself and of the control state. */
 import type { NodeStatus } from '@reedyard/agent';
 import { ReadCommand } from '../base.js';
 import { statusLines } from '../status-text.js';
--- a/packages/reedyard/src/commands/zone/empty.ts
+++ b/packages/reedyard/src/commands/zone/empty.ts
@@ -1,3 +1,4 @@
+/** Command: evacuates a zone. */
 import { ZoneCommand } from '../../base.js';
 
 export default class ZoneEmpty extends ZoneCommand {
--- a/packages/reedyard/src/commands/zone/take-back.ts
+++ b/packages/reedyard/src/commands/zone/take-back.ts
@@ -1,3 +1,4 @@
+/** Command: restores an evacuated zone. */
 import { ZoneCommand } from '../../base.js';
 
 export default class ZoneTakeBack extends ZoneCommand {
--- a/packages/replica/src/main.ts
+++ b/packages/replica/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Starts a replica from its settings. */
 import { openLogger, errorMessage } from '@reedyard/logging';
 import { SettingsReader } from '@reedyard/settings';
 import { runReplica } from './run.js';
--- a/packages/server-selection/src/vectors.ts
+++ b/packages/server-selection/src/vectors.ts
@@ -1,3 +1,4 @@
+/** Load vectors of the nodes: when one is announced again, and the routes that they lead to. */
 import { solve } from './index.js';
 
 /** ratio. A ping that moved by more than this share (and by delayFloor) also sends again. */
--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,3 +1,4 @@
+/** Judges a history by the rules. */
 import { entriesOf } from './checks/history-queries.js';
 import { checkNoDoubleExecution } from './checks/rule-01-no-double-execution.js';
 import { checkTruthfulRejection } from './checks/rule-02-truthful-rejection.js';
--- a/packages/simulator/src/cut-checks.ts
+++ b/packages/simulator/src/cut-checks.ts
@@ -1,3 +1,4 @@
+/** Judges how nodes behave that are cut off, and how they return. */
 import type { Entry, Violation } from './history.js';
 
 /** Checkers of what holds around a cut, for fleets whose nodes serve on while they are cut off. */
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Figures over many seeds of a scenario. */
 import { parseArgs } from 'node:util';
 import type { Entry } from './history.js';
 import type { SimulatedFleet } from './simulated-fleet.js';
--- a/packages/simulator/src/history.ts
+++ b/packages/simulator/src/history.ts
@@ -1,3 +1,4 @@
+/** What happens in a run, as entries that the checks read. */
 import type { Policy } from '@reedyard/schemas';
 
 /**
--- a/packages/simulator/src/injected-fault-runs.ts
+++ b/packages/simulator/src/injected-fault-runs.ts
@@ -1,3 +1,4 @@
+/** Runs that show a rule broken without its safeguard, and kept with it. */
 import type { ExecutionContext } from 'ava';
 import type { InjectedFault } from './injected-faults.js';
 import type { Violation } from './history.js';
--- a/packages/simulator/src/injected-faults.ts
+++ b/packages/simulator/src/injected-faults.ts
@@ -1,3 +1,4 @@
+/** Safeguards that can be taken away, to see that a check can fail. */
 import { type AgentState, type Feed, type ProxyQuery, replicaTimeoutMs } from '@reedyard/agent';
 import type { ProxyState } from '@reedyard/proxy';
 import type { Policy } from '@reedyard/schemas';
--- a/packages/simulator/src/long-cuts.ts
+++ b/packages/simulator/src/long-cuts.ts
@@ -1,3 +1,4 @@
+/** Scenarios of partitions that outlast every lease. */
 import type { Scenario, ScenarioEnvironment, ScenarioFleet } from './scenarios/environment.js';
 
 /**
--- a/packages/simulator/src/main.ts
+++ b/packages/simulator/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The simulator's command line. */
 import { fork } from 'node:child_process';
 import os from 'node:os';
 import { parseArgs } from 'node:util';
--- a/packages/simulator/src/replacement-figures.ts
+++ b/packages/simulator/src/replacement-figures.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Figures of how fast a lost member is replaced. */
 import { parseArgs } from 'node:util';
 import { figuresOf, replaceOne, Site, troubles, wipeOne } from './second-loss.js';
 
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -1,3 +1,4 @@
+/** Plays one scenario with one seed, and judges it. */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
--- a/packages/simulator/src/scenarios.ts
+++ b/packages/simulator/src/scenarios.ts
@@ -1,3 +1,4 @@
+/** All scenarios, by name. */
 import { longCuts } from './long-cuts.js';
 import { cacheScenarios } from './scenarios/cache-scenarios.js';
 import { calmScenarios } from './scenarios/calm-scenarios.js';
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -1,3 +1,4 @@
+/** Second losses right after a replacement: what is lost, and for how long. */
 import type { Machine } from '@reedyard/topology';
 import type { Policy } from '@reedyard/schemas';
 import { SimulatedFleet, type Tuning } from './simulated-fleet.js';
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -1,3 +1,7 @@
+/**
+ * A whole fleet in virtual time: machines, disks, network, origins and clients around the
+ * product's own reducers.
+ */
 import {
   type AgentEffect,
   type AgentEvent,
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -1,3 +1,4 @@
+/** Which machines reach which: partitions, one way or both. */
 import type { Entry } from './history.js';
 
 /**
--- a/packages/simulator/src/spread.ts
+++ b/packages/simulator/src/spread.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** How fast a change reaches all nodes, over many seeds. */
 import { parseArgs } from 'node:util';
 import { SimulatedFleet } from './simulated-fleet.js';
 import { exampleOf } from './run.js';
--- a/packages/testbed/src/hollow-child.ts
+++ b/packages/testbed/src/hollow-child.ts
@@ -1,3 +1,4 @@
+/** A process of the hollow fleet. */
 import { errorMessage } from '@reedyard/logging';
 import { HollowHost, type HostCalls } from './hollow-host.js';
 
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -1,3 +1,4 @@
+/** Hosts many hollow nodes in one process, on a stepped clock, and counts what they do. */
 import { subscribe } from 'node:diagnostics_channel';
 import { mkdtempSync, rmSync } from 'node:fs';
 import type { ClientRequest, IncomingMessage } from 'node:http';
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -1,3 +1,4 @@
+/** The hollow fleet: what each role of a large fleet sends and does. */
 import { fork } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import os from 'node:os';
--- a/packages/testbed/src/main.ts
+++ b/packages/testbed/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The testbed's command line. */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
 import { createInterface } from 'node:readline';
--- a/packages/testbed/src/slopes.ts
+++ b/packages/testbed/src/slopes.ts
@@ -1,3 +1,4 @@
+/** Fits the costs of hollow runs of several sizes. */
 import { readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import { errorMessage } from '@reedyard/logging';
--- a/packages/testbed/src/small.ts
+++ b/packages/testbed/src/small.ts
@@ -1,3 +1,4 @@
+/** A small deployment for tests with real processes. */
 import type { Deployment } from './index.js';
 
 /**
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -1,3 +1,4 @@
+/** Plays a scenario of the simulator on real processes, and reads its history from their logs. */
 import { readFileSync } from 'node:fs';
 import http from 'node:http';
 import { feel } from '@reedyard/client-stand-in';
--- a/packages/testbed/src/trials.ts
+++ b/packages/testbed/src/trials.ts
@@ -1,3 +1,4 @@
+/** The trial command: plays, judges and reports. */
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { scenarios } from '@reedyard/simulator';
