--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -21,6 +21,7 @@
 export const isFree = (request: ProxyRequest): boolean =>
   keepsAlways(request.route) && request.attempts.every((attempt) => attempt.to.kind === 'peer');
 
+/** Whether the route's attempts and the retry budget leave another attempt. */
 export const mayRetry = (transition: Transition, request: ProxyRequest): boolean =>
   (isFree(request) || hasRetryBudget(transition.state, request.service)) &&
   remainingAttempts(request) > 0;
@@ -43,6 +44,7 @@
 /** Told to the peer that handed a request on: attempts at origins that were made for it here. */
 const consumedAttemptsHeader = 'reedyard-spent';
 
+/** The field that tells a peer how many attempts its request used here. */
 export const consumedAttemptsFields = (
   request: ProxyRequest | undefined,
 ): Readonly<Record<string, string>> => {
@@ -50,6 +52,7 @@
   return Number.isFinite(spent) ? { [consumedAttemptsHeader]: String(spent) } : {};
 };
 
+/** How many attempts a peer says it used; null where it does not say. */
 export const consumedAttemptsOf = (answer: AttemptAnswer): number | null => {
   const told = headerText(answer.headers, consumedAttemptsHeader);
   return told !== null && /^\d{1,3}$/.test(told) ? Number(told) : null;
--- a/packages/proxy/src/attempt-ends.ts
+++ b/packages/proxy/src/attempt-ends.ts
@@ -45,6 +45,7 @@
   updateRequest,
 } from './state.js';
 
+/** Notes how an attempt ended. */
 export const endAttempt = (
   transition: Transition,
   request: ProxyRequest,
@@ -85,6 +86,7 @@
     failRequest(transition, request, move.status, move.outcome, move.why);
 };
 
+/** An attempt failed: retry, or fail the request. */
 export const handleAttemptFailure = (
   transition: Transition,
   id: number,
@@ -103,6 +105,7 @@
   derive(transition, ended);
 };
 
+/** An attempt was answered: check the evidence, then answer the client, retry, or fail. */
 export const handleAttemptAnswer = (
   transition: Transition,
   id: number,
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/choice.ts
@@ -73,6 +73,7 @@
 const isEjected = (state: ProxyState, name: string): boolean =>
   (state.ejectedUntil[name] ?? 0) > state.now;
 
+/** The name of one incarnation of an origin: service/instance/incarnation. */
 export const originName = (row: OriginEndpoint): string =>
   `${row.service}/${row.instance}/${row.incarnation}`;
 
@@ -169,6 +170,7 @@
   return taken;
 };
 
+/** Gives a quota token back that was not used. */
 export const returnToken = (transition: Transition, name: string): void => {
   const bucket = transition.state.buckets[name];
   if (bucket !== undefined)
@@ -354,6 +356,7 @@
   update(transition, { originHealth: { ...transition.state.originHealth, [name]: next } });
 };
 
+/** Adds a request's part of a retry token to its service's budget. */
 export const depositRetryToken = (transition: Transition, service: string): void =>
   update(transition, {
     retryTokens: {
@@ -364,8 +367,10 @@
       ),
     },
   });
+/** Whether a service's budget holds a whole retry token. */
 export const hasRetryBudget = (state: ProxyState, service: string): boolean =>
   (state.retryTokens[service] ?? 0) >= 1;
+/** Takes a retry token from a service's budget. */
 export const spendRetryToken = (transition: Transition, service: string): void =>
   update(transition, {
     retryTokens: {
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -168,6 +168,7 @@
   close(transition, request);
 };
 
+/** The client closed its connection: what may be broken off is. */
 export const handleClientLeft = (transition: Transition, id: number): void => {
   const request = updateRequest(transition, id, { isClientGone: true });
   // An attempt that others wait for, or that may have run, is let finish; only safe ones alone are
@@ -194,6 +195,7 @@
   close(transition, ended);
 };
 
+/** The proxy's reducer. */
 export const ProxyCore = {
   /** @example ProxyCore.open({ id: 'front-1', zone: 'a', region: 'eu', capacityBps: 8e7, life: 'l1' }, 0).lease // 0: nothing is served yet */
   open: (self: ProxyState['self'], now: number): ProxyState => ({
--- a/packages/proxy/src/ending.ts
+++ b/packages/proxy/src/ending.ts
@@ -51,6 +51,7 @@
   });
 };
 
+/** Records with the agent what became of a claimed request. */
 export const settleClaim = (
   transition: Transition,
   request: ProxyRequest,
@@ -64,6 +65,7 @@
   });
 };
 
+/** Lets a request go, with what it holds. */
 export const forget = (transition: Transition, request: ProxyRequest): void => {
   const { [request.id]: _gone, ...rest } = transition.state.requests;
   update(transition, { requests: rest });
@@ -111,8 +113,10 @@
 export const isLeaseExpired = (transition: Transition): boolean =>
   transition.state.now >= transition.state.leaseUntil;
 
+/** Told to a client whose node has no lease. */
 export const isolatedDetail = 'this node is cut off from the control state';
 
+/** Answers with a kept object. */
 export const answerFromCache = (
   transition: Transition,
   request: ProxyRequest,
@@ -140,6 +144,7 @@
   close(transition, request);
 };
 
+/** Answers with an error of the proxy's own, and ends the request. */
 export const failRequest = (
   transition: Transition,
   request: ProxyRequest,
--- a/packages/proxy/src/feeding.ts
+++ b/packages/proxy/src/feeding.ts
@@ -8,6 +8,7 @@
 import { copyExpiresAt } from './request-rules.js';
 import { log, update, type Transition } from './state.js';
 
+/** Applies a new feed: lease, policy, endpoints, routing table, purges. */
 export const applyFeed = (transition: Transition, feed: Feed, askedAt: number): void => {
   const { state } = transition;
   const policy = feed.policy ?? state.policy;
--- a/packages/proxy/src/feeds.ts
+++ b/packages/proxy/src/feeds.ts
@@ -4,6 +4,7 @@
 /** The last feed as a proxy's shell holds it. */
 export type FeedSnapshot = { readonly feed: Feed; readonly revisions: Revisions };
 
+/** How feeds are asked for and put together. */
 export const Feeds = {
   /** What the agent is told to be held. @example Feeds.holding(null) // null */
   holding: (held: FeedSnapshot | null): FeedPartsHeld | null =>
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -73,6 +73,7 @@
   });
 };
 
+/** Asks the agent for a feed, with a report of what the proxy measured. */
 export const requestFeed = (transition: Transition): void => {
   renewDemand(transition);
   const measurement = measure(transition);
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -19,6 +19,7 @@
  */
 export const queueWaitShare = 0.2;
 
+/** A field as one text; null where it is missing. */
 export const headerText = (headers: ClientRequest['headers'], name: string): string | null => {
   const value = headers[name];
   return value === undefined ? null : typeof value === 'string' ? value : value.join(',');
@@ -68,11 +69,14 @@
   return null;
 };
 
+/** Whether a route keeps answers to a method. */
 export const keeps = (route: Route, method: string): boolean =>
   route.cache.keep !== 'never' && (method === 'GET' || method === 'HEAD');
 
+/** Whether a route keeps whatever its origin answers. */
 export const keepsAlways = (route: Route): boolean => route.cache.keep === 'always';
 
+/** Whether a request may wait for another one's fetch of the same object. */
 export const joins = (request: ProxyRequest): boolean =>
   request.clientRequest.method === 'GET' &&
   keeps(request.route, 'GET') &&
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -45,10 +45,12 @@
   readonly proof?: Proof;
 };
 
+/** Where an attempt goes. */
 export type Target =
   | { readonly kind: 'origin'; readonly row: OriginEndpoint }
   | { readonly kind: 'peer'; readonly row: PeerEndpoint };
 
+/** A request that is being served. */
 export type ProxyRequest = {
   readonly id: number;
   readonly clientRequest: ClientRequest;
@@ -95,8 +97,10 @@
   readonly failures: number;
 };
 
+/** A token bucket; `rate` in tokens a second. */
 export type Bucket = { readonly tokens: number; readonly at: number; readonly rate: number };
 
+/** The state of a proxy. All times are ms of its own monotonic clock. */
 export type ProxyState = {
   readonly self: {
     readonly id: string;
@@ -153,6 +157,7 @@
   };
 };
 
+/** What happens to a proxy. */
 export type ProxyEvent =
   | {
       readonly kind: 'request-arrived';
@@ -194,6 +199,7 @@
   | { readonly kind: 'tick'; readonly now: number }
   | { readonly kind: 'stop-requested'; readonly now: number };
 
+/** An answer to a client. */
 export type Answer = {
   readonly status: number;
   readonly headers: Headers;
@@ -210,6 +216,7 @@
     | { readonly kind: 'attempt'; readonly answer: AttemptAnswer };
 };
 
+/** What the proxy's reducer wants done, in order. */
 export type ProxyEffect =
   | {
       readonly kind: 'send-attempt';
@@ -241,10 +248,13 @@
       readonly fields: Readonly<Record<string, string | number | boolean>>;
     };
 
+/** What one step of the reducer works with. */
 export type Transition = { state: ProxyState; readonly effects: ProxyEffect[] };
-export const update = (transition: Transition, updateRequest: Partial<ProxyState>): void => {
-  transition.state = { ...transition.state, ...updateRequest };
+/** Replaces some fields of the state. */
+export const update = (transition: Transition, change: Partial<ProxyState>): void => {
+  transition.state = { ...transition.state, ...change };
 };
+/** Adds one to each counter named. */
 export const count = (transition: Transition, ...names: readonly string[]): void => {
   update(transition, {
     counters: names.reduce(
@@ -253,6 +263,7 @@
     ),
   });
 };
+/** Replaces some fields of a request; undefined where it is over. */
 export const updateRequest = (
   transition: Transition,
   id: number,
@@ -264,6 +275,7 @@
   update(transition, { requests: { ...transition.state.requests, [id]: next } });
   return next;
 };
+/** Writes a line to the log. */
 export const log = (
   transition: Transition,
   event: string,
--- a/packages/proxy/src/upkeep.ts
+++ b/packages/proxy/src/upkeep.ts
@@ -171,6 +171,7 @@
   open(transition, given, { kind: 'origin', row });
 };
 
+/** Comes many times a second: time-outs, hedges, queues, copies to be dropped. */
 export const tick = (transition: Transition): void => {
   const { hasRemotePeers: abroad, now, leaseUntil: lease, cache } = transition.state;
   if (abroad && now - lease > cacheWithoutLeaseMs && cache.copies.size > 0) {
