--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -12,7 +12,7 @@
  * than one: a retry beside the caller can pass over a peer that is slow, gone, or turned away by
  * its origin; the peer's own can't.
  */
-export const attemptsKept = 1;
+const attemptsKept = 1;
 
 /**
  * Whether another attempt adds little to what origins get: those before went to peers alone, which
--- a/packages/proxy/src/caller-bounds.ts
+++ b/packages/proxy/src/caller-bounds.ts
@@ -6,7 +6,7 @@
 import type { Policy } from '@reedyard/schemas';
 
 /** bytes. A caller's body, when its route sets no limit. */
-export const defaultMaxBodyBytes = 1024 * 1024;
+const defaultMaxBodyBytes = 1024 * 1024;
 
 /** Bounds on what one caller sends over one connection. */
 export type CallerBounds = {
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/choice.ts
@@ -21,54 +21,54 @@
 /**
  * ms. An origin that refused for being full is passed over: some requests end there meanwhile.
  */
-export const fullOriginRestMs = 150;
+const fullOriginRestMs = 150;
 
 /**
  * ms. What an origin told of its load counts for this long, fading: some times a request's own.
  */
-export const loadMemoryMs = 300;
+const loadMemoryMs = 300;
 
 /** ms. A dead instance is then tried by each node at most this seldom, until it is forgotten. */
-export const maxEjectionMs = 8_000;
+const maxEjectionMs = 8_000;
 
 /**
  * ms. How long ago an origin's time to answer was met before it counts as the mean again,
  * fading.
  */
-export const responseTimeMemoryMs = 5_000;
+const responseTimeMemoryMs = 5_000;
 
 /** s of a quota a bucket may save: the requirements allow a tenth over 5 s, which is 0.5 s. */
-export const burstSeconds = 0.2;
+const burstSeconds = 0.2;
 
 /** share of an origin's conns that nodes use together: a restarted node's old ones may linger. */
-export const connectionShare = 0.9;
+const connectionShare = 0.9;
 
 /** ms that an origin in another region weighs more: it is taken where its own region has none. */
-export const otherRegionPenaltyMs = 1_000;
+const otherRegionPenaltyMs = 1_000;
 
 /** requests that a node may always have under way at an origin. */
-export const minOriginConcurrency = 2;
+const minOriginConcurrency = 2;
 
 /** origins that are drawn by chance for each attempt, the best of which is taken. */
-export const originsDrawn = 3;
+const originsDrawn = 3;
 
 /** repeats a node may have saved, and all nodes together: the requirements' slack is 60. */
-export const maxRetryTokens = 3;
+const maxRetryTokens = 3;
 
 /**  */
-export const maxRetryTokensOfFleet = 45;
+const maxRetryTokensOfFleet = 45;
 
 /** repeats earned by one request. Under the requirements' fifth. */
-export const retryTokensPerRequest = 0.15;
+const retryTokensPerRequest = 0.15;
 
 /**
  * requests under way for each slot of an origin, over all nodes: what it works on, and as many
  * waiting.
  */
-export const concurrencyPerSlot = 2;
+const concurrencyPerSlot = 2;
 
 /** ms that a byte between zones weighs in the choice of an origin: 100 kB weigh as 25 ms. */
-export const otherZoneMsPerByte = 0.000_25;
+const otherZoneMsPerByte = 0.000_25;
 
 const isEjected = (state: ProxyState, name: string): boolean =>
   (state.ejectedUntil[name] ?? 0) > state.now;
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -169,7 +169,7 @@
 };
 
 /** The client closed its connection: what may be broken off is. */
-export const handleClientLeft = (transition: Transition, id: number): void => {
+const handleClientLeft = (transition: Transition, id: number): void => {
   const request = updateRequest(transition, id, { isClientGone: true });
   // An attempt that others wait for, or that may have run, is let finish; only safe ones alone are
   // dropped.
--- a/packages/proxy/src/proxy-host.ts
+++ b/packages/proxy/src/proxy-host.ts
@@ -46,7 +46,7 @@
  * Random numbers drawn for one request: who serves, three origins for each of three attempts, and
  * the service.
  */
-export const randomNumbersPerRequest = 11;
+const randomNumbersPerRequest = 11;
 
 /** bytes. What a node adds to a request's head when it hands it on to a peer. */
 const peerHeadBytes = 8 * 1024;
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -10,7 +10,7 @@
 export const demandIntervalMs = 500;
 
 /** objects told one by one in a vector; the rest of a route counts as one. */
-export const busyObjectCount = 32;
+const busyObjectCount = 32;
 
 /**
  * Closes a period of measuring: what the own callers asked for, object by object for the busiest.
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -11,13 +11,13 @@
 import type { ClientRequest, AttemptAnswer, ProxyRequest, ProxyState } from './state.js';
 
 /** ms. Default limit of a whole request. */
-export const defaultRequestTimeoutMs = 10_000;
+const defaultRequestTimeoutMs = 10_000;
 
 /**
  * share of a request's target that it may wait for its turn: refused by then, another try can
  * still be in time.
  */
-export const queueWaitShare = 0.2;
+const queueWaitShare = 0.2;
 
 /** A field as one text; null where it is missing. */
 export const headerText = (headers: ClientRequest['headers'], name: string): string | null => {
--- a/packages/proxy/src/serving.ts
+++ b/packages/proxy/src/serving.ts
@@ -41,7 +41,7 @@
 export const maxQueueWaitMs = 400;
 
 /** ms. Told to callers where another node, or the next instant, may well serve them. */
-export const retrySoonMs = 100;
+const retrySoonMs = 100;
 
 /** Opens an attempt at an origin or a peer. */
 export const open = (transition: Transition, request: ProxyRequest, to: Target): void => {
--- a/packages/proxy/src/upkeep.ts
+++ b/packages/proxy/src/upkeep.ts
@@ -32,13 +32,13 @@
 /**
  * ms. An attempt is silent after a few times what its origin usually takes, but not before this.
  */
-export const minSilenceMs = 60;
+const minSilenceMs = 60;
 
 /**
  * ms. An origin with an attempt under way this long, and a few times its usual time, and nothing
  * heard since is set aside.
  */
-export const minStallMs = 300;
+const minStallMs = 300;
 
 /**
  * ms. In a fleet of several regions, a proxy without a lease this long drops its copies: a
@@ -50,16 +50,16 @@
 /**
  * share of a request's time that is waited before a second attempt beside a silent one, at most.
  */
-export const hedgeAfterShare = 0.4;
+const hedgeAfterShare = 0.4;
 
 /**
  * times an origin's usual time after which an attempt counts as silent, or the origin as
  * stalled.
  */
-export const silenceFactor = 3;
+const silenceFactor = 3;
 
 /**  */
-export const stallFactor = 4;
+const stallFactor = 4;
 
 /**
  * ms after which an attempt counts as silent: a few times what its other end usually takes, and
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -13,13 +13,13 @@
 import { openProxy, type ProxySettings } from './proxy-host.js';
 
 /** ms. Warming up ends after this at the latest: a share of a core takes some seconds for it. */
-export const maxWarmUpMs = 4_000;
+const maxWarmUpMs = 4_000;
 
 /**  */
 export const warmUpConcurrency = 4;
 
 /**  */
-export const warmUpBodyBytes = 6_000;
+const warmUpBodyBytes = 6_000;
 
 /**
  * requests that a proxy warms itself up with, at once, and bytes of an answer: after some
--- a/packages/reedyard/src/safe-to-stop.ts
+++ b/packages/reedyard/src/safe-to-stop.ts
@@ -72,7 +72,7 @@
  * @example
  * findTargets('core-1', status.control, machines)[0]?.member?.state // 'answering'
  */
-export const findTargets = (
+const findTargets = (
   wanted: string,
   control: ControlStatus,
   machines: readonly KnownMachine[],
@@ -152,7 +152,7 @@
  * @example
  * judgeStop(status, target, null).verdict // 'safe'
  */
-export const judgeStop = (
+const judgeStop = (
   status: NodeStatus,
   target: StopTarget,
   wantedLosses: number | null,
--- a/packages/reedyard/src/status-text.ts
+++ b/packages/reedyard/src/status-text.ts
@@ -46,7 +46,7 @@
  * @example
  * lossesText(-1) // 'NO MAJORITY: 1 more must answer'
  */
-export const lossesText = (lossesBorne: number): string => {
+const lossesText = (lossesBorne: number): string => {
   if (lossesBorne < 0) return `NO MAJORITY: ${-lossesBorne} more must answer`;
   if (lossesBorne === 0) return 'NO further loss is borne';
   return lossesBorne === 1 ? '1 more loss is borne' : `${lossesBorne} more losses are borne`;
--- a/packages/replica/src/claim-expiry.ts
+++ b/packages/replica/src/claim-expiry.ts
@@ -6,7 +6,7 @@
 export const claimRetentionMs = 3_600_000;
 
 /** lapsed claims let go in one sweep a second: some milliseconds. */
-export const claimsExpiredAtOnce = 2_000;
+const claimsExpiredAtOnce = 2_000;
 
 type ClaimMinute = { readonly minute: number; readonly key: string };
 
--- a/packages/replica/src/journal.ts
+++ b/packages/replica/src/journal.ts
@@ -7,7 +7,7 @@
 import { type ReplicaState, type RetainedEntry, type Transition, update } from './state.js';
 
 /** purge journal entries in one call. */
-export const maxEntriesPerReply = 4_096;
+const maxEntriesPerReply = 4_096;
 
 /** Appends the entries whose keys the journal does not hold yet. */
 export const appendEntries = (
--- a/packages/replica/src/page-reads.ts
+++ b/packages/replica/src/page-reads.ts
@@ -7,7 +7,7 @@
 export const registersPerPage = 500;
 
 /** replicas that one replica lets read it at once: all others of a founding set of nine. */
-export const maxOpenPageReads = 8;
+const maxOpenPageReads = 8;
 
 /** The reply of a replica that may not vote. */
 export const notAMember = (state: ReplicaState): ReplicaReply => ({
--- a/packages/replica/src/peer-reads.ts
+++ b/packages/replica/src/peer-reads.ts
@@ -35,7 +35,7 @@
  * ms. A page that a recovering replica asked for is asked for again, then after twice as long,
  * and so on: far over what one takes on a busy machine.
  */
-export const pageTimeoutStepMs = 250;
+const pageTimeoutStepMs = 250;
 
 type PageReply = Extract<ReplicaReply, { kind: 'page-read' }>;
 
--- a/packages/replica/src/restore.ts
+++ b/packages/replica/src/restore.ts
@@ -13,7 +13,7 @@
  * ms. Replicas that founded the state anew, after most disks were lost, take part in nothing until
  * they have heard no news this long from agents that tell again what they knew: six of their polls.
  */
-export const restoreQuietMs = 1_500;
+const restoreQuietMs = 1_500;
 
 type RestoreOperation = Extract<ReplicaOperation, { kind: 'restore' }>;
 
--- a/packages/replica/src/storage/replica-log.ts
+++ b/packages/replica/src/storage/replica-log.ts
@@ -32,7 +32,7 @@
 }
 
 /** A replica's log on an open write-ahead log. */
-export const replicaLogOn = (log: WriteAheadLog): ReplicaLog => ({
+const replicaLogOn = (log: WriteAheadLog): ReplicaLog => ({
   available: () => log.available(),
   failure: () => log.failure(),
   settled: () => log.settled(),
--- a/packages/write-ahead-log/src/layout.ts
+++ b/packages/write-ahead-log/src/layout.ts
@@ -33,7 +33,7 @@
 /** The batch of a segment's header; appended batches are counted from the next. */
 export const headerBatch = 0;
 /** The one batch of a snapshot. */
-export const snapshotBatch = 0;
+const snapshotBatch = 0;
 
 const numberDigits = 8;
 const namePattern = /^(segment|snapshot)-(\d{8})$/;
