--- a/packages/gossip/src/exchange.ts
+++ b/packages/gossip/src/exchange.ts
@@ -1,56 +1,60 @@
 /**
- * Anti-entropy: two nodes compare digests of their records, and each sends what the other lacks.
- * The messages go between nodes of different versions, so their fields keep their names.
+ * Anti-entropy: two nodes compare digests of their records, and each sends the records that the
+ * other lacks. Nodes of different versions exchange these messages, so their fields keep their
+ * names.
  */
 
 import type { Neighbour } from './partial-view.js';
 import type { GossipRecord, GossipState } from './records.js';
 
 /**
- * A record as it is sent. The value is left out towards a node that has it already: then the new
- * revision is a heartbeat alone. A forgotten record has the value null.
+ * A record on the wire. The value is omitted when the receiver already has it, so that the new
+ * revision is only a heartbeat. An expired record has the value null.
  */
 export type RecordUpdate = { readonly revision: number; readonly value?: unknown };
 
-/** An exchange: what the sender holds, and a part of its view. */
+/** A request to exchange records: the sender's digest and a sample of its partial view. */
 export type GossipExchange = {
   readonly from: { readonly id: string; readonly address: string };
-  /** Revisions by key. */
+  /** The revisions of the sender's live records, by key. */
   readonly digest: Readonly<Record<string, number>>;
   readonly sample: readonly Neighbour[];
 };
 
 /** The reply to an exchange. */
 export type GossipExchangeReply = {
-  /** Records that are newer there. */
+  /** Records of the replying node that are newer than the digest. */
   readonly newer: Readonly<Record<string, RecordUpdate>>;
-  /** Keys that are wanted from the sender, with the revisions that are held; 0 for none. */
+  /** Keys that the replying node requests, with the revisions that it has; 0 where it has none. */
   readonly wants: Readonly<Record<string, number>>;
   readonly sample: readonly Neighbour[];
 };
 
-/** The update for a node that holds a revision of the record; 0 where it holds none. */
+/** The update for a node that has `revision` of the record; 0 means that it has none. */
 const updateFor = (record: GossipRecord, revision: number): RecordUpdate =>
   revision >= record.valueRevision && !record.isExpired
     ? { revision: record.revision }
     : { revision: record.revision, value: record.isExpired ? null : record.value };
 
 /**
- * Learns what others told; returns the keys that were news. @example mergeUpdates(state, newer,
- * 5).news
+ * Merges received updates into the records. An update is ignored unless its revision is higher than
+ * the stored one, and an update without a value also where no live record is stored.
+ *
+ * @example
+ * mergeUpdates(state, newer, 5).updatedKeys // ['node/a']
  */
 export const mergeUpdates = (
   state: GossipState,
-  tellings: Readonly<Record<string, RecordUpdate>>,
+  updates: Readonly<Record<string, RecordUpdate>>,
   now: number,
 ): {
   readonly state: GossipState;
   readonly updatedKeys: readonly string[];
-  /** Those of them with a value. */ readonly keysWithValue: readonly string[];
+  /** The updated keys whose update carried a value. */ readonly keysWithValue: readonly string[];
 } => {
   const added: Record<string, GossipRecord> = {};
   const values: string[] = [];
-  for (const [key, { revision, ...rest }] of Object.entries(tellings)) {
+  for (const [key, { revision, ...rest }] of Object.entries(updates)) {
     const record = state.records[key];
     if (revision <= (record?.revision ?? 0)) continue;
     if ('value' in rest) {
@@ -73,7 +77,7 @@
   };
 };
 
-/** @example digestOf(state) // { 'node/a': 12 } */
+/** The revisions of all live records, by key. @example digestOf(state) // { 'node/a': 12 } */
 export const digestOf = (state: GossipState): Readonly<Record<string, number>> =>
   Object.fromEntries(
     Object.entries(state.records).flatMap(([key, record]) =>
@@ -82,9 +86,10 @@
   );
 
 /**
- * What of ours is newer than a digest, and what of the digest we lack. A forgotten record is told
- * (with the value null) only to one who offers an older revision of it, so that an owner who came
- * back without memory learns above which revision to speak.
+ * Compares a received digest with the local records: which local records are newer, and which
+ * records of the digest to request. An expired record is sent (with the value null) only to a node
+ * that offers an older revision of it, so that an owner that restarted without its state learns
+ * which revision it has to exceed.
  *
  * @example
  * compareDigest(state, {})
@@ -113,7 +118,12 @@
   ),
 });
 
-/** The records asked for, by the revisions that the asker has. @example pickUpdates(state, { 'node/a': 0 }) */
+/**
+ * The updates for the requested keys, given the revisions that the requester has.
+ *
+ * @example
+ * pickUpdates(state, { 'node/a': 0 })
+ */
 export const pickUpdates = (
   state: GossipState,
   wants: Readonly<Record<string, number>>,
--- a/packages/gossip/src/gossip.test.ts
+++ b/packages/gossip/src/gossip.test.ts
@@ -13,7 +13,7 @@
   renewRecord,
 } from './records.js';
 
-/** One exchange from a to b, as two agents make it. */
+/** One exchange that `a` starts with `b`, in the order of the agents' messages. */
 const exchange = (
   a: GossipState,
   b: GossipState,
@@ -24,7 +24,7 @@
   return [nextA, mergeUpdates(b, pickUpdates(nextA, compared.wants), now).state];
 };
 
-test('two that exchange hold the same, the higher revision wins, in either order', (t) => {
+test('after an exchange both nodes have the same records with the highest revisions, whichever node starts', (t) => {
   let a = publishRecord(publishRecord(emptyGossip, 'node/a', 1, 0), 'node/x', 'old', 0);
   let b = publishRecord(
     publishRecord(publishRecord(emptyGossip, 'node/b', 2, 0), 'node/x', 'older', 0),
@@ -43,51 +43,51 @@
   t.deepEqual(digestOf(a), digestOf(b));
 });
 
-test('what is forgotten does not come back by a late copy, but its owner does', (t) => {
-  const told = publishRecord(
+test('a late copy does not restore an expired record, but a new publication by its owner does', (t) => {
+  const published = publishRecord(
     publishRecord(emptyGossip, 'origin/s/i', 'v', 0),
     'origin/s/i',
     'v',
     0,
   );
-  const swept = expireRecords(told, originRetentionMs + 1);
-  t.deepEqual(swept.expiredKeys, ['origin/s/i']);
-  t.is(recordValue(exchange(swept.state, told, 20_000)[0], 'origin/s/i'), undefined);
-  // The owner came back without memory: it speaks below the revision that others have put away,
-  // hears of that, and speaks above it.
+  const expired = expireRecords(published, originRetentionMs + 1);
+  t.deepEqual(expired.expiredKeys, ['origin/s/i']);
+  t.is(recordValue(exchange(expired.state, published, 20_000)[0], 'origin/s/i'), undefined);
+  // The owner restarted without its state: it publishes below the revision that the other node
+  // keeps for the expired record, learns that revision, and publishes above it.
   let owner = publishRecord(emptyGossip, 'origin/s/i', 'back', 20_000);
-  [owner] = exchange(owner, swept.state, 20_000);
+  [owner] = exchange(owner, expired.state, 20_000);
   owner = publishRecord(owner, 'origin/s/i', 'back', 20_100);
-  t.is(recordValue(exchange(owner, swept.state, 20_100)[1], 'origin/s/i'), 'back');
+  t.is(recordValue(exchange(owner, expired.state, 20_100)[1], 'origin/s/i'), 'back');
 });
 
-test('a heartbeat carries no value to one who has it, and the value to one who has not', (t) => {
-  const told = publishRecord(emptyGossip, 'node/a', { long: 'value' }, 0);
-  const beaten = renewRecord(renewRecord(told, 'node/a', 500), 'node/a', 1_000);
-  t.deepEqual(compareDigest(beaten, digestOf(told)).newer, { 'node/a': { revision: 3 } });
-  t.deepEqual(compareDigest(beaten, {}).newer, {
+test('a heartbeat carries the value only to a node that does not have it', (t) => {
+  const published = publishRecord(emptyGossip, 'node/a', { long: 'value' }, 0);
+  const renewed = renewRecord(renewRecord(published, 'node/a', 500), 'node/a', 1_000);
+  t.deepEqual(compareDigest(renewed, digestOf(published)).newer, { 'node/a': { revision: 3 } });
+  t.deepEqual(compareDigest(renewed, {}).newer, {
     'node/a': { revision: 3, value: { long: 'value' } },
   });
-  t.deepEqual(pickUpdates(beaten, compareDigest(told, digestOf(beaten)).wants), {
+  t.deepEqual(pickUpdates(renewed, compareDigest(published, digestOf(renewed)).wants), {
     'node/a': { revision: 3 },
   });
-  t.deepEqual(pickUpdates(beaten, compareDigest(emptyGossip, digestOf(beaten)).wants), {
+  t.deepEqual(pickUpdates(renewed, compareDigest(emptyGossip, digestOf(renewed)).wants), {
     'node/a': { revision: 3, value: { long: 'value' } },
   });
-  const [heard] = exchange(told, beaten, 2_000);
-  t.deepEqual(liveRecords(heard, 'node/'), [['node/a', { long: 'value' }, 2_000]]);
-  // It is no sign of life of a record that was put away meanwhile, nor of one that was never had.
-  const swept = expireRecords(told, nodeRetentionMs + 1).state;
-  t.deepEqual(mergeUpdates(swept, { 'node/a': { revision: 3 } }, 40_000), {
-    state: swept,
+  const [receiver] = exchange(published, renewed, 2_000);
+  t.deepEqual(liveRecords(receiver, 'node/'), [['node/a', { long: 'value' }, 2_000]]);
+  // A heartbeat renews neither a record that expired meanwhile nor one that the node never had.
+  const expired = expireRecords(published, nodeRetentionMs + 1).state;
+  t.deepEqual(mergeUpdates(expired, { 'node/a': { revision: 3 } }, 40_000), {
+    state: expired,
     news: [],
     values: [],
   });
   t.deepEqual(mergeUpdates(emptyGossip, { 'node/a': { revision: 3 } }, 0).updatedKeys, []);
-  t.is(recordValue(exchange(swept, beaten, 40_000)[0], 'node/a') !== undefined, true);
+  t.is(recordValue(exchange(expired, renewed, 40_000)[0], 'node/a') !== undefined, true);
 });
 
-test('a changed value reaches those who hold any earlier revision, also over one who had only heartbeats since', (t) => {
+test('a changed value reaches a node with any earlier revision, also through a node that later received only heartbeats', (t) => {
   const first = publishRecord(emptyGossip, 'node/a', 'old', 0);
   const early = first;
   const changed = renewRecord(
@@ -100,10 +100,15 @@
   t.is(recordValue(exchange(early, later, 7)[0], 'node/a'), 'new');
 });
 
-test('a shuffle keeps the view bounded, never holds oneself, and prefers what was received', (t) => {
-  const many = (names: string): readonly Neighbour[] =>
+test('a shuffle keeps the view bounded, excludes the node itself and prefers received neighbours', (t) => {
+  const neighboursNamed = (names: string): readonly Neighbour[] =>
     [...names].map((id, age) => ({ id, address: `${id}:1`, age }));
-  const view = shuffleView(many('abcdefgh'), 'me', many('xyzme'.slice(0, 3)), many('ab'));
+  const view = shuffleView(
+    neighboursNamed('abcdefgh'),
+    'me',
+    neighboursNamed('xyzme'.slice(0, 3)),
+    neighboursNamed('ab'),
+  );
   t.is(view.length, viewSize);
   for (const id of 'xyz') t.true(view.some((each) => each.id === id));
   t.false(shuffleView(view, 'x', [], []).length > viewSize);
--- a/packages/gossip/src/index.ts
+++ b/packages/gossip/src/index.ts
@@ -1,4 +1,4 @@
-/** Gossip between nodes: records that spread, digests that are compared, and a partial view. */
+/** Gossip between nodes: replicated records, the comparison of their digests, and a partial view. */
 export {
   compareDigest,
   digestOf,
@@ -15,9 +15,9 @@
   liveRecords,
   publishRecord,
   recordValue,
-  renewalsSinceFull as renewalsSinceValue,
+  renewalsSinceValue,
   renewRecord,
-  replaceLocally as replaceValueLocally,
+  replaceValueLocally,
   type GossipRecord,
   type GossipState,
   type LiveRecord,
--- a/packages/gossip/src/partial-view.ts
+++ b/packages/gossip/src/partial-view.ts
@@ -1,24 +1,25 @@
-/** A partial view of the other nodes (shuffled as in Cyclon), which exchanges choose peers from. */
+/** A partial view of the other nodes, shuffled as in Cyclon; exchanges choose their peers from it. */
 
-/** peers swapped in one shuffle. */
+/** How many neighbours one shuffle sends, the sender included. */
 export const shuffleSize = 4;
 
-/** peers in a partial view. */
+/** The maximum number of neighbours in a partial view. */
 export const viewSize = 8;
 
-/** A node in the view. */
+/** A node in the partial view. */
 export type Neighbour = {
   readonly id: string;
   readonly address: string;
-  /** Exchanges since it was last heard of. */
+  /** The number of exchanges since the neighbour was last heard from. */
   readonly age: number;
 };
 
 /**
- * A shuffle: neighbours received fill the view, and first push out those that were sent away.
+ * Merges received neighbours into the view. When the view overflows, the neighbours that were sent
+ * in the same shuffle are evicted first, then the oldest ones.
  *
  * @example
- * shuffleView([], 'me', [{ id: 'a', address: '127.0.0.1:1', age: 0 }], []) // the one received
+ * shuffleView([], 'me', [{ id: 'a', address: '127.0.0.1:1', age: 0 }], []) // [{ id: 'a', address: '127.0.0.1:1', age: 0 }]
  */
 export const shuffleView = (
   view: readonly Neighbour[],
@@ -26,29 +27,35 @@
   received: readonly Neighbour[],
   sent: readonly Neighbour[],
 ): readonly Neighbour[] => {
-  const sentIds = new Set(sent.map((each) => each.id));
-  const fresh = received.filter((each) => each.id !== self);
-  const freshIds = new Set(fresh.map((each) => each.id));
+  const sentIds = new Set(sent.map((neighbour) => neighbour.id));
+  const others = received.filter((neighbour) => neighbour.id !== self);
+  const receivedIds = new Set(others.map((neighbour) => neighbour.id));
   const youngest = new Map<string, Neighbour>();
-  for (const each of [...fresh, ...view]) {
-    const known = youngest.get(each.id);
-    if (known === undefined || each.age < known.age) youngest.set(each.id, each);
+  for (const neighbour of [...others, ...view]) {
+    const known = youngest.get(neighbour.id);
+    if (known === undefined || neighbour.age < known.age) youngest.set(neighbour.id, neighbour);
   }
-  // Kept first: what was received, then what was not offered away, then the rest.
-  const rank = (each: Neighbour): number =>
-    freshIds.has(each.id) ? 0 : sentIds.has(each.id) ? 2 : 1;
+  // Received neighbours have priority, then neighbours that were not sent, then the sent ones.
+  const rank = (neighbour: Neighbour): number =>
+    receivedIds.has(neighbour.id) ? 0 : sentIds.has(neighbour.id) ? 2 : 1;
   return [...youngest.values()]
     .sort((a, b) => rank(a) - rank(b) || a.age - b.age)
     .slice(0, viewSize);
 };
 
-/** A part of the view to offer, with oneself as the newest. @example sampleView(view, { id: 'me', address: '127.0.0.1:1' }, 0.3) */
+/**
+ * The neighbours to send in a shuffle: this node itself with age 0, and neighbours from a random
+ * start.
+ *
+ * @example
+ * sampleView(view, { id: 'me', address: '127.0.0.1:1' }, 0.3)
+ */
 export const sampleView = (
   view: readonly Neighbour[],
   self: { readonly id: string; readonly address: string },
-  chance: number,
+  random: number,
 ): readonly Neighbour[] => {
-  const start = Math.floor(chance * view.length);
-  const turned = [...view.slice(start), ...view.slice(0, start)];
-  return [{ ...self, age: 0 }, ...turned.slice(0, shuffleSize - 1)];
+  const start = Math.floor(random * view.length);
+  const rotated = [...view.slice(start), ...view.slice(0, start)];
+  return [{ ...self, age: 0 }, ...rotated.slice(0, shuffleSize - 1)];
 };
--- a/packages/gossip/src/records.ts
+++ b/packages/gossip/src/records.ts
@@ -1,81 +1,96 @@
 /**
- * Records that spread by gossip. Each has one owner, who raises its revision with each change; a
- * higher revision replaces a lower one. A revision without a new value is the owner's heartbeat.
+ * Records that gossip distributes. Each record has one owner, which raises the revision with each
+ * change; a higher revision replaces a lower one. A revision without a new value is the owner's
+ * heartbeat.
  */
 
 import type { Neighbour } from './partial-view.js';
 
-/** ms. A node's record is dropped after this silence. */
+/** How long a node's record is kept without a heartbeat, in milliseconds. */
 export const nodeRetentionMs = 30_000;
 
-/** ms. An origin that does not describe itself this long is forgotten; it speaks every few s. */
+/**
+ * How long an origin's record is kept without a new description, in milliseconds. Origins describe
+ * themselves every few seconds.
+ */
 export const originRetentionMs = 10_000;
 
-/** A record as this node holds it. */
+/** A record as this node stores it. */
 export type GossipRecord = {
   readonly revision: number;
   readonly value: unknown;
-  /** The revision that first had this value: whoever holds it or a later one has the value. */
+  /** The first revision with this value: a node that has this revision or a later one has the value. */
   readonly valueRevision: number;
-  /** ms of this node's clock at which the present revision came. */
+  /** When this node received the current revision, in milliseconds of its monotonic clock. */
   readonly seenAt: number;
-  /** It expired. The revision stays, so that a late copy does not bring the value back. */
+  /** Whether the record expired. Its revision stays, so that a late copy does not restore the value. */
   readonly isExpired: boolean;
 };
 
-/** What a node holds: records by key, and a partial view of the other nodes. */
+/** The gossip state of a node: records by key, and a partial view of the other nodes. */
 export type GossipState = {
   readonly records: Readonly<Record<string, GossipRecord>>;
   readonly view: readonly Neighbour[];
 };
 
-/** A live record: its key, its value, and when its revision came. */
+/** A record that has not expired: its key, its value, and when its revision was received. */
 export type LiveRecord = readonly [key: string, value: unknown, seenAt: number];
 
 const retentionMsOf = (key: string): number =>
   key.startsWith('origin/') ? originRetentionMs : nodeRetentionMs;
 
-/** Live records of each prefix that was asked for, found once for each table of records. */
+/** A cache of the live records by key prefix, for each immutable table of records. */
 const liveRecordsByPrefix = new WeakMap<
   GossipState['records'],
   Map<string, readonly LiveRecord[]>
 >();
 
-/** A node that has heard of nothing yet. */
+/** The gossip state of a node that has received nothing yet. */
 export const emptyGossip = { records: {}, view: [] } as GossipState;
 
-/** The value under a key, if it is known and not forgotten. @example recordValue(state, 'node/front-1') */
+/**
+ * The value of a live record; undefined where the key is unknown or its record expired.
+ *
+ * @example
+ * recordValue(state, 'node/front-1')
+ */
 export const recordValue = (state: GossipState, key: string): unknown => {
   const record = state.records[key];
   return record === undefined || record.isExpired ? undefined : record.value;
 };
 
-/** All live records of a kind. @example liveRecords(state, 'origin/') // [[key, value, seenAt], …] */
+/**
+ * All live records whose keys start with a prefix.
+ *
+ * @example
+ * liveRecords(state, 'origin/') // [[key, value, seenAt], …]
+ */
 export const liveRecords = (
   state: GossipState,
   prefix: string,
 ): readonly (readonly [key: string, value: unknown, seenAt: number])[] => {
-  let known = liveRecordsByPrefix.get(state.records);
-  if (known === undefined) {
-    known = new Map();
-    liveRecordsByPrefix.set(state.records, known);
+  let recordsByPrefix = liveRecordsByPrefix.get(state.records);
+  if (recordsByPrefix === undefined) {
+    recordsByPrefix = new Map();
+    liveRecordsByPrefix.set(state.records, recordsByPrefix);
   }
-  let found = known.get(prefix);
-  if (found === undefined) {
-    found = Object.entries(state.records).flatMap(([key, record]) =>
+  let matching = recordsByPrefix.get(prefix);
+  if (matching === undefined) {
+    matching = Object.entries(state.records).flatMap(([key, record]) =>
       key.startsWith(prefix) && !record.isExpired
         ? [[key, record.value, record.seenAt] as const]
         : [],
     );
-    known.set(prefix, found);
+    recordsByPrefix.set(prefix, matching);
   }
-  return found;
+  return matching;
 };
 
 /**
- * Tells something of one's own (or a guest's), above any revision seen. Where a guest numbers
- * what it says, nodes that hear different words of it each take its number for the least
- * revision, so that the later one wins.
+ * Publishes a new value, for a record of this node or on behalf of an origin, with a revision above
+ * every revision seen. Where the origin numbers its descriptions, each node that receives one uses
+ * the number as the minimum revision, so that of two descriptions sent to different nodes the later
+ * one wins.
  *
  * @example
  * publishRecord(state, 'node/a', {}, 5)
@@ -98,9 +113,8 @@
 };
 
 /**
- * Tells a value of one's own again that has not changed: its new revision says that one lives.
- * Only for a key that nobody else tells, since who has an earlier revision is not given the value
- * again.
+ * Raises the revision of an unchanged record as a heartbeat. Only the record's sole publisher may
+ * do this, since a node that has an earlier revision is not sent the value again.
  *
  * @example
  * renewRecord(state, 'node/a', 500)
@@ -119,23 +133,41 @@
 };
 
 /**
- * Revisions since the value under a key was last sent in full. @example renewalsSinceFull(state,
- * 'node/a') // 0
+ * The number of revisions since the value of a record was last published in full.
+ *
+ * @example
+ * renewalsSinceValue(state, 'node/a') // 0
  */
-export const renewalsSinceFull = (state: GossipState, key: string): number => {
+export const renewalsSinceValue = (state: GossipState, key: string): number => {
   const record = state.records[key];
   return record === undefined ? 0 : record.revision - record.valueRevision;
 };
 
-/** Changes a value held here without telling it to others. @example replaceLocally(state, 'origin/s/i', value) */
-export const replaceLocally = (state: GossipState, key: string, value: unknown): GossipState => {
+/**
+ * Replaces the value of a record on this node alone: the revision stays, so gossip does not send
+ * the new value.
+ *
+ * @example
+ * replaceValueLocally(state, 'origin/s/i', value)
+ */
+export const replaceValueLocally = (
+  state: GossipState,
+  key: string,
+  value: unknown,
+): GossipState => {
   const record = state.records[key];
   return record === undefined
     ? state
     : { ...state, records: { ...state.records, [key]: { ...record, value } } };
 };
 
-/** Forgets what went silent; its revision stays, so that a late copy does not bring it back. @example expireRecords(state, 99_000) */
+/**
+ * Expires the records that were not renewed within their retention time. Their revisions stay, so
+ * that a late copy does not restore the values.
+ *
+ * @example
+ * expireRecords(state, 99_000).expiredKeys // ['origin/s/i']
+ */
 export const expireRecords = (
   state: GossipState,
   now: number,
--- a/packages/quota-division/src/index.ts
+++ b/packages/quota-division/src/index.ts
@@ -1,9 +1,9 @@
-/** How a rate limit is divided among nodes. */
+/** Divides the rate limit of each service among nodes. */
 export {
   allocateQuotas,
-  floorShare as evenlySpreadShare,
-  hasChangedShares as haveSharesChanged,
-  hasMostOfGoal as hasReachedReadyShare,
+  evenlySpreadShare,
+  haveSharesChanged,
+  hasReachedReadyShare,
   nextShares,
   type QuotaAllocation,
   type QuotaNode,
@@ -11,5 +11,5 @@
   rateLimitOf,
   rateOf,
   readyQuotaShare,
-  usableRate as usableRateOf,
+  usableRateOf,
 } from './quota-allocation.js';
--- a/packages/quota-division/src/quota-allocation.ts
+++ b/packages/quota-division/src/quota-allocation.ts
@@ -1,193 +1,211 @@
-/** How a rate limit is divided among nodes. */
+/** Divides the rate limit of each service among nodes. */
 
-/** share of a ceiling kept for every possible edge whether it asks or not. */
-export const floorShare = 0.1;
+/** The share of a rate limit that is divided evenly among all possible nodes, whatever their demand. */
+export const evenlySpreadShare = 0.1;
 
-/**
- * share of its goal that a node's quotas must have reached before it first says that it is ready.
- */
+/** The share of its goal that a node's quotas must reach before the node first reports ready. */
 export const readyQuotaShare = 0.7;
 
-/** An edge that may hold quotas, and where it stands. */
+/** A node that may have quotas, and its zone and region. */
 export type QuotaNode = { readonly nodeId: string; readonly zone: string; readonly region: string };
 
-/** By edge: shares of a service, which add up to one; or requests a second that edges want. */
+/**
+ * By node id: shares of a service's rate limit, which add up to 1; or the demand of each node in
+ * requests per second.
+ */
 export type QuotaShares = Readonly<Record<string, number>>;
 
 /**
- * The allocation of every service, under one quota leader's term. It tells shares, not rates: what
- * a share comes to follows from what each node knows now of the ceiling and of the instances, so
- * that a lowered ceiling needs no new allocation.
+ * The quota allocation of every service in one quota leader's term. It contains shares, not rates:
+ * each node derives the rate of a share from the rate limit and the instances that it knows now, so
+ * that a lowered rate limit needs no new allocation.
  */
 export type QuotaAllocation = {
   readonly term: number;
   readonly holder: string;
-  /** Grows with each renewal; a still one means that the quota leadership is vacant. */
+  /** Grows with each renewal; while it does not grow, the quota leadership is vacant. */
   readonly beat: number;
   readonly slices: Readonly<Record<string, QuotaShares>>;
-  /**
-   * Edges whose quotas have once come near what they are to have: only these say that they are
-   * ready.
-   */
+  /** Nodes whose quotas have once come close to their goals: only these nodes report ready. */
   readonly seated: readonly string[];
 };
 
 /**
- * One level's shares. What is asked for is given first; what is left over is spread evenly, so that
- * a caller's move to another edge finds room there. Where more is asked than there is, a tenth is
- * still spread evenly and the rest goes by demand.
+ * Divides a total among the groups of one level. Each group first gets its demand; the remainder is
+ * spread evenly over the nodes, so that a client that moves to another node finds capacity there.
+ * Where the demand exceeds the total, a tenth is still spread evenly and the rest is divided in
+ * proportion to the demand.
  */
 const shareOut = (
   total: number,
-  wants: readonly number[],
-  heads: readonly number[],
+  demands: readonly number[],
+  nodeCounts: readonly number[],
 ): readonly number[] => {
-  const sumOf = (list: readonly number[]): number => list.reduce((sum, each) => sum + each, 0);
-  const [wanted, people] = [sumOf(wants), sumOf(heads)];
-  const even = (index: number, part: number): number =>
-    people > 0 ? (part * (heads[index] ?? 0)) / people : 0;
-  if (wanted <= total) return wants.map((want, index) => want + even(index, total - wanted));
-  const spread = total * floorShare;
-  return wants.map((want, index) => even(index, spread) + ((total - spread) * want) / wanted);
+  const sumOf = (values: readonly number[]): number =>
+    values.reduce((sum, value) => sum + value, 0);
+  const [totalDemand, totalNodes] = [sumOf(demands), sumOf(nodeCounts)];
+  const evenPart = (index: number, amount: number): number =>
+    totalNodes > 0 ? (amount * (nodeCounts[index] ?? 0)) / totalNodes : 0;
+  if (totalDemand <= total)
+    return demands.map((demand, index) => demand + evenPart(index, total - totalDemand));
+  const evenlySpread = total * evenlySpreadShare;
+  return demands.map(
+    (demand, index) =>
+      evenPart(index, evenlySpread) + ((total - evenlySpread) * demand) / totalDemand,
+  );
 };
 
-const grouped = <T>(list: readonly T[], key: (each: T) => string): readonly (readonly T[])[] => {
+const groupBy = <T>(items: readonly T[], keyOf: (item: T) => string): readonly (readonly T[])[] => {
   const groups = new Map<string, T[]>();
-  for (const each of list) {
-    const group = groups.get(key(each));
-    if (group === undefined) groups.set(key(each), [each]);
-    else group.push(each);
+  for (const item of items) {
+    const group = groups.get(keyOf(item));
+    if (group === undefined) groups.set(keyOf(item), [item]);
+    else group.push(item);
   }
   return [...groups.values()];
 };
 
 /**
- * What may be handed out of a ceiling: every edge's bucket may save a token besides its quota, so
- * over 5 s the edges together would pass the ceiling by one request each. That is taken off first,
- * as far as the requirements' tenth does not already cover it.
+ * The part of a rate limit that may be allocated. Each node's bucket may save one token in addition
+ * to its quota, so over 5 s the nodes together could exceed the rate limit by one request each. This
+ * excess is deducted first, as far as the tenth that the requirements tolerate does not cover it.
  *
  * @example
- * usable(100, 10) // 100
- * usable(20, 11)  // 18.8
+ * usableRateOf(100, 10) // 100
+ * usableRateOf(20, 11)  // 18.8
  */
-export const usableRate = (ceiling: number, edges: number): number =>
-  Math.max(ceiling / 2, Math.min(ceiling, 1.05 * ceiling - edges / 5));
+export const usableRateOf = (rateLimit: number, nodeCount: number): number =>
+  Math.max(rateLimit / 2, Math.min(rateLimit, 1.05 * rateLimit - nodeCount / 5));
 
 /**
- * What a service may get: the least of its ceiling and of what its instances say they carry.
+ * The rate limit of a service: the lower of its configured rate limit and the sum of the capacities
+ * that its instances report.
  *
  * @example
- * boundOf(400, [200, 100]) // 300
- * boundOf(undefined, [200]) // 200
+ * rateLimitOf(400, [200, 100]) // 300
+ * rateLimitOf(undefined, [200]) // 200
  */
-export const rateLimitOf = (ceiling: number | undefined, capacities: readonly number[]): number =>
+export const rateLimitOf = (
+  configuredLimit: number | undefined,
+  capacities: readonly number[],
+): number =>
   Math.min(
-    ceiling ?? Infinity,
-    capacities.reduce((sum, each) => sum + each, 0),
+    configuredLimit ?? Infinity,
+    capacities.reduce((sum, capacity) => sum + capacity, 0),
   );
 
 /**
- * What one edge's share of a bound comes to, in requests a second. Without a bound every edge may
- * make as many as it likes.
+ * The rate of one node's share of a rate limit, in requests per second. Without a rate limit the
+ * rate of every node is unlimited.
  *
  * @example
  * rateOf({ a: 0.25, b: 0.75 }, 'a', 100) // 25
  */
-export const rateOf = (slices: QuotaShares, edge: string, bound: number): number =>
-  bound === Infinity
+export const rateOf = (shares: QuotaShares, nodeId: string, rateLimit: number): number =>
+  rateLimit === Infinity
     ? Infinity
-    : (slices[edge] ?? 0) * usableRate(bound, Object.keys(slices).length);
+    : (shares[nodeId] ?? 0) * usableRateOf(rateLimit, Object.keys(shares).length);
 
 /**
- * Divides a bound from region to zone to edge, each time by what is asked for, into shares.
+ * Divides a rate limit by demand, from region to zone to node, and returns each node's share.
  *
  * @example
- * divide(100, [{ edge: 'a', zone: 'h', region: 'r' }, { edge: 'b', zone: 'h', region: 'r' }], { a: 30, b: 10 })
+ * allocateQuotas(100, [{ nodeId: 'a', zone: 'h', region: 'r' }, { nodeId: 'b', zone: 'h', region: 'r' }], { a: 30, b: 10 })
  */
 export const allocateQuotas = (
-  bound: number,
-  seats: readonly QuotaNode[],
-  wants: QuotaShares,
+  rateLimit: number,
+  nodes: readonly QuotaNode[],
+  demand: QuotaShares,
 ): QuotaShares => {
-  const out: Record<string, number> = {};
-  const wantOf = (list: readonly QuotaNode[]): number =>
-    list.reduce((sum, seat) => sum + (wants[seat.nodeId] ?? 0), 0);
-  const level = (
+  const rates: Record<string, number> = {};
+  const demandOf = (group: readonly QuotaNode[]): number =>
+    group.reduce((sum, node) => sum + (demand[node.nodeId] ?? 0), 0);
+  const divideLevel = (
     total: number,
-    list: readonly QuotaNode[],
-    keys: readonly ((seat: QuotaNode) => string)[],
+    group: readonly QuotaNode[],
+    keys: readonly ((node: QuotaNode) => string)[],
   ): void => {
-    const [key, ...rest] = keys;
-    if (key === undefined) {
-      for (const seat of list) out[seat.nodeId] = total;
+    const [keyOf, ...remainingKeys] = keys;
+    if (keyOf === undefined) {
+      for (const node of group) rates[node.nodeId] = total;
       return;
     }
-    const groups = grouped(list, key);
+    const subgroups = groupBy(group, keyOf);
     const parts = shareOut(
       total,
-      groups.map(wantOf),
-      groups.map((group) => group.length),
+      subgroups.map(demandOf),
+      subgroups.map((subgroup) => subgroup.length),
     );
-    groups.forEach((group, index) => level(parts[index] ?? 0, group, rest));
+    subgroups.forEach((subgroup, index) => divideLevel(parts[index] ?? 0, subgroup, remainingKeys));
   };
-  // Without anything to divide the shares still say who would have what.
-  // Where there is no bound, they say what each bears of a cold instance's rate: as much for all as is asked for, and as much again.
+  // A rate limit of 0 counts as a tiny positive one, so that the shares still say how a rate would be divided.
+  // Without a rate limit the shares divide the rate of an instance that is warming up: the total is twice the demand.
   const total =
-    bound === Infinity
-      ? Math.max(1, 2 * wantOf(seats))
-      : Math.max(1e-9, usableRate(bound, seats.length));
-  level(total, seats, [(seat) => seat.region, (seat) => seat.zone, (seat) => seat.nodeId]);
-  return Object.fromEntries(Object.entries(out).map(([edge, rate]) => [edge, rate / total]));
+    rateLimit === Infinity
+      ? Math.max(1, 2 * demandOf(nodes))
+      : Math.max(1e-9, usableRateOf(rateLimit, nodes.length));
+  divideLevel(total, nodes, [(node) => node.region, (node) => node.zone, (node) => node.nodeId]);
+  return Object.fromEntries(Object.entries(rates).map(([nodeId, rate]) => [nodeId, rate / total]));
 };
 
 /**
- * The next quotas on the way to a goal: what an edge may still hold from any earlier allocation
- * counts against the whole until it has lapsed, so quotas fall at once and rise only into room.
+ * The next shares on the way to a goal. The largest share that a node may still use from any earlier
+ * allocation counts against the total until that allocation has expired, so shares fall immediately
+ * and rise only into the part that no earlier allocation may still use.
  *
  * @example
- * toward({ a: 0.2, b: 0.8 }, [{ a: 0.9, b: 0.1 }]) // { a: 0.2, b: 0.1 }: b waits for a's old slice
+ * nextShares({ a: 0.2, b: 0.8 }, [{ a: 0.9, b: 0.1 }]) // { a: 0.2, b: 0.1 }: b waits until a's old share expires
  */
-export const nextShares = (goal: QuotaShares, held: readonly QuotaShares[]): QuotaShares => {
-  const edges = new Set([...Object.keys(goal), ...held.flatMap((slices) => Object.keys(slices))]);
-  const heldBy = (edge: string): number => Math.max(0, ...held.map((slices) => slices[edge] ?? 0));
-  const committed = [...edges].reduce((sum, edge) => sum + heldBy(edge), 0);
-  const rises = Object.entries(goal).map(
-    ([edge, slice]) => [edge, Math.max(0, slice - heldBy(edge))] as const,
+export const nextShares = (
+  goal: QuotaShares,
+  unexpiredShares: readonly QuotaShares[],
+): QuotaShares => {
+  const nodeIds = new Set([
+    ...Object.keys(goal),
+    ...unexpiredShares.flatMap((shares) => Object.keys(shares)),
+  ]);
+  const maxUnexpiredShareOf = (nodeId: string): number =>
+    Math.max(0, ...unexpiredShares.map((shares) => shares[nodeId] ?? 0));
+  const committed = [...nodeIds].reduce((sum, nodeId) => sum + maxUnexpiredShareOf(nodeId), 0);
+  const increases = Object.entries(goal).map(
+    ([nodeId, share]) => [nodeId, Math.max(0, share - maxUnexpiredShareOf(nodeId))] as const,
   );
-  const wanted = rises.reduce((sum, [, rise]) => sum + rise, 0);
-  const room = Math.max(0, 1 - committed);
-  const part = wanted > 0 ? Math.min(1, room / wanted) : 0;
+  const totalIncrease = increases.reduce((sum, [, increase]) => sum + increase, 0);
+  const available = Math.max(0, 1 - committed);
+  const grantedPart = totalIncrease > 0 ? Math.min(1, available / totalIncrease) : 0;
   return Object.fromEntries(
-    Object.entries(goal).map(([edge, slice]) => [
-      edge,
-      Math.min(slice, heldBy(edge)) + Math.max(0, slice - heldBy(edge)) * part,
+    Object.entries(goal).map(([nodeId, share]) => [
+      nodeId,
+      Math.min(share, maxUnexpiredShareOf(nodeId)) +
+        Math.max(0, share - maxUnexpiredShareOf(nodeId)) * grantedPart,
     ]),
   );
 };
 
 /**
- * Whether an edge has most of what it is to have of each service.
+ * Whether a node's shares of all services have reached `readyQuotaShare` of their goals.
  *
  * @example
- * isSeated('a', { s: { a: 10 } }, { s: { a: 8 } }) // true
+ * hasReachedReadyShare('a', { s: { a: 10 } }, { s: { a: 8 } }) // true
  */
-export const hasMostOfGoal = (
-  edge: string,
+export const hasReachedReadyShare = (
+  nodeId: string,
   goals: Readonly<Record<string, QuotaShares>>,
-  slices: Readonly<Record<string, QuotaShares>>,
+  sharesByService: Readonly<Record<string, QuotaShares>>,
 ): boolean =>
   Object.entries(goals).every(
-    ([service, goal]) => (slices[service]?.[edge] ?? 0) >= readyQuotaShare * (goal[edge] ?? 0),
+    ([service, goal]) =>
+      (sharesByService[service]?.[nodeId] ?? 0) >= readyQuotaShare * (goal[nodeId] ?? 0),
   );
 
 /**
- * Whether an edge's quotas changed enough to be worth a new allocation.
+ * Whether the share of any node changed enough to justify a new allocation: by more than 2 %.
  *
  * @example
- * differs({ a: 10 }, { a: 10.1 }) // false
+ * haveSharesChanged({ a: 10 }, { a: 10.1 }) // false
  */
-export const hasChangedShares = (next: QuotaShares, old: QuotaShares): boolean =>
-  [...new Set([...Object.keys(next), ...Object.keys(old)])].some((edge) => {
-    const [a, b] = [next[edge] ?? 0, old[edge] ?? 0];
-    return Math.abs(a - b) > 0.02 * Math.max(a, b) + 1e-9;
+export const haveSharesChanged = (next: QuotaShares, previous: QuotaShares): boolean =>
+  [...new Set([...Object.keys(next), ...Object.keys(previous)])].some((nodeId) => {
+    const [nextShare, previousShare] = [next[nodeId] ?? 0, previous[nodeId] ?? 0];
+    return Math.abs(nextShare - previousShare) > 0.02 * Math.max(nextShare, previousShare) + 1e-9;
   });
--- a/packages/quota-division/src/quota-division.test.ts
+++ b/packages/quota-division/src/quota-division.test.ts
@@ -9,33 +9,35 @@
   type QuotaShares,
 } from './index.js';
 
-const sum = (slices: QuotaShares): number =>
-  Object.values(slices).reduce((all, each) => all + each, 0);
-const seats: readonly QuotaNode[] = [
+const sumOf = (shares: QuotaShares): number =>
+  Object.values(shares).reduce((sum, share) => sum + share, 0);
+const nodes: readonly QuotaNode[] = [
   ['a', 'w', 'r'],
   ['b', 'w', 'r'],
   ['c', 'n', 'r'],
   ['d', 's', 'q'],
-].map(([edge = '', zone = '', region = '']) => ({ nodeId: edge, zone, region }));
+].map(([nodeId = '', zone = '', region = '']) => ({ nodeId, zone, region }));
 
-test('a division never adds up to more than the ceiling, gives what is asked where it can, and leaves nobody out', (t) => {
-  const easy = allocateQuotas(100, seats, { a: 10, b: 5, c: 20 });
-  t.true(Math.abs(sum(easy) - 1) < 1e-9);
+test('an allocation stays within the rate limit, meets the demand where possible and gives every node a share', (t) => {
+  const uncontended = allocateQuotas(100, nodes, { a: 10, b: 5, c: 20 });
+  t.true(Math.abs(sumOf(uncontended) - 1) < 1e-9);
   t.true(
-    rateOf(easy, 'a', 100) >= 10 && rateOf(easy, 'c', 100) >= 20 && rateOf(easy, 'd', 100) > 0,
+    rateOf(uncontended, 'a', 100) >= 10 &&
+      rateOf(uncontended, 'c', 100) >= 20 &&
+      rateOf(uncontended, 'd', 100) > 0,
   );
-  // The same shares under a lower bound never come to more than that bound.
-  t.true(seats.reduce((all, { nodeId: edge }) => all + rateOf(easy, edge, 30), 0) <= 30 + 1e-9);
-  const hard = allocateQuotas(100, seats, { a: 400, d: 100 });
-  t.true(Math.abs(sum(hard) - 1) < 1e-9);
-  t.true((hard['a'] ?? 0) > 3 * (hard['d'] ?? 0) && (hard['b'] ?? 0) > 0);
+  // The same shares under a lower rate limit stay within that limit.
+  t.true(nodes.reduce((sum, { nodeId }) => sum + rateOf(uncontended, nodeId, 30), 0) <= 30 + 1e-9);
+  const contended = allocateQuotas(100, nodes, { a: 400, d: 100 });
+  t.true(Math.abs(sumOf(contended) - 1) < 1e-9);
+  t.true((contended['a'] ?? 0) > 3 * (contended['d'] ?? 0) && (contended['b'] ?? 0) > 0);
 });
 
-test('slices fall at once and rise only into room that has lapsed: in no order of steps is the whole passed', (t) => {
+test('shares fall immediately and rise only into expired shares, so no order of steps exceeds the total', (t) => {
   const goals = [
-    allocateQuotas(100, seats, { a: 400 }),
-    allocateQuotas(100, seats, { c: 400 }),
-    allocateQuotas(100, seats.slice(2), { c: 1, d: 300 }),
+    allocateQuotas(100, nodes, { a: 400 }),
+    allocateQuotas(100, nodes, { c: 400 }),
+    allocateQuotas(100, nodes.slice(2), { c: 1, d: 300 }),
   ];
   const orders = [
     [0, 1, 2],
@@ -46,30 +48,31 @@
     [2, 1, 0],
   ];
   for (const order of orders) {
-    let [now, before]: [QuotaShares, QuotaShares] = [{}, {}];
-    for (const index of order.flatMap((each) => [each, each, each])) {
-      const next = nextShares(goals[index] ?? {}, [now, before]);
-      // Any node may still act on any of the three, so the worst mix must fit.
-      const edges = new Set([next, now, before].flatMap((slices) => Object.keys(slices)));
-      const worst = [...edges].reduce(
-        (all, edge) => all + Math.max(next[edge] ?? 0, now[edge] ?? 0, before[edge] ?? 0),
+    let [current, previous]: [QuotaShares, QuotaShares] = [{}, {}];
+    for (const index of order.flatMap((goalIndex) => [goalIndex, goalIndex, goalIndex])) {
+      const next = nextShares(goals[index] ?? {}, [current, previous]);
+      // Any node may still use any of the three allocations, so the worst combination must fit.
+      const nodeIds = new Set([next, current, previous].flatMap((shares) => Object.keys(shares)));
+      const worstTotal = [...nodeIds].reduce(
+        (sum, nodeId) =>
+          sum + Math.max(next[nodeId] ?? 0, current[nodeId] ?? 0, previous[nodeId] ?? 0),
         0,
       );
-      t.true(worst <= 1 + 1e-6, `${order.join('')}: ${worst}`);
-      [before, now] = [now, next];
+      t.true(worstTotal <= 1 + 1e-6, `${order.join('')}: ${worstTotal}`);
+      [previous, current] = [current, next];
     }
-    const last = goals[order[2] ?? 0] ?? {};
-    for (const edge of Object.keys(last))
-      t.true(Math.abs((now[edge] ?? 0) - (last[edge] ?? 0)) < 1e-6);
+    const lastGoal = goals[order[2] ?? 0] ?? {};
+    for (const nodeId of Object.keys(lastGoal))
+      t.true(Math.abs((current[nodeId] ?? 0) - (lastGoal[nodeId] ?? 0)) < 1e-6);
   }
 });
 
-test('small ceilings leave room for the token that each edge may have saved', (t) => {
+test('the usable part of a small rate limit leaves a reserve for the token that each node may have saved', (t) => {
   t.true(5 * usableRateOf(20, 11) + 11 <= 1.1 * 5 * 20 + 1e-9);
   t.is(usableRateOf(1_000, 11), 1_000);
 });
 
-test('a service is bound by its ceiling, and by what its instances carry', (t) => {
+test('the rate limit of a service is the lower of its configured limit and the capacity of its instances', (t) => {
   t.deepEqual(
     [
       rateLimitOf(400, [200, 100]),
