--- a/packages/quota-division/src/quota-allocation.ts
+++ b/packages/quota-division/src/quota-allocation.ts
@@ -139,7 +139,8 @@
     subgroups.forEach((subgroup, index) => divideLevel(parts[index] ?? 0, subgroup, remainingKeys));
   };
   // A rate limit of 0 counts as a tiny positive one, so that the shares still say how a rate would be divided.
-  // Without a rate limit the shares divide the rate of an instance that is warming up: the total is twice the demand.
+  // Without a rate limit there is nothing to divide; the shares then state how the total of twice the demand (at
+  // least 1) would be divided.
   const total =
     rateLimit === Infinity
       ? Math.max(1, 2 * demandOf(nodes))
