--- a/packages/agent/src/api/action-replies.ts
+++ b/packages/agent/src/api/action-replies.ts
@@ -1,9 +1,9 @@
-/** Answers to operators and origins that several modules give. */
+/** Replies to operators and origins that several modules share. */
 
-/** s. Told to callers in Retry-After when no better number is known. */
+/** The Retry-After value in seconds where no better estimate is known. */
 export const retryAfterSeconds = 1;
 
-/** What an operator's or origin's call is answered. */
+/** The reply to an action of an operator or an origin. */
 export type ActionReply = {
   readonly status: number;
   readonly body: unknown;
@@ -16,7 +16,7 @@
 });
 
 /**
- * A refusal that holds: the call is not to be repeated.
+ * A final refusal: the client should not repeat the request.
  *
  * @example
  * refusal(412, 'Stale revision', 'Revision 7 is in force.').status // 412
@@ -24,21 +24,21 @@
 export const refusal = (status: number, title: string, detail: string): ActionReply =>
   problem(status, title, detail);
 
-/** No clear answer: the call is to be repeated. */
+/** A reply without a final result: the client should repeat the request. */
 export const unavailable = (title: string, detail: string): ActionReply => ({
   ...problem(503, title, detail),
   retryAfter: retryAfterSeconds,
 });
 
-/** No majority answered in time. */
-export const unreached = (what: string): ActionReply =>
+/** The reply when no majority of replicas replied in time. */
+export const unreached = (operation: string): ActionReply =>
   unavailable(
     'No majority reached',
-    `${what} was not acknowledged; it may yet take effect. Repeat it with the same change id.`,
+    `${operation} was not acknowledged; it may still take effect. Repeat it with the same change id.`,
   );
 
-/** Told while fewer disks vote than are needed to bear the losses that must be borne. */
+/** The reply while fewer disks vote than are needed to tolerate the configured losses. */
 export const tooFewMembers: ActionReply = unavailable(
   'Too few members',
-  'Too few machines with a disk vote as yet; nothing was changed. Repeat it.',
+  'Too few machines with a disk vote yet; nothing was changed. Repeat the request.',
 );
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -1,6 +1,6 @@
 /**
- * Calls of operators and origins: orders, reads, descriptions, and what this node tells about
- * itself.
+ * Handles the API actions of operators and origins: config changes, reads, descriptions of origins,
+ * and the status of this node.
  */
 import { publishRecord, recordValue, replaceValueLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
@@ -31,36 +31,44 @@
 import { nodeStatus } from './status.js';
 
 /**
- * ms. An origin that says nothing new is told by gossip again after this long: with the seconds
- * between two of its descriptions still twice within `originForgotten`, and a third of the
- * bytes.
+ * The interval, in milliseconds, at which an unchanged description of an origin is published by
+ * gossip again. Together with the seconds between two descriptions this still happens twice within
+ * `originRetentionMs`, with a third of the bytes of publishing every description.
  */
 export const originRefreshIntervalMs = 3_000;
 
 type ActionOf<K extends ApiAction['kind']> = Extract<ApiAction, { kind: K }>;
 
-const answer = (transition: Transition, id: number, given: ActionReply): void => {
-  transition.effects.push({ kind: 'send-answer', requestId: id, ...given });
+const sendAnswer = (transition: Transition, id: number, reply: ActionReply): void => {
+  transition.effects.push({ kind: 'send-answer', requestId: id, ...reply });
 };
 
-/** Whether all of a description but its number was told already, lately enough. */
-const isAnnounced = (state: AgentState, key: string, told: Description): boolean => {
-  const held = state.gossip.records[key];
-  if (held === undefined || held.isExpired) return false;
+/**
+ * Whether a description was already published recently enough, with equal fields except its sequence
+ * number.
+ */
+const isAnnounced = (state: AgentState, key: string, description: Description): boolean => {
+  const record = state.gossip.records[key];
+  if (record === undefined || record.isExpired) return false;
   if (
-    state.now - held.seenAt >= originRefreshIntervalMs ||
-    mayPredateZoneRestore(state, told.zone, held.seenAt)
+    state.now - record.seenAt >= originRefreshIntervalMs ||
+    mayPredateZoneRestore(state, description.zone, record.seenAt)
   )
     return false;
-  const known = held.value as Description;
-  const fields = new Set([...Object.keys(told), ...Object.keys(known)] as (keyof Description)[]);
-  return [...fields].every((field) => field === 'sequence' || told[field] === known[field]);
+  const published = record.value as Description;
+  const fields = new Set([
+    ...Object.keys(description),
+    ...Object.keys(published),
+  ] as (keyof Description)[]);
+  return [...fields].every(
+    (field) => field === 'sequence' || description[field] === published[field],
+  );
 };
 
-/** Posts a journal entry, unless a majority of disks is known to hold it. */
-const postOnce = (transition: Transition, key: string, id: number, done: unknown): void => {
-  if (transition.state.committedEntryKeys[key]) answer(transition, id, { status: 200, body: done });
-  else appendToJournal(transition, [{ key, value: true }], id, done);
+/** Appends a journal entry, unless a majority of disks is known to have stored it. */
+const appendOnce = (transition: Transition, key: string, id: number, body: unknown): void => {
+  if (transition.state.committedEntryKeys[key]) sendAnswer(transition, id, { status: 200, body });
+  else appendToJournal(transition, [{ key, value: true }], id, body);
 };
 
 const olderIncarnation = (known: Description): ActionReply => ({
@@ -74,17 +82,18 @@
 });
 
 /**
- * What is told of an origin after it described itself: one that drains goes on to do so in this
- * incarnation.
+ * The description of an origin to publish after it described itself: an origin that is draining
+ * keeps draining for the rest of its incarnation.
  */
 const descriptionToAnnounce = (
   known: Description | null,
-  sent: Description,
+  received: Description,
   isLate: boolean,
 ): Description => {
   if (known !== null && isLate) return known;
-  const drainsOn = known !== null && known.incarnation === sent.incarnation && known.draining;
-  return { ...sent, draining: sent.draining || drainsOn };
+  const keepsDraining =
+    known !== null && known.incarnation === received.incarnation && known.draining;
+  return { ...received, draining: received.draining || keepsDraining };
 };
 
 const describe = (transition: Transition, id: number, description: Description): void => {
@@ -92,74 +101,91 @@
   const known =
     (recordValue(transition.state.gossip, key) as Description | null | undefined) ?? null;
   if (known !== null && known.incarnation > description.incarnation) {
-    answer(transition, id, olderIncarnation(known));
+    sendAnswer(transition, id, olderIncarnation(known));
     return;
   }
   const isLate = known !== null && isOutdated(transition.state, description);
-  const told = descriptionToAnnounce(known, description, isLate);
+  const announced = descriptionToAnnounce(known, description, isLate);
   if (!isLate) {
     const { gossip, now } = transition.state;
-    const next = isAnnounced(transition.state, key, told)
-      ? replaceValueLocally(gossip, key, told)
-      : publishRecord(gossip, key, told, now, told.sequence);
+    const next = isAnnounced(transition.state, key, announced)
+      ? replaceValueLocally(gossip, key, announced)
+      : publishRecord(gossip, key, announced, now, announced.sequence);
     update(transition, { gossip: next });
   }
-  const why = exclusionReason(transition.state, told);
-  const done = { recorded: true, admitted: why === null, ...(why === null ? {} : { reason: why }) };
-  if (!told.draining) answer(transition, id, { status: 200, body: done });
-  else if (!toleratesLosses(transition.state)) answer(transition, id, tooFewMembers);
-  else if (isUnreachable(transition.state) && !transition.state.committedEntryKeys[drainKey(told)])
-    answer(transition, id, unreachableAnswer);
-  else postOnce(transition, drainKey(told), id, done);
+  const reason = exclusionReason(transition.state, announced);
+  const body = {
+    recorded: true,
+    admitted: reason === null,
+    ...(reason === null ? {} : { reason }),
+  };
+  if (!announced.draining) sendAnswer(transition, id, { status: 200, body });
+  else if (!toleratesLosses(transition.state)) sendAnswer(transition, id, tooFewMembers);
+  else if (
+    isUnreachable(transition.state) &&
+    !transition.state.committedEntryKeys[drainKey(announced)]
+  )
+    sendAnswer(transition, id, unreachableAnswer);
+  else appendOnce(transition, drainKey(announced), id, body);
 };
 
-const whyNoLease = (state: AgentState): string =>
+const noLeaseReason = (state: AgentState): string =>
   isUnreachable(state)
-    ? 'it is cut off from the control state'
-    : 'replicas answer, but its lease is not renewed yet';
+    ? 'this node is isolated from the control state'
+    : 'replicas reply, but the lease of this node is not renewed yet';
 
-/** Why no callers should come to this node, or null if they may. */
+/** Why clients should not use this node; null when it is ready. */
 const unreadyReason = (state: AgentState): string | null => {
   const policy = policyOf(state);
   if (state.self.proxy === null) return 'this machine has no proxy';
-  if (actingAllowanceMs(state) <= 0) return whyNoLease(state);
+  if (actingAllowanceMs(state) <= 0) return noLeaseReason(state);
   if (policy === null) return 'no policy is known';
   if (state.lastProxyReport === null || state.now - state.lastProxyReport.at >= leaseDurationMs)
-    return 'its proxy does not ask for news';
-  if (state.lastProxyReport.content.stopping) return 'its proxy is leaving';
-  if (zonesOf(state)?.emptied.includes(state.self.zone) === true) return 'its zone is emptied';
-  return hasReadyQuotas(state) ? null : 'the division has not given it its slices yet';
+    return 'its proxy does not request its feed';
+  if (state.lastProxyReport.content.stopping) return 'its proxy is stopping';
+  if (zonesOf(state)?.emptied.includes(state.self.zone) === true) return 'its zone is evacuated';
+  return hasReadyQuotas(state)
+    ? null
+    : 'the quota allocation has not given this node enough quotas yet';
 };
 
 const readiness = (state: AgentState): ActionReply => {
-  const why = unreadyReason(state);
-  if (why === null) return { status: 200, body: { ready: true } };
-  const body = { type: 'about:blank', title: 'Not ready', status: 503, detail: why, ready: false };
+  const reason = unreadyReason(state);
+  if (reason === null) return { status: 200, body: { ready: true } };
+  const body = {
+    type: 'about:blank',
+    title: 'Not ready',
+    status: 503,
+    detail: reason,
+    ready: false,
+  };
   return { status: 503, body, retryAfter: retryAfterSeconds };
 };
 
-const shares = (state: AgentState): ActionReply => {
+const quotaShares = (state: AgentState): ActionReply => {
   if (isUnreachable(state)) return unreachableAnswer;
   if (state.now >= state.leaseUntil) return unreached('The read');
-  const plan = quotaAllocationOf(state);
+  const allocation = quotaAllocationOf(state);
   const services = Object.entries(serviceRateLimits(state)).map(([name, bound]) => {
-    const slices = plan?.slices[name] ?? {};
-    const rates = Object.keys(slices).map((edge) => [edge, rateOf(slices, edge, bound)] as const);
+    const shares = allocation?.slices[name] ?? {};
+    const rates = Object.keys(shares).map(
+      (nodeId) => [nodeId, rateOf(shares, nodeId, bound)] as const,
+    );
     const ceiling = policyOf(state)?.document.services[name]?.ceiling ?? null;
     return [name, { ceiling, bound, slices: Object.fromEntries(rates) }] as const;
   });
-  const { holder = null, term = 0, beat = 0 } = plan ?? {};
+  const { holder = null, term = 0, beat = 0 } = allocation ?? {};
   return { status: 200, body: { holder, term, beat, services: Object.fromEntries(services) } };
 };
 
-const peers = (state: AgentState): ActionReply => {
+const knownPeers = (state: AgentState): ActionReply => {
   const rows = nodesOf(state).map(({ record, seenAt }) => ({
     ...record,
     self: record.id === state.self.id,
     silentMs: Math.round(state.now - seenAt),
     delaySeconds: delaySecondsTo(state, record.id),
   }));
-  const view = state.gossip.view.map((each) => each.id);
+  const view = state.gossip.view.map((neighbour) => neighbour.id);
   return { status: 200, body: { node: state.self.id, view, peers: rows } };
 };
 
@@ -183,14 +209,14 @@
   propose(transition, 'zones', change, { kind: 'zone', id, changeId });
 };
 
-/** Whether an action changes what must survive the loss of disks. */
-const isOrder = (action: ApiAction): boolean =>
+/** Whether an action changes state that must survive the loss of disks. */
+const isDurableChange = (action: ApiAction): boolean =>
   action.kind === 'put-policy' ||
   action.kind === 'zone' ||
   action.kind === 'purge' ||
   action.kind === 'withdraw';
 
-/** Whether an action can be acknowledged by a majority of replicas only. */
+/** Whether an action can be acknowledged only by a majority of replicas. */
 const needsMajority = (state: AgentState, action: ApiAction): boolean => {
   switch (action.kind) {
     case 'put-policy':
@@ -205,15 +231,15 @@
   }
 };
 
-/** Takes a call of an operator or an origin. */
-export const operator = (transition: Transition, id: number, action: ApiAction): void => {
+/** Handles an API action of an operator or an origin. */
+export const handleAction = (transition: Transition, id: number, action: ApiAction): void => {
   const { state } = transition;
-  if (isOrder(action) && !toleratesLosses(state)) {
-    answer(transition, id, tooFewMembers);
+  if (isDurableChange(action) && !toleratesLosses(state)) {
+    sendAnswer(transition, id, tooFewMembers);
     return;
   }
   if (needsMajority(state, action) && isUnreachable(state)) {
-    answer(transition, id, unreachableAnswer);
+    sendAnswer(transition, id, unreachableAnswer);
     return;
   }
   switch (action.kind) {
@@ -232,25 +258,25 @@
       return;
     }
     case 'withdraw':
-      postOnce(transition, withdrawalKey(action.instance), id, { withdrawn: action.instance });
+      appendOnce(transition, withdrawalKey(action.instance), id, { withdrawn: action.instance });
       return;
     case 'describe':
       describe(transition, id, action.description);
       return;
     case 'status':
-      answer(transition, id, { status: 200, body: nodeStatus(state) });
+      sendAnswer(transition, id, { status: 200, body: nodeStatus(state) });
       return;
     case 'shares':
-      answer(transition, id, shares(state));
+      sendAnswer(transition, id, quotaShares(state));
       return;
     case 'peers':
-      answer(transition, id, peers(state));
+      sendAnswer(transition, id, knownPeers(state));
       return;
     case 'ready':
-      answer(transition, id, readiness(state));
+      sendAnswer(transition, id, readiness(state));
       return;
     case 'live':
-      answer(transition, id, { status: 200, body: { live: true } });
+      sendAnswer(transition, id, { status: 200, body: { live: true } });
       return;
   }
 };
--- a/packages/agent/src/api/api-server.ts
+++ b/packages/agent/src/api/api-server.ts
@@ -1,5 +1,6 @@
 /**
- * The HTTP API of operators and origins: reads a request, hands its action on, writes the reply.
+ * The HTTP API for operators and origins: reads a request, passes its action to the handler and
+ * writes the response.
  */
 import { randomUUID } from 'node:crypto';
 import http from 'node:http';
@@ -13,7 +14,7 @@
   requestHeadTimeoutMs,
 } from './http-limits.js';
 
-/** A request to the operators' and origins' API that can't be taken. */
+/** A request to the API for operators and origins that is refused before it becomes an action. */
 export class ApiError extends CodedError {
   constructor(
     readonly status: number,
@@ -25,21 +26,18 @@
   }
 }
 
-/** What is to be answered. */
-export type ApiReply = {
+/** The status, body and optional Retry-After of a response. */
+export type ActionResponse = {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfter?: number;
 };
 
-/** Performs an action; the signal tells that its caller is gone. */
-export type PerformAction = (action: ApiAction, signal?: AbortSignal) => Promise<ApiReply>;
+/** Performs an action; the signal is aborted when the client disconnects. */
+export type ActionHandler = (action: ApiAction, signal?: AbortSignal) => Promise<ActionResponse>;
 
-/**
- * A signal for the connection of a request: it is aborted where the caller closes before the answer
- * is written.
- */
-const signalOf = (response: http.ServerResponse): AbortSignal => {
+/** A signal that is aborted when the client closes the connection before the response is written. */
+const disconnectSignalOf = (response: http.ServerResponse): AbortSignal => {
   const controller = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) controller.abort();
@@ -47,15 +45,19 @@
   return controller.signal;
 };
 
-const readBytes = (request: http.IncomingMessage, most: number): Promise<Buffer> =>
+const readBytes = (request: http.IncomingMessage, maxBytes: number): Promise<Buffer> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     request.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > most) {
+      if (size > maxBytes) {
         reject(
-          new ApiError(413, 'Document too large', `Documents here have at most ${most} bytes.`),
+          new ApiError(
+            413,
+            'Document too large',
+            `A document at this path may have at most ${maxBytes} bytes.`,
+          ),
         );
         request.pause();
       } else chunks.push(chunk);
@@ -64,8 +66,8 @@
     request.on('error', reject);
   });
 
-const readBody = async (request: http.IncomingMessage, most: number): Promise<unknown> => {
-  const bytes = await readBytes(request, most);
+const readBody = async (request: http.IncomingMessage, maxBytes: number): Promise<unknown> => {
+  const bytes = await readBytes(request, maxBytes);
   try {
     return JSON.parse(bytes.toString('utf8'));
   } catch (thrown) {
@@ -74,27 +76,27 @@
 };
 
 const changeIdOf = (request: http.IncomingMessage): string => {
-  const given = request.headers['reedyard-change-id'];
-  if (given === undefined) return randomUUID();
-  if (typeof given !== 'string' || !/^[\w.:-]{1,128}$/.test(given))
+  const changeId = request.headers['reedyard-change-id'];
+  if (changeId === undefined) return randomUUID();
+  if (typeof changeId !== 'string' || !/^[\w.:-]{1,128}$/.test(changeId))
     throw new ApiError(
       400,
       'Bad change id',
-      'Reedyard-Change-Id takes 1 to 128 letters, digits, dots, colons, dashes and underscores.',
+      'Reedyard-Change-Id must consist of 1 to 128 letters, digits, dots, colons, dashes and underscores.',
     );
-  return given;
+  return changeId;
 };
 
 const ifMatchOf = (request: http.IncomingMessage): number | null => {
-  const given = request.headers['if-match'];
-  if (given === undefined) return null;
-  const found = /^"?(\d{1,15})"?$/.exec(given);
-  if (found === null)
-    throw new ApiError(400, 'Bad If-Match', 'If-Match takes the revision of a policy.');
-  return Number(found[1]);
+  const header = request.headers['if-match'];
+  if (header === undefined) return null;
+  const match = /^"?(\d{1,15})"?$/.exec(header);
+  if (match === null)
+    throw new ApiError(400, 'Bad If-Match', 'If-Match must be the revision of a policy.');
+  return Number(match[1]);
 };
 
-const gets: Readonly<Record<string, ApiAction['kind']>> = {
+const readActionsByPath: Readonly<Record<string, ApiAction['kind']>> = {
   '/v1/policy': 'get-policy',
   '/v1/status': 'status',
   '/v1/shares': 'shares',
@@ -106,13 +108,13 @@
 const actionOf = async (request: http.IncomingMessage): Promise<ApiAction> => {
   const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
   const method = request.method ?? 'GET';
-  const wanted = (allowed: readonly string[]): void => {
-    if (!allowed.includes(method))
-      throw new ApiError(405, 'Method not allowed', `${path} takes ${allowed.join(', ')}.`);
+  const requireMethod = (allowedMethods: readonly string[]): void => {
+    if (!allowedMethods.includes(method))
+      throw new ApiError(405, 'Method not allowed', `${path} allows ${allowedMethods.join(', ')}.`);
   };
   const zone = /^\/v1\/zones\/([a-z0-9][a-z0-9-]{0,62})$/.exec(path)?.[1];
   if (zone !== undefined) {
-    wanted(['PUT']);
+    requireMethod(['PUT']);
     return {
       kind: 'zone',
       zone,
@@ -122,28 +124,28 @@
   }
   const instance = /^\/v1\/origins\/([a-z0-9][a-z0-9._-]{0,62})$/i.exec(path)?.[1];
   if (instance !== undefined) {
-    wanted(['DELETE']);
+    requireMethod(['DELETE']);
     return { kind: 'withdraw', instance };
   }
   if (path === '/v1/origins') {
-    wanted(['POST']);
+    requireMethod(['POST']);
     return {
       kind: 'describe',
       description: Schemas.description(await readBody(request, maxDocumentBytes)),
     };
   }
   if (path === '/v1/purges') {
-    wanted(['POST']);
+    requireMethod(['POST']);
     return {
       kind: 'purge',
       purge: Schemas.purge(await readBody(request, maxDocumentBytes)),
       changeId: changeIdOf(request),
     };
   }
-  const read = gets[path];
-  if (read === undefined)
+  const readAction = readActionsByPath[path];
+  if (readAction === undefined)
     throw new ApiError(404, 'No such place', `${path} is not part of this API.`);
-  wanted(path === '/v1/policy' ? ['GET', 'PUT'] : ['GET']);
+  requireMethod(path === '/v1/policy' ? ['GET', 'PUT'] : ['GET']);
   if (method === 'PUT')
     return {
       kind: 'put-policy',
@@ -151,10 +153,10 @@
       ifMatch: ifMatchOf(request),
       changeId: changeIdOf(request),
     };
-  return { kind: read } as ApiAction;
+  return { kind: readAction } as ApiAction;
 };
 
-const problemOf = (thrown: unknown): ApiReply => {
+const problemOf = (thrown: unknown): ActionResponse => {
   if (thrown instanceof ApiError)
     return {
       status: thrown.status,
@@ -189,12 +191,12 @@
 };
 
 /**
- * The HTTP side of the API. Every action is handed on, and its reply written.
+ * An HTTP server for the API. It passes every action to the handler, and writes the response.
  *
  * @example
  * const server = apiServer((action) => perform(action));
  */
-export const apiServer = (act: PerformAction): http.Server => {
+export const apiServer = (handleAction: ActionHandler): http.Server => {
   const server = http.createServer(
     {
       maxHeaderSize: maxRequestHeadBytes,
@@ -202,21 +204,23 @@
       requestTimeout: 30_000,
     },
     (request, response) => {
-      const signal = signalOf(response);
+      const signal = disconnectSignalOf(response);
       void actionOf(request)
-        .then((action) => act(action, signal))
+        .then((action) => handleAction(action, signal))
         .catch(problemOf)
-        .then((reply) => {
-          const text = JSON.stringify(reply.body);
-          const revision = (reply.body as { readonly revision?: unknown }).revision;
-          response.writeHead(reply.status, {
-            'content-type': reply.status >= 400 ? 'application/problem+json' : 'application/json',
+        .then((result) => {
+          const text = JSON.stringify(result.body);
+          const revision = (result.body as { readonly revision?: unknown }).revision;
+          response.writeHead(result.status, {
+            'content-type': result.status >= 400 ? 'application/problem+json' : 'application/json',
             'content-length': Buffer.byteLength(text),
-            ...(reply.retryAfter === undefined ? {} : { 'retry-after': String(reply.retryAfter) }),
-            ...(typeof revision === 'number' && reply.status === 200
+            ...(result.retryAfter === undefined
+              ? {}
+              : { 'retry-after': String(result.retryAfter) }),
+            ...(typeof revision === 'number' && result.status === 200
               ? { etag: `"${revision}"` }
               : {}),
-            ...(reply.status === 413 ? { connection: 'close' } : {}),
+            ...(result.status === 413 ? { connection: 'close' } : {}),
           });
           response.end(text);
         });
@@ -226,34 +230,34 @@
   return server;
 };
 
-/** A request and an answer of an API in another form. */
+/** A complete HTTP request to an adapter. */
 export type ApiRequest = {
   readonly method: string;
   readonly target: string;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
-  /** Aborted where the caller is gone. */ readonly signal?: AbortSignal;
+  /** Aborted when the client disconnects. */ readonly signal?: AbortSignal;
 };
-/** The response of an API in another form. */
+/** The complete HTTP response of an adapter. */
 export type ApiResponse = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 };
-/** An API in another form, which hands each action on. */
-export type TranslatedApi = {
-  /** Bytes that the body of a request may have; a larger one is answered with 413. */
+/** An adapter that offers the API in another HTTP form, and translates each request to an action. */
+export type ApiAdapter = {
+  /** The maximum size of a request's body in bytes; the response to a larger one is 413. */
   readonly maxBodyBytes: (method: string, target: string) => number;
   readonly answer: (request: ApiRequest) => Promise<ApiResponse>;
 };
 
 /**
- * Serves an API in another form: it reads requests whole, and writes what they are answered.
+ * An HTTP server for an adapter: it reads complete requests, and writes the adapter's responses.
  *
  * @example
- * translatedServer({ mostBytes: () => 1_024, answer: async () => ({ status: 204, headers: {}, body: '' }) }).listen(8080);
+ * apiAdapterServer({ maxBodyBytes: () => 1_024, answer: async () => ({ status: 204, headers: {}, body: '' }) }).listen(8080);
  */
-export const translatedServer = (api: TranslatedApi): http.Server => {
+export const apiAdapterServer = (adapter: ApiAdapter): http.Server => {
   const server = http.createServer(
     {
       maxHeaderSize: maxRequestHeadBytes,
@@ -262,8 +266,8 @@
     },
     (request, response) => {
       const [method, target] = [request.method ?? 'GET', request.url ?? '/'];
-      const signal = signalOf(response);
-      const failed = (thrown: unknown): ApiResponse => {
+      const signal = disconnectSignalOf(response);
+      const failureResponse = (thrown: unknown): ApiResponse => {
         const { status, body } = problemOf(thrown);
         return {
           status,
@@ -271,9 +275,9 @@
           body: JSON.stringify(body),
         };
       };
-      void readBytes(request, api.maxBodyBytes(method, target))
-        .then((body) => api.answer({ method, target, headers: request.headers, body, signal }))
-        .catch(failed)
+      void readBytes(request, adapter.maxBodyBytes(method, target))
+        .then((body) => adapter.answer({ method, target, headers: request.headers, body, signal }))
+        .catch(failureResponse)
         .then(({ status, headers, body }) => {
           response.writeHead(status, {
             ...headers,
--- a/packages/agent/src/api/http-limits.ts
+++ b/packages/agent/src/api/http-limits.ts
@@ -1,13 +1,15 @@
-/** Limits of requests over HTTP, which the API and the proxy share. */
+/** Limits on HTTP requests that the API and the proxy share. */
 
-/** ms. A caller must have sent its whole head by then. */
+/** The time in which a client must send its complete request head, in milliseconds. */
 export const requestHeadTimeoutMs = 10_000;
 
-/** bytes. A caller's head. */
+/** The maximum size of a request head, in bytes. */
 export const maxRequestHeadBytes = 16 * 1024;
 
-/** bytes. Any other operator or origin document. */
+/** The maximum size of an operator's or origin's document other than a policy, in bytes. */
 export const maxDocumentBytes = 1024 * 1024;
 
-/** bytes. A policy document. Several thousand routes take about one megabyte. */
+/**
+ * The maximum size of a policy document, in bytes. Several thousand routes take about one megabyte.
+ */
 export const maxPolicyBytes = 8 * 1024 * 1024;
--- a/packages/agent/src/api/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -16,7 +16,7 @@
 import type { Transition } from '../transition.js';
 import { controlStatus, nodeStatus } from './status.js';
 
-test('the status shows epoch, quorum, and how many more losses are borne', (t) => {
+test('the status contains the epoch, the quorum and the number of further losses tolerated', (t) => {
   const control = controlStatus(allAnswer(founded(), 100));
   t.deepEqual(
     [control.epoch, control.quorum, control.lossesBorne, control.configuredLosses],
@@ -29,7 +29,7 @@
   );
 });
 
-test('a replica that never answered is silent, and bears nothing', (t) => {
+test('a replica that never replied is silent and does not count towards the tolerated losses', (t) => {
   const control = controlStatus(founded());
   t.deepEqual(
     control.members.map((member) => [member.state, member.lastAnswerAgeMs, member.outcome]),
@@ -38,22 +38,22 @@
   t.is(control.lossesBorne, -3);
 });
 
-test('a member is silent once it has not answered for a whole lease, not before', (t) => {
-  const last = allAnswer(founded(), 100);
-  const at = (now: number): readonly string[] =>
-    controlStatus({ ...last, now }).members.map((member) => member.state);
+test('a member becomes silent when it has not replied for a complete lease duration, not earlier', (t) => {
+  const state = allAnswer(founded(), 100);
+  const memberStatesAt = (now: number): readonly string[] =>
+    controlStatus({ ...state, now }).members.map((member) => member.state);
   t.deepEqual(
-    at(100 + leaseDurationMs - 1),
+    memberStatesAt(100 + leaseDurationMs - 1),
     names.map(() => 'answering'),
   );
   t.deepEqual(
-    at(100 + leaseDurationMs),
+    memberStatesAt(100 + leaseDurationMs),
     names.map(() => 'silent'),
   );
-  const oneGone = asked(last, 100 + leaseDurationMs, (name) =>
+  const oneSilent = asked(state, 100 + leaseDurationMs, (name) =>
     name === 'core-5' ? null : pulled(`${name}/a`),
   );
-  const control = controlStatus(oneGone);
+  const control = controlStatus(oneSilent);
   t.is(control.lossesBorne, 1);
   t.deepEqual(
     control.members.map((member) => [member.state, member.lastAnswerAgeMs]),
@@ -61,7 +61,7 @@
   );
 });
 
-test('refusal, recovery and a blank disk are told apart from silence, and none is counted', (t) => {
+test('refusing and recovering members are distinguished from silent ones, and none of them is counted', (t) => {
   const replies: Readonly<Record<string, ReplicaReply | null>> = {
     'core-1': pulled('core-1/a'),
     'core-2': { kind: 'recovering', diskId: 'core-2/a', epoch: 3 },
@@ -85,7 +85,7 @@
   t.is(control.lossesBorne, -2);
 });
 
-test('an answer of the disk that was replaced does not count for its successor', (t) => {
+test('a reply from a replaced disk does not count for the disk that replaced it', (t) => {
   const state = withMembers(allAnswer(founded(), 100), 4, {
     ...disksOf('a'),
     'core-2': 'core-2/b',
@@ -96,51 +96,54 @@
   t.is(control.members.find((member) => member.name === 'core-2')?.state, 'refusing');
 });
 
-test('a named disk that still reads the others is recovering', (t) => {
+test('a member disk that still reads from the other members is recovering', (t) => {
   const state = asked(founded(), 100, (name) =>
     name === 'core-2'
       ? { kind: 'not-a-member', diskId: 'core-2/a', isBlank: true, knowsMembership: true }
       : pulled(`${name}/a`),
   );
-  const member = controlStatus(state).members.find((each) => each.name === 'core-2');
+  const member = controlStatus(state).members.find((candidate) => candidate.name === 'core-2');
   t.deepEqual([member?.state, member?.outcome], ['recovering', 'recovering']);
 });
 
-test('a member whose disk takes no writes counts as lost, though its answers to pulls count', (t) => {
+test('a member with a read-only disk counts as lost, although its poll replies count', (t) => {
   const state = asked(founded(), 100, (name) => {
     const reply = pulled(`${name}/a`);
     return name === 'core-2' && reply.kind === 'polled' ? { ...reply, isReadOnly: true } : reply;
   });
   const control = controlStatus(state);
-  const member = control.members.find((each) => each.name === 'core-2');
+  const member = control.members.find((candidate) => candidate.name === 'core-2');
   t.deepEqual([member?.state, member?.outcome], ['refusing', 'read-only']);
   t.is(control.lossesBorne, 1);
 });
 
-test('a lease is shown as what is left of it, and as 0 when it is over', (t) => {
+test('the status contains the remaining lease, and 0 after its expiry', (t) => {
   const state = allAnswer(founded(), 100);
   t.is(nodeStatus({ ...state, now: 600 }).leaseMs, 100 + leaseDurationMs - 600);
   t.is(nodeStatus({ ...state, now: 10_000 }).leaseMs, 0);
 });
 
-test('a member is shown with the machine and zone that gossip tells of it', (t) => {
+test('the status of a member contains its machine and zone when they are known from gossip', (t) => {
   const state = allAnswer(founded(), 100);
-  const [own, other] = controlStatus(state).members;
-  t.deepEqual([own?.node, own?.zone], ['core-1', 'west']);
-  t.deepEqual([other?.node, other?.zone], [null, null]);
+  const [ownMember, otherMember] = controlStatus(state).members;
+  t.deepEqual([ownMember?.node, ownMember?.zone], ['core-1', 'west']);
+  t.deepEqual([otherMember?.node, otherMember?.zone], [null, null]);
 });
 
-test('with too few members found so far, what is wanted is shown beside what votes', (t) => {
+test('while too few members are found, the status contains the required number next to the voting members', (t) => {
   const seeds = ['127.0.0.1:11', '127.0.0.1:12', '127.0.0.1:13'];
   const parts = { self, incarnation: 'l', seeds: [], founders: {}, randomSeed: 1, now: 0 };
   const state = openAgent({ ...parts, bootstrap: { losses: 2, seeds } });
-  const before = controlStatus(state);
-  t.deepEqual([before.epoch, before.members.length, before.wantedMembers], [0, 0, 5]);
-  t.true(before.lossesBorne < 0);
+  const initialStatus = controlStatus(state);
+  t.deepEqual(
+    [initialStatus.epoch, initialStatus.members.length, initialStatus.wantedMembers],
+    [0, 0, 5],
+  );
+  t.true(initialStatus.lossesBorne < 0);
   const transition: Transition = { state, effects: [] };
   const disks = { a: 'da', b: 'db', c: 'dc' };
-  const places = { a: seeds[0] ?? '', b: seeds[1] ?? '', c: seeds[2] ?? '' };
-  const members = { epoch: 1, disks, addresses: places };
+  const memberAddresses = { a: seeds[0] ?? '', b: seeds[1] ?? '', c: seeds[2] ?? '' };
+  const members = { epoch: 1, disks, addresses: memberAddresses };
   learnRegister(transition, 'members', { counter: 1, proposerId: 'founding' }, members);
   const control = controlStatus(transition.state);
   t.deepEqual([control.members.length, control.quorum, control.wantedMembers], [3, 2, 5]);
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -1,9 +1,10 @@
 /**
- * What a node tells its operators: its own lease and counters, and the control state as it sees it.
+ * The status of a node for its operators: its lease and counters, and its view of the control state.
  *
- * Owns no state; derives everything from the agent's. What it says of the members of the control
- * state rests on their answers to this node's polls alone, so two nodes may differ for a moment;
- * only the word of a node with a lease (`leaseMs` above 0) is backed by a majority.
+ * The module has no state of its own; everything is derived from the agent's state. The status of
+ * the members of the control state depends only on their replies to this node's polls, so two nodes
+ * may differ for a moment; only the status of a node with a lease (`leaseMs` above 0) is backed by a
+ * majority.
  */
 import { majorityOf } from '@reedyard/consensus';
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
@@ -25,28 +26,30 @@
 import type { AgentState } from '../state.js';
 
 /**
- * - `answering`: its answers count, and it votes.
- * - `recovering`: it runs, and is not yet allowed to vote: a new disk, or one that reads the
- *   others.
- * - `refusing`: it answers, and for another reason does not vote.
- * - `silent`: no answer to a poll for a whole lease.
+ * The state of a member of the control state:
+ *
+ * - `answering`: its replies are counted, and it votes.
+ * - `recovering`: it runs but may not vote yet, because its disk is new or still reads from the
+ *   other members.
+ * - `refusing`: it replies, but does not vote for another reason.
+ * - `silent`: it has not replied to a poll for a complete lease duration.
  */
 export type MemberState = 'answering' | 'recovering' | 'refusing' | 'silent';
 
-/** One member of the control state as this node sees it. */
+/** One member of the control state, as this node sees it. */
 export type MemberStatus = {
   readonly name: string;
-  /** The machine that it runs on, where gossip has told; null where it has not. */
+  /** The machine that it runs on according to gossip; null while gossip has no record of it. */
   readonly node: string | null;
   readonly address: string;
-  /** The disk that holds the membership; null before any membership is known. */
+  /** The disk that the membership names for it; null before any membership is known. */
   readonly disk: string | null;
   readonly zone: string | null;
   readonly state: MemberState;
-  /** What its last answer was, and null where it never answered this node. */
+  /** The outcome of its last reply to a poll; null where it never replied to this node. */
   readonly outcome: PollOutcome | null;
   readonly lastAnswerAgeMs: number | null;
-  /** Whether it was asked to stop: it votes until it has gone. */
+  /** Whether it is stopping: it votes until its process ends. */
   readonly leaving: boolean;
 };
 
@@ -57,20 +60,20 @@
   readonly zone: string;
 };
 
-/** The membership of the control state and what it still bears. */
+/** The membership of the control state, and the losses that it still tolerates. */
 export type ControlStatus = {
-  /** Epoch of the membership in force; 0 while none is known. */
+  /** The epoch of the current membership; 0 while none is known. */
   readonly epoch: number;
   readonly members: readonly MemberStatus[];
   /** Names of the members that are recovering. */
   readonly recovering: readonly string[];
-  /** Members that must answer for anything to be decided. */
+  /** The number of members that must reply for a decision. */
   readonly quorum: number;
-  /** Further losses borne now: answering members less the quorum; below 0 there is no majority. */
+  /** Further losses tolerated now: answering members minus the quorum; below 0 there is no majority. */
   readonly lossesBorne: number;
-  /** Losses that the settings want borne when all members answer. */
+  /** The losses that the settings require to be tolerated when all members answer. */
   readonly configuredLosses: number;
-  /** Members that are needed for that. */
+  /** The number of members that `configuredLosses` requires. */
   readonly wantedMembers: number;
   readonly spares: readonly SpareStatus[];
 };
@@ -78,14 +81,14 @@
 /** An origin as this node knows it, and whether it gets traffic. */
 export type OriginStatus = Description & { readonly admitted: boolean; readonly reason?: string };
 
-/** Everything that `GET /v1/status` answers. */
+/** The response body of `GET /v1/status`. */
 export type NodeStatus = {
   readonly node: string;
   readonly zone: string;
   readonly region: string;
-  /** What is left of this node's lease; 0 where it has none. */
+  /** The remaining time of this node's lease, in milliseconds; 0 where it has none. */
   readonly leaseMs: number;
-  /** Whether no majority of replicas answers this node at all. */
+  /** Whether no majority of replicas replies to this node. */
   readonly unreachable: boolean;
   readonly policyRevision: number;
   readonly emptiedZones: readonly string[];
@@ -99,25 +102,25 @@
   readonly split: Split;
 };
 
-const awayOutcome = (named: boolean, blank: boolean): PollOutcome => {
-  if (named) return 'recovering';
-  return blank ? 'blank' : 'not-a-member';
+const notAMemberOutcome = (isMemberDisk: boolean, isBlank: boolean): PollOutcome => {
+  if (isMemberDisk) return 'recovering';
+  return isBlank ? 'blank' : 'not-a-member';
 };
 
-const pulledOutcome = (named: boolean, readOnly: boolean): PollOutcome => {
-  if (!named) return 'not-a-member';
-  return readOnly ? 'read-only' : 'counted';
+const polledOutcome = (isMemberDisk: boolean, isReadOnly: boolean): PollOutcome => {
+  if (!isMemberDisk) return 'not-a-member';
+  return isReadOnly ? 'read-only' : 'counted';
 };
 
-/** What an answer to a poll tells of the replica that gave it. */
-const outcomeOf = (reply: ReplicaReply, named: boolean): PollOutcome => {
+/** Classifies a reply to a poll; `isMemberDisk`: the membership names the replying disk. */
+const outcomeOf = (reply: ReplicaReply, isMemberDisk: boolean): PollOutcome => {
   switch (reply.kind) {
     case 'polled':
-      return pulledOutcome(named, reply.isReadOnly === true);
+      return polledOutcome(isMemberDisk, reply.isReadOnly === true);
     case 'recovering':
       return 'recovering';
     case 'not-a-member':
-      return awayOutcome(named, reply.isBlank);
+      return notAMemberOutcome(isMemberDisk, reply.isBlank);
     case 'newer-membership':
       return 'newer-membership';
     default:
@@ -126,10 +129,10 @@
 };
 
 /**
- * Notes how a replica answered a poll.
+ * The record of a replica's reply to a poll.
  *
  * @example
- * replicaAnswer(state, 'core-1', reply).outcome // 'counted'
+ * pollReplySeenOf(state, 'core-1', reply).outcome // 'counted'
  */
 export const pollReplySeenOf = (
   state: AgentState,
@@ -142,11 +145,11 @@
 });
 
 const stateOf = (view: ReplicaView, disk: string | null, now: number): MemberState => {
-  const { lastPollReply: answered } = view;
-  if (answered === null || now - answered.at >= leaseDurationMs) return 'silent';
-  switch (answered.outcome) {
+  const { lastPollReply } = view;
+  if (lastPollReply === null || now - lastPollReply.at >= leaseDurationMs) return 'silent';
+  switch (lastPollReply.outcome) {
     case 'counted':
-      return answered.diskId === disk ? 'answering' : 'refusing';
+      return lastPollReply.diskId === disk ? 'answering' : 'refusing';
     case 'recovering':
     case 'blank':
       return 'recovering';
@@ -155,7 +158,7 @@
   }
 };
 
-/** The machine that a member runs on: by its disk, else by its address, else by its name. */
+/** The machine that a member runs on: matched by disk id, else by address, else by name. */
 const machineOf = (
   state: AgentState,
   member: { readonly name: string; readonly disk: string | null; readonly address: string },
@@ -193,12 +196,16 @@
   const isLive = (id: string, seenAt: number): boolean =>
     id === state.self.id || state.now - seenAt < peerTimeoutMs;
   return replicasKnown(state)
-    .filter((each) => each.isBlank && !disks.includes(each.diskId) && isLive(each.id, each.seenAt))
-    .map((each) => ({ node: each.id, address: each.address, zone: each.zone }));
+    .filter(
+      (replica) =>
+        replica.isBlank && !disks.includes(replica.diskId) && isLive(replica.id, replica.seenAt),
+    )
+    .map((replica) => ({ node: replica.id, address: replica.address, zone: replica.zone }));
 };
 
 /**
- * Losses that the settings want borne: told where members found themselves, else what they allow.
+ * The number of losses to tolerate: from the settings where the members are discovered from seeds,
+ * else the number that the founding members allow.
  */
 const configuredLossesOf = (state: AgentState): number =>
   state.bootstrap?.losses ?? Math.floor((Object.keys(state.replicas).length - 1) / 2);
@@ -229,20 +236,20 @@
 };
 
 const originStatuses = (state: AgentState): readonly OriginStatus[] =>
-  originsOf(state).map(({ description, exclusionReason: barred }) => ({
+  originsOf(state).map(({ description, exclusionReason }) => ({
     ...description,
-    admitted: barred === null,
-    ...(barred === null ? {} : { reason: barred }),
+    admitted: exclusionReason === null,
+    ...(exclusionReason === null ? {} : { reason: exclusionReason }),
   }));
 
 /**
- * The whole status of a node.
+ * The complete status of a node.
  *
  * @example
  * nodeStatus(state).leaseMs // 1_240
  */
 export const nodeStatus = (state: AgentState): NodeStatus => {
-  const plan = quotaAllocationOf(state);
+  const allocation = quotaAllocationOf(state);
   return {
     node: state.self.id,
     zone: state.self.zone,
@@ -253,7 +260,8 @@
     emptiedZones: zonesOf(state)?.emptied ?? [],
     closedOrigins: zonesWithClosedOrigins(state),
     control: controlStatus(state),
-    quotaLeadership: plan === null ? null : { holder: plan.holder, term: plan.term },
+    quotaLeadership:
+      allocation === null ? null : { holder: allocation.holder, term: allocation.term },
     origins: originStatuses(state),
     proxy: state.lastProxyReport?.content.counters ?? null,
     notices: state.vectorAnnouncementCount,
--- a/packages/agent/src/feed/feed.test.ts
+++ b/packages/agent/src/feed/feed.test.ts
@@ -11,10 +11,10 @@
   proxy: { callers: '127.0.0.1:8080', peers: '127.0.0.1:8081', capacityBps: 8e6 },
   replica: null,
 };
-const open = (life: string): AgentState =>
+const openWith = (incarnation: string): AgentState =>
   openAgent({
     self,
-    incarnation: life,
+    incarnation,
     seeds: [],
     founders: { 'core-1': '127.0.0.2:7101' },
     randomSeed: 1,
@@ -30,51 +30,59 @@
   measure: null,
   counters: {},
 };
-const ask = (
+const requestFeed = (
   state: AgentState,
   held: HeldFeedParts | null,
-): { readonly state: AgentState; readonly told: FeedReply } => {
+): { readonly state: AgentState; readonly reply: FeedReply } => {
   const step = reduceAgent(state, {
     kind: 'proxy-request-received',
     requestId: 1,
     request: { kind: 'feed', report, held },
     now: state.now + 250,
   });
-  const told = step.effects.find((effect) => effect.kind === 'send-reply');
+  const sent = step.effects.find((effect) => effect.kind === 'send-reply');
   return {
     state: step.state,
-    told: told?.kind === 'send-reply' ? (told.reply as FeedReply) : ({} as FeedReply),
+    reply: sent?.kind === 'send-reply' ? (sent.reply as FeedReply) : ({} as FeedReply),
   };
 };
-const parts = (told: FeedReply): readonly string[] =>
-  ['origins', 'peers', 'emptied', 'split', 'slices'].filter((part) => part in told);
-const all = ['origins', 'peers', 'emptied', 'split', 'slices'];
+const partsOf = (reply: FeedReply): readonly string[] =>
+  ['origins', 'peers', 'emptied', 'split', 'slices'].filter((part) => part in reply);
+const allParts = ['origins', 'peers', 'emptied', 'split', 'slices'];
 
-test('a part of the feed goes to a proxy that does not hold it as it is, and to no other', (t) => {
-  const first = ask(open('j1'), null);
-  t.deepEqual(parts(first.told), all);
-  const holding = { life: 'j1', revisions: first.told.revisions };
-  const same = ask(first.state, holding);
-  t.deepEqual(parts(same.told), []);
-  t.is(same.told.life, 'j1');
-  const split = ask({ ...same.state, routingTable: { sheets: [['front-1', 1]] } }, holding);
-  t.deepEqual(parts(split.told), ['split']);
-  t.deepEqual(split.told.split, { sheets: [['front-1', 1]] });
-  // Its answer got lost: the proxy still holds the former one, and is told again.
-  t.deepEqual(parts(ask(split.state, holding).told), ['split']);
-  t.deepEqual(parts(ask(split.state, { life: 'j1', revisions: split.told.revisions }).told), []);
-  // And back to what it was: that is a change too.
+test('a part of the feed is sent only to a proxy that does not have its current revision', (t) => {
+  const first = requestFeed(openWith('j1'), null);
+  t.deepEqual(partsOf(first.reply), allParts);
+  const held = { life: 'j1', revisions: first.reply.revisions };
+  const same = requestFeed(first.state, held);
+  t.deepEqual(partsOf(same.reply), []);
+  t.is(same.reply.life, 'j1');
+  const split = requestFeed({ ...same.state, routingTable: { sheets: [['front-1', 1]] } }, held);
+  t.deepEqual(partsOf(split.reply), ['split']);
+  t.deepEqual(split.reply.split, { sheets: [['front-1', 1]] });
+  // The reply was lost: the proxy still has the previous revision, so the part is sent again.
+  t.deepEqual(partsOf(requestFeed(split.state, held).reply), ['split']);
   t.deepEqual(
-    parts(
-      ask({ ...split.state, routingTable: {} }, { life: 'j1', revisions: split.told.revisions })
-        .told,
+    partsOf(requestFeed(split.state, { life: 'j1', revisions: split.reply.revisions }).reply),
+    [],
+  );
+  // Returning to an earlier value is a change too.
+  t.deepEqual(
+    partsOf(
+      requestFeed(
+        { ...split.state, routingTable: {} },
+        { life: 'j1', revisions: split.reply.revisions },
+      ).reply,
     ),
     ['split'],
   );
 });
 
-test('what was held of another life of the agent, or by a proxy without memory, is told whole', (t) => {
-  const first = ask(open('j1'), null);
-  t.deepEqual(parts(ask(open('j2'), { life: 'j1', revisions: first.told.revisions }).told), all);
-  t.deepEqual(parts(ask(first.state, null).told), all);
+test('a proxy with parts of another incarnation of the agent, or with no parts, receives the complete feed', (t) => {
+  const first = requestFeed(openWith('j1'), null);
+  t.deepEqual(
+    partsOf(requestFeed(openWith('j2'), { life: 'j1', revisions: first.reply.revisions }).reply),
+    allParts,
+  );
+  t.deepEqual(partsOf(requestFeed(first.state, null).reply), allParts);
 });
--- a/packages/agent/src/feed/feed.ts
+++ b/packages/agent/src/feed/feed.ts
@@ -1,4 +1,4 @@
-/** What this machine's proxy is told: feeds of what changed, and answers to its claims. */
+/** The agent's replies to this machine's proxy: feeds with the parts that changed, and claim replies. */
 import { rateOf } from '@reedyard/quota-division';
 import type { Purge } from '@reedyard/schemas';
 import { actingAllowanceMs, isUnreachable } from '../control/reachability.js';
@@ -21,104 +21,111 @@
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
 
-const purgesAfter = (state: AgentState, seq: number): Feed['purges'] =>
+const purgesAfter = (state: AgentState, sequence: number): Feed['purges'] =>
   state.entries.flatMap((entry) =>
-    entry.seq > seq && entry.key.startsWith('purge/')
+    entry.seq > sequence && entry.key.startsWith('purge/')
       ? [{ seq: entry.seq, purge: entry.value as Purge }]
       : [],
   );
 
 /**
- * Whether the allocation has given this node most of its quotas; without services there is nothing
- * to divide.
+ * Whether the quota leader has once allocated enough quotas to this node for it to be ready; without
+ * services there are no quotas.
  */
 export const hasReadyQuotas = (state: AgentState): boolean =>
   Object.keys(policyOf(state)?.document.services ?? {}).length === 0 ||
   quotaAllocationOf(state)?.seated.includes(state.self.id) === true;
 
-const slicesOf = (state: AgentState): Feed['slices'] => {
-  const plan = quotaAllocationOf(state);
+const serviceRatesOf = (state: AgentState): Feed['slices'] => {
+  const allocation = quotaAllocationOf(state);
   const rates = Object.entries(serviceRateLimits(state)).map(
-    ([name, bound]) => [name, rateOf(plan?.slices[name] ?? {}, state.self.id, bound)] as const,
+    ([name, rateLimit]) =>
+      [name, rateOf(allocation?.slices[name] ?? {}, state.self.id, rateLimit)] as const,
   );
   return Object.fromEntries(rates);
 };
 
-const feed = (state: AgentState, report: ProxyReport): Feed => {
+const feedOf = (state: AgentState, report: ProxyReport): Feed => {
   const policy = policyOf(state);
-  const isNew = policy !== null && policy.revision !== report.policyRevision;
+  const isPolicyNew = policy !== null && policy.revision !== report.policyRevision;
   return {
     leaseMs: actingAllowanceMs(state),
     life: state.incarnation,
     flushes: state.cacheFlushCount,
-    policy: isNew ? { revision: policy.revision, document: policy.document } : null,
+    policy: isPolicyNew ? { revision: policy.revision, document: policy.document } : null,
     policyRevision: policy?.revision ?? 0,
     origins: originEndpoints(state),
     peers: peerEndpoints(state),
     emptied: zonesOf(state)?.emptied ?? [],
     split: state.routingTable,
-    slices: slicesOf(state),
+    slices: serviceRatesOf(state),
     seated: hasReadyQuotas(state),
     purges: purgesAfter(state, report.life === state.incarnation ? report.purgeSeq : 0),
     purgeSeq: state.lastEntrySequence,
   };
 };
 
-type FedParts = Required<AgentState['lastFeedParts']>;
+type RevisedFeedParts = Required<AgentState['lastFeedParts']>;
 
-/** The parts of a feed with their revisions; one that changed gets a new one. */
-const revisedParts = (before: AgentState['lastFeedParts'], whole: Feed): FedParts => {
+/** The parts of a feed with their revisions; a part that changed gets a new revision. */
+const revisedParts = (previousParts: AgentState['lastFeedParts'], feed: Feed): RevisedFeedParts => {
   const parts = feedPartNames.map((part) => {
-    const value = whole[part];
-    const known = before[part];
-    if (known !== undefined && known.value === value) return [part, known] as const;
+    const value = feed[part];
+    const previous = previousParts[part];
+    if (previous !== undefined && previous.value === value) return [part, previous] as const;
     const text = JSON.stringify(value);
-    if (known !== undefined && known.text === text) return [part, { ...known, value }] as const;
-    return [part, { revision: (known?.revision ?? 0) + 1, value, text }] as const;
+    if (previous !== undefined && previous.text === text)
+      return [part, { ...previous, value }] as const;
+    return [part, { revision: (previous?.revision ?? 0) + 1, value, text }] as const;
   });
-  return Object.fromEntries(parts) as FedParts;
+  return Object.fromEntries(parts) as RevisedFeedParts;
 };
 
-/** The feed without the parts that the proxy holds as they are. */
+/** The feed without the parts whose current revisions the proxy already has. */
 const feedReplyFor = (
   transition: Transition,
   report: ProxyReport,
-  held: HeldFeedParts | null,
+  heldParts: HeldFeedParts | null,
 ): FeedReply => {
-  const whole = feed(transition.state, report);
-  const now = revisedParts(transition.state.lastFeedParts, whole);
-  update(transition, { lastFeedParts: now });
+  const feed = feedOf(transition.state, report);
+  const currentParts = revisedParts(transition.state.lastFeedParts, feed);
+  update(transition, { lastFeedParts: currentParts });
   const isHeld = (part: FeedPart): boolean =>
-    held?.life === transition.state.incarnation && held.revisions[part] === now[part].revision;
-  const told = Object.entries(whole).filter(
-    ([name]) => now[name as FeedPart] === undefined || !isHeld(name as FeedPart),
+    heldParts?.life === transition.state.incarnation &&
+    heldParts.revisions[part] === currentParts[part].revision;
+  const sentFields = Object.entries(feed).filter(
+    ([name]) => currentParts[name as FeedPart] === undefined || !isHeld(name as FeedPart),
   );
   const revisions = Object.fromEntries(
-    feedPartNames.map((part) => [part, now[part].revision]),
+    feedPartNames.map((part) => [part, currentParts[part].revision]),
   ) as FeedRevisions;
-  return { ...(Object.fromEntries(told) as Omit<FeedReply, 'revisions'>), revisions };
+  return { ...(Object.fromEntries(sentFields) as Omit<FeedReply, 'revisions'>), revisions };
 };
 
-const noteReport = (transition: Transition, report: ProxyReport): void => {
-  const before = transition.state.lastProxyReport?.content;
+const recordReport = (transition: Transition, report: ProxyReport): void => {
+  const previousReport = transition.state.lastProxyReport?.content;
   const isChanged =
-    before === undefined ||
-    before.proxyLife !== report.proxyLife ||
-    before.stopping !== report.stopping;
+    previousReport === undefined ||
+    previousReport.proxyLife !== report.proxyLife ||
+    previousReport.stopping !== report.stopping;
   update(transition, { lastProxyReport: { content: report, at: transition.state.now } });
   if (isChanged) publishHeartbeat(transition);
   if (report.measure !== null) handleMeasurement(transition, report.measure);
 };
 
-/** Takes a call of this machine's proxy. */
-export const handleProxyRequest = (transition: Transition, id: number, body: ProxyQuery): void => {
-  switch (body.kind) {
+/** Handles a request of this machine's proxy. */
+export const handleProxyRequest = (
+  transition: Transition,
+  id: number,
+  request: ProxyQuery,
+): void => {
+  switch (request.kind) {
     case 'feed':
-      noteReport(transition, body.report);
+      recordReport(transition, request.report);
       transition.effects.push({
         kind: 'send-reply',
         requestId: id,
-        reply: feedReplyFor(transition, body.report, body.held),
+        reply: feedReplyFor(transition, request.report, request.held),
       });
       return;
     case 'claim': {
@@ -130,12 +137,17 @@
         });
         return;
       }
-      const change = claimChange(body.token, transition.state.self.id, body.life, body.digest);
-      propose(transition, `claim/${body.key}`, change, { kind: 'claim', id });
+      const change = claimChange(
+        request.token,
+        transition.state.self.id,
+        request.life,
+        request.digest,
+      );
+      propose(transition, `claim/${request.key}`, change, { kind: 'claim', id });
       return;
     }
     case 'settle':
-      propose(transition, `claim/${body.key}`, settleClaimChange(body.token, body.state), {
+      propose(transition, `claim/${request.key}`, settleClaimChange(request.token, request.state), {
         kind: 'settle-claim',
         id,
       });
