--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -1,4 +1,4 @@
-/** Exchanges of gossip with other nodes, and what follows from the records that they bring. */
+/** Gossip exchanges with other nodes, and the reactions to the records that arrive. */
 
 import {
   digestOf,
@@ -19,27 +19,28 @@
 import { publishHeartbeat } from './node-record.js';
 
 /**
- * ms. One gossip exchange with one peer. Each also answers one as often, so a heartbeat crosses
- * 16 nodes in three or four of them: with its own beat this stays under the 2.5 s of silence.
+ * The interval between two gossip exchanges that a node starts, in milliseconds. On average each node
+ * also replies to one exchange per interval, so a heartbeat reaches 16 nodes within three or four
+ * intervals. Together with the heartbeat interval this stays below the 2.5 s of `peerTimeoutMs`.
  */
 export const gossipIntervalMs = 400;
 
 /**
- * Whether this agent has only just begun, beside a blank replica that waits for a slot: it makes
- * itself known fast.
+ * Whether this agent started recently, next to a blank replica that waits for a slot in the
+ * membership: it then exchanges gossip more often, to become known quickly.
  */
 export const isJoining = (state: AgentState): boolean =>
   state.bootstrap !== null &&
   state.localReplica?.isBlank === true &&
   state.now - state.startedAt < eagerPollingMs;
 
-/** Agents of machines with a replica: who may give a blank one its slot. */
+/** Addresses of the agents on machines with a replica: they may assign a slot to a blank replica. */
 const replicaAgents = (state: AgentState): readonly string[] =>
   nodesOf(state).flatMap(({ record }) =>
     record.replica !== null && record.id !== state.self.id ? [record.address] : [],
   );
 
-/** Tells this node's own record to all who may give its replica a slot. */
+/** Sends this node's record to all agents that may assign a slot to its replica. */
 const announceSelf = (transition: Transition): void => {
   const { state } = transition;
   const tellings = pickUpdates(state.gossip, { [`node/${state.self.id}`]: 0 });
@@ -49,7 +50,10 @@
   }
 };
 
-/** The share of exchanges that go to a seed, and to any node: so that cut parts meet again. */
+/**
+ * The shares of exchanges that go to a seed and to a random known node, so that the parts of a
+ * healed network partition find each other again.
+ */
 const seedShare = 0.1;
 const anyNodeShare = 0.1;
 
@@ -58,37 +62,40 @@
 
 const oldestOf = (view: readonly Neighbour[]): Neighbour | null =>
   view.reduce<Neighbour | null>(
-    (oldest, each) => (oldest === null || each.age > oldest.age ? each : oldest),
+    (oldest, neighbour) => (oldest === null || neighbour.age > oldest.age ? neighbour : oldest),
     null,
   );
 
-/** Random numbers in [0, 1) that an exchange's target is chosen by. */
-type TargetDraw = { readonly kind: number; readonly seed: number; readonly node: number };
+/** Random numbers in [0, 1) that determine the target of an exchange. */
+type TargetRandomNumbers = { readonly kind: number; readonly seed: number; readonly node: number };
 
-/** The address of the agent to exchange with. */
+/** The address of the agent to exchange with; undefined where none is known. */
 const targetOf = (
   state: AgentState,
   oldest: Neighbour | null,
-  draw: TargetDraw,
+  random: TargetRandomNumbers,
 ): string | undefined => {
   const seeds = state.seeds.filter((seed) => seed !== state.self.address);
   const joinTargets = isJoining(state) ? [...replicaAgents(state), ...seeds] : [];
-  const joinTarget = itemAt(joinTargets, draw.kind);
+  const joinTarget = itemAt(joinTargets, random.kind);
   if (joinTarget !== undefined) return joinTarget;
-  if (oldest === null || draw.kind < seedShare) return itemAt(seeds, draw.seed);
+  if (oldest === null || random.kind < seedShare) return itemAt(seeds, random.seed);
   const others = nodesOf(state).filter(({ record }) => record.id !== state.self.id);
-  const anyNode = itemAt(others, draw.node);
-  const goesToAnyNode = draw.kind < seedShare + anyNodeShare && anyNode !== undefined;
+  const anyNode = itemAt(others, random.node);
+  const goesToAnyNode = random.kind < seedShare + anyNodeShare && anyNode !== undefined;
   return goesToAnyNode ? anyNode.record.address : oldest.address;
 };
 
-/** The view after an exchange: the chosen neighbour is young again, all others are older. */
+/** The view after an exchange: the age of the chosen neighbour is reset, all others age by one. */
 const agedView = (view: readonly Neighbour[], chosen: Neighbour | null): readonly Neighbour[] =>
-  view.map((each) => ({ ...each, age: each.id === chosen?.id ? 0 : each.age + 1 }));
+  view.map((neighbour) => ({
+    ...neighbour,
+    age: neighbour.id === chosen?.id ? 0 : neighbour.age + 1,
+  }));
 
-/** One exchange: with the oldest neighbour, a seed, or any node. */
+/** Starts one exchange: with the oldest neighbour, a seed, or a random known node. */
 export const exchangeGossip = (transition: Transition): void => {
-  const draw = {
+  const random = {
     kind: nextRandom(transition),
     seed: nextRandom(transition),
     node: nextRandom(transition),
@@ -96,7 +103,7 @@
   const { state } = transition;
   if (isJoining(state)) announceSelf(transition);
   const oldest = oldestOf(state.gossip.view);
-  const target = targetOf(state, oldest, draw);
+  const target = targetOf(state, oldest, random);
   if (target === undefined) return;
   const self = { id: state.self.id, address: state.self.address };
   const exchange = {
@@ -116,49 +123,50 @@
 };
 
 /**
- * Two nodes may each have heard an origin without the other: what it said later is published again
- * above a revision that bears what it said earlier.
+ * An origin may send its descriptions to two nodes, which then publish them independently. A higher
+ * revision with an earlier description is overridden: the later description is published again above
+ * it.
  */
 const republishNewerOrigins = (
   transition: Transition,
-  before: AgentState,
+  stateBefore: AgentState,
   updates: GossipExchangeReply['newer'],
-  newKeys: readonly string[],
+  updatedKeys: readonly string[],
 ): void => {
-  for (const key of newKeys.filter((each) => each.startsWith('origin/'))) {
-    const heard = updates[key]?.value as Description | null | undefined;
-    const own = before.gossip.records[key];
-    if (!heard || own === undefined || !isOutdated(before, heard)) continue;
+  for (const key of updatedKeys.filter((updatedKey) => updatedKey.startsWith('origin/'))) {
+    const received = updates[key]?.value as Description | null | undefined;
+    const ownRecord = stateBefore.gossip.records[key];
+    if (!received || ownRecord === undefined || !isOutdated(stateBefore, received)) continue;
     const { gossip } = transition.state;
-    update(transition, { gossip: publishRecord(gossip, key, own.value, own.seenAt) });
+    update(transition, { gossip: publishRecord(gossip, key, ownRecord.value, ownRecord.seenAt) });
   }
 };
 
-/** This node's own records that came back with a higher revision are published again above it. */
-const republishOwn = (transition: Transition, newKeys: readonly string[]): void => {
+/** Publishes this node's own records again when a higher revision of them arrived from elsewhere. */
+const republishOwn = (transition: Transition, updatedKeys: readonly string[]): void => {
   const { id } = transition.state.self;
-  if (newKeys.includes(`node/${id}`)) publishHeartbeat(transition, true);
+  if (updatedKeys.includes(`node/${id}`)) publishHeartbeat(transition, true);
   const vectorKey = `vector/${id}`;
   const { announcedVector, gossip, now } = transition.state;
-  if (newKeys.includes(vectorKey) && announcedVector !== null)
+  if (updatedKeys.includes(vectorKey) && announcedVector !== null)
     update(transition, { gossip: publishRecord(gossip, vectorKey, announcedVector, now) });
 };
 
-/** Learns what another node sent, and does what follows from it. */
+/** Merges the records that another node sent, and reacts to the changes. */
 export const learnRecords = (
   transition: Transition,
   updates: GossipExchangeReply['newer'],
 ): void => {
-  const before = transition.state;
+  const stateBefore = transition.state;
   const {
     state: gossip,
-    updatedKeys: newKeys,
-    keysWithValue: values,
-  } = mergeUpdates(before.gossip, updates, before.now);
+    updatedKeys,
+    keysWithValue,
+  } = mergeUpdates(stateBefore.gossip, updates, stateBefore.now);
   update(transition, { gossip });
-  republishNewerOrigins(transition, before, updates, newKeys);
-  republishOwn(transition, newKeys);
-  if (newKeys.some((key) => key.startsWith('vector/')))
+  republishNewerOrigins(transition, stateBefore, updates, updatedKeys);
+  republishOwn(transition, updatedKeys);
+  if (updatedKeys.some((key) => key.startsWith('vector/')))
     update(transition, { isRoutingTableStale: true });
-  if (values.some((key) => key.startsWith('node/'))) followMovedReplicas(transition);
+  if (keysWithValue.some((key) => key.startsWith('node/'))) followMovedReplicas(transition);
 };
--- a/packages/agent/src/gossip/known-nodes.ts
+++ b/packages/agent/src/gossip/known-nodes.ts
@@ -1,4 +1,4 @@
-/** The nodes that gossip tells of, and which of them serve or hold quotas. */
+/** The nodes that are known from gossip, and which of them serve requests or have quotas. */
 
 import { liveRecords } from '@reedyard/gossip';
 import { leaseDurationMs } from '@reedyard/replica';
@@ -6,13 +6,16 @@
 import type { NodeRecord } from '../messages.js';
 import type { AgentState } from '../state.js';
 
-/** ms. After an order to empty a zone was seen, its proxies still answer stragglers this long. */
+/**
+ * How long the proxies of a zone keep serving late clients after the zone was evacuated, in
+ * milliseconds.
+ */
 export const evacuationGraceMs = 2_000;
 
-/** ms. A peer whose heartbeat stood still this long gets no forwarded requests. */
+/** How long a peer without a new heartbeat still gets forwarded requests, in milliseconds. */
 export const peerTimeoutMs = 2_500;
 
-/** Every node heard of that is not forgotten. */
+/** All nodes whose gossip records have not expired. */
 export const nodesOf = (
   state: AgentState,
 ): readonly { readonly record: NodeRecord; readonly seenAt: number }[] =>
@@ -24,29 +27,29 @@
 const isLive = (state: AgentState, seenAt: number, id: string): boolean =>
   id === state.self.id || state.now - seenAt < peerTimeoutMs;
 
-/** Nodes with a proxy that may be given forwarded requests or quotas. */
+/** Nodes whose proxies may receive forwarded requests: ready, live, and not in an evacuated zone. */
 export const servingNodes = (state: AgentState): readonly NodeRecord[] => {
-  const emptied = zonesOf(state)?.emptied ?? [];
+  const evacuatedZones = zonesOf(state)?.emptied ?? [];
   return nodesOf(state).flatMap(({ record, seenAt }) =>
     record.proxy !== null &&
     record.ready &&
     isLive(state, seenAt, record.id) &&
-    !emptied.includes(record.zone)
+    !evacuatedZones.includes(record.zone)
       ? [record]
       : [],
   );
 };
 
 /**
- * Nodes that hold quotas. Those of a zone just emptied keep them while they still answer
- * stragglers.
+ * Nodes that have quotas. The nodes of a zone that was just evacuated keep their quotas while they
+ * still serve late clients.
  */
 export const quotaNodes = (state: AgentState): readonly NodeRecord[] => {
-  const settled =
+  const isSettled =
     state.now - (state.registers.zones?.at ?? 0) > leaseDurationMs + evacuationGraceMs;
-  const emptied = settled ? (zonesOf(state)?.emptied ?? []) : [];
+  const evacuatedZones = isSettled ? (zonesOf(state)?.emptied ?? []) : [];
   return nodesOf(state).flatMap(({ record, seenAt }) =>
-    record.staying && isLive(state, seenAt, record.id) && !emptied.includes(record.zone)
+    record.staying && isLive(state, seenAt, record.id) && !evacuatedZones.includes(record.zone)
       ? [record]
       : [],
   );
--- a/packages/agent/src/gossip/node-record.ts
+++ b/packages/agent/src/gossip/node-record.ts
@@ -1,6 +1,6 @@
 /**
- * This node's own record in gossip. Each revision of it is a heartbeat; it is sent in full where it
- * changed, where an incarnation begins, and now and then.
+ * This node's own record in gossip. Each of its revisions is a heartbeat; the record is published in
+ * full when it changed, when an incarnation starts, and at regular intervals.
  */
 
 import { publishRecord, recordValue, renewalsSinceValue, renewRecord } from '@reedyard/gossip';
@@ -10,66 +10,65 @@
 import type { AgentState } from '../state.js';
 import { nextRandom, type Transition, update } from '../transition.js';
 
-/** ms. A node's own record gets a new revision, which is its heartbeat. */
+/** The interval of a node's heartbeats, which are new revisions of its own record, in milliseconds. */
 export const heartbeatIntervalMs = 500;
 
 /**
- * heartbeats after which a node's record is sent in full though nothing changed: a revision that
- * two incarnations of a node came to alike is then set right within 8 s.
+ * The number of heartbeats after which an unchanged node record is published in full. When two
+ * incarnations of a node reach the same revision with different values, this corrects the value
+ * within 8 s.
  */
 export const heartbeatsPerFullRecord = 16;
 
 /**
- * An incarnation's first revision lies anywhere under this, so that two incarnations hardly come to
- * the same one.
+ * The upper limit of an incarnation's random first revision, chosen so that two incarnations are
+ * unlikely to use the same revisions.
  */
 export const maxFirstRevision = 2 ** 20;
 
 /**
- * requests a second that it may move besides: one request more or less in a few seconds is no
- * change.
+ * The absolute part of the tolerated demand change, in requests per second: one request more or less
+ * within a few seconds is not a change.
  */
 export const demandNoiseRate = 0.25;
 
 /**
- * share by which what a node wants of a service may move before others are told: what is left
- * over of a service is spread evenly, and covers that.
+ * The relative change of a node's demand for a service that is not announced: the unused part of a
+ * service's rate limit is spread evenly over the nodes, and covers such a change.
  */
 export const demandNoiseShare = 0.1;
 
 /**
- * What is wanted, as it was told before where it is still about that: a record that changes is told
- * whole.
+ * The demand to announce: the announced value stays while the demand is still close to it, because a
+ * changed record has to be sent in full.
  */
 const steadyDemand = (
-  wants: Readonly<Record<string, number>>,
-  told: Readonly<Record<string, number>>,
+  demand: Readonly<Record<string, number>>,
+  announcedDemand: Readonly<Record<string, number>>,
 ): Readonly<Record<string, number>> =>
   Object.fromEntries(
-    [...new Set([...Object.keys(told), ...Object.keys(wants)])].flatMap((name) => {
-      const [want, before] = [wants[name] ?? 0, told[name] ?? 0];
+    [...new Set([...Object.keys(announcedDemand), ...Object.keys(demand)])].flatMap((name) => {
+      const [rate, announcedRate] = [demand[name] ?? 0, announcedDemand[name] ?? 0];
       const next =
-        Math.abs(want - before) <= demandNoiseShare * before + demandNoiseRate
-          ? before
-          : Math.round(want * 100) / 100;
+        Math.abs(rate - announcedRate) <= demandNoiseShare * announcedRate + demandNoiseRate
+          ? announcedRate
+          : Math.round(rate * 100) / 100;
       return next > 0 ? [[name, next]] : [];
     }),
   );
 
-/** What this machine's replica last said of its disk, while that is not outdated. */
-const replicaFields = ({
-  self,
-  localReplica: ownReplica,
-  now,
-}: AgentState): NodeRecord['replica'] => {
-  if (self.replica === null || ownReplica === null) return self.replica;
-  if (now - ownReplica.at > leaseDurationMs) return self.replica;
-  return { ...self.replica, disk: ownReplica.diskId, fresh: ownReplica.isBlank };
+/** The replica part of the record, with the disk that the replica last reported unless that is outdated. */
+const replicaFields = ({ self, localReplica, now }: AgentState): NodeRecord['replica'] => {
+  if (self.replica === null || localReplica === null) return self.replica;
+  if (now - localReplica.at > leaseDurationMs) return self.replica;
+  return { ...self.replica, disk: localReplica.diskId, fresh: localReplica.isBlank };
 };
 
-/** The report of this machine's proxy, while it asks for its feed. */
-const liveReport = ({ lastProxyReport: proxyReport, now }: AgentState): ProxyReport | null =>
-  proxyReport !== null && now - proxyReport.at < leaseDurationMs ? proxyReport.content : null;
+/** The last report of this machine's proxy; null when the proxy stopped requesting its feed. */
+const liveReport = ({ lastProxyReport, now }: AgentState): ProxyReport | null =>
+  lastProxyReport !== null && now - lastProxyReport.at < leaseDurationMs
+    ? lastProxyReport.content
+    : null;
 
 const ownRecord = (state: AgentState, announced: NodeRecord | null): NodeRecord => {
   const { id, zone, region, address, proxy } = state.self;
@@ -90,8 +89,9 @@
 };
 
 /**
- * Announces this node's own record; each new revision is a heartbeat. It is sent in full where it
- * changed, where an incarnation begins and now and then.
+ * Publishes a new revision of this node's record as a heartbeat: in full when the record changed,
+ * when `isFull` is set, at the start of an incarnation, and after `heartbeatsPerFullRecord`
+ * heartbeats.
  */
 export const publishHeartbeat = (transition: Transition, isFull = false): void => {
   const { state } = transition;
@@ -104,7 +104,7 @@
     update(transition, { gossip: renewRecord(gossip, key, now) });
     return;
   }
-  // An incarnation's revisions begin anywhere, so that those of two do not pass for one row.
+  // The first revision is random, so that the revisions of two incarnations are not taken for one sequence.
   const minRevision =
     announced === null ? 1 + Math.floor(nextRandom(transition) * maxFirstRevision) : 1;
   update(transition, { gossip: publishRecord(gossip, key, record, now, minRevision) });
--- a/packages/agent/src/origins/origin-endpoints.ts
+++ b/packages/agent/src/origins/origin-endpoints.ts
@@ -1,4 +1,4 @@
-/** The origins as this node's proxy uses them, each with the rate that this node may send to it. */
+/** The origins in the form that this node's proxy uses, each with the rate that this node may send to it. */
 
 import { rateLimitOf, rateOf } from '@reedyard/quota-division';
 import { hashOf } from '@reedyard/server-selection';
@@ -9,53 +9,57 @@
 import { mayPredateZoneRestore, originsOf } from './origins.js';
 
 /**
- * requests a second to a cold instance that are worth a node's part: fewer nodes get more each,
- * so that what they may have saved, a request each, stays small beside it.
+ * The minimum rate, in requests per second, that a node gets to an instance that is warming up. Fewer
+ * nodes with a higher rate each keep the tokens that they may have saved, one per node, small
+ * compared with the rate.
  */
 export const minSlowStartRatePerNode = 3;
 
 /**
- * share of a cold instance's bearable rate that the nodes it is given to may use together: what
- * each of them saved comes on top.
+ * The share of a warming-up instance's maximum rate that the nodes assigned to it may use together;
+ * the tokens that each of them saved are added to it.
  */
 export const slowStartShare = 0.8;
 
 /**
- * Requests a second that this node may send to a cold instance. Only a few nodes may, those that
- * rendezvous hashing names for it: every node for itself comes to the same ones, as far as it knows
- * the same nodes.
+ * The rate, in requests per second, that this node may send to an instance that is warming up. Only a
+ * few nodes may send to it. Rendezvous hashing selects them, so that nodes that know the same nodes
+ * select the same ones independently.
  */
 const slowStartRate = (state: AgentState, instance: string, rate: number): number => {
-  const plan = quotaAllocationOf(state);
-  // A node that has only just come knows few others: the allocation names them all.
-  if (plan === null) return 0;
-  const names = [
+  const allocation = quotaAllocationOf(state);
+  // A node that just started knows few other nodes from gossip; the allocation names all of them.
+  if (allocation === null) return 0;
+  const nodeIds = [
     ...new Set([
-      ...plan.seated,
+      ...allocation.seated,
       ...nodesOf(state).flatMap(({ record }) => (record.proxy === null ? [] : [record.id])),
     ]),
   ];
-  const parts = Math.max(1, Math.min(names.length, Math.floor(rate / minSlowStartRatePerNode)));
-  const own = hashOf(`${instance} ${state.self.id}`);
-  const ahead = names.filter(
-    (name) => name !== state.self.id && hashOf(`${instance} ${name}`) > own,
+  const selectedCount = Math.max(
+    1,
+    Math.min(nodeIds.length, Math.floor(rate / minSlowStartRatePerNode)),
+  );
+  const ownHash = hashOf(`${instance} ${state.self.id}`);
+  const rank = nodeIds.filter(
+    (nodeId) => nodeId !== state.self.id && hashOf(`${instance} ${nodeId}`) > ownHash,
   ).length;
-  return ahead < parts ? (rate * slowStartShare) / parts : 0;
+  return rank < selectedCount ? (rate * slowStartShare) / selectedCount : 0;
 };
 
-/** Instances that take work, each with this node's quota of what it carries. */
+/** The instances that get traffic, each with this node's quota of its capacity. */
 export const originEndpoints = (state: AgentState): readonly OriginEndpoint[] => {
-  const slices = quotaAllocationOf(state)?.slices ?? {};
+  const sharesByService = quotaAllocationOf(state)?.slices ?? {};
   const services = policyOf(state)?.document.services ?? {};
   return originsOf(state).flatMap(
-    ({ description, heardAt, exclusionReason: why }): readonly OriginEndpoint[] => {
-      if (why !== null) return [];
+    ({ description, receivedAt, exclusionReason: reason }): readonly OriginEndpoint[] => {
+      if (reason !== null) return [];
       const cold =
-        description.state === 'cold' || mayPredateZoneRestore(state, description.zone, heardAt);
-      const mine = slices[description.service] ?? {};
-      const carried = rateOf(mine, state.self.id, description.capacity ?? Infinity);
+        description.state === 'cold' || mayPredateZoneRestore(state, description.zone, receivedAt);
+      const shares = sharesByService[description.service] ?? {};
+      const capacityRate = rateOf(shares, state.self.id, description.capacity ?? Infinity);
       const service = services[description.service];
-      const bearable =
+      const warmUpRate =
         service?.coldRate === undefined
           ? Infinity
           : slowStartRate(
@@ -75,7 +79,7 @@
           slots: description.slots ?? null,
           conns: service?.instanceConns ?? null,
           cold,
-          rate: cold ? Math.min(carried, bearable) : carried,
+          rate: cold ? Math.min(capacityRate, warmUpRate) : capacityRate,
         },
       ];
     },
@@ -83,19 +87,21 @@
 };
 
 /**
- * What each service of the policy may get in all: its ceiling, or less where its instances carry
- * less.
+ * The rate limit of each service of the policy: the configured rate limit, or the total capacity of
+ * its admitted instances where that is lower.
  */
 export const serviceRateLimits = (state: AgentState): Readonly<Record<string, number>> => {
   const admitted = originsOf(state)
-    .filter((each) => each.exclusionReason === null)
-    .map((each) => each.description);
+    .filter((origin) => origin.exclusionReason === null)
+    .map((origin) => origin.description);
   return Object.fromEntries(
     Object.entries(policyOf(state)?.document.services ?? {}).map(([name, service]) => [
       name,
       rateLimitOf(
         service.ceiling,
-        admitted.filter((each) => each.service === name).map((each) => each.capacity ?? Infinity),
+        admitted
+          .filter((description) => description.service === name)
+          .map((description) => description.capacity ?? Infinity),
       ),
     ]),
   );
--- a/packages/agent/src/origins/origins.ts
+++ b/packages/agent/src/origins/origins.ts
@@ -1,4 +1,4 @@
-/** The origins that gossip tells of, and which of them get traffic. */
+/** The origins that are known from gossip, and which of them get traffic. */
 
 import { liveRecords, recordValue } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
@@ -6,12 +6,13 @@
 import type { AgentState } from '../state.js';
 
 /**
- * ms. After a zone was taken back its origins count as cold until a description is heard this
- * much later: an earlier one may have been under way for a few exchanges of gossip.
+ * After a zone is restored, its origins count as cold until a description arrives at least this much
+ * later, in milliseconds: an earlier one may have been in flight for a few gossip exchanges, since
+ * before the restore.
  */
 export const restoreSettleMs = 500;
 
-/** Why an origin gets no traffic, or null if it does. */
+/** Why an origin gets no traffic; null if it gets traffic. */
 export const exclusionReason = (state: AgentState, description: Description): string | null => {
   const service = policyOf(state)?.document.services[description.service];
   if (service === undefined) return 'no policy allows this service';
@@ -27,28 +28,31 @@
   return null;
 };
 
-/** The journal's key of a notice that an incarnation of an origin drains. */
+/** The key of the journal entry that an incarnation of an origin is draining. */
 export const drainKey = (description: Description): string =>
   `drain/${description.service}/${description.instance}/${description.incarnation}`;
 
-/** Bars every incarnation of an instance of this name, for as long as the journal entry lasts. */
+/** The key of the journal entry that excludes every incarnation of an instance while the entry is kept. */
 export const withdrawalKey = (instance: string): string => `withdrawn/${instance}`;
 
 /**
- * Whether what an origin of a zone said at some time is too old to be trusted as warm: its zone was
- * taken back since.
+ * Whether a description received at a given time may originate from before its zone was restored; its
+ * `warm` state is not trusted then.
  */
-export const mayPredateZoneRestore = (state: AgentState, zone: string, heardAt: number): boolean =>
-  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + restoreSettleMs;
+export const mayPredateZoneRestore = (
+  state: AgentState,
+  zone: string,
+  receivedAt: number,
+): boolean => receivedAt < (state.zonesRestoredAt[zone] ?? -Infinity) + restoreSettleMs;
 
-const isOlder = (told: Description, known: Description): boolean =>
-  told.incarnation < known.incarnation ||
-  (told.incarnation === known.incarnation &&
-    told.sequence !== undefined &&
+const isOlder = (description: Description, known: Description): boolean =>
+  description.incarnation < known.incarnation ||
+  (description.incarnation === known.incarnation &&
+    description.sequence !== undefined &&
     known.sequence !== undefined &&
-    told.sequence < known.sequence);
+    description.sequence < known.sequence);
 
-/** Whether a description is older than the one known of the same origin. */
+/** Whether a description is older than the known description of the same origin. */
 export const isOutdated = (state: AgentState, description: Description): boolean => {
   const known = recordValue(state.gossip, originKey(description)) as Description | null | undefined;
   return known !== undefined && known !== null && isOlder(description, known);
@@ -58,22 +62,25 @@
 export const originKey = (description: Description): string =>
   `origin/${description.service}/${description.instance}`;
 
-/** Every origin heard of. Of two at one address only the one heard later counts. */
+/**
+ * All known origins, with the reason why an origin gets no traffic. Of two origins with the same
+ * address only the one received later may get traffic.
+ */
 export const originsOf = (
   state: AgentState,
 ): readonly {
   readonly description: Description;
-  readonly heardAt: number;
+  readonly receivedAt: number;
   readonly exclusionReason: string | null;
 }[] => {
-  const all = liveRecords(state.gossip, 'origin/').map(([, value, seenAt]) => ({
+  const origins = liveRecords(state.gossip, 'origin/').map(([, value, seenAt]) => ({
     description: value as Description,
     seenAt,
   }));
-  return all.map(({ description, seenAt }) => ({
+  return origins.map(({ description, seenAt }) => ({
     description,
-    heardAt: seenAt,
-    exclusionReason: all.some(
+    receivedAt: seenAt,
+    exclusionReason: origins.some(
       (other) =>
         other.description.address === description.address &&
         other.seenAt > seenAt &&
--- a/packages/agent/src/routing/peer-delays.ts
+++ b/packages/agent/src/routing/peer-delays.ts
@@ -1,19 +1,20 @@
-/** Delays to other nodes, measured by pings. */
+/** Network delays to other nodes, measured by pings. */
 
 import { nodesOf } from '../gossip/known-nodes.js';
 import type { AgentState } from '../state.js';
 import { nextRandom, sendToAgent, type Transition, update } from '../transition.js';
 
 /**
- * ms. A ping to each peer in the network, on the average (the paper: every few minutes; a
- * changed delay must be seen inside one closing fault, so seconds here).
+ * The average interval between two pings to the same peer, in milliseconds. The paper pings every few
+ * minutes; here every few seconds, so that a changed delay is detected while a short fault still
+ * lasts.
  */
 export const pingIntervalMs = 10_000;
 
-/** ms. Peers that were not yet measured are pinged, and of the others a drawn few. */
+/** The interval between two rounds of pings, in milliseconds. */
 export const pingRoundIntervalMs = 2_000;
 
-/** Pings peers that were not yet measured, and a drawn few of the others. */
+/** Pings all peers without a measured delay, and a few random ones of the others. */
 export const pingPeers = (transition: Transition): void => {
   if (transition.state.self.proxy === null) return;
   for (const { record } of nodesOf(transition.state)) {
@@ -32,18 +33,21 @@
   }
 };
 
-/** Notes how long a peer took to answer a ping; the last two count. */
-export const handlePingReply = (transition: Transition, edge: string, seconds: number): void => {
+/** Records the round trip of a ping; the last two of each peer are kept. */
+export const handlePingReply = (transition: Transition, peerId: string, seconds: number): void => {
   update(transition, {
     pingSecondsByPeer: {
       ...transition.state.pingSecondsByPeer,
-      [edge]: [...(transition.state.pingSecondsByPeer[edge] ?? []), seconds].slice(-2),
+      [peerId]: [...(transition.state.pingSecondsByPeer[peerId] ?? []), seconds].slice(-2),
     },
   });
 };
 
-/** s. The least of the last two pings: what the path takes without the machine's own noise. */
-export const delaySecondsTo = (state: AgentState, edge: string): number | null => {
-  const known = state.pingSecondsByPeer[edge];
-  return known === undefined || known.length === 0 ? null : Math.min(...known);
+/**
+ * The delay to a peer in seconds: the minimum of the last two pings, which filters out delays on the
+ * machines themselves. Null where no ping was answered.
+ */
+export const delaySecondsTo = (state: AgentState, peerId: string): number | null => {
+  const pings = state.pingSecondsByPeer[peerId];
+  return pings === undefined || pings.length === 0 ? null : Math.min(...pings);
 };
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -1,6 +1,6 @@
 /**
- * The routing table of this node's proxy, computed by the server selection of docs/policy.md from the
- * vectors that nodes announce, and the vector that this node announces itself.
+ * The routing table of this node's proxy, which the server selection of docs/policy.md computes from
+ * the vectors that nodes announce; and the vector that this node announces.
  */
 
 import { liveRecords, publishRecord } from '@reedyard/gossip';
@@ -20,34 +20,41 @@
 import { type Transition, update } from '../transition.js';
 import { delaySecondsTo } from './peer-delays.js';
 
-/** ms. A vector is sent again though nothing changed, so that a lost one heals. */
+/**
+ * The interval at which an unchanged vector is announced again, in milliseconds, so that a lost
+ * announcement is replaced.
+ */
 export const vectorRefreshIntervalMs = 30_000;
 
-const vectorOf = (state: AgentState, measure: TrafficMeasurement): Vector => {
+const vectorOf = (state: AgentState, measurement: TrafficMeasurement): Vector => {
   const capacity = state.self.proxy?.capacityBps ?? 0;
-  const asked = Object.values(measure.demand).reduce((sum, bps) => sum + bps, 0);
+  const demandBps = Object.values(measurement.demand).reduce((sum, bps) => sum + bps, 0);
   return {
-    demand: measure.demand,
-    copies: measure.copies,
+    demand: measurement.demand,
+    copies: measurement.copies,
     capacity,
-    utilisation: capacity > 0 ? measure.servedBps / capacity : 0,
-    offered: capacity > 0 ? asked / capacity : 0,
+    utilisation: capacity > 0 ? measurement.servedBps / capacity : 0,
+    offered: capacity > 0 ? demandBps / capacity : 0,
     delays: Object.fromEntries(
-      Object.keys(state.pingSecondsByPeer).flatMap((edge) => {
-        const delay = delaySecondsTo(state, edge);
-        return delay === null ? [] : [[edge, delay]];
+      Object.keys(state.pingSecondsByPeer).flatMap((peerId) => {
+        const delay = delaySecondsTo(state, peerId);
+        return delay === null ? [] : [[peerId, delay]];
       }),
     ),
-    meanReply: measure.meanReplyBits,
-    fetchDelay: measure.fetchSeconds > 0 ? measure.fetchSeconds : fetchPenaltySeconds,
+    meanReply: measurement.meanReplyBits,
+    fetchDelay: measurement.fetchSeconds > 0 ? measurement.fetchSeconds : fetchPenaltySeconds,
   };
 };
 
-/** A new measurement: told to all only on a marked change, or when the slow refresh is due. */
-export const handleMeasurement = (transition: Transition, measure: TrafficMeasurement): void => {
-  const vector = vectorOf(transition.state, measure);
-  const { announcedVector: sent, vectorAnnouncedAt: sentAt, now } = transition.state;
-  if (!shouldAnnounce(vector, sent) && now - sentAt < vectorRefreshIntervalMs) return;
+/** Announces this node's vector after a marked change of its traffic, or when the refresh is due. */
+export const handleMeasurement = (
+  transition: Transition,
+  measurement: TrafficMeasurement,
+): void => {
+  const vector = vectorOf(transition.state, measurement);
+  const { announcedVector, vectorAnnouncedAt, now } = transition.state;
+  if (!shouldAnnounce(vector, announcedVector) && now - vectorAnnouncedAt < vectorRefreshIntervalMs)
+    return;
   update(transition, {
     announcedVector: vector,
     vectorAnnouncedAt: now,
@@ -63,35 +70,40 @@
 };
 
 /**
- * Where a route's objects are placed for the clients of an edge: at the edges of its own zone, so
- * that each is fetched once for a zone and few bytes leave it; where none there may serve the
- * route, at those of another one.
+ * The nodes that may cache a route's objects for the clients of a node: the nodes of its own zone, so
+ * that each object is fetched once per zone and few bytes leave the zone; where no node there may
+ * serve the route, the nodes of another zone, which rendezvous hashing selects.
  */
 const placementFor = (
-  allowed: readonly { readonly id: string; readonly zone: string }[],
-  members: readonly { readonly id: string; readonly zone: string }[],
-): ((client: string) => readonly string[]) => {
-  const byZone = new Map<string, string[]>();
-  for (const { id, zone } of allowed) byZone.set(zone, [...(byZone.get(zone) ?? []), id]);
-  const zones = new Map(members.map(({ id, zone }) => [id, zone]));
-  return (client) => {
-    const zone = zones.get(client) ?? '';
-    return byZone.get(zone) ?? byZone.get(rendezvousOwner(zone, [...byZone.keys()]) ?? '') ?? [];
+  allowedNodes: readonly { readonly id: string; readonly zone: string }[],
+  nodes: readonly { readonly id: string; readonly zone: string }[],
+): ((clientNodeId: string) => readonly string[]) => {
+  const allowedByZone = new Map<string, string[]>();
+  for (const { id, zone } of allowedNodes)
+    allowedByZone.set(zone, [...(allowedByZone.get(zone) ?? []), id]);
+  const zonesByNode = new Map(nodes.map(({ id, zone }) => [id, zone]));
+  return (clientNodeId) => {
+    const zone = zonesByNode.get(clientNodeId) ?? '';
+    return (
+      allowedByZone.get(zone) ??
+      allowedByZone.get(rendezvousOwner(zone, [...allowedByZone.keys()]) ?? '') ??
+      []
+    );
   };
 };
 
-/** Keys of the vectors in gossip begin with this; the node's id follows. */
+/** The prefix of the gossip keys of vectors; the node's id follows it. */
 const vectorPrefix = 'vector/';
-/** A vector that was not announced again for so many refreshes is no longer used. */
+/** After how many refresh intervals without a new announcement a vector is no longer used. */
 const maxVectorAgeRefreshes = 3;
 
-type NodePlace = { readonly id: string; readonly zone: string };
+type NodeZone = { readonly id: string; readonly zone: string };
 
-/** This node and those that serve, each once, in the order of their ids. */
-const nodePlaces = (
+/** This node and all serving nodes without duplicates, sorted by id. */
+const nodeZones = (
   { self }: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
-): readonly NodePlace[] => {
+): readonly NodeZone[] => {
   const zones = new Map([...serving.values()].map(({ id, zone }) => [id, zone]));
   zones.set(self.id, self.zone);
   return [...zones]
@@ -99,7 +111,7 @@
     .sort((left, right) => (left.id < right.id ? -1 : 1));
 };
 
-/** Vectors of this node and of those that serve and announced one lately enough. */
+/** The vectors of this node and of the serving nodes that announced theirs recently enough. */
 const usableVectors = (
   { self, gossip, now }: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
@@ -114,7 +126,7 @@
   return vectors;
 };
 
-/** Which nodes may serve a route, and where its objects are placed; null for an unknown route. */
+/** For each route, which nodes may serve it and cache its objects; null for an unknown route. */
 const routeRulesOf = (
   state: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
@@ -123,7 +135,7 @@
   const routes = new Map(
     (policyOf(state)?.document.routes ?? []).map((route) => [route.name, route]),
   );
-  const places = nodePlaces(state, serving);
+  const nodes = nodeZones(state, serving);
   return (name) => {
     const route = routes.get(name);
     if (route === undefined) return null;
@@ -132,12 +144,12 @@
       return region !== undefined && (route.homes === undefined || route.homes.includes(region));
     };
     if (route.cache.keep !== 'always') return { servers };
-    const allowed = places.filter(({ id }) => servers(id));
-    return { servers, placed: placementFor(allowed, places) };
+    const allowedNodes = nodes.filter(({ id }) => servers(id));
+    return { servers, placed: placementFor(allowedNodes, nodes) };
   };
 };
 
-/** Computes this node's routing table anew, once something that it rests on has changed. */
+/** Recomputes this node's routing table if a vector or the set of serving nodes has changed. */
 export const computeRoutingTable = (transition: Transition): void => {
   const { state } = transition;
   const { self, now } = state;
@@ -159,7 +171,7 @@
   });
 };
 
-/** The other nodes that serve, the nearest first. */
+/** The other serving nodes, sorted by delay. */
 export const peerEndpoints = (state: AgentState): readonly PeerEndpoint[] =>
   servingNodes(state)
     .flatMap((record) =>
