--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -25,7 +25,7 @@
   proxy: { callers: '127.0.0.1:2', peers: '127.0.0.1:3', capacityBps: 1e6 },
   replica: null,
 };
-const opened = (now = 0): AgentState =>
+const newAgent = (now = 0): AgentState =>
   openAgent({
     self,
     incarnation: 'l',
@@ -34,32 +34,32 @@
     randomSeed: 1,
     now,
   });
-const written = (change: RegisterChange, current: unknown): unknown => {
-  const done = change(current);
-  return done.kind === 'write' ? done.value : done.kind;
+const applyChange = (change: RegisterChange, current: unknown): unknown => {
+  const result = change(current);
+  return result.kind === 'write' ? result.value : result.kind;
 };
-const learnt = (
+const withRegister = (
   state: AgentState,
   key: WatchedRegister,
-  round: number,
+  counter: number,
   value: unknown,
 ): AgentState => {
   const transition: Transition = { state, effects: [] };
-  learnRegister(transition, key, { counter: round, proposerId: 'x' }, value);
+  learnRegister(transition, key, { counter, proposerId: 'x' }, value);
   return transition.state;
 };
-const acted = (
+const performAction = (
   state: AgentState,
   action: ApiAction,
   now: number,
 ): { readonly state: AgentState; readonly effects: readonly AgentEffect[] } =>
   reduceAgent(state, { kind: 'action-received', requestId: 1, action, now });
-const policyValue = (services: object, more: object = {}): PolicyRegister => ({
+const policyRegister = (services: object, otherFields: object = {}): PolicyRegister => ({
   revision: 1,
-  document: Schemas.policy({ services, routes: [], ...more }),
+  document: Schemas.policy({ services, routes: [], ...otherFields }),
   changes: [],
 });
-const told = (more: Partial<Description> = {}): Description => ({
+const descriptionWith = (changes: Partial<Description> = {}): Description => ({
   service: 's',
   instance: 'i',
   incarnation: 0,
@@ -70,20 +70,22 @@
   state: 'warm',
   draining: false,
   sequence: 1,
-  ...more,
+  ...changes,
 });
-const plan = (shares: Readonly<Record<string, Readonly<Record<string, number>>>>): object => ({
+const allocationOf = (
+  shares: Readonly<Record<string, Readonly<Record<string, number>>>>,
+): object => ({
   term: 1,
   holder: 'n',
   beat: 1,
   slices: shares,
   seated: [],
 });
-const answers = (effects: readonly AgentEffect[]): readonly number[] =>
+const answerStatuses = (effects: readonly AgentEffect[]): readonly number[] =>
   effects.flatMap((effect) => (effect.kind === 'send-answer' ? [effect.status] : []));
 
-test('of two policies with a version the higher one stays, in whatever order they are written', (t) => {
-  const put = (version: number | undefined, id: string) =>
+test('the policy with the highest version stays, in whatever order the versions are written', (t) => {
+  const putVersion = (version: number | undefined, changeId: string) =>
     putPolicyChange({
       document: Schemas.policy({
         services: {},
@@ -91,7 +93,7 @@
         ...(version === undefined ? {} : { version }),
       }),
       ifMatch: null,
-      changeId: id,
+      changeId,
       lapsed: 0,
     });
   for (const order of [
@@ -100,50 +102,61 @@
     [5, 3, 7],
     [7, 7, 3],
   ]) {
-    const end = order.reduce<unknown>((current, version, index) => {
-      const next = written(put(version, `c-${index}`), current);
+    const final = order.reduce<unknown>((current, version, index) => {
+      const next = applyChange(putVersion(version, `c-${index}`), current);
       return next === 'keep' ? current : next;
     }, null) as PolicyRegister;
-    t.is(end.document.version, 7, order.join());
+    t.is(final.document.version, 7, order.join());
   }
-  const seven = written(put(7, 'a'), null) as PolicyRegister;
-  t.is(written(put(7, 'b'), seven), 'keep');
-  t.is((written(put(8, 'b'), seven) as PolicyRegister).revision, 2);
-  const plain = written(put(undefined, 'b'), seven) as PolicyRegister;
-  t.deepEqual([plain.revision, plain.document.version], [2, undefined]);
-  t.is((written(put(1, 'c'), plain) as PolicyRegister).document.version, 1);
+  const version7 = applyChange(putVersion(7, 'a'), null) as PolicyRegister;
+  t.is(applyChange(putVersion(7, 'b'), version7), 'keep');
+  t.is((applyChange(putVersion(8, 'b'), version7) as PolicyRegister).revision, 2);
+  const unversioned = applyChange(putVersion(undefined, 'b'), version7) as PolicyRegister;
+  t.deepEqual([unversioned.revision, unversioned.document.version], [2, undefined]);
+  t.is((applyChange(putVersion(1, 'c'), unversioned) as PolicyRegister).document.version, 1);
 });
 
-test('orders for the origins of a zone leave its nodes alone', (t) => {
-  const order = (
+test('an order for the origins of a zone does not change the state of its nodes', (t) => {
+  const applyOrder = (
     current: unknown,
-    what: 'empty' | 'take-back',
+    order: 'empty' | 'take-back',
     of: 'all' | 'origins',
-    id: string,
+    changeId: string,
   ): ZonesRegister =>
-    written(
-      zoneOrderChange({ zone: 'west', order: what, of, changeId: id, lapsed: 0 }),
+    applyChange(
+      zoneOrderChange({ zone: 'west', order, of, changeId, lapsed: 0 }),
       current,
     ) as ZonesRegister;
-  const closed = order(null, 'empty', 'origins', '1');
-  t.deepEqual([closed.emptied, closed.closedOrigins, closed.reopened], [[], ['west'], {}]);
-  const whole = order(closed, 'empty', 'all', '2');
-  t.deepEqual([whole.emptied, whole.closedOrigins], [['west'], ['west']]);
-  const still = order(whole, 'take-back', 'origins', '3');
-  t.deepEqual([still.emptied, still.closedOrigins, still.reopened], [['west'], ['west'], {}]);
-  const open = order(still, 'take-back', 'all', '4');
-  t.deepEqual([open.emptied, open.closedOrigins, open.reopened], [[], [], { west: 4 }]);
-  // A value written before there were such orders.
-  const older = order({ revision: 3, emptied: ['west'], changes: [] }, 'take-back', 'all', '5');
-  t.deepEqual([older.emptied, older.closedOrigins, older.reopened], [[], [], { west: 4 }]);
+  const originsClosed = applyOrder(null, 'empty', 'origins', '1');
+  t.deepEqual(
+    [originsClosed.emptied, originsClosed.closedOrigins, originsClosed.reopened],
+    [[], ['west'], {}],
+  );
+  const evacuated = applyOrder(originsClosed, 'empty', 'all', '2');
+  t.deepEqual([evacuated.emptied, evacuated.closedOrigins], [['west'], ['west']]);
+  const stillEvacuated = applyOrder(evacuated, 'take-back', 'origins', '3');
+  t.deepEqual(
+    [stillEvacuated.emptied, stillEvacuated.closedOrigins, stillEvacuated.reopened],
+    [['west'], ['west'], {}],
+  );
+  const restored = applyOrder(stillEvacuated, 'take-back', 'all', '4');
+  t.deepEqual([restored.emptied, restored.closedOrigins, restored.reopened], [[], [], { west: 4 }]);
+  // A value from a version without orders for origins alone.
+  const legacy = applyOrder(
+    { revision: 3, emptied: ['west'], changes: [] },
+    'take-back',
+    'all',
+    '5',
+  );
+  t.deepEqual([legacy.emptied, legacy.closedOrigins, legacy.reopened], [[], [], { west: 4 }]);
   t.deepEqual(
     originEndpoints(
-      learnt(
-        learnt(
-          acted(opened(), { kind: 'describe', description: told() }, 1).state,
+      withRegister(
+        withRegister(
+          performAction(newAgent(), { kind: 'describe', description: descriptionWith() }, 1).state,
           'policy',
           1,
-          policyValue({ s: {} }),
+          policyRegister({ s: {} }),
         ),
         'zones',
         1,
@@ -154,94 +167,116 @@
   );
 });
 
-test('after a zone is taken back its origins count as cold until they are heard again', (t) => {
-  const zones = (revision: number, closed: readonly string[], reopened: object): object => ({
+test('after a zone is restored its origins count as cold until they describe themselves again', (t) => {
+  const zonesRegister = (
+    revision: number,
+    closedOrigins: readonly string[],
+    reopened: object,
+  ): object => ({
     revision,
     emptied: [],
-    closedOrigins: closed,
+    closedOrigins,
     reopened,
     changes: [],
   });
-  let state = learnt(
-    learnt(opened(), 'policy', 1, policyValue({ s: { coldRate: 4, ceiling: 100 } })),
+  let state = withRegister(
+    withRegister(newAgent(), 'policy', 1, policyRegister({ s: { coldRate: 4, ceiling: 100 } })),
     'plan',
     1,
-    plan({ s: { n: 0.5 } }),
+    allocationOf({ s: { n: 0.5 } }),
   );
-  const hear = (now: number, sequence: number): void => {
-    state = acted(state, { kind: 'describe', description: told({ sequence }) }, now).state;
+  const describeOrigin = (now: number, sequence: number): void => {
+    state = performAction(
+      state,
+      { kind: 'describe', description: descriptionWith({ sequence }) },
+      now,
+    ).state;
   };
-  const colds = (): readonly boolean[] => originEndpoints(state).map((row) => row.cold);
-  hear(10, 1);
-  t.deepEqual(colds(), [false]);
-  state = learnt({ ...state, now: 20 }, 'zones', 1, zones(1, ['west'], {}));
+  const coldFlags = (): readonly boolean[] =>
+    originEndpoints(state).map((endpoint) => endpoint.cold);
+  describeOrigin(10, 1);
+  t.deepEqual(coldFlags(), [false]);
+  state = withRegister({ ...state, now: 20 }, 'zones', 1, zonesRegister(1, ['west'], {}));
   t.deepEqual(
-    [colds(), originsOf(state)[0]?.exclusionReason],
+    [coldFlags(), originsOf(state)[0]?.exclusionReason],
     [[], 'the origins of its zone get nothing'],
   );
-  state = learnt({ ...state, now: 2_000 }, 'zones', 2, zones(2, [], { west: 2 }));
-  t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[true], 4 * slowStartShare]);
-  hear(2_000 + restoreSettleMs - 1, 2);
-  t.deepEqual(colds(), [true]);
-  hear(2_000 + restoreSettleMs, 3);
-  t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[false], Infinity]);
-  state = learnt({ ...state, now: 3_000 }, 'zones', 3, zones(3, ['east'], { west: 2 }));
-  t.deepEqual(colds(), [false]);
+  state = withRegister({ ...state, now: 2_000 }, 'zones', 2, zonesRegister(2, [], { west: 2 }));
+  t.deepEqual([coldFlags(), originEndpoints(state)[0]?.rate], [[true], 4 * slowStartShare]);
+  describeOrigin(2_000 + restoreSettleMs - 1, 2);
+  t.deepEqual(coldFlags(), [true]);
+  describeOrigin(2_000 + restoreSettleMs, 3);
+  t.deepEqual([coldFlags(), originEndpoints(state)[0]?.rate], [[false], Infinity]);
+  state = withRegister(
+    { ...state, now: 3_000 },
+    'zones',
+    3,
+    zonesRegister(3, ['east'], { west: 2 }),
+  );
+  t.deepEqual(coldFlags(), [false]);
 });
 
-test('an older description changes nothing, here and in what is heard from others', (t) => {
+test('an older description has no effect, whether the origin or another node sends it', (t) => {
   const key = 'origin/s/i';
-  const known = (state: AgentState): Description => recordValue(state.gossip, key) as Description;
-  let state = acted(
-    opened(),
-    { kind: 'describe', description: told({ sequence: 5, state: 'cold' }) },
+  const knownDescription = (state: AgentState): Description =>
+    recordValue(state.gossip, key) as Description;
+  let state = performAction(
+    newAgent(),
+    { kind: 'describe', description: descriptionWith({ sequence: 5, state: 'cold' }) },
     1,
   ).state;
-  const late = acted(
+  const late = performAction(
     state,
-    { kind: 'describe', description: told({ sequence: 4, draining: true }) },
+    { kind: 'describe', description: descriptionWith({ sequence: 4, draining: true }) },
     2,
   );
-  t.deepEqual([answers(late.effects), known(late.state)], [[200], known(state)]);
+  t.deepEqual(
+    [answerStatuses(late.effects), knownDescription(late.state)],
+    [[200], knownDescription(state)],
+  );
   const transition: Transition = { state, effects: [] };
-  learnRecords(transition, { [key]: { revision: 99, value: told({ sequence: 4 }) } });
+  learnRecords(transition, { [key]: { revision: 99, value: descriptionWith({ sequence: 4 }) } });
   t.deepEqual(
     [
-      known(transition.state).sequence,
+      knownDescription(transition.state).sequence,
       transition.state.gossip.records[key]?.revision,
       transition.state.gossip.records[key]?.seenAt,
     ],
     [5, 100, 1],
   );
-  learnRecords(transition, { [key]: { revision: 101, value: told({ sequence: 6 }) } });
-  t.is(known(transition.state).sequence, 6);
-  // The same words again are told only now and then; other ones at once.
+  learnRecords(transition, { [key]: { revision: 101, value: descriptionWith({ sequence: 6 }) } });
+  t.is(knownDescription(transition.state).sequence, 6);
+  // An unchanged description is published again only at intervals, a changed one immediately.
   const revision = (): number | undefined => state.gossip.records[key]?.revision;
-  const before = revision() ?? 0;
-  state = acted(
+  const revisionBefore = revision() ?? 0;
+  state = performAction(
     state,
-    { kind: 'describe', description: told({ sequence: 6, state: 'cold' }) },
+    { kind: 'describe', description: descriptionWith({ sequence: 6, state: 'cold' }) },
     1_000,
   ).state;
-  t.deepEqual([revision(), known(state).sequence], [before, 6]);
-  state = acted(state, { kind: 'describe', description: told({ sequence: 7 }) }, 1_100).state;
+  t.deepEqual([revision(), knownDescription(state).sequence], [revisionBefore, 6]);
+  state = performAction(
+    state,
+    { kind: 'describe', description: descriptionWith({ sequence: 7 }) },
+    1_100,
+  ).state;
   t.is(revision(), 7);
-  state = acted(
+  state = performAction(
     state,
-    { kind: 'describe', description: told({ sequence: 8 }) },
+    { kind: 'describe', description: descriptionWith({ sequence: 8 }) },
     1_100 + originRefreshIntervalMs,
   ).state;
   t.is(revision(), 8);
 });
 
-test('a withdrawn instance gets nothing, and the notice is posted once', (t) => {
-  let state = learnt(opened(), 'policy', 1, policyValue({ s: {} }));
-  state = acted(state, { kind: 'describe', description: told() }, 1).state;
+test('a withdrawn instance gets no traffic, and its journal entry is appended once', (t) => {
+  let state = withRegister(newAgent(), 'policy', 1, policyRegister({ s: {} }));
+  state = performAction(state, { kind: 'describe', description: descriptionWith() }, 1).state;
   t.is(originEndpoints(state).length, 1);
-  const asked = acted(state, { kind: 'withdraw', instance: 'i' }, 2);
-  t.deepEqual(answers(asked.effects), []);
+  const firstRequest = performAction(state, { kind: 'withdraw', instance: 'i' }, 2);
+  t.deepEqual(answerStatuses(firstRequest.effects), []);
   t.deepEqual(
-    asked.effects.flatMap((effect) =>
+    firstRequest.effects.flatMap((effect) =>
       effect.kind === 'send-request' &&
       'operation' in effect.request &&
       effect.request.operation.kind === 'append-entries'
@@ -250,52 +285,64 @@
     ),
     ['withdrawn/i', 'withdrawn/i', 'withdrawn/i'],
   );
-  const posted: AgentState = {
+  const committed: AgentState = {
     ...state,
     entryKeys: { 'withdrawn/i': true },
     committedEntryKeys: { 'withdrawn/i': true },
   };
   t.deepEqual(
-    [originEndpoints(posted).length, originsOf(posted)[0]?.exclusionReason],
+    [originEndpoints(committed).length, originsOf(committed)[0]?.exclusionReason],
     [0, 'withdrawn'],
   );
-  t.deepEqual(answers(acted(posted, { kind: 'withdraw', instance: 'i' }, 3).effects), [200]);
-  // Seen on one disk alone it is not acknowledged yet.
   t.deepEqual(
-    answers(
-      acted({ ...posted, committedEntryKeys: {} }, { kind: 'withdraw', instance: 'i' }, 3).effects,
+    answerStatuses(performAction(committed, { kind: 'withdraw', instance: 'i' }, 3).effects),
+    [200],
+  );
+  // An entry that is known from one disk only is not acknowledged yet.
+  t.deepEqual(
+    answerStatuses(
+      performAction(
+        { ...committed, committedEntryKeys: {} },
+        { kind: 'withdraw', instance: 'i' },
+        3,
+      ).effects,
     ),
     [],
   );
 });
 
-test('without a ceiling and without capacities nothing bounds the rate, and cold ones keep theirs', (t) => {
-  let state = learnt(
-    learnt(opened(), 'policy', 1, policyValue({ s: { coldRate: 10, instanceConns: 130 } })),
+test('without a rate limit and capacities the rate is unlimited, except for instances that are warming up', (t) => {
+  let state = withRegister(
+    withRegister(
+      newAgent(),
+      'policy',
+      1,
+      policyRegister({ s: { coldRate: 10, instanceConns: 130 } }),
+    ),
     'plan',
     1,
-    plan({ s: { n: 0.25 } }),
+    allocationOf({ s: { n: 0.25 } }),
   );
-  state = acted(state, { kind: 'describe', description: told() }, 1).state;
-  state = acted(
+  state = performAction(state, { kind: 'describe', description: descriptionWith() }, 1).state;
+  state = performAction(
     state,
     {
       kind: 'describe',
-      description: told({ instance: 'j', address: '127.0.0.1:21', state: 'cold' }),
+      description: descriptionWith({ instance: 'j', address: '127.0.0.1:21', state: 'cold' }),
     },
     1,
   ).state;
   t.deepEqual(serviceRateLimits(state), { s: Infinity });
-  const rows = originEndpoints(state);
+  const endpoints = originEndpoints(state);
   t.deepEqual(
-    rows.map((row) => [row.slots, row.conns, row.capacity, row.rate]),
+    endpoints.map((endpoint) => [endpoint.slots, endpoint.conns, endpoint.capacity, endpoint.rate]),
     [
       [8, 130, 8, Infinity],
       [8, 130, 8, 10 * slowStartShare],
     ],
   );
-  t.deepEqual(parse(stringify(rows)), rows);
-  const fed = reduceAgent(state, {
+  t.deepEqual(parse(stringify(endpoints)), endpoints);
+  const feedStep = reduceAgent(state, {
     kind: 'proxy-request-received',
     requestId: 9,
     now: 2,
@@ -315,32 +362,37 @@
     },
   });
   t.deepEqual(
-    fed.effects.flatMap((effect) =>
+    feedStep.effects.flatMap((effect) =>
       effect.kind === 'send-reply' && effect.reply !== undefined && 'slices' in effect.reply
         ? [effect.reply.slices]
         : [],
     ),
     [{ s: Infinity }],
   );
-  // A cold one whose service sets no cold rate is bound by nothing either, also without a share.
+  // A warming-up instance whose service sets no cold rate is unlimited too, even without a share.
   t.deepEqual(
     originEndpoints(
-      learnt(learnt(state, 'policy', 2, policyValue({ s: {} })), 'plan', 2, plan({})),
-    ).map((row) => row.rate),
+      withRegister(
+        withRegister(state, 'policy', 2, policyRegister({ s: {} })),
+        'plan',
+        2,
+        allocationOf({}),
+      ),
+    ).map((endpoint) => endpoint.rate),
     [Infinity, Infinity],
   );
 });
 
-test('a cold instance is given to a few nodes, the same ones wherever it is worked out, and no more than its rate', (t) => {
+test('an instance that is warming up gets at most its rate, from a few nodes that all nodes agree on', (t) => {
   const nodes = Array.from({ length: 11 }, (_none, index) => `front-${index}`);
-  for (const [coldRate, few] of [
+  for (const [coldRate, expectedNodeCount] of [
     [20, 6],
     [9.8, 3],
     [2, 1],
   ] as const)
     for (const instance of ['i', 'j', 'k']) {
       const rates = nodes.map((id) => {
-        const opening = openAgent({
+        const initial = openAgent({
           self: { ...self, id },
           incarnation: 'l',
           seeds: [],
@@ -348,35 +400,51 @@
           randomSeed: 1,
           now: 0,
         });
-        const state = learnt(
-          learnt(opening, 'policy', 1, policyValue({ s: { coldRate } })),
+        const state = withRegister(
+          withRegister(initial, 'policy', 1, policyRegister({ s: { coldRate } })),
           'plan',
           1,
           { term: 1, holder: 'n', beat: 1, slices: {}, seated: nodes },
         );
         return (
           originEndpoints(
-            acted(state, { kind: 'describe', description: told({ instance, state: 'cold' }) }, 1)
-              .state,
+            performAction(
+              state,
+              { kind: 'describe', description: descriptionWith({ instance, state: 'cold' }) },
+              1,
+            ).state,
           )[0]?.rate ?? NaN
         );
       });
-      t.is(rates.filter((rate) => rate > 0).length, few, `${coldRate} ${instance}`);
+      t.is(rates.filter((rate) => rate > 0).length, expectedNodeCount, `${coldRate} ${instance}`);
       t.true(rates.reduce((sum, rate) => sum + rate, 0) <= coldRate * slowStartShare + 1e-9);
     }
-  // Without an allocation it is not known who else there is: nothing goes to it.
-  const alone = learnt(opened(), 'policy', 1, policyValue({ s: { coldRate: 20 } }));
+  // Without an allocation the other nodes are unknown, so this node sends nothing to the instance.
+  const withoutAllocation = withRegister(
+    newAgent(),
+    'policy',
+    1,
+    policyRegister({ s: { coldRate: 20 } }),
+  );
   t.is(
     originEndpoints(
-      acted(alone, { kind: 'describe', description: told({ state: 'cold' }) }, 1).state,
+      performAction(
+        withoutAllocation,
+        { kind: 'describe', description: descriptionWith({ state: 'cold' }) },
+        1,
+      ).state,
     )[0]?.rate,
     0,
   );
 });
 
-test('cut off from a majority: refused, or served on where operators want that and the process was not itself held up', (t) => {
-  const cut = (servesOn: boolean, beats: readonly number[], now: number): number => {
-    let state = learnt(
+test('an isolated node keeps serving only if its settings allow it and its process was not delayed', (t) => {
+  const isolatedLeaseMs = (
+    servesOn: boolean,
+    tickTimes: readonly number[],
+    now: number,
+  ): number => {
+    let state = withRegister(
       {
         ...openAgent({
           self: { ...self, servesOn },
@@ -390,9 +458,10 @@
       },
       'policy',
       1,
-      policyValue({}),
+      policyRegister({}),
     );
-    for (const beat of beats) state = reduceAgent(state, { kind: 'tick', now: beat }).state;
+    for (const tickTime of tickTimes)
+      state = reduceAgent(state, { kind: 'tick', now: tickTime }).state;
     const { effects } = reduceAgent(state, {
       kind: 'proxy-request-received',
       requestId: 9,
@@ -420,38 +489,46 @@
       )[0] ?? NaN
     );
   };
-  const steady = (until: number): readonly number[] =>
+  const regularTicks = (until: number): readonly number[] =>
     Array.from(
       { length: until / agentTickIntervalMs },
       (_none, index) => (index + 1) * agentTickIntervalMs,
     );
-  const calm = undelayedForMs + 2_000;
-  t.is(cut(true, steady(1_000), 1_000), 500);
-  t.is(cut(false, steady(calm), calm), 0);
-  t.is(cut(true, steady(calm), calm), isolatedAllowanceMs);
-  // Frozen and woken: what waits here is looked at before any beat, and after one.
-  t.is(cut(true, steady(calm), calm + lateTickThresholdMs + 1), 0);
+  const undelayedAt = undelayedForMs + 2_000;
+  t.is(isolatedLeaseMs(true, regularTicks(1_000), 1_000), 500);
+  t.is(isolatedLeaseMs(false, regularTicks(undelayedAt), undelayedAt), 0);
+  t.is(isolatedLeaseMs(true, regularTicks(undelayedAt), undelayedAt), isolatedAllowanceMs);
+  // After a freeze, waiting requests are handled before the next tick or after it.
+  t.is(isolatedLeaseMs(true, regularTicks(undelayedAt), undelayedAt + lateTickThresholdMs + 1), 0);
   t.is(
-    cut(true, [...steady(calm), calm + lateTickThresholdMs + 1], calm + lateTickThresholdMs + 1),
+    isolatedLeaseMs(
+      true,
+      [...regularTicks(undelayedAt), undelayedAt + lateTickThresholdMs + 1],
+      undelayedAt + lateTickThresholdMs + 1,
+    ),
     0,
   );
   t.is(
-    cut(
+    isolatedLeaseMs(
       true,
-      [...steady(calm), calm + 1_000, ...steady(1_000).map((beat) => calm + 1_000 + beat)],
-      calm + 2_000,
+      [
+        ...regularTicks(undelayedAt),
+        undelayedAt + 1_000,
+        ...regularTicks(1_000).map((tickTime) => undelayedAt + 1_000 + tickTime),
+      ],
+      undelayedAt + 2_000,
     ),
     0,
   );
   t.is(
-    cut(
+    isolatedLeaseMs(
       true,
       [
-        ...steady(calm),
-        calm + 1_000,
-        ...steady(undelayedForMs + 100).map((beat) => calm + 1_000 + beat),
+        ...regularTicks(undelayedAt),
+        undelayedAt + 1_000,
+        ...regularTicks(undelayedForMs + 100).map((tickTime) => undelayedAt + 1_000 + tickTime),
       ],
-      calm + 1_100 + undelayedForMs,
+      undelayedAt + 1_100 + undelayedForMs,
     ),
     isolatedAllowanceMs,
   );
--- a/packages/agent/src/expiry.ts
+++ b/packages/agent/src/expiry.ts
@@ -1,41 +1,41 @@
-/** Lets go what has lapsed: records of gossip, journal entries, and claims of long ago. */
+/** Removes expired state: gossip records, journal entries and old claims. */
 import { Map as Table } from 'immutable';
 import { expireRecords } from '@reedyard/gossip';
 import { journalRetentionMs } from '@reedyard/replica';
 import { type Transition, update } from './transition.js';
 
-/** ms. Agents remember the claims they made in spans of half the claims' life; three are kept. */
-export const claimSpanMs = 1_800_000;
-
 /**
- * Lets go journal entries that are no longer on the replicas' journals, with what is known of their
- * keys.
+ * The length of one span of claims in milliseconds: half the lifetime of a claim. An agent keeps the
+ * claims of its last three spans.
  */
+export const claimSpanMs = 1_800_000;
+
+/** Removes journal entries that the replicas no longer keep, and the records of their keys. */
 const expireEntries = (transition: Transition): void => {
-  const { now, entries, committedEntryKeys: posted } = transition.state;
-  const live = entries.filter((entry) => now - entry.at <= journalRetentionMs);
-  if (live.length === entries.length) return;
-  const flags = (keys: readonly string[]): Readonly<Record<string, true>> =>
+  const { now, entries, committedEntryKeys } = transition.state;
+  const liveEntries = entries.filter((entry) => now - entry.at <= journalRetentionMs);
+  if (liveEntries.length === entries.length) return;
+  const keySetOf = (keys: readonly string[]): Readonly<Record<string, true>> =>
     Object.fromEntries(keys.map((key) => [key, true as const]));
-  const keys = live.map((entry) => entry.key);
+  const liveKeys = liveEntries.map((entry) => entry.key);
   update(transition, {
-    entries: live,
-    entryKeys: flags(keys),
-    committedEntryKeys: flags(keys.filter((key) => posted[key])),
+    entries: liveEntries,
+    entryKeys: keySetOf(liveKeys),
+    committedEntryKeys: keySetOf(liveKeys.filter((key) => committedEntryKeys[key])),
   });
 };
 
-/** Begins a new span of claims where the present one is over. */
+/** Starts a new span of claims when the current one is over, and drops the oldest span. */
 const startClaimSpan = (transition: Transition): void => {
-  const { now, claimSpans: claims, claimSpanStartedAt: claimsFrom } = transition.state;
-  if (now - claimsFrom <= claimSpanMs) return;
+  const { now, claimSpans, claimSpanStartedAt } = transition.state;
+  if (now - claimSpanStartedAt <= claimSpanMs) return;
   update(transition, {
-    claimSpans: [Table<string, never>(), ...claims.slice(0, -1)],
+    claimSpans: [Table<string, never>(), ...claimSpans.slice(0, -1)],
     claimSpanStartedAt: now,
   });
 };
 
-/** Lets everything go that has expired. */
+/** Removes all expired state. */
 export const expireState = (transition: Transition): void => {
   update(transition, {
     gossip: expireRecords(transition.state.gossip, transition.state.now).state,
--- a/packages/agent/src/incoming-requests.ts
+++ b/packages/agent/src/incoming-requests.ts
@@ -1,45 +1,45 @@
-/** Callers whose requests were handed to the reducer and wait for its reply. */
+/** Requests that were passed to the reducer and wait for its reply. */
 
 import { CodedError } from '@reedyard/logging';
 import type { AgentEvent } from './messages.js';
 
-/** The caller closed its connection before its request was handed to the reducer. */
+/** The client closed its connection before its request was passed to the reducer. */
 export class ClientDisconnectedError extends CodedError {
   constructor() {
-    super('caller-disconnected', 'the caller is gone');
+    super('caller-disconnected', 'the client disconnected before its request was accepted');
   }
 }
 
-/** Too many events wait for the reducer. */
+/** The reducer's queue of events is full. */
 export class OverloadedError extends CodedError {
   constructor() {
-    super('overloaded', 'too busy');
+    super('overloaded', 'too many events wait for the reducer');
   }
 }
 
-/** What the waiting callers need of the reducer's process. */
+/** The functions of the agent's process that incoming requests use. */
 export type IncomingRequestsOptions = {
-  /** Hands an event to the reducer; false where it takes no more. */
+  /** Enqueues an event for the reducer; false when the queue is full. */
   readonly put: (event: AgentEvent) => boolean;
-  /** ms of the process's monotonic clock. */
+  /** The time of the process's monotonic clock, in milliseconds. */
   readonly now: () => number;
 };
 
-/** Gives each request an id, and its caller the reply that comes under it. */
+/** Assigns an id to each request, and resolves its promise with the reply that carries the id. */
 export class IncomingRequests {
-  readonly #parts: IncomingRequestsOptions;
+  readonly #options: IncomingRequestsOptions;
   readonly #resolvers = new Map<number, (reply: unknown) => void>();
   #nextRequestId = 1;
 
-  constructor(parts: IncomingRequestsOptions) {
-    this.#parts = parts;
+  constructor(options: IncomingRequestsOptions) {
+    this.#options = options;
   }
 
   /**
-   * Hands a request to the reducer, and resolves with its reply. A caller that disconnects is told
-   * to the reducer, and gets no reply.
+   * Passes a request to the reducer, and resolves with its reply. When the client disconnects, the
+   * reducer is notified and the promise never settles.
    *
-   * @throws CallerDisconnectedError, OverloadedError
+   * @throws ClientDisconnectedError, OverloadedError
    */
   submit<Reply>(toEvent: (requestId: number) => AgentEvent, signal?: AbortSignal): Promise<Reply> {
     const requestId = this.#nextRequestId;
@@ -51,13 +51,13 @@
         return;
       }
       this.#resolvers.set(requestId, resolve as (reply: unknown) => void);
-      if (this.#parts.put(toEvent(requestId))) return;
+      if (this.#options.put(toEvent(requestId))) return;
       this.#resolvers.delete(requestId);
       reject(new OverloadedError());
     });
   }
 
-  /** Replies to the caller of a request, if it still waits. */
+  /** Resolves a request with its reply, unless its client has disconnected. */
   reply(requestId: number, reply: unknown): void {
     this.#resolvers.get(requestId)?.(reply);
     this.#resolvers.delete(requestId);
@@ -65,6 +65,6 @@
 
   #disconnect(requestId: number): void {
     if (!this.#resolvers.delete(requestId)) return;
-    this.#parts.put({ kind: 'caller-disconnected', requestId, now: this.#parts.now() });
+    this.#options.put({ kind: 'caller-disconnected', requestId, now: this.#options.now() });
   }
 }
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,18 +1,18 @@
 /**
- * The agent: a node's lease, its part in gossip and proposals, the API, and the feed of its proxy.
+ * The agent of a node: its lease, its gossip, its proposals, the API, and the feed to its proxy.
  */
 export * from './messages.js';
-export { openAgent, type AgentParts as AgentInit } from './open-agent.js';
+export { openAgent, type AgentInit } from './open-agent.js';
 export { reduceAgent } from './reducer.js';
 export type { AgentState } from './state.js';
 export { runAgent, type AgentOptions, type AgentSettings } from './run.js';
 export {
-  translatedServer as apiAdapterServer,
-  type PerformAction as ActionHandler,
-  type TranslatedApi as ApiAdapter,
+  apiAdapterServer,
+  type ActionHandler,
+  type ApiAdapter,
   type ApiRequest,
   type ApiResponse,
-  type ApiReply as ActionResponse,
+  type ActionResponse,
 } from './api/api-server.js';
 export type {
   ControlStatus,
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts an agent from its settings. */
+/** The entry point of the agent's program: runs an agent with the settings of its arguments. */
 import { openLogger, errorMessage } from '@reedyard/logging';
 import { SettingsReader } from '@reedyard/settings';
 import { runAgent } from './run.js';
--- a/packages/agent/src/messages.test.ts
+++ b/packages/agent/src/messages.test.ts
@@ -17,7 +17,7 @@
 
 type Examples = Readonly<Record<string, readonly string[]>>;
 
-/** Messages as commit 0da2ab4 sent them, by their kind there. */
+/** Messages that commit 0da2ab4 sent, by group and kind in that version. */
 const examples = JSON.parse(
   readFileSync(
     fileURLToPath(new URL('../test/fixtures/messages-0da2ab4.json', import.meta.url)),
@@ -30,7 +30,7 @@
   return texts.map((text) => parse(text) as Message);
 };
 
-const opened = (): AgentState =>
+const newAgent = (): AgentState =>
   openAgent({
     self: {
       id: 'front-1',
@@ -47,22 +47,22 @@
     now: 0,
   });
 
-type Outcome = { readonly state: AgentState; readonly effects: readonly AgentEffect[] };
+type StepResult = { readonly state: AgentState; readonly effects: readonly AgentEffect[] };
 
-const handle = (event: AgentEvent): Outcome => reduceAgent(opened(), event);
+const handle = (event: AgentEvent): StepResult => reduceAgent(newAgent(), event);
 
-const replyOf = ({ effects }: Outcome): unknown =>
+const replyOf = ({ effects }: StepResult): unknown =>
   effects.find((effect) => effect.kind === 'send-reply')?.reply;
 
-const handleRequest = (request: AgentRequest): Outcome =>
+const handleRequest = (request: AgentRequest): StepResult =>
   handle({ kind: 'agent-request-received', requestId: 1, request, now: 1 });
 
-const handleQuery = (request: ProxyQuery): Outcome =>
+const handleQuery = (request: ProxyQuery): StepResult =>
   handle({ kind: 'proxy-request-received', requestId: 1, request, now: 1 });
 
 const keysOf = (value: object): readonly string[] => Object.keys(value).sort();
 
-test('an exchange of an earlier version is answered in its form', (t) => {
+test('the reply to an exchange has the same fields as in an earlier version', (t) => {
   const [reply] = examplesOf<Extract<AgentReply, { kind: 'exchanged' }>>(
     'agent-reply',
     'exchanged',
@@ -70,51 +70,51 @@
   const requests = examplesOf<AgentRequest>('agent-request', 'exchange');
   t.true(requests.length > 0 && reply !== undefined);
   for (const request of requests) {
-    const own = replyOf(handleRequest(request)) as typeof reply;
-    t.deepEqual(keysOf(own ?? {}), keysOf(reply ?? {}));
-    t.deepEqual(keysOf(own?.exchanged ?? {}), keysOf(reply?.exchanged ?? {}));
+    const currentReply = replyOf(handleRequest(request)) as typeof reply;
+    t.deepEqual(keysOf(currentReply ?? {}), keysOf(reply ?? {}));
+    t.deepEqual(keysOf(currentReply?.exchanged ?? {}), keysOf(reply?.exchanged ?? {}));
   }
 });
 
-test('records that an earlier version pushes are learned', (t) => {
+test('records that an agent of an earlier version pushes are merged', (t) => {
   const requests = examplesOf<Extract<AgentRequest, { kind: 'push' }>>('agent-request', 'push');
   t.true(requests.length > 0);
   for (const request of requests) {
-    const outcome = handleRequest(request);
-    t.deepEqual(replyOf(outcome), { kind: 'ok' });
+    const result = handleRequest(request);
+    t.deepEqual(replyOf(result), { kind: 'ok' });
     for (const [key, { value }] of Object.entries(request.tellings))
       if (value !== undefined && value !== null)
-        t.deepEqual(recordValue(outcome.state.gossip, key), value);
+        t.deepEqual(recordValue(result.state.gossip, key), value);
   }
 });
 
-test('a ping of an earlier version is answered', (t) => {
+test('a ping of an earlier version gets a reply', (t) => {
   const [ping] = examplesOf<AgentRequest>('agent-request', 'ping');
   t.true(ping !== undefined);
   if (ping !== undefined) t.deepEqual(replyOf(handleRequest(ping)), { kind: 'ok' });
 });
 
-test('a feed has the fields that a proxy of an earlier version reads', (t) => {
+test('a feed contains the fields that a proxy of an earlier version reads, and no others', (t) => {
   const replies = examplesOf<FeedReply>('proxy-reply', 'none');
-  const known = new Set(replies.flatMap(keysOf));
+  const knownFields = new Set(replies.flatMap(keysOf));
   const queries = examplesOf<ProxyQuery>('proxy-request', 'feed');
   t.true(queries.length > 0 && replies.length > 0);
   for (const query of queries) {
-    const own = replyOf(handleQuery(query)) as FeedReply;
-    for (const key of keysOf(own)) t.true(known.has(key), key);
+    const currentReply = replyOf(handleQuery(query)) as FeedReply;
+    for (const key of keysOf(currentReply)) t.true(knownFields.has(key), key);
     for (const key of ['leaseMs', 'life', 'policyRevision', 'purges', 'purgeSeq', 'revisions'])
-      t.true(key in own, key);
+      t.true(key in currentReply, key);
   }
 });
 
-test('a claim of a proxy of an earlier version is taken up, or answered in its form', (t) => {
+test('a claim from a proxy of an earlier version is proposed or gets a reply in the form of that version', (t) => {
   const [unreached] = examplesOf<{ readonly kind: string }>('proxy-reply', 'unreached');
   for (const kind of ['claim', 'settle']) {
     const [query] = examplesOf<ProxyQuery>('proxy-request', kind);
     t.true(query !== undefined);
     if (query === undefined) continue;
-    const outcome = handleQuery(query);
-    const isProposed = Object.keys(outcome.state.pendingChanges).length === 1;
-    if (!isProposed) t.deepEqual(replyOf(outcome), unreached);
+    const result = handleQuery(query);
+    const isProposed = Object.keys(result.state.pendingChanges).length === 1;
+    if (!isProposed) t.deepEqual(replyOf(result), unreached);
   }
 });
--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -1,15 +1,16 @@
 /**
- * What agents, proxies, operators and origins say to an agent, and what registers and gossip hold.
- * Fields that are sent or stored keep their names, since versions run side by side.
+ * The messages that agents, proxies, operators and origins exchange with an agent, and the values in
+ * registers and gossip. Fields that are sent or stored keep their names, since nodes of different
+ * versions run at the same time.
  */
 import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
 import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
 import type { GossipExchange, GossipExchangeReply, RecordUpdate } from '@reedyard/gossip';
 import type { Split } from '@reedyard/server-selection';
 
-/** Who and where an agent is, and what else runs on its machine. */
+/** The id and location of a node, and the programs on its machine. */
 export type NodeIdentity = {
-  /** Whether it serves on while provably cut off from a majority; left out: it does not. */
+  /** Whether its proxy keeps serving while the node is provably isolated from a majority; default: no. */
   readonly servesOn?: boolean;
   readonly id: string;
   readonly zone: string;
@@ -23,20 +24,20 @@
   readonly replica: { readonly address: string } | null;
 };
 
-/** Where members found themselves from seeds: what an agent is told by its settings. */
+/** The settings of an agent whose members are discovered from seeds. */
 export type AgentBootstrap = {
-  /** Lost disks that must be borne: there are to be 2 × losses + 1 members. */
+  /** How many lost disks must be tolerated: the membership needs 2 × losses + 1 members. */
   readonly losses: number;
   /**
-   * ms. How long a successor may take, from its start, until another loss must be borne; left out:
-   * not told.
+   * How long a replacement replica may take from its start until another loss must be tolerated, in
+   * milliseconds; undefined where the settings do not say.
    */
   readonly catchUpMs?: number | undefined;
-  /** Replicas to ask for the members. */
+  /** Addresses of the replicas to query for the membership. */
   readonly seeds: readonly string[];
 };
 
-/** A node's own record, told by gossip; a new revision of it is a heartbeat. */
+/** The record that a node publishes about itself by gossip; each new revision is a heartbeat. */
 export type NodeRecord = {
   readonly id: string;
   readonly zone: string;
@@ -44,68 +45,68 @@
   readonly address: string;
   readonly proxy: NodeIdentity['proxy'];
   /**
-   * Where its replica is; and where members found themselves from seeds, which disk it told last,
-   * and whether that is blank.
+   * The address of its replica; and, where the members are discovered from seeds, the disk id that
+   * the replica last reported and whether that disk is blank.
    */
   readonly replica:
     | (NonNullable<NodeIdentity['replica']> & { readonly disk?: string; readonly fresh?: boolean })
     | null;
-  /** Whether its proxy takes requests. */
+  /** Whether its proxy accepts requests. */
   readonly ready: boolean;
   /**
-   * Whether its proxy runs and is not leaving: it keeps its quotas through a short loss of its
-   * lease.
+   * Whether its proxy runs and is not stopping: such a node keeps its quotas during a short loss of
+   * its lease.
    */
   readonly staying: boolean;
-  /** Names the incarnation of its proxy; a claim of another incarnation is nobody's any more. */
+  /** The id of its proxy's incarnation; a claim of another incarnation has no owner any more. */
   readonly proxyLife: string;
-  /** Attempts a second that its proxy would like to make, by service. */
+  /** The demand of its proxy in attempts per second, by service. */
   readonly wants: Readonly<Record<string, number>>;
 };
 
-/** What the policy register holds. */
+/** The value of the policy register. */
 export type PolicyRegister = {
   readonly revision: number;
   readonly document: Policy;
   readonly changes: readonly { readonly id: string; readonly revision: number }[];
 };
 
-/** What the zones register holds. */
+/** The value of the zones register. */
 export type ZonesRegister = {
   readonly revision: number;
   readonly emptied: readonly string[];
-  /** Zones whose origins get nothing: the emptied ones, and those of which only the origins are. */
+  /** Zones whose origins get no traffic: evacuated zones, and zones whose origins alone are evacuated. */
   readonly closedOrigins: readonly string[];
-  /** Zones whose origins were taken back, and the revision that did. */
+  /** Zones whose origins were restored, each with the revision of the order that restored them. */
   readonly reopened: Readonly<Record<string, number>>;
-  /** For each zone the revision of the last order for it that was chosen. */
+  /** The revision of the last chosen order for each zone. */
   readonly lastOrders: Readonly<Record<string, number>>;
   readonly changes: readonly { readonly id: string; readonly revision: number }[];
 };
 
-/** How far a claimed request got. */
+/** The progress of a claimed request. */
 export type ClaimState = 'pending' | 'ran' | 'not-run' | 'unknown';
-/** What a claim's register holds: never a body. */
+/** The value of a claim's register, which never contains a request body. */
 export type ClaimRegister = {
   readonly token: string;
   readonly state: ClaimState;
   readonly node: string;
   readonly life: string;
-  /** Of method, target and body. */ readonly digest: string;
+  /** A digest of method, target and body. */ readonly digest: string;
 };
 
-/** What a proxy measured over one period. */
+/** The traffic that a proxy measured over one period. */
 export type TrafficMeasurement = {
-  /** bps its own callers asked for, by object key. */
+  /** The demand of its own clients in bits per second, by object key. */
   readonly demand: Readonly<Record<string, number>>;
   readonly copies: readonly string[];
-  /** bps it served in all, for its callers and for peers. */
+  /** Bits per second that it served in total, to its clients and to peers. */
   readonly servedBps: number;
   readonly meanReplyBits: number;
   readonly fetchSeconds: number;
 };
 
-/** What a proxy tells with each question for news. */
+/** The report that a proxy sends with each feed request. */
 export type ProxyReport = {
   readonly policyRevision: number;
   readonly life: string;
@@ -117,7 +118,7 @@
   readonly counters: Readonly<Record<string, number>>;
 };
 
-/** An origin as the proxy uses it. */
+/** An origin instance in the form that the proxy uses. */
 export type OriginEndpoint = {
   readonly service: string;
   readonly instance: string;
@@ -126,16 +127,16 @@
   readonly zone: string;
   readonly region: string;
   readonly cold: boolean;
-  /** How much it carries beside others of its service: requests a second, or its slots. */
+  /** Its capacity relative to other instances of its service: requests per second, or its slots. */
   readonly capacity: number;
-  /** Requests that it works on at once. */
+  /** The number of requests that it processes concurrently. */
   readonly slots: number | null;
-  /** Connections that it accepts from all nodes together. */
+  /** The number of connections that it accepts from all nodes together. */
   readonly conns: number | null;
-  /** Attempts a second that this node may make to it; Infinity where nothing bounds them. */
+  /** Attempts per second that this node may make to it; Infinity where they are unlimited. */
   readonly rate: number;
 };
-/** Another node's proxy as a proxy uses it. */
+/** The proxy of another node in the form that a proxy uses. */
 export type PeerEndpoint = {
   readonly id: string;
   readonly zone: string;
@@ -144,41 +145,41 @@
   readonly delay: number;
 };
 
-/** What an agent feeds to its proxy. */
+/** The complete feed of an agent to its proxy. */
 export type Feed = {
-  /** ms that the lease still runs, from the moment the question was sent. */
+  /** The remaining lease in milliseconds, counted from when the proxy sent its feed request. */
   readonly leaseMs: number;
-  /** Names this incarnation of the agent; a new one makes old purge positions worthless. */
+  /** The id of this incarnation of the agent; purge positions are valid within one incarnation only. */
   readonly life: string;
   readonly flushes: number;
-  /** Only where the proxy's revision is another. */
+  /** The policy; null where the proxy has this revision already. */
   readonly policy: { readonly revision: number; readonly document: Policy } | null;
   readonly policyRevision: number;
   readonly origins: readonly OriginEndpoint[];
   readonly peers: readonly PeerEndpoint[];
   readonly emptied: readonly string[];
   readonly split: Split;
-  /** Attempts a second that this proxy may make, by service; Infinity where nothing bounds them. */
+  /** Attempts per second that this proxy may make, by service; Infinity where they are unlimited. */
   readonly slices: Readonly<Record<string, number>>;
-  /** Whether the allocation has given this node most of its quotas: until then it is not ready. */
+  /** Whether the quota leader has once allocated enough quotas to this node for it to be ready. */
   readonly seated: boolean;
   readonly purges: readonly { readonly seq: number; readonly purge: Purge }[];
   readonly purgeSeq: number;
 };
 
-/** Parts of a feed that are told only to a proxy that does not hold them as they are. */
+/** The parts of a feed that are sent only when the proxy does not have their current revisions. */
 export const feedPartNames = ['origins', 'peers', 'emptied', 'split', 'slices'] as const;
-/** The name of a part of the feed that is sent only where it changed. */
+/** The name of a part of the feed that is sent only when it changed. */
 export type FeedPart = (typeof feedPartNames)[number];
-/** For each part a number that grows when it changes, within one incarnation of the agent. */
+/** The revision of each part: it grows when the part changes, within one incarnation of the agent. */
 export type FeedRevisions = Readonly<Record<FeedPart, number>>;
-/** A feed as it goes to the proxy: without the parts that it holds. */
+/** A feed as it is sent to the proxy: without the parts that the proxy already has. */
 export type FeedReply = Omit<Feed, FeedPart> &
   Partial<Pick<Feed, FeedPart>> & { readonly revisions: FeedRevisions };
-/** What a proxy holds, and of which incarnation of the agent. */
+/** The revisions of the feed parts that a proxy has, and the agent incarnation that sent them. */
 export type HeldFeedParts = { readonly life: string; readonly revisions: FeedRevisions };
 
-/** What a proxy asks of its agent. */
+/** A request of a proxy to its agent. */
 export type ProxyQuery =
   | { readonly kind: 'feed'; readonly report: ProxyReport; readonly held: HeldFeedParts | null }
   | {
@@ -195,24 +196,24 @@
       readonly state: ClaimState;
     };
 
-/** What a proxy is told of its claim. */
+/** The reply to a proxy's claim. */
 export type ClaimReply =
   | { readonly kind: 'granted' }
   | { readonly kind: 'taken'; readonly state: ClaimState }
-  /** The key was used for a request with other content. */
+  /** The key was already used for a request with different content. */
   | { readonly kind: 'other' }
   | { readonly kind: 'unreached' };
 
-/** What agents ask of each other. */
+/** A request of one agent to another. */
 export type AgentRequest =
   | { readonly kind: 'exchange'; readonly exchange: GossipExchange }
   | { readonly kind: 'push'; readonly tellings: Readonly<Record<string, RecordUpdate>> }
   | { readonly kind: 'ping' };
-/** What agents reply to each other. */
+/** The reply of one agent to another. */
 export type AgentReply =
   { readonly kind: 'exchanged'; readonly exchanged: GossipExchangeReply } | { readonly kind: 'ok' };
 
-/** What operators and origins ask. */
+/** An action that operators and origins request through the API. */
 export type ApiAction =
   | {
       readonly kind: 'put-policy';
@@ -233,7 +234,7 @@
     }
   | { readonly kind: 'status' | 'shares' | 'peers' | 'ready' | 'live' };
 
-/** What happens to an agent, with the ms of its clock at which it came. */
+/** An input of an agent's reducer, with its time in milliseconds of the agent's monotonic clock. */
 export type AgentEvent =
   | { readonly kind: 'tick'; readonly now: number }
   | {
@@ -261,12 +262,12 @@
       readonly now: number;
     }
   | { readonly kind: 'request-failed'; readonly requestId: number; readonly now: number }
-  /** The caller of an operator's action closed its connection before it was answered. */
+  /** The client of an API action closed its connection before the response. */
   | { readonly kind: 'caller-disconnected'; readonly requestId: number; readonly now: number }
-  /** The time that a `wake` effect asked for has come. */
+  /** The delay of a `schedule-wake-up` effect has passed. */
   | { readonly kind: 'wake-up-due'; readonly now: number };
 
-/** What an agent's reducer wants done, in order. */
+/** An effect that the agent's reducer requests; effects are executed in order. */
 export type AgentEffect =
   | {
       readonly kind: 'send-request';
@@ -294,7 +295,7 @@
       readonly body: unknown;
       readonly retryAfter?: number;
     }
-  /** Asks for a `woken` event after so many ms. */
+  /** Requests a `wake-up-due` event after a delay. */
   | { readonly kind: 'schedule-wake-up'; readonly delayMs: number }
   | {
       readonly kind: 'log';
--- a/packages/agent/src/omit-key.ts
+++ b/packages/agent/src/omit-key.ts
@@ -1,10 +1,10 @@
-/** Tables that are never changed in place. */
+/** Removal from records that are never modified in place. */
 
-/** A table without one key. */
+/** A copy of a record without one key. */
 export const omitKey = <T>(
-  table: Readonly<Record<number | string, T>>,
+  record: Readonly<Record<number | string, T>>,
   key: number | string,
 ): Readonly<Record<number | string, T>> => {
-  const { [key]: _gone, ...rest } = table;
-  return rest;
+  const { [key]: _removed, ...remaining } = record;
+  return remaining;
 };
--- a/packages/agent/src/open-agent.ts
+++ b/packages/agent/src/open-agent.ts
@@ -7,23 +7,23 @@
 import type { AgentBootstrap, NodeIdentity } from './messages.js';
 import type { AgentState } from './state.js';
 
-/** What an agent is opened with. */
-export type AgentParts = {
+/** The initial parameters of an agent. */
+export type AgentInit = {
   readonly self: NodeIdentity;
-  /** Names this process; another one for each start. */
+  /** A unique id of this process; each start has a new one. */
   readonly incarnation: string;
-  /** Addresses of agents to begin gossip with. */
+  /** Addresses of the agents to start gossip with. */
   readonly seeds: readonly string[];
-  /** The founding replicas, by name, with their addresses; not used with `bootstrap`. */
+  /** The addresses of the founding replicas, by name; ignored with `bootstrap`. */
   readonly founders: Readonly<Record<string, string>>;
   readonly randomSeed: number;
-  /** ms of the agent's clock. */
+  /** The time of the agent's monotonic clock, in milliseconds. */
   readonly now: number;
-  /** Set where members find themselves from seeds. */
+  /** Set where the members are discovered from seeds. */
   readonly bootstrap?: AgentBootstrap | null;
 };
 
-/** Nothing of the journal is known. */
+/** The journal state of an agent that has read no entries. */
 const emptyJournal = {
   entries: [],
   entryKeys: {},
@@ -32,7 +32,7 @@
   zonesRestoredAt: {},
 };
 
-/** Nothing was computed yet. */
+/** The routing state before the first routing table is computed. */
 const emptyRouting = {
   routingTable: {},
   routingTableCheckedAt: 0,
@@ -42,14 +42,14 @@
 };
 
 /**
- * An agent that knows only itself, its seeds and the founding replicas.
+ * The initial state of an agent, which knows only itself, its seeds and the founding replicas.
  *
  * @example
  * openAgent({ self, incarnation: 'i1', seeds: [], founders: { 'core-1': '127.0.0.1:7101' }, randomSeed: 1, now: 0 })
  */
-export const openAgent = (parts: AgentParts): AgentState => {
-  const { self, incarnation, seeds, randomSeed, now, bootstrap = null } = parts;
-  const founders = bootstrap === null ? Object.entries(parts.founders) : [];
+export const openAgent = (init: AgentInit): AgentState => {
+  const { self, incarnation, seeds, randomSeed, now, bootstrap = null } = init;
+  const founders = bootstrap === null ? Object.entries(init.founders) : [];
   return {
     self,
     incarnation,
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -1,8 +1,8 @@
-/** The agent's reducer: takes each event to the module that it is about. */
+/** The agent's reducer: dispatches each event to the module that handles it. */
 import { compareDigest, pickUpdates, sampleView, shuffleView } from '@reedyard/gossip';
 import type { ReplicaReply } from '@reedyard/replica';
 import type { Step } from '@reedyard/task-loop';
-import { operator } from './api/api-actions.js';
+import { handleAction } from './api/api-actions.js';
 import { noLeasePollIntervalMs, pollIntervalMs, renewLease } from './control/lease.js';
 import {
   handleLookUpReply,
@@ -36,32 +36,36 @@
 import { recordTick } from './tick-delay.js';
 import { sendToAgent, type Transition, update } from './transition.js';
 
-type ExchangeCall = Extract<AgentRequest, { kind: 'exchange' }>;
+type ExchangeRequest = Extract<AgentRequest, { kind: 'exchange' }>;
 
-const answerExchange = (transition: Transition, { exchange }: ExchangeCall): AgentReply => {
+const replyToExchange = (transition: Transition, { exchange }: ExchangeRequest): AgentReply => {
   const { from, digest, sample } = exchange;
   const { self, gossip, now } = transition.state;
-  const mine = sampleView(gossip.view, { id: self.id, address: self.address }, (now % 97) / 97);
-  const compared = compareDigest(gossip, digest);
-  const view = shuffleView(gossip.view, self.id, [...sample, { ...from, age: 0 }], mine);
+  const ownSample = sampleView(
+    gossip.view,
+    { id: self.id, address: self.address },
+    (now % 97) / 97,
+  );
+  const comparison = compareDigest(gossip, digest);
+  const view = shuffleView(gossip.view, self.id, [...sample, { ...from, age: 0 }], ownSample);
   update(transition, { gossip: { ...gossip, view } });
-  return { kind: 'exchanged', exchanged: { ...compared, sample: mine } };
+  return { kind: 'exchanged', exchanged: { ...comparison, sample: ownSample } };
 };
 
-const handleAgentRequest = (transition: Transition, id: number, body: AgentRequest): void => {
-  const tell = (reply: AgentReply): void => {
+const handleAgentRequest = (transition: Transition, id: number, request: AgentRequest): void => {
+  const sendReply = (reply: AgentReply): void => {
     transition.effects.push({ kind: 'send-reply', requestId: id, reply: reply });
   };
-  switch (body.kind) {
+  switch (request.kind) {
     case 'ping':
-      tell({ kind: 'ok' });
+      sendReply({ kind: 'ok' });
       return;
     case 'push':
-      learnRecords(transition, body.tellings);
-      tell({ kind: 'ok' });
+      learnRecords(transition, request.tellings);
+      sendReply({ kind: 'ok' });
       return;
     case 'exchange':
-      tell(answerExchange(transition, body));
+      sendReply(replyToExchange(transition, request));
       return;
   }
 };
@@ -72,9 +76,9 @@
   const { self, gossip } = transition.state;
   const view = shuffleView(gossip.view, self.id, reply.exchanged.sample, []);
   update(transition, { gossip: { ...gossip, view } });
-  const wanted = pickUpdates(transition.state.gossip, reply.exchanged.wants);
-  if (Object.keys(wanted).length > 0)
-    sendToAgent(transition, to, { kind: 'push', tellings: wanted }, { kind: 'push' });
+  const requestedUpdates = pickUpdates(transition.state.gossip, reply.exchanged.wants);
+  if (Object.keys(requestedUpdates).length > 0)
+    sendToAgent(transition, to, { kind: 'push', tellings: requestedUpdates }, { kind: 'push' });
 };
 
 const handleReply = (transition: Transition, id: number, body: ReplicaReply | AgentReply): void => {
@@ -132,44 +136,48 @@
   if (pending.kind === 'poll') handlePollFailure(transition, pending.replica);
   if (pending.kind === 'exchange' && pending.peer !== null) {
     const { gossip } = transition.state;
-    const view = gossip.view.filter((each) => each.id !== pending.peer);
+    const view = gossip.view.filter((neighbour) => neighbour.id !== pending.peer);
     update(transition, { gossip: { ...gossip, view } });
   }
 };
 
 const tick = (transition: Transition): void => {
   const { now } = transition.state;
-  const due = (name: keyof AgentState['nextDueAt'], every: number, act: () => void): void => {
+  const runIfDue = (
+    name: keyof AgentState['nextDueAt'],
+    intervalMs: number,
+    run: () => void,
+  ): void => {
     if (now < transition.state.nextDueAt[name]) return;
-    update(transition, { nextDueAt: { ...transition.state.nextDueAt, [name]: now + every } });
-    act();
+    update(transition, { nextDueAt: { ...transition.state.nextDueAt, [name]: now + intervalMs } });
+    run();
   };
-  const { lastTickAt: beatAt } = transition.state;
+  const { lastTickAt: previousTickAt } = transition.state;
   recordTick(transition);
-  noteLeaseLost(transition, beatAt);
+  noteLeaseLost(transition, previousTickAt);
   noteRevisions(transition);
   tendProposals(transition);
   tendAppends(transition);
-  due('pull', pollIntervalMs(transition.state), () => {
+  runIfDue('pull', pollIntervalMs(transition.state), () => {
     pollAll(transition);
     if (transition.state.self.replica === null) tendMembership(transition);
   });
   lookUpOwnReplica(transition);
   if (transition.state.self.replica !== null) tendMembership(transition);
   pollEarly(transition);
-  due('heartbeat', heartbeatIntervalMs, () => publishHeartbeat(transition));
-  due('gossip', isJoining(transition.state) ? noLeasePollIntervalMs : gossipIntervalMs, () =>
+  runIfDue('heartbeat', heartbeatIntervalMs, () => publishHeartbeat(transition));
+  runIfDue('gossip', isJoining(transition.state) ? noLeasePollIntervalMs : gossipIntervalMs, () =>
     exchangeGossip(transition),
   );
-  due('ping', pingRoundIntervalMs, () => pingPeers(transition));
-  due('sweep', heartbeatIntervalMs, () => expireState(transition));
-  due('division', allocationIntervalMs, () => tendQuotaLeadership(transition));
+  runIfDue('ping', pingRoundIntervalMs, () => pingPeers(transition));
+  runIfDue('sweep', heartbeatIntervalMs, () => expireState(transition));
+  runIfDue('division', allocationIntervalMs, () => tendQuotaLeadership(transition));
   computeRoutingTable(transition);
   renewLease(transition);
 };
 
 /**
- * The state after an event, and what is to be done outside, in order.
+ * The state after an event, and the effects to execute in order.
  *
  * @example
  * reduceAgent(state, { kind: 'tick', now: 50 }).effects
@@ -193,7 +201,7 @@
       handleProxyRequest(transition, event.requestId, event.request);
       break;
     case 'action-received':
-      operator(transition, event.requestId, event.action);
+      handleAction(transition, event.requestId, event.action);
       break;
     case 'reply-received':
       handleReply(transition, event.requestId, event.reply);
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -1,4 +1,4 @@
-/** The agent's process: its clock, ports, timers and log around the reducer. */
+/** The agent's process: the clock, servers, timers and log that its reducer runs with. */
 import { randomInt, randomUUID } from 'node:crypto';
 import type http from 'node:http';
 import { performance } from 'node:perf_hooks';
@@ -13,11 +13,11 @@
 import type { Settings } from '@reedyard/settings';
 import { Task } from '@reedyard/task-loop';
 import {
-  type ApiReply,
+  type ActionHandler,
+  type ActionResponse,
+  type ApiAdapter,
+  apiAdapterServer,
   apiServer,
-  type PerformAction,
-  type TranslatedApi,
-  translatedServer,
 } from './api/api-server.js';
 import type {
   AgentEffect,
@@ -33,13 +33,13 @@
 import { agentTickIntervalMs } from './tick-delay.js';
 import { IncomingRequests } from './incoming-requests.js';
 
-/** ms of this process's monotonic clock. */
+/** The time of this process's monotonic clock, in milliseconds. */
 const now = (): number => performance.now();
 
-type CallEffect = Extract<AgentEffect, { kind: 'send-request' }>;
+type SendRequestEffect = Extract<AgentEffect, { kind: 'send-request' }>;
 
-/** Makes a call; replies of replicas come in the form that their protocol has on the wire. */
-const sendCall = async (effect: CallEffect): Promise<ReplicaReply | AgentReply> => {
+/** Sends a request; a replica's request and reply are converted between memory and wire format. */
+const sendRequest = async (effect: SendRequestEffect): Promise<ReplicaReply | AgentReply> => {
   if (effect.path === '/agent')
     return (await call(effect.to, effect.path, effect.request)) as AgentReply;
   const body = encodeReplicaRequest(effect.request);
@@ -48,16 +48,16 @@
 
 /** The settings of a machine with an agent. */
 export type AgentSettings = Settings & { readonly agent: NonNullable<Settings['agent']> };
-/** What a deployment may replace. */
+/** Parts of the agent that a deployment may replace. */
 export type AgentOptions = {
   /**
-   * Takes requests in another form than this API's; it decides nothing, and hands on what it was
-   * asked for.
+   * Replaces the HTTP form of the API. The adapter makes no decisions: it translates each request to
+   * an action and passes it to the handler.
    */
-  readonly api?: (act: PerformAction) => TranslatedApi;
+  readonly api?: (handleAction: ActionHandler) => ApiAdapter;
 };
 
-/** What the settings say of this machine. */
+/** The identity of this node from its settings. */
 const identityOf = (settings: AgentSettings): NodeIdentity => {
   const { host, name: id, zone, region, proxy, replica, agent } = settings;
   return {
@@ -89,33 +89,33 @@
     now: now(),
   });
 
-/** Carries out an effect of the reducer. */
+/** Executes an effect of the reducer. */
 const perform = (
   effect: AgentEffect,
   put: (event: AgentEvent) => boolean,
-  callers: IncomingRequests,
+  incomingRequests: IncomingRequests,
   logger: Logger,
 ): void => {
   switch (effect.kind) {
     case 'send-request': {
       const { requestId } = effect;
-      sendCall(effect).then(
+      sendRequest(effect).then(
         (reply) => put({ kind: 'reply-received', requestId, reply, now: now() }),
         () => put({ kind: 'request-failed', requestId, now: now() }),
       );
       return;
     }
     case 'send-reply':
-      callers.reply(effect.requestId, effect.reply);
+      incomingRequests.reply(effect.requestId, effect.reply);
       return;
     case 'send-answer': {
       const { requestId, status, body, retryAfter } = effect;
-      const answer: ApiReply = {
+      const response: ActionResponse = {
         status,
         body,
         ...(retryAfter === undefined ? {} : { retryAfter }),
       };
-      callers.reply(requestId, answer);
+      incomingRequests.reply(requestId, response);
       return;
     }
     case 'schedule-wake-up':
@@ -127,13 +127,16 @@
   }
 };
 
-/** Serves the calls of other agents. */
-const serveAgents = (settings: AgentSettings, callers: IncomingRequests): Promise<RpcServer> =>
+/** Serves the requests of other agents. */
+const serveAgents = (
+  settings: AgentSettings,
+  incomingRequests: IncomingRequests,
+): Promise<RpcServer> =>
   serveCalls(
     { host: settings.listen ?? settings.host, port: settings.agent.port },
     {
       '/agent': (body) =>
-        callers.submit((requestId) => ({
+        incomingRequests.submit((requestId) => ({
           kind: 'agent-request-received',
           requestId,
           request: body as AgentRequest,
@@ -142,13 +145,16 @@
     },
   );
 
-/** Serves this machine's proxy; only processes of this machine reach it. */
-const serveProxy = (settings: AgentSettings, callers: IncomingRequests): Promise<RpcServer> =>
+/** Serves this machine's proxy, on the loopback interface only. */
+const serveProxy = (
+  settings: AgentSettings,
+  incomingRequests: IncomingRequests,
+): Promise<RpcServer> =>
   serveCalls(
     { host: '127.0.0.1', port: settings.agent.feedPort },
     {
       '/feed': (body) =>
-        callers.submit((requestId) => ({
+        incomingRequests.submit((requestId) => ({
           kind: 'proxy-request-received',
           requestId,
           request: body as ProxyQuery,
@@ -157,18 +163,21 @@
     },
   );
 
-/** Serves operators and origins. */
+/** Serves the HTTP API for operators and origins. */
 const serveApi = async (
   settings: AgentSettings,
-  callers: IncomingRequests,
+  incomingRequests: IncomingRequests,
   options: AgentOptions,
 ): Promise<http.Server> => {
-  const act: PerformAction = (action, signal) =>
-    callers.submit<ApiReply>(
+  const handleAction: ActionHandler = (action, signal) =>
+    incomingRequests.submit<ActionResponse>(
       (requestId) => ({ kind: 'action-received', requestId, action, now: now() }),
       signal,
     );
-  const server = options.api === undefined ? apiServer(act) : translatedServer(options.api(act));
+  const server =
+    options.api === undefined
+      ? apiServer(handleAction)
+      : apiAdapterServer(options.api(handleAction));
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
     server.listen(settings.agent.apiPort, settings.listen ?? settings.host, resolve);
@@ -176,7 +185,7 @@
   return server;
 };
 
-/** Exits once the servers are closed, and after a lease at the latest. */
+/** Stops gracefully on a signal: exits when the servers are closed, and after one lease at the latest. */
 const exitOnSignals = (logger: Logger, api: http.Server, servers: readonly RpcServer[]): void => {
   const shutDown = async (): Promise<void> => {
     logger.info('stopping');
@@ -190,7 +199,7 @@
 };
 
 /**
- * Runs an agent until the process is asked to stop.
+ * Runs an agent until the process receives SIGTERM or SIGINT.
  *
  * @example
  * await runAgent(SettingsReader.start('agent', process.argv.slice(2)));
@@ -201,23 +210,23 @@
 ): Promise<void> => {
   const logger = openLogger({ program: 'agent', node: settings.name });
   setLocalAddress(settings.host);
-  const callers = new IncomingRequests({ put: (event) => task.put(event), now });
+  const incomingRequests = new IncomingRequests({ put: (event) => task.put(event), now });
   const task = Task.run<AgentState, AgentEvent, AgentEffect>({
     initial: openState(settings),
     reduce: reduceAgent,
-    perform: (effect, put) => perform(effect, put, callers, logger),
+    perform: (effect, put) => perform(effect, put, incomingRequests, logger),
   });
-  const agents = await serveAgents(settings, callers);
-  const feeds = await serveProxy(settings, callers);
-  const api = await serveApi(settings, callers, options);
+  const agentServer = await serveAgents(settings, incomingRequests);
+  const feedServer = await serveProxy(settings, incomingRequests);
+  const apiHttpServer = await serveApi(settings, incomingRequests, options);
   setInterval(() => task.put({ kind: 'tick', now: now() }), agentTickIntervalMs);
   const { zone, region, agent } = settings;
   logger.info('started', {
-    calls: agents.port,
-    feed: feeds.port,
+    calls: agentServer.port,
+    feed: feedServer.port,
     api: agent.apiPort,
     zone,
     region,
   });
-  exitOnSignals(logger, api, [agents, feeds]);
+  exitOnSignals(logger, apiHttpServer, [agentServer, feedServer]);
 };
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -1,5 +1,6 @@
 /**
- * Safeguards of the agent, each at the border of its reducer: red without the one that it names.
+ * Safeguards of the agent, tested through its reducer: each test fails without the safeguard that its
+ * title names.
  */
 import test, { type ExecutionContext } from 'ava';
 import { publishRecord } from '@reedyard/gossip';
@@ -31,104 +32,108 @@
 } from './testing/answered-polls.js';
 import type { Transition } from './transition.js';
 
-const learnt = (
+const withRegister = (
   state: AgentState,
   key: WatchedRegister,
-  round: number,
+  counter: number,
   value: unknown,
 ): AgentState => {
   const transition: Transition = { state, effects: [] };
-  learnRegister(transition, key, { counter: round, proposerId: 'x' }, value);
+  learnRegister(transition, key, { counter, proposerId: 'x' }, value);
   return transition.state;
 };
 
-type AddressedCall = { readonly id: number; readonly call: ReplicaOperation };
+type ReplicaCall = { readonly id: number; readonly operation: ReplicaOperation };
 
-const replicaCalls = (effects: readonly AgentEffect[]): readonly AddressedCall[] =>
+const replicaCalls = (effects: readonly AgentEffect[]): readonly ReplicaCall[] =>
   effects.flatMap((effect) =>
     effect.kind === 'send-request' && effect.path === '/replica'
-      ? [{ id: effect.requestId, call: effect.request.operation }]
+      ? [{ id: effect.requestId, operation: effect.request.operation }]
       : [],
   );
 
-const returned = (
+const receiveReply = (
   state: AgentState,
   id: number,
-  body: ReplicaReply,
+  reply: ReplicaReply,
   now: number,
 ): ReturnType<typeof reduceAgent> =>
-  reduceAgent(state, { kind: 'reply-received', requestId: id, reply: body, now });
+  reduceAgent(state, { kind: 'reply-received', requestId: id, reply, now });
 
-test('the lease runs from the sending of the pulls, however late their answers come', (t) => {
-  const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
-  const { state } = answeredPulls(beat, 900, (name) => pulled(`${name}/a`));
+test('the lease starts when the polls are sent, however late their replies arrive', (t) => {
+  const tick = reduceAgent(founded(), { kind: 'tick', now: 100 });
+  const { state } = answeredPulls(tick, 900, (name) => pulled(`${name}/a`));
   t.is(state.leaseUntil, 100 + leaseDurationMs);
 });
 
-test('pulls answered by other disks than the members have, or by a minority, bring no lease', (t) => {
+test('poll replies from disks outside the membership, or from a minority, do not renew the lease', (t) => {
   t.is(asked(founded(), 100, (name) => pulled(`${name}/other`)).leaseUntil, 0);
   const minority = names.slice(0, 2);
-  const some = asked(founded(), 100, (name) =>
+  const minorityReplied = asked(founded(), 100, (name) =>
     minority.includes(name) ? pulled(`${name}/a`) : null,
   );
-  t.is(some.leaseUntil, 0);
+  t.is(minorityReplied.leaseUntil, 0);
 });
 
-test('a pull that shows a value or journal entries not known here brings no lease until they are', (t) => {
-  const shown = { plan: { counter: 9, proposerId: 'z' } as const };
+test('a poll that reveals an unknown value or journal entries renews no lease until they are known', (t) => {
+  const acceptedNumbers = { plan: { counter: 9, proposerId: 'z' } as const };
   const replyOf = (name: string): ReplicaReply =>
-    ({ ...pulled(`${name}/a`), acceptedNumbers: shown }) as ReplicaReply;
-  const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
-  const answered = answeredPulls(beat, 110, replyOf);
+    ({ ...pulled(`${name}/a`), acceptedNumbers }) as ReplicaReply;
+  const tick = reduceAgent(founded(), { kind: 'tick', now: 100 });
+  const answered = answeredPulls(tick, 110, replyOf);
   t.is(answered.state.leaseUntil, 0);
-  const fetch = replicaCalls(answered.effects).find(({ call }) => call.kind === 'read-register');
+  const registerRead = replicaCalls(answered.effects).find(
+    ({ operation }) => operation.kind === 'read-register',
+  );
   const value = { term: 1, holder: 'core-2', beat: 1, slices: {}, seated: [] };
-  const accepted = { proposalNumber: shown.plan, value };
+  const accepted = { proposalNumber: acceptedNumbers.plan, value };
   const reply = { kind: 'register-read', diskId: 'core-1/a', accepted } as const;
   t.is(
-    returned(answered.state, fetch?.id ?? -1, reply, 120).state.leaseUntil,
+    receiveReply(answered.state, registerRead?.id ?? -1, reply, 120).state.leaseUntil,
     100 + leaseDurationMs,
   );
-  const partial = (name: string): ReplicaReply =>
+  const incompleteReply = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), hasMore: true }) as ReplicaReply;
-  t.is(asked(founded(), 100, partial).leaseUntil, 0);
+  t.is(asked(founded(), 100, incompleteReply).leaseUntil, 0);
 });
 
-test('a node that was away for half of what the journal keeps drops its copies; after less it keeps them', (t) => {
-  const held = allAnswer(founded(), 100);
-  const soon = allAnswer(held, 100 + journalRetentionMs / 2 - 1_000);
-  t.is(soon.cacheFlushCount, held.cacheFlushCount);
-  const late = allAnswer(held, 100 + journalRetentionMs / 2 + 1_000);
-  t.is(late.cacheFlushCount, held.cacheFlushCount + 1);
+test('a node flushes its cache after half the journal retention time without a poll, not earlier', (t) => {
+  const first = allAnswer(founded(), 100);
+  const early = allAnswer(first, 100 + journalRetentionMs / 2 - 1_000);
+  t.is(early.cacheFlushCount, first.cacheFlushCount);
+  const late = allAnswer(first, 100 + journalRetentionMs / 2 + 1_000);
+  t.is(late.cacheFlushCount, first.cacheFlushCount + 1);
 });
 
-test('a purge is acknowledged once a majority of the very disks of the members has it, not before', (t) => {
+test('a purge is acknowledged only when a majority of the disks in the membership has stored it', (t) => {
   const purge = { objects: ['host.example/x'], tags: [] };
   const action = { kind: 'purge', purge, changeId: 'c' } as const;
-  const opened = reduceAgent(allAnswer(founded(), 100), {
+  const purgeStep = reduceAgent(allAnswer(founded(), 100), {
     kind: 'action-received',
     requestId: 7,
     action,
     now: 200,
   });
-  const posts = replicaCalls(opened.effects).filter(({ call }) => call.kind === 'append-entries');
-  t.is(posts.length, names.length);
+  const appends = replicaCalls(purgeStep.effects).filter(
+    ({ operation }) => operation.kind === 'append-entries',
+  );
+  t.is(appends.length, names.length);
   const disks = ['core-1/other', 'core-2/a', 'core-3/a', 'core-4/a'];
-  let { state } = opened;
-  const answered = disks.map((disk, index) => {
-    const step = returned(
+  let { state } = purgeStep;
+  const acknowledged = disks.map((disk, index) => {
+    const step = receiveReply(
       state,
-      posts[index]?.id ?? -1,
+      appends[index]?.id ?? -1,
       { kind: 'entries-appended', diskId: disk },
       210,
     );
     ({ state } = step);
     return step.effects.some((effect) => effect.kind === 'send-answer' && effect.status === 200);
   });
-  t.deepEqual(answered, [false, false, false, true]);
+  t.deepEqual(acknowledged, [false, false, false, true]);
 });
 
-test('a quota leader that was succeeded writes no allocation over the newer term, and gives the leadership up', (t) => {
+test('a quota leader that finds a newer term writes no allocation and gives up the leadership', (t) => {
   const config = Schemas.policy({ services: { s: { ceiling: 10 } }, routes: [] });
   const allocation = (term: number, holder: string): object => ({
     term,
@@ -137,41 +142,45 @@
     slices: {},
     seated: [],
   });
-  const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
-  const leader = learnt(known, 'plan', 2, allocation(1, 'core-1'));
+  const known = withRegister(founded(), 'policy', 1, {
+    revision: 1,
+    document: config,
+    changes: [],
+  });
+  const leader = withRegister(known, 'plan', 2, allocation(1, 'core-1'));
   const leased: AgentState = {
     ...leader,
     leaseUntil: 1e6,
     quotaLeadership: { term: 1, precedingAllocations: [] },
   };
-  const beat = reduceAgent(leased, { kind: 'tick', now: 2_000 });
-  const prepares = replicaCalls(beat.effects).filter(
-    ({ call }) => call.kind === 'prepare' && call.key === 'plan',
+  const tick = reduceAgent(leased, { kind: 'tick', now: 2_000 });
+  const prepares = replicaCalls(tick.effects).filter(
+    ({ operation }) => operation.kind === 'prepare' && operation.key === 'plan',
   );
   t.is(prepares.length, names.length);
   const accepted = {
     proposalNumber: { counter: 3, proposerId: 'y' } as const,
     value: allocation(2, 'core-2'),
   };
-  let { state } = beat;
+  let { state } = tick;
   const effects = prepares.flatMap(({ id }, index) => {
     const reply = {
       kind: 'vote',
       diskId: `${names[index] ?? ''}/a`,
       vote: { kind: 'yes', accepted },
     } as const;
-    const step = returned(state, id, reply, 2_010);
+    const step = receiveReply(state, id, reply, 2_010);
     ({ state } = step);
     return step.effects;
   });
-  const written = replicaCalls(effects).flatMap(({ call }) =>
-    call.kind === 'accept' ? [call.value] : [],
+  const acceptedValues = replicaCalls(effects).flatMap(({ operation }) =>
+    operation.kind === 'accept' ? [operation.value] : [],
   );
-  t.false(JSON.stringify(written).includes('"holder":"core-1"'));
+  t.false(JSON.stringify(acceptedValues).includes('"holder":"core-1"'));
   t.is(state.quotaLeadership, null);
 });
 
-test('the quota leadership is not taken from a leader that renewed since it was last seen', (t) => {
+test('a node does not take the quota leadership from a leader that renewed since its last known renewal', (t) => {
   const config = Schemas.policy({ services: { s: { ceiling: 10 } }, routes: [] });
   const allocation = (beat: number): object => ({
     term: 1,
@@ -180,14 +189,18 @@
     slices: {},
     seated: [],
   });
-  const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
-  let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
-  let prepares: readonly AddressedCall[] = [];
+  const known = withRegister(founded(), 'policy', 1, {
+    revision: 1,
+    document: config,
+    changes: [],
+  });
+  let state: AgentState = { ...withRegister(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
+  let prepares: readonly ReplicaCall[] = [];
   for (let now = 2 * leaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
     const step = reduceAgent(state, { kind: 'tick', now });
     ({ state } = step);
     prepares = replicaCalls(step.effects).filter(
-      ({ call }) => call.kind === 'prepare' && call.key === 'plan',
+      ({ operation }) => operation.kind === 'prepare' && operation.key === 'plan',
     );
   }
   t.is(prepares.length, names.length);
@@ -202,29 +215,29 @@
       diskId: `${names[index] ?? ''}/a`,
       vote: { kind: 'yes', accepted },
     } as const;
-    const step = returned(state, id, reply, now);
+    const step = receiveReply(state, id, reply, now);
     ({ state } = step);
     return step.effects;
   });
-  const written = replicaCalls(effects).flatMap(({ call }) =>
-    call.kind === 'accept' ? [call.value] : [],
+  const acceptedValues = replicaCalls(effects).flatMap(({ operation }) =>
+    operation.kind === 'accept' ? [operation.value] : [],
   );
-  t.false(JSON.stringify(written).includes('"holder":"core-1"'));
+  t.false(JSON.stringify(acceptedValues).includes('"holder":"core-1"'));
 });
 
-test('a change of members is made from the very epoch that its proposer knew, or not at all', (t) => {
+test('a membership change is refused unless the epoch is the one that its proposer knew', (t) => {
   const known = { epoch: 3, disks: disksOf('a'), addresses };
   const later = { ...known, epoch: 4 };
-  const joins = assignSlotChange(known, 'core-1', 'core-1/b', '127.0.0.1:11');
-  const replaces = replaceMemberChange(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
-  for (const change of [joins, replaces]) {
-    const made = change(known);
-    t.is(made.kind === 'write' ? (made.value as Membership).epoch : made.kind, 4);
+  const assignment = assignSlotChange(known, 'core-1', 'core-1/b', '127.0.0.1:11');
+  const replacement = replaceMemberChange(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
+  for (const change of [assignment, replacement]) {
+    const result = change(known);
+    t.is(result.kind === 'write' ? (result.value as Membership).epoch : result.kind, 4);
     t.is(change(later).kind, 'refuse');
   }
 });
 
-const frontRecord = (id: string, wanted: number): NodeRecord => ({
+const frontRecord = (id: string, demand: number): NodeRecord => ({
   id,
   zone: 'west',
   region: 'r',
@@ -234,56 +247,63 @@
   ready: true,
   staying: true,
   proxyLife: 'x',
-  wants: { s: wanted },
+  wants: { s: demand },
 });
 
-/** What the leader writes next, where an earlier allocation may still be acted on. */
-const nextShares = (t: ExecutionContext, heldUntil: number): Readonly<Record<string, number>> => {
+/** The shares that the leader writes next while an earlier allocation expires at `expiresAt`. */
+const nextShares = (t: ExecutionContext, expiresAt: number): Readonly<Record<string, number>> => {
   const now = 2_000;
   const config = Schemas.policy({ services: { s: { ceiling: 100 } }, routes: [] });
-  const plan = {
+  const currentAllocation = {
     term: 1,
     holder: 'core-1',
     beat: 1,
     slices: { s: { 'front-1': 0.1 } },
     seated: [],
   };
-  const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
-  const told = [frontRecord('front-1', 0), frontRecord('front-2', 100)].reduce(
-    (gossip, record) => publishRecord(gossip, `node/${record.id}`, record, now),
+  const known = withRegister(founded(), 'policy', 1, {
+    revision: 1,
+    document: config,
+    changes: [],
+  });
+  const gossip = [frontRecord('front-1', 0), frontRecord('front-2', 100)].reduce(
+    (merged, record) => publishRecord(merged, `node/${record.id}`, record, now),
     known.gossip,
   );
-  const held = [{ slices: { s: { 'front-1': 0.9 } }, until: heldUntil }];
+  const precedingAllocations = [{ slices: { s: { 'front-1': 0.9 } }, until: expiresAt }];
   const leader = {
-    ...learnt(known, 'plan', 2, plan),
-    gossip: told,
+    ...withRegister(known, 'plan', 2, currentAllocation),
+    gossip,
     leaseUntil: 1e6,
-    quotaLeadership: { term: 1, precedingAllocations: held },
+    quotaLeadership: { term: 1, precedingAllocations },
+  };
+  const tick = reduceAgent(leader, { kind: 'tick', now });
+  let { state } = tick;
+  const accepted = {
+    proposalNumber: { counter: 2, proposerId: 'x' } as const,
+    value: currentAllocation,
   };
-  const beat = reduceAgent(leader, { kind: 'tick', now });
-  let { state } = beat;
-  const accepted = { proposalNumber: { counter: 2, proposerId: 'x' } as const, value: plan };
-  const accepts = replicaCalls(beat.effects)
-    .filter(({ call }) => call.kind === 'prepare' && call.key === 'plan')
+  const accepts = replicaCalls(tick.effects)
+    .filter(({ operation }) => operation.kind === 'prepare' && operation.key === 'plan')
     .flatMap(({ id }, index) => {
       const reply = {
         kind: 'vote',
         diskId: `${names[index] ?? ''}/a`,
         vote: { kind: 'yes', accepted },
       } as const;
-      const step = returned(state, id, reply, now);
+      const step = receiveReply(state, id, reply, now);
       ({ state } = step);
-      return replicaCalls(step.effects).flatMap(({ call }) =>
-        call.kind === 'accept' ? [call.value as QuotaAllocation] : [],
+      return replicaCalls(step.effects).flatMap(({ operation }) =>
+        operation.kind === 'accept' ? [operation.value as QuotaAllocation] : [],
       );
     });
   t.true(accepts.length > 0);
   return accepts[0]?.slices.s ?? {};
 };
 
-test('a quota rises only into what no earlier allocation that may still be acted on gave away', (t) => {
-  const lapsed = nextShares(t, 1_999);
-  t.true((lapsed['front-2'] ?? 0) > 0.5, JSON.stringify(lapsed));
-  const inForce = nextShares(t, 2_500);
-  t.true((inForce['front-2'] ?? 0) <= 0.1 + 1e-9, JSON.stringify(inForce));
+test('a quota rises only into the share that no unexpired earlier allocation uses', (t) => {
+  const afterExpiry = nextShares(t, 1_999);
+  t.true((afterExpiry['front-2'] ?? 0) > 0.5, JSON.stringify(afterExpiry));
+  const beforeExpiry = nextShares(t, 2_500);
+  t.true((beforeExpiry['front-2'] ?? 0) <= 0.1 + 1e-9, JSON.stringify(beforeExpiry));
 });
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -1,4 +1,4 @@
-/** The state of an agent. */
+/** The state of an agent's reducer. */
 import type { ProposalNumber } from '@reedyard/consensus';
 import type { GossipState } from '@reedyard/gossip';
 import type { QuotaShares } from '@reedyard/quota-division';
@@ -9,11 +9,12 @@
 import type { Identified, LearntRevision } from './proposals/change-ids.js';
 import type { ActiveProposal, PendingAppend, PendingChange } from './proposals/proposal-state.js';
 
-/** A request under way, and what its reply is for. */
+/** A request in flight, with the data that the handling of its reply needs. */
 export type PendingRequest =
   | { readonly kind: 'poll'; readonly replica: string; readonly sentAt: number }
   /**
-   * Asks a replica that need have no place for the members, and this machine's own for its disk.
+   * Queries a replica, which need not have a slot in the membership, for the membership; and this
+   * machine's own replica for its disk.
    */
   | { readonly kind: 'look-up'; readonly address: string }
   | { readonly kind: 'read-register'; readonly key: WatchedRegister; readonly sentAt: number }
@@ -35,22 +36,23 @@
     }
   | { readonly kind: 'ping'; readonly peerId: string; readonly sentAt: number };
 
-/** The state of an agent. All times are ms of its own monotonic clock. */
+/** The state of an agent. All times are in milliseconds of its own monotonic clock. */
 export type AgentState = {
   readonly self: NodeIdentity;
   readonly incarnation: string;
   readonly seeds: readonly string[];
-  /** Where members found themselves from seeds; null where the settings name every founder. */
+  /** Set where the members are discovered from seeds; null where the settings name every founder. */
   readonly bootstrap: AgentBootstrap | null;
   readonly startedAt: number;
-  /** This machine's own replica as it last answered. */
+  /** This machine's own replica, according to its last reply. */
   readonly localReplica: {
     readonly diskId: string;
     readonly isBlank: boolean;
     readonly at: number;
   } | null;
   /**
-   * Spare replicas that answered a call of this agent, by address: its own proof that they live.
+   * Spare replicas that replied to a request of this agent, by address: first-hand evidence that
+   * they are live.
    */
   readonly spares: Readonly<Record<string, { readonly diskId: string; readonly at: number }>>;
   readonly randomSeed: number;
@@ -71,7 +73,7 @@
     >
   >;
   readonly highestProposalNumber: ProposalNumber;
-  /** The newest value fetched of a register, until polls show whether it is chosen. */
+  /** The newest value read of each register, until polls show whether the value is chosen. */
   readonly fetchedValues: Readonly<
     Partial<
       Record<
@@ -83,7 +85,7 @@
       >
     >
   >;
-  /** The newest proposal of a register that only a minority showed, and since when. */
+  /** The newest proposal of each register that only a minority reported, and since when. */
   readonly incompleteWrites: Readonly<
     Partial<
       Record<
@@ -95,35 +97,35 @@
       >
     >
   >;
-  /** Monotonic ms until which this node may act on what it knows. */
+  /** When this node's lease expires: until then it may act on the control state that it knows. */
   readonly leaseUntil: number;
-  /** When the last beat came, and when one last came late. */
+  /** When the last tick ran, and when a tick was last late. */
   readonly lastTickAt: number;
   readonly lastLateTickAt: number;
-  /** When a replica that had been silent last answered again. */
+  /** When a replica that had been unresponsive last replied again. */
   readonly lastReplicaReturnAt: number;
   readonly cacheFlushCount: number;
   readonly entries: readonly (JournalEntry & { readonly seq: number; readonly at: number })[];
   readonly entryKeys: Readonly<Record<string, true>>;
   readonly lastEntrySequence: number;
-  /** Keys of journal entries that this node saw a majority of disks take. */
+  /** Keys of journal entries that a majority of disks is known to have stored. */
   readonly committedEntryKeys: Readonly<Record<string, true>>;
-  /** When this node learnt that a zone's origins were taken back. */
+  /** When this node learnt that the origins of a zone were restored, by zone. */
   readonly zonesRestoredAt: Readonly<Record<string, number>>;
-  /** The newest span of them first. */
+  /** Spans of claims, the newest first. */
   readonly claimSpans: readonly Claims[];
   readonly claimSpanStartedAt: number;
   readonly pendingChanges: Readonly<Record<number, PendingChange>>;
-  /** The proposals under way, by register. */
+  /** The proposals in progress, by register. */
   readonly activeProposals: Readonly<Record<string, ActiveProposal>>;
-  /** Revisions of registers, and when this node learnt of them. */
+  /** Revisions of the registers, and when this node learnt of them. */
   readonly learntRevisions: Readonly<Record<Identified, readonly LearntRevision[]>>;
   readonly pendingAppends: Readonly<Record<number, PendingAppend>>;
   readonly gossip: GossipState;
   readonly pingSecondsByPeer: Readonly<Record<string, readonly number[]>>;
-  /** What this machine's proxy last reported, and when. */
+  /** The last report of this machine's proxy, and when it was received. */
   readonly lastProxyReport: { readonly content: ProxyReport; readonly at: number } | null;
-  /** Parts of the feed as they were last told to the proxy. */
+  /** The parts of the feed at the last feed request, with their revisions. */
   readonly lastFeedParts: Readonly<
     Partial<
       Record<
@@ -140,10 +142,10 @@
   readonly vectorAnnouncedAt: number;
   readonly vectorAnnouncementCount: number;
   readonly routingTable: Split;
-  /** When the routing table was last looked at. */
+  /** When this node last checked whether its routing table is outdated. */
   readonly routingTableCheckedAt: number;
   readonly isRoutingTableStale: boolean;
-  /** The nodes that the routing table was computed over. */
+  /** The ids of the serving nodes that the routing table was computed from, separated by spaces. */
   readonly routingTableNodeIds: string;
   readonly routingTableCount: number;
   readonly lastSeenAllocation: {
--- a/packages/agent/src/transition.ts
+++ b/packages/agent/src/transition.ts
@@ -1,4 +1,4 @@
-/** What one step of the reducer works with, and how its parts send requests and log. */
+/** The context of one reducer step, and the helpers that update state, send requests and log. */
 
 import type { ReplicaOperation, ReplicaRequest } from '@reedyard/replica';
 import { committedMembershipOf } from './control/registers.js';
@@ -6,15 +6,15 @@
 import type { AgentEffect, AgentRequest } from './messages.js';
 import type { AgentState, PendingRequest } from './state.js';
 
-/** What a reducer works with inside one step; the states themselves never change. */
+/** The context of one reducer step: the current immutable state, and the effects so far. */
 export type Transition = { state: AgentState; readonly effects: AgentEffect[] };
 
-/** Replaces some fields of the state. */
+/** Replaces the state by one with the given fields changed. */
 export const update = (transition: Transition, change: Partial<AgentState>): void => {
   transition.state = { ...transition.state, ...change };
 };
 
-/** A number in [0, 1) from the state's own seed, so that the same seed gives the same run. */
+/** A random number in [0, 1) from the seed in the state, so that runs with the same seed are equal. */
 export const nextRandom = (transition: Transition): number => {
   const next = (transition.state.randomSeed + 0x6d2b79f5) | 0;
   update(transition, { randomSeed: next });
@@ -23,7 +23,7 @@
   return ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296;
 };
 
-/** The id of the next request, which is used once. */
+/** Reserves the id of the next request. */
 export const takeRequestId = (transition: Transition): number => {
   const id = transition.state.nextRequestId;
   update(transition, { nextRequestId: id + 1 });
@@ -33,17 +33,17 @@
 const sendTo = (
   transition: Transition,
   pending: PendingRequest,
-  part:
+  destination:
     | { readonly to: string; readonly path: '/replica'; readonly request: ReplicaRequest }
     | { readonly to: string; readonly path: '/agent'; readonly request: AgentRequest },
 ): number => {
   const id = takeRequestId(transition);
   update(transition, { pendingRequests: { ...transition.state.pendingRequests, [id]: pending } });
-  transition.effects.push({ kind: 'send-request', requestId: id, ...part });
+  transition.effects.push({ kind: 'send-request', requestId: id, ...destination });
   return id;
 };
 
-/** Sends a request to another agent. */
+/** Sends a request to another agent and returns its id. */
 export const sendToAgent = (
   transition: Transition,
   to: string,
@@ -51,11 +51,11 @@
   pending: PendingRequest,
 ): number => sendTo(transition, pending, { to, path: '/agent', request });
 
-/** Asks a replica, with the members that the answer will be counted by. */
+/** Sends an operation to a replica, with the membership that its reply will be counted by. */
 export const sendToReplica = (
   transition: Transition,
   to: string,
-  call: ReplicaOperation,
+  operation: ReplicaOperation,
   pending: PendingRequest,
 ): number =>
   sendTo(transition, pending, {
@@ -63,14 +63,14 @@
     path: '/replica',
     request: {
       membership: committedMembershipOf(transition.state),
-      operation: call,
+      operation,
       ...(Object.keys(liveSpares(transition.state)).length > 0
         ? { hasLiveSpare: true as const }
         : {}),
     },
   });
 
-/** Writes a line to the log. */
+/** Adds an effect that writes an event to the log. */
 export const log = (
   transition: Transition,
   event: string,
