--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -5,7 +5,7 @@
 import { originRefreshIntervalMs } from './api/api-actions.js';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
-import { isolatedAllowanceMs, undelayedForMs } from './control/reachability.js';
+import { isolatedAllowanceMs, minUndelayedMs } from './control/reachability.js';
 import { learnRecords } from './gossip/gossip-exchange.js';
 import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './messages.js';
 import { openAgent } from './open-agent.js';
@@ -94,7 +94,7 @@
       }),
       ifMatch: null,
       changeId,
-      lapsed: 0,
+      expiredPolicyRevision: 0,
     });
   for (const order of [
     [3, 7, 5],
@@ -124,7 +124,7 @@
     changeId: string,
   ): ZonesRegister =>
     applyChange(
-      zoneOrderChange({ zone: 'west', order, of, changeId, lapsed: 0 }),
+      zoneOrderChange({ zone: 'west', order, of, changeId, expiredZonesRevision: 0 }),
       current,
     ) as ZonesRegister;
   const originsClosed = applyOrder(null, 'empty', 'origins', '1');
@@ -494,7 +494,7 @@
       { length: until / agentTickIntervalMs },
       (_none, index) => (index + 1) * agentTickIntervalMs,
     );
-  const undelayedAt = undelayedForMs + 2_000;
+  const undelayedAt = minUndelayedMs + 2_000;
   t.is(isolatedLeaseMs(true, regularTicks(1_000), 1_000), 500);
   t.is(isolatedLeaseMs(false, regularTicks(undelayedAt), undelayedAt), 0);
   t.is(isolatedLeaseMs(true, regularTicks(undelayedAt), undelayedAt), isolatedAllowanceMs);
@@ -526,9 +526,9 @@
       [
         ...regularTicks(undelayedAt),
         undelayedAt + 1_000,
-        ...regularTicks(undelayedForMs + 100).map((tickTime) => undelayedAt + 1_000 + tickTime),
+        ...regularTicks(minUndelayedMs + 100).map((tickTime) => undelayedAt + 1_000 + tickTime),
       ],
-      undelayedAt + 1_100 + undelayedForMs,
+      undelayedAt + 1_100 + minUndelayedMs,
     ),
     isolatedAllowanceMs,
   );
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -6,7 +6,7 @@
 import { rateOf } from '@reedyard/quota-division';
 import { leaseDurationMs } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
-import { actingAllowanceMs, isUnreachable, unreachableAnswer } from '../control/reachability.js';
+import { servingAllowanceMs, isUnreachable, unreachableResponse } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
 import { hasReadyQuotas } from '../feed/feed.js';
 import { nodesOf } from '../gossip/known-nodes.js';
@@ -20,7 +20,7 @@
   originKey,
   withdrawalKey,
 } from '../origins/origins.js';
-import { lapsedRevision } from '../proposals/change-ids.js';
+import { newestExpiredRevision } from '../proposals/change-ids.js';
 import { putPolicyChange, zoneOrderChange } from '../proposals/changes.js';
 import { appendToJournal } from '../proposals/journal-appends.js';
 import { propose } from '../proposals/proposals.js';
@@ -125,7 +125,7 @@
     isUnreachable(transition.state) &&
     !transition.state.committedEntryKeys[drainKey(announced)]
   )
-    sendAnswer(transition, id, unreachableAnswer);
+    sendAnswer(transition, id, unreachableResponse);
   else appendOnce(transition, drainKey(announced), id, body);
 };
 
@@ -138,7 +138,7 @@
 const unreadyReason = (state: AgentState): string | null => {
   const policy = policyOf(state);
   if (state.self.proxy === null) return 'this machine has no proxy';
-  if (actingAllowanceMs(state) <= 0) return noLeaseReason(state);
+  if (servingAllowanceMs(state) <= 0) return noLeaseReason(state);
   if (policy === null) return 'no policy is known';
   if (state.lastProxyReport === null || state.now - state.lastProxyReport.at >= leaseDurationMs)
     return 'its proxy does not request its feed';
@@ -163,7 +163,7 @@
 };
 
 const quotaShares = (state: AgentState): ActionReply => {
-  if (isUnreachable(state)) return unreachableAnswer;
+  if (isUnreachable(state)) return unreachableResponse;
   if (state.now >= state.leaseUntil) return unreached('The read');
   const allocation = quotaAllocationOf(state);
   const services = Object.entries(serviceRateLimits(state)).map(([name, bound]) => {
@@ -194,8 +194,8 @@
   id: number,
   { document, ifMatch, changeId }: ActionOf<'put-policy'>,
 ): void => {
-  const lapsed = lapsedRevision(transition.state, 'policy');
-  const change = putPolicyChange({ document, ifMatch, changeId, lapsed });
+  const lapsed = newestExpiredRevision(transition.state, 'policy');
+  const change = putPolicyChange({ document, ifMatch, changeId, expiredPolicyRevision: lapsed });
   propose(transition, 'policy', change, { kind: 'put-policy', id, changeId });
 };
 
@@ -204,8 +204,8 @@
   id: number,
   { zone, order, of, changeId }: ActionOf<'zone'>,
 ): void => {
-  const lapsed = lapsedRevision(transition.state, 'zones');
-  const change = zoneOrderChange({ zone, order, of, changeId, lapsed });
+  const lapsed = newestExpiredRevision(transition.state, 'zones');
+  const change = zoneOrderChange({ zone, order, of, changeId, expiredZonesRevision: lapsed });
   propose(transition, 'zones', change, { kind: 'zone', id, changeId });
 };
 
@@ -239,7 +239,7 @@
     return;
   }
   if (needsMajority(state, action) && isUnreachable(state)) {
-    sendAnswer(transition, id, unreachableAnswer);
+    sendAnswer(transition, id, unreachableResponse);
     return;
   }
   switch (action.kind) {
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -10,7 +10,7 @@
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
 import type { Split } from '@reedyard/server-selection';
-import type { PollOutcome, PollReplySeen, ReplicaView } from '../control/control-state.js';
+import type { PollOutcome, LastPollReply, ReplicaView } from '../control/control-state.js';
 import { isUnreachable } from '../control/reachability.js';
 import {
   committedMembershipOf,
@@ -138,7 +138,7 @@
   state: AgentState,
   name: string,
   reply: ReplicaReply,
-): PollReplySeen => ({
+): LastPollReply => ({
   at: state.now,
   diskId: reply.diskId,
   outcome: outcomeOf(reply, isDiskOfMember(state, name, reply.diskId)),
--- a/packages/agent/src/feed/feed.ts
+++ b/packages/agent/src/feed/feed.ts
@@ -1,7 +1,7 @@
 /** The agent's replies to this machine's proxy: feeds with the parts that changed, and claim replies. */
 import { rateOf } from '@reedyard/quota-division';
 import type { Purge } from '@reedyard/schemas';
-import { actingAllowanceMs, isUnreachable } from '../control/reachability.js';
+import { servingAllowanceMs, isUnreachable } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
 import { publishHeartbeat } from '../gossip/node-record.js';
 import {
@@ -49,7 +49,7 @@
   const policy = policyOf(state);
   const isPolicyNew = policy !== null && policy.revision !== report.policyRevision;
   return {
-    leaseMs: actingAllowanceMs(state),
+    leaseMs: servingAllowanceMs(state),
     life: state.incarnation,
     flushes: state.cacheFlushCount,
     policy: isPolicyNew ? { revision: policy.revision, document: policy.document } : null,
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -10,7 +10,7 @@
   sampleView,
 } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
-import { eagerPollingMs } from '../control/lease.js';
+import { eagerPollingDurationMs } from '../control/lease.js';
 import { followMovedReplicas } from '../membership/known-replicas.js';
 import { isOutdated } from '../origins/origins.js';
 import type { AgentState } from '../state.js';
@@ -32,7 +32,7 @@
 export const isJoining = (state: AgentState): boolean =>
   state.bootstrap !== null &&
   state.localReplica?.isBlank === true &&
-  state.now - state.startedAt < eagerPollingMs;
+  state.now - state.startedAt < eagerPollingDurationMs;
 
 /** Addresses of the agents on machines with a replica: they may assign a slot to a blank replica. */
 const replicaAgents = (state: AgentState): readonly string[] =>
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -17,7 +17,7 @@
 import { learnRegister } from './control/polling.js';
 import type { AgentEffect, NodeRecord } from './messages.js';
 import { assignSlotChange, replaceMemberChange } from './proposals/changes.js';
-import { leaderTimeoutMs } from './quota/quota-leadership.js';
+import { quotaLeaderTimeoutMs } from './quota/quota-leadership.js';
 import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import {
@@ -196,7 +196,7 @@
   });
   let state: AgentState = { ...withRegister(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
   let prepares: readonly ReplicaCall[] = [];
-  for (let now = 2 * leaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
+  for (let now = 2 * quotaLeaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
     const step = reduceAgent(state, { kind: 'tick', now });
     ({ state } = step);
     prepares = replicaCalls(step.effects).filter(
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -6,7 +6,7 @@
 import type { Split, Vector } from '@reedyard/server-selection';
 import type { Claims, ReplicaView, WatchedRegister } from './control/control-state.js';
 import type { AgentBootstrap, FeedPart, NodeIdentity, ProxyReport } from './messages.js';
-import type { Identified, LearntRevision } from './proposals/change-ids.js';
+import type { RegisterWithChangeIds, LearntRevision } from './proposals/change-ids.js';
 import type { ActiveProposal, PendingAppend, PendingChange } from './proposals/proposal-state.js';
 
 /** A request in flight, with the data that the handling of its reply needs. */
@@ -119,7 +119,7 @@
   /** The proposals in progress, by register. */
   readonly activeProposals: Readonly<Record<string, ActiveProposal>>;
   /** Revisions of the registers, and when this node learnt of them. */
-  readonly learntRevisions: Readonly<Record<Identified, readonly LearntRevision[]>>;
+  readonly learntRevisions: Readonly<Record<RegisterWithChangeIds, readonly LearntRevision[]>>;
   readonly pendingAppends: Readonly<Record<number, PendingAppend>>;
   readonly gossip: GossipState;
   readonly pingSecondsByPeer: Readonly<Record<string, readonly number[]>>;
