--- a/packages/agent/src/api/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -4,20 +4,20 @@
 import { openAgent } from '../open-agent.js';
 import {
   addresses,
-  allAnswer,
-  asked,
-  disksOf,
-  founded,
+  tickWithAllReplies,
+  tickAndAnswerPolls,
+  diskIdsWithSuffix,
+  openAgentWithMembership,
   names,
   pulled,
   self,
-  withMembers,
-} from '../testing/answered-polls.js';
+  withMembership,
+} from '../testing/five-founder-agent.js';
 import type { Transition } from '../transition.js';
 import { controlStatus, nodeStatus } from './status.js';
 
 test('the status contains the epoch, the quorum and the number of further losses tolerated', (t) => {
-  const control = controlStatus(allAnswer(founded(), 100));
+  const control = controlStatus(tickWithAllReplies(openAgentWithMembership(), 100));
   t.deepEqual(
     [control.epoch, control.quorum, control.lossesBorne, control.configuredLosses],
     [3, 3, 2, 2],
@@ -30,7 +30,7 @@
 });
 
 test('a replica that never replied is silent and does not count towards the tolerated losses', (t) => {
-  const control = controlStatus(founded());
+  const control = controlStatus(openAgentWithMembership());
   t.deepEqual(
     control.members.map((member) => [member.state, member.lastAnswerAgeMs, member.outcome]),
     names.map(() => ['silent', null, null]),
@@ -39,7 +39,7 @@
 });
 
 test('a member becomes silent when it has not replied for a complete lease duration, not earlier', (t) => {
-  const state = allAnswer(founded(), 100);
+  const state = tickWithAllReplies(openAgentWithMembership(), 100);
   const memberStatesAt = (now: number): readonly string[] =>
     controlStatus({ ...state, now }).members.map((member) => member.state);
   t.deepEqual(
@@ -50,7 +50,7 @@
     memberStatesAt(100 + leaseDurationMs),
     names.map(() => 'silent'),
   );
-  const oneSilent = asked(state, 100 + leaseDurationMs, (name) =>
+  const oneSilent = tickAndAnswerPolls(state, 100 + leaseDurationMs, (name) =>
     name === 'core-5' ? null : pulled(`${name}/a`),
   );
   const control = controlStatus(oneSilent);
@@ -69,7 +69,7 @@
     'core-4': { kind: 'newer-membership', diskId: 'core-4/a', membership: null },
     'core-5': pulled('core-5/old'),
   };
-  const state = asked(founded(), 100, (name) => replies[name] ?? null);
+  const state = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) => replies[name] ?? null);
   const control = controlStatus(state);
   t.deepEqual(
     control.members.map((member) => [member.state, member.outcome]),
@@ -86,8 +86,8 @@
 });
 
 test('a reply from a replaced disk does not count for the disk that replaced it', (t) => {
-  const state = withMembers(allAnswer(founded(), 100), 4, {
-    ...disksOf('a'),
+  const state = withMembership(tickWithAllReplies(openAgentWithMembership(), 100), 4, {
+    ...diskIdsWithSuffix('a'),
     'core-2': 'core-2/b',
   });
   const control = controlStatus(state);
@@ -97,7 +97,7 @@
 });
 
 test('a member disk that still reads from the other members is recovering', (t) => {
-  const state = asked(founded(), 100, (name) =>
+  const state = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) =>
     name === 'core-2'
       ? { kind: 'not-a-member', diskId: 'core-2/a', isBlank: true, knowsMembership: true }
       : pulled(`${name}/a`),
@@ -107,7 +107,7 @@
 });
 
 test('a member with a read-only disk counts as lost, although its poll replies count', (t) => {
-  const state = asked(founded(), 100, (name) => {
+  const state = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) => {
     const reply = pulled(`${name}/a`);
     return name === 'core-2' && reply.kind === 'polled' ? { ...reply, isReadOnly: true } : reply;
   });
@@ -118,13 +118,13 @@
 });
 
 test('the status contains the remaining lease, and 0 after its expiry', (t) => {
-  const state = allAnswer(founded(), 100);
+  const state = tickWithAllReplies(openAgentWithMembership(), 100);
   t.is(nodeStatus({ ...state, now: 600 }).leaseMs, 100 + leaseDurationMs - 600);
   t.is(nodeStatus({ ...state, now: 10_000 }).leaseMs, 0);
 });
 
 test('the status of a member contains its machine and zone when they are known from gossip', (t) => {
-  const state = allAnswer(founded(), 100);
+  const state = tickWithAllReplies(openAgentWithMembership(), 100);
   const [ownMember, otherMember] = controlStatus(state).members;
   t.deepEqual([ownMember?.node, ownMember?.zone], ['core-1', 'west']);
   t.deepEqual([otherMember?.node, otherMember?.zone], [null, null]);
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -23,7 +23,7 @@
   learnRecords,
 } from './gossip/gossip-exchange.js';
 import { publishHeartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
-import { lookUpOwnReplica, tendMembership } from './membership/membership.js';
+import { pollOwnReplica, maintainMembership } from './membership/membership.js';
 import type { AgentEffect, AgentEvent, AgentReply, AgentRequest } from './messages.js';
 import { recordLearntRevisions } from './proposals/change-ids.js';
 import { handleAppendReply, maintainAppends } from './proposals/journal-appends.js';
@@ -160,10 +160,10 @@
   maintainAppends(transition);
   runIfDue('pull', pollIntervalMs(transition.state), () => {
     pollAll(transition);
-    if (transition.state.self.replica === null) tendMembership(transition);
+    if (transition.state.self.replica === null) maintainMembership(transition);
   });
-  lookUpOwnReplica(transition);
-  if (transition.state.self.replica !== null) tendMembership(transition);
+  pollOwnReplica(transition);
+  if (transition.state.self.replica !== null) maintainMembership(transition);
   pollEarly(transition);
   runIfDue('heartbeat', heartbeatIntervalMs, () => publishHeartbeat(transition));
   runIfDue('gossip', isJoining(transition.state) ? noLeasePollIntervalMs : gossipIntervalMs, () =>
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -22,14 +22,14 @@
 import type { AgentState } from './state.js';
 import {
   addresses,
-  allAnswer,
-  answeredPulls,
-  asked,
-  disksOf,
-  founded,
+  tickWithAllReplies,
+  answerPolls,
+  tickAndAnswerPolls,
+  diskIdsWithSuffix,
+  openAgentWithMembership,
   names,
   pulled,
-} from './testing/answered-polls.js';
+} from './testing/five-founder-agent.js';
 import type { Transition } from './transition.js';
 
 const withRegister = (
@@ -61,15 +61,19 @@
   reduceAgent(state, { kind: 'reply-received', requestId: id, reply, now });
 
 test('the lease starts when the polls are sent, however late their replies arrive', (t) => {
-  const tick = reduceAgent(founded(), { kind: 'tick', now: 100 });
-  const { state } = answeredPulls(tick, 900, (name) => pulled(`${name}/a`));
+  const tick = reduceAgent(openAgentWithMembership(), { kind: 'tick', now: 100 });
+  const { state } = answerPolls(tick, 900, (name) => pulled(`${name}/a`));
   t.is(state.leaseUntil, 100 + leaseDurationMs);
 });
 
 test('poll replies from disks outside the membership, or from a minority, do not renew the lease', (t) => {
-  t.is(asked(founded(), 100, (name) => pulled(`${name}/other`)).leaseUntil, 0);
+  t.is(
+    tickAndAnswerPolls(openAgentWithMembership(), 100, (name) => pulled(`${name}/other`))
+      .leaseUntil,
+    0,
+  );
   const minority = names.slice(0, 2);
-  const minorityReplied = asked(founded(), 100, (name) =>
+  const minorityReplied = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) =>
     minority.includes(name) ? pulled(`${name}/a`) : null,
   );
   t.is(minorityReplied.leaseUntil, 0);
@@ -79,8 +83,8 @@
   const acceptedNumbers = { plan: { counter: 9, proposerId: 'z' } as const };
   const replyOf = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), acceptedNumbers }) as ReplicaReply;
-  const tick = reduceAgent(founded(), { kind: 'tick', now: 100 });
-  const answered = answeredPulls(tick, 110, replyOf);
+  const tick = reduceAgent(openAgentWithMembership(), { kind: 'tick', now: 100 });
+  const answered = answerPolls(tick, 110, replyOf);
   t.is(answered.state.leaseUntil, 0);
   const registerRead = replicaCalls(answered.effects).find(
     ({ operation }) => operation.kind === 'read-register',
@@ -94,21 +98,21 @@
   );
   const incompleteReply = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), hasMore: true }) as ReplicaReply;
-  t.is(asked(founded(), 100, incompleteReply).leaseUntil, 0);
+  t.is(tickAndAnswerPolls(openAgentWithMembership(), 100, incompleteReply).leaseUntil, 0);
 });
 
 test('a node flushes its cache after half the journal retention time without a poll, not earlier', (t) => {
-  const first = allAnswer(founded(), 100);
-  const early = allAnswer(first, 100 + journalRetentionMs / 2 - 1_000);
+  const first = tickWithAllReplies(openAgentWithMembership(), 100);
+  const early = tickWithAllReplies(first, 100 + journalRetentionMs / 2 - 1_000);
   t.is(early.cacheFlushCount, first.cacheFlushCount);
-  const late = allAnswer(first, 100 + journalRetentionMs / 2 + 1_000);
+  const late = tickWithAllReplies(first, 100 + journalRetentionMs / 2 + 1_000);
   t.is(late.cacheFlushCount, first.cacheFlushCount + 1);
 });
 
 test('a purge is acknowledged only when a majority of the disks in the membership has stored it', (t) => {
   const purge = { objects: ['host.example/x'], tags: [] };
   const action = { kind: 'purge', purge, changeId: 'c' } as const;
-  const purgeStep = reduceAgent(allAnswer(founded(), 100), {
+  const purgeStep = reduceAgent(tickWithAllReplies(openAgentWithMembership(), 100), {
     kind: 'action-received',
     requestId: 7,
     action,
@@ -142,7 +146,7 @@
     slices: {},
     seated: [],
   });
-  const known = withRegister(founded(), 'policy', 1, {
+  const known = withRegister(openAgentWithMembership(), 'policy', 1, {
     revision: 1,
     document: config,
     changes: [],
@@ -189,7 +193,7 @@
     slices: {},
     seated: [],
   });
-  const known = withRegister(founded(), 'policy', 1, {
+  const known = withRegister(openAgentWithMembership(), 'policy', 1, {
     revision: 1,
     document: config,
     changes: [],
@@ -226,7 +230,7 @@
 });
 
 test('a membership change is refused unless the epoch is the one that its proposer knew', (t) => {
-  const known = { epoch: 3, disks: disksOf('a'), addresses };
+  const known = { epoch: 3, disks: diskIdsWithSuffix('a'), addresses };
   const later = { ...known, epoch: 4 };
   const assignment = assignSlotChange(known, 'core-1', 'core-1/b', '127.0.0.1:11');
   const replacement = replaceMemberChange(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
@@ -261,7 +265,7 @@
     slices: { s: { 'front-1': 0.1 } },
     seated: [],
   };
-  const known = withRegister(founded(), 'policy', 1, {
+  const known = withRegister(openAgentWithMembership(), 'policy', 1, {
     revision: 1,
     document: config,
     changes: [],
