--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -6,7 +6,7 @@
 import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
 import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
 import type { GossipExchange, GossipExchangeReply, RecordUpdate } from '@reedyard/gossip';
-import type { Split } from '@reedyard/server-selection';
+import type { RoutingTable } from '@reedyard/server-selection';
 
 /** The id and location of a node, and the programs on its machine. */
 export type NodeIdentity = {
@@ -158,7 +158,7 @@
   readonly origins: readonly OriginEndpoint[];
   readonly peers: readonly PeerEndpoint[];
   readonly emptied: readonly string[];
-  readonly split: Split;
+  readonly split: RoutingTable;
   /** Attempts per second that this proxy may make, by service; Infinity where they are unlimited. */
   readonly slices: Readonly<Record<string, number>>;
   /** Whether the quota leader has once allocated enough quotas to this node for it to be ready. */
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -7,10 +7,10 @@
 import {
   computeRoutes,
   fetchPenaltySeconds,
-  type ObjectRule,
+  type RoutePlacementRule,
   rendezvousOwner,
   shouldAnnounce,
-  type Vector,
+  type LoadVector,
 } from '@reedyard/server-selection';
 import { pollIntervalAtRestMs } from '../control/lease.js';
 import { policyOf } from '../control/registers.js';
@@ -26,7 +26,7 @@
  */
 export const vectorRefreshIntervalMs = 30_000;
 
-const vectorOf = (state: AgentState, measurement: TrafficMeasurement): Vector => {
+const vectorOf = (state: AgentState, measurement: TrafficMeasurement): LoadVector => {
   const capacity = state.self.proxy?.capacityBps ?? 0;
   const demandBps = Object.values(measurement.demand).reduce((sum, bps) => sum + bps, 0);
   return {
@@ -115,13 +115,13 @@
 const usableVectors = (
   { self, gossip, now }: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
-): Readonly<Record<string, Vector>> => {
-  const vectors: Record<string, Vector> = {};
+): Readonly<Record<string, LoadVector>> => {
+  const vectors: Record<string, LoadVector> = {};
   for (const [key, value, seenAt] of liveRecords(gossip, vectorPrefix)) {
     const id = key.slice(vectorPrefix.length);
     const isFresh =
       serving.has(id) && now - seenAt < maxVectorAgeRefreshes * vectorRefreshIntervalMs;
-    if (id === self.id || isFresh) vectors[id] = value as Vector;
+    if (id === self.id || isFresh) vectors[id] = value as LoadVector;
   }
   return vectors;
 };
@@ -130,7 +130,7 @@
 const routeRulesOf = (
   state: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
-): ((name: string) => ObjectRule | null) => {
+): ((name: string) => RoutePlacementRule | null) => {
   const { self } = state;
   const routes = new Map(
     (policyOf(state)?.document.routes ?? []).map((route) => [route.name, route]),
@@ -145,7 +145,7 @@
     };
     if (route.cache.keep !== 'always') return { servers };
     const allowedNodes = nodes.filter(({ id }) => servers(id));
-    return { servers, placed: placementFor(allowedNodes, nodes) };
+    return { servers, placementOf: placementFor(allowedNodes, nodes) };
   };
 };
 
