--- a/packages/gossip/src/gossip.test.ts
+++ b/packages/gossip/src/gossip.test.ts
@@ -80,8 +80,8 @@
   const expired = expireRecords(published, nodeRetentionMs + 1).state;
   t.deepEqual(mergeUpdates(expired, { 'node/a': { revision: 3 } }, 40_000), {
     state: expired,
-    news: [],
-    values: [],
+    updatedKeys: [],
+    keysWithValue: [],
   });
   t.deepEqual(mergeUpdates(emptyGossip, { 'node/a': { revision: 3 } }, 0).updatedKeys, []);
   t.is(recordValue(exchange(expired, renewed, 40_000)[0], 'node/a') !== undefined, true);
--- a/packages/gossip/src/records.ts
+++ b/packages/gossip/src/records.ts
@@ -182,7 +182,7 @@
       records: {
         ...state.records,
         ...Object.fromEntries(
-          gone.map((key) => [key, { ...state.records[key], value: null, isForgotten: true }]),
+          gone.map((key) => [key, { ...state.records[key], value: null, isExpired: true }]),
         ),
       },
     },
