--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -194,8 +194,8 @@
   id: number,
   { document, ifMatch, changeId }: ActionOf<'put-policy'>,
 ): void => {
-  const lapsed = newestExpiredRevision(transition.state, 'policy');
-  const change = putPolicyChange({ document, ifMatch, changeId, expiredPolicyRevision: lapsed });
+  const expiredPolicyRevision = newestExpiredRevision(transition.state, 'policy');
+  const change = putPolicyChange({ document, ifMatch, changeId, expiredPolicyRevision });
   propose(transition, 'policy', change, { kind: 'put-policy', id, changeId });
 };
 
@@ -204,8 +204,8 @@
   id: number,
   { zone, order, of, changeId }: ActionOf<'zone'>,
 ): void => {
-  const lapsed = newestExpiredRevision(transition.state, 'zones');
-  const change = zoneOrderChange({ zone, order, of, changeId, expiredZonesRevision: lapsed });
+  const expiredZonesRevision = newestExpiredRevision(transition.state, 'zones');
+  const change = zoneOrderChange({ zone, order, of, changeId, expiredZonesRevision });
   propose(transition, 'zones', change, { kind: 'zone', id, changeId });
 };
 
--- a/packages/agent/src/open-agent.ts
+++ b/packages/agent/src/open-agent.ts
@@ -91,6 +91,6 @@
     ...emptyRouting,
     lastSeenAllocation: { term: 0, beat: 0, at: now },
     quotaLeadership: null,
-    nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
+    nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, allocation: 0, ping: 0, expiry: 0 },
   };
 };
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -170,8 +170,8 @@
     exchangeGossip(transition),
   );
   runIfDue('ping', pingRoundIntervalMs, () => pingPeers(transition));
-  runIfDue('sweep', heartbeatIntervalMs, () => expireState(transition));
-  runIfDue('division', allocationIntervalMs, () => maintainQuotaLeadership(transition));
+  runIfDue('expiry', heartbeatIntervalMs, () => expireState(transition));
+  runIfDue('allocation', allocationIntervalMs, () => maintainQuotaLeadership(transition));
   computeRoutingTable(transition);
   renewLease(transition);
 };
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -155,9 +155,9 @@
   const { self, now } = state;
   if (self.proxy === null || now - state.routingTableCheckedAt < pollIntervalAtRestMs) return;
   const serving = new Map(servingNodes(state).map((record) => [record.id, record]));
-  const routingTableNodes = [...serving.keys()].sort().join(' ');
+  const routingTableNodeIds = [...serving.keys()].sort().join(' ');
   update(transition, { routingTableCheckedAt: now });
-  if (!state.isRoutingTableStale && routingTableNodes === state.routingTableNodeIds) return;
+  if (!state.isRoutingTableStale && routingTableNodeIds === state.routingTableNodeIds) return;
   const vectors = usableVectors(state, serving);
   const routingTable =
     vectors[self.id] === undefined
@@ -166,7 +166,7 @@
   update(transition, {
     routingTable,
     isRoutingTableStale: false,
-    routingTableNodeIds: routingTableNodes,
+    routingTableNodeIds,
     routingTableCount: state.routingTableCount + 1,
   });
 };
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -160,7 +160,8 @@
       readonly until: number;
     }[];
   } | null;
+  /** When each periodic job of the tick runs next. */
   readonly nextDueAt: Readonly<
-    Record<'pull' | 'gossip' | 'heartbeat' | 'division' | 'ping' | 'sweep', number>
+    Record<'pull' | 'gossip' | 'heartbeat' | 'allocation' | 'ping' | 'expiry', number>
   >;
 };
--- a/packages/gossip/src/exchange.ts
+++ b/packages/gossip/src/exchange.ts
@@ -52,28 +52,31 @@
   readonly updatedKeys: readonly string[];
   /** The updated keys whose update carried a value. */ readonly keysWithValue: readonly string[];
 } => {
-  const added: Record<string, GossipRecord> = {};
-  const values: string[] = [];
+  const updatedRecords: Record<string, GossipRecord> = {};
+  const keysWithValue: string[] = [];
   for (const [key, { revision, ...rest }] of Object.entries(updates)) {
     const record = state.records[key];
     if (revision <= (record?.revision ?? 0)) continue;
     if ('value' in rest) {
-      added[key] = {
+      updatedRecords[key] = {
         revision,
         value: rest.value,
         valueRevision: revision,
         seenAt: now,
         isExpired: rest.value === null,
       };
-      values.push(key);
+      keysWithValue.push(key);
     } else if (record !== undefined && !record.isExpired)
-      added[key] = { ...record, revision, seenAt: now };
+      updatedRecords[key] = { ...record, revision, seenAt: now };
   }
-  const news = Object.keys(added);
+  const updatedKeys = Object.keys(updatedRecords);
   return {
-    state: news.length === 0 ? state : { ...state, records: { ...state.records, ...added } },
-    updatedKeys: news,
-    keysWithValue: values,
+    state:
+      updatedKeys.length === 0
+        ? state
+        : { ...state, records: { ...state.records, ...updatedRecords } },
+    updatedKeys,
+    keysWithValue,
   };
 };
 
--- a/packages/gossip/src/records.ts
+++ b/packages/gossip/src/records.ts
@@ -172,20 +172,20 @@
   state: GossipState,
   now: number,
 ): { readonly state: GossipState; readonly expiredKeys: readonly string[] } => {
-  const gone = Object.entries(state.records).flatMap(([key, record]) =>
+  const expiredKeys = Object.entries(state.records).flatMap(([key, record]) =>
     !record.isExpired && now - record.seenAt > retentionMsOf(key) ? [key] : [],
   );
-  if (gone.length === 0) return { state, expiredKeys: gone };
+  if (expiredKeys.length === 0) return { state, expiredKeys };
   return {
     state: {
       ...state,
       records: {
         ...state.records,
         ...Object.fromEntries(
-          gone.map((key) => [key, { ...state.records[key], value: null, isExpired: true }]),
+          expiredKeys.map((key) => [key, { ...state.records[key], value: null, isExpired: true }]),
         ),
       },
     },
-    expiredKeys: gone,
+    expiredKeys,
   };
 };
