--- a/packages/agent/src/proposals/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -1,7 +1,7 @@
 /**
- * The changes that are made to registers: pure functions from what a proposal reads to what it
- * proposes. Each is applied again in every proposal that is made for it, and knows its own earlier work
- * by an id or by content.
+ * The changes of registers: pure functions from the value that a proposal read to the value that it
+ * proposes. A change is applied again in every proposal that includes it, and recognizes by an id or
+ * by content that an earlier proposal already wrote it.
  */
 import type { ChangeResult } from '@reedyard/consensus';
 import type { QuotaAllocation } from '@reedyard/quota-division';
@@ -14,77 +14,82 @@
 import { hasSameContent } from './content-equality.js';
 
 /**
- * What the register held when a change was first applied, and what it holds in the present
- * proposal.
+ * The register's value when a change was first applied (`first`), and its value in the current
+ * proposal (`now`).
  */
 export type ReadHistory = { readonly first: unknown; readonly now: unknown };
 
-/** A change of a register; `reading` is given from the second proposal on. */
-export type RegisterChange = (current: unknown, reading?: ReadHistory) => ChangeResult;
+/** A change of a register; `readHistory` is passed from the change's second proposal on. */
+export type RegisterChange = (current: unknown, readHistory?: ReadHistory) => ChangeResult;
 
 /** Why an operator's change was refused. */
 export const refusalReasons = {
+  /** The revision in If-Match is not the current one. */
   staleRevision: 'stale-revision',
-  /** Another configuration is held under the same version. */
+  /** The register contains another configuration with the same version. */
   versionTaken: 'version-taken',
-  /** Another order for the same zone was chosen since this one first read the register. */
+  /** Another order for the same zone was chosen after this order first read the register. */
   overtaken: 'overtaken',
 } as const;
 
 const keep: ChangeResult = { kind: 'keep' };
 
-/** A configuration to be taken, with what tells a repeat of it from a new one. */
+/** A new policy, with the change id and revision that identify a repeated request. */
 export type PolicyUpdate = {
   readonly document: Policy;
   readonly ifMatch: number | null;
   readonly changeId: string;
-  /** Changes up to this revision may be forgotten. */
+  /** The ids of changes up to this revision may be removed. */
   readonly expiredPolicyRevision: number;
 };
 
-/** What a configuration's version says about it beside the one held. */
-const compareVersions = (held: Policy, sent: Policy): 'newer' | 'older' | 'equal' => {
-  if (held.version === undefined || sent.version === undefined || sent.version > held.version) {
+/** Compares the version of a sent policy with that of the current one; without versions: newer. */
+const compareVersions = (current: Policy, sent: Policy): 'newer' | 'older' | 'equal' => {
+  if (
+    current.version === undefined ||
+    sent.version === undefined ||
+    sent.version > current.version
+  ) {
     return 'newer';
   }
-  return sent.version < held.version ? 'older' : 'equal';
+  return sent.version < current.version ? 'older' : 'equal';
 };
 
 /**
- * Takes a configuration. What is held already is acknowledged again. An older version is
- * acknowledged and changes nothing; another content under the version held is refused, since only
- * one may be confirmed under a version.
+ * Writes a new policy. A policy that is already in force is acknowledged again. An older version is
+ * acknowledged and changes nothing. Another content with the current version is refused, since only
+ * one content may be acknowledged per version.
  */
 export const putPolicyChange =
-  (order: PolicyUpdate): RegisterChange =>
+  (policyUpdate: PolicyUpdate): RegisterChange =>
   (current) => {
     const inForce = current as PolicyRegister | null;
-    if (inForce === null) return putFirstPolicy(order);
-    if (findRecentChange(inForce.changes, order.changeId) !== undefined) return keep;
-    if (isHeldAlready(inForce, order)) return keep;
-    if (order.ifMatch !== null && order.ifMatch !== inForce.revision)
+    if (inForce === null) return putFirstPolicy(policyUpdate);
+    if (findRecentChange(inForce.changes, policyUpdate.changeId) !== undefined) return keep;
+    if (isAlreadyInForce(inForce, policyUpdate)) return keep;
+    if (policyUpdate.ifMatch !== null && policyUpdate.ifMatch !== inForce.revision)
       return { kind: 'refuse', reason: refusalReasons.staleRevision };
-    switch (compareVersions(inForce.document, order.document)) {
+    switch (compareVersions(inForce.document, policyUpdate.document)) {
       case 'older':
         return keep;
       case 'equal':
         return { kind: 'refuse', reason: refusalReasons.versionTaken };
       case 'newer':
-        return writePolicy(order, inForce.revision, inForce.changes);
+        return writePolicy(policyUpdate, inForce.revision, inForce.changes);
     }
   };
 
-/** The first policy of all; it can't be conditional on an earlier revision. */
-const putFirstPolicy = (order: PolicyUpdate): ChangeResult =>
-  order.ifMatch !== null && order.ifMatch !== 0
+/** Writes the first policy, which can't be conditional on an earlier revision. */
+const putFirstPolicy = (policyUpdate: PolicyUpdate): ChangeResult =>
+  policyUpdate.ifMatch !== null && policyUpdate.ifMatch !== 0
     ? { kind: 'refuse', reason: refusalReasons.staleRevision }
-    : writePolicy(order, 0, []);
+    : writePolicy(policyUpdate, 0, []);
 
 /**
- * Whether the order's very content is in force: sent again under its own version, or under the
- * revision that it replaced, since it was taken then.
+ * Whether the update's content is already in force: the update was written before and is sent again,
+ * either with the current version, or conditional on the revision that it replaced.
  */
-const isHeldAlready = (
+const isAlreadyInForce = (
   { revision, document }: PolicyRegister,
   { ifMatch, document: sent }: PolicyUpdate,
 ): boolean => {
@@ -95,155 +100,168 @@
 };
 
 const writePolicy = (
-  { document, changeId, expiredPolicyRevision: lapsed }: PolicyUpdate,
+  { document, changeId, expiredPolicyRevision }: PolicyUpdate,
   revisionBefore: number,
   changesBefore: PolicyRegister['changes'],
 ): ChangeResult => {
   const revision = revisionBefore + 1;
-  const changes = addRecentChange(changesBefore, { id: changeId, revision }, lapsed);
+  const changes = addRecentChange(changesBefore, { id: changeId, revision }, expiredPolicyRevision);
   return { kind: 'write', value: { revision, document, changes } satisfies PolicyRegister };
 };
 
-/** An order for a zone, with what tells a repeat of it from a new one. */
+/** An order for a zone, with the change id that identifies a repeated request. */
 export type ZoneOrderChange = {
   readonly zone: string;
   readonly order: ZoneOrder['order'];
   readonly of: ZoneOrder['of'];
   readonly changeId: string;
-  /** Changes up to this revision may be forgotten. */
+  /** The ids of changes up to this revision may be removed. */
   readonly expiredZonesRevision: number;
 };
 
-/** The lists of zones after an order. */
+/** The lists of evacuated zones and of zones with closed origins after an order. */
 const zonesAfter = (
-  old: ZonesRegister,
+  current: ZonesRegister,
   { zone, order, of }: ZoneOrderChange,
 ): Pick<ZonesRegister, 'emptied' | 'closedOrigins'> => {
   const others = (zones: readonly string[]): readonly string[] =>
     zones.filter((each) => each !== zone);
-  const withZone = (zones: readonly string[], isIn: boolean): readonly string[] =>
-    isIn ? [...others(zones), zone] : others(zones);
-  const isEmptied = of === 'origins' ? old.emptied.includes(zone) : order === 'empty';
-  // While a zone is emptied as a whole, its origins can't be taken back by themselves.
+  const withZone = (zones: readonly string[], isMember: boolean): readonly string[] =>
+    isMember ? [...others(zones), zone] : others(zones);
+  const isEmptied = of === 'origins' ? current.emptied.includes(zone) : order === 'empty';
+  // The origins of an evacuated zone can't be restored without the rest of the zone.
   const isClosed = order === 'empty' || isEmptied;
   return {
-    emptied: of === 'origins' ? old.emptied : withZone(old.emptied, isEmptied),
-    closedOrigins: withZone(old.closedOrigins, isClosed),
+    emptied: of === 'origins' ? current.emptied : withZone(current.emptied, isEmptied),
+    closedOrigins: withZone(current.closedOrigins, isClosed),
   };
 };
 
 const isInForce = (
-  old: ZonesRegister,
+  current: ZonesRegister,
   next: Pick<ZonesRegister, 'emptied' | 'closedOrigins'>,
   zone: string,
 ): boolean =>
-  old.emptied.includes(zone) === next.emptied.includes(zone) &&
-  old.closedOrigins.includes(zone) === next.closedOrigins.includes(zone);
+  current.emptied.includes(zone) === next.emptied.includes(zone) &&
+  current.closedOrigins.includes(zone) === next.closedOrigins.includes(zone);
 
-/** Whether another order for the zone was chosen since this one first read the register. */
-const isOvertaken = (reading: ReadHistory | undefined, zone: string): boolean =>
-  reading !== undefined &&
-  zonesValueOf(reading.first).lastOrders[zone] !== zonesValueOf(reading.now).lastOrders[zone];
+/** Whether another order for the zone was chosen after this order first read the register. */
+const isOvertaken = (readHistory: ReadHistory | undefined, zone: string): boolean =>
+  readHistory !== undefined &&
+  zonesValueOf(readHistory.first).lastOrders[zone] !==
+    zonesValueOf(readHistory.now).lastOrders[zone];
 
 /**
- * Carries out an order for a zone. Every order that is chosen leaves its revision with the zone,
- * also one that changes nothing else: an older order that is still being proposed finds then that
- * it was overtaken, and does not undo it.
+ * Applies an order for a zone. Every chosen order records its revision with the zone, even if the
+ * order changes nothing else: an older order that is still being proposed then detects that it was
+ * overtaken, and does not undo the newer order.
  */
 export const zoneOrderChange =
-  (sent: ZoneOrderChange): RegisterChange =>
-  (current, reading) => {
-    const old = zonesValueOf(current);
-    if (findRecentChange(old.changes, sent.changeId) !== undefined) return keep;
-    const { zone } = sent;
-    const next = zonesAfter(old, sent);
-    if (isOvertaken(reading, zone)) {
-      return isInForce(old, next, zone)
+  (zoneOrder: ZoneOrderChange): RegisterChange =>
+  (current, readHistory) => {
+    const before = zonesValueOf(current);
+    if (findRecentChange(before.changes, zoneOrder.changeId) !== undefined) return keep;
+    const { zone } = zoneOrder;
+    const next = zonesAfter(before, zoneOrder);
+    if (isOvertaken(readHistory, zone)) {
+      return isInForce(before, next, zone)
         ? keep
         : { kind: 'refuse', reason: refusalReasons.overtaken };
     }
-    const revision = old.revision + 1;
-    const isReopened = old.closedOrigins.includes(zone) && !next.closedOrigins.includes(zone);
+    const revision = before.revision + 1;
+    const isReopened = before.closedOrigins.includes(zone) && !next.closedOrigins.includes(zone);
     const value: ZonesRegister = {
       ...next,
       revision,
-      reopened: isReopened ? { ...old.reopened, [zone]: revision } : old.reopened,
-      lastOrders: { ...old.lastOrders, [zone]: revision },
+      reopened: isReopened ? { ...before.reopened, [zone]: revision } : before.reopened,
+      lastOrders: { ...before.lastOrders, [zone]: revision },
       changes: addRecentChange(
-        old.changes,
-        { id: sent.changeId, revision },
-        sent.expiredZonesRevision,
+        before.changes,
+        { id: zoneOrder.changeId, revision },
+        zoneOrder.expiredZonesRevision,
       ),
     };
     return { kind: 'write', value };
   };
 
-/** Claims a key for one request. */
+/**
+ * Claims an idempotency key for one request. Refused where the key was claimed for a request with
+ * another digest. A claim that ended as not run may be replaced by a claim with another token, and a
+ * repeat of a pending claim is granted again. Any other claim is refused with the existing claim's
+ * state.
+ */
 export const claimChange =
   (token: string, node: string, life: string, digest: string): RegisterChange =>
   (current) => {
-    const old = current as ClaimRegister | null;
-    if (old !== null && old.digest !== digest) return { kind: 'refuse', reason: 'other' };
-    if (old === null || (old.state === 'not-run' && old.token !== token)) {
+    const before = current as ClaimRegister | null;
+    if (before !== null && before.digest !== digest) return { kind: 'refuse', reason: 'other' };
+    if (before === null || (before.state === 'not-run' && before.token !== token)) {
       return {
         kind: 'write',
         value: { token, state: 'pending', node, life, digest } satisfies ClaimRegister,
       };
     }
-    return old.token === token && old.state === 'pending'
+    return before.token === token && before.state === 'pending'
       ? keep
-      : { kind: 'refuse', reason: old.state };
+      : { kind: 'refuse', reason: before.state };
   };
 
-/** Records what became of a claimed request. */
+/** Records the state of a claimed request; no effect where another token has the claim. */
 export const settleClaimChange =
   (token: string, state: ClaimState): RegisterChange =>
   (current) => {
-    const old = current as ClaimRegister | null;
-    if (old === null || old.token !== token || old.state === state) return keep;
-    return { kind: 'write', value: { ...old, state } satisfies ClaimRegister };
+    const before = current as ClaimRegister | null;
+    if (before === null || before.token !== token || before.state === state) return keep;
+    return { kind: 'write', value: { ...before, state } satisfies ClaimRegister };
   };
 
-/** A quota leader's next allocation, fenced by its term. */
+/**
+ * Writes a quota leader's next allocation. Refused unless the leader's term is the current one and
+ * the allocation's beat is higher than the current beat.
+ */
 export const publishAllocationChange =
   (goal: QuotaAllocation): RegisterChange =>
   (current) => {
-    const old = current as QuotaAllocation | null;
-    const isOwn = old !== null && old.term === goal.term && old.holder === goal.holder;
-    if (isOwn && old.beat === goal.beat) return keep;
-    return isOwn && old.beat < goal.beat
+    const inForce = current as QuotaAllocation | null;
+    const isOwnTerm =
+      inForce !== null && inForce.term === goal.term && inForce.holder === goal.holder;
+    if (isOwnTerm && inForce.beat === goal.beat) return keep;
+    return isOwnTerm && inForce.beat < goal.beat
       ? { kind: 'write', value: goal }
       : { kind: 'refuse', reason: 'fenced' };
   };
 
-/** What tells one allocation from the next. */
+/** An allocation's term and beat, which together identify the allocation. */
 const allocationId = (allocation: QuotaAllocation | null): string =>
   `${allocation?.term ?? 0}/${allocation?.beat ?? 0}`;
 
-/** Takes the quota leadership where it was found vacant, unless anything moved since. */
+/**
+ * Takes over the quota leadership, with the quotas in force. Refused if another allocation was
+ * published since `lastSeen`, the allocation whose leader had timed out.
+ */
 export const takeQuotaLeadershipChange =
-  (seen: QuotaAllocation | null, goal: QuotaAllocation): RegisterChange =>
+  (lastSeen: QuotaAllocation | null, goal: QuotaAllocation): RegisterChange =>
   (current) => {
     const inForce = current as QuotaAllocation | null;
     const isTaken = inForce?.term === goal.term && inForce.holder === goal.holder;
     if (isTaken) return keep;
-    if (allocationId(inForce) !== allocationId(seen))
+    if (allocationId(inForce) !== allocationId(lastSeen))
       return { kind: 'refuse', reason: 'not vacant' };
     const { slices = {}, seated = [] } = inForce ?? {};
     return { kind: 'write', value: { ...goal, slices, seated } };
   };
 
 /**
- * Predecessors of the members, but for one whose disk is now another; left out where there are
- * none.
+ * The membership's predecessors, without that of a member whose disk was replaced. The field is
+ * omitted where the membership has none.
  */
 const predecessorsWithout = (
-  members: Membership,
-  member: string | undefined,
+  membership: Membership,
+  replacedMember: string | undefined,
 ): Pick<Membership, 'predecessors'> => {
-  if (members.predecessors === undefined) return {};
-  if (member === undefined) return { predecessors: members.predecessors };
-  return { predecessors: without(members.predecessors, member) };
+  if (membership.predecessors === undefined) return {};
+  if (replacedMember === undefined) return { predecessors: membership.predecessors };
+  return { predecessors: without(membership.predecessors, replacedMember) };
 };
 
 const membershipChanged: ChangeResult = {
@@ -251,7 +269,7 @@
   reason: 'the members have changed',
 };
 
-/** The fields that change where a slot gets another disk, and where its address changes. */
+/** The next epoch of a membership, in which a slot has the given disk and, if given, address. */
 const withSlot = (
   before: Membership,
   slot: string,
@@ -270,7 +288,10 @@
   };
 };
 
-/** Gives a slot to another disk: one at a time, and only by the members just before. */
+/**
+ * Assigns a disk or an address to a slot. Refused unless the membership is still in the epoch that
+ * the proposer knows: each epoch changes one slot and is chosen by the members of the epoch before.
+ */
 export const assignSlotChange =
   (known: Membership, slot: string, diskId: string, address?: string): RegisterChange =>
   (current) => {
@@ -282,31 +303,40 @@
     return { kind: 'write', value: withSlot(before, slot, diskId, address) };
   };
 
-/** Gives a slot up, and another, of a disk without one, in its stead. */
+/**
+ * Removes a member and adds another one, whose disk has no slot, in its place. The removed member is
+ * recorded as the predecessor of the new one.
+ */
 export const replaceMemberChange =
   (
     known: Membership,
-    gone: string,
-    replica: string,
-    disk: string,
+    removedMember: string,
+    newMember: string,
+    diskId: string,
     address: string,
   ): RegisterChange =>
   (current) => {
-    const old = current as Membership | null;
-    if (old === null || old.disks[replica] === disk) return keep;
-    if (old.epoch !== known.epoch || old.disks[gone] === undefined) {
+    const before = current as Membership | null;
+    if (before === null || before.disks[newMember] === diskId) return keep;
+    if (before.epoch !== known.epoch || before.disks[removedMember] === undefined) {
       return membershipChanged;
     }
-    const disks = { ...without(old.disks, gone), [replica]: disk };
-    const addresses = { ...without(old.addresses ?? {}, gone), [replica]: address };
-    const since = old.joinedIn?.[gone];
+    const disks = { ...without(before.disks, removedMember), [newMember]: diskId };
+    const addresses = { ...without(before.addresses ?? {}, removedMember), [newMember]: address };
+    const joinedInEpoch = before.joinedIn?.[removedMember];
     const predecessor = {
-      disk: old.disks[gone],
-      address: old.addresses?.[gone] ?? '',
-      ...(since === undefined ? {} : { joinedIn: since }),
+      disk: before.disks[removedMember],
+      address: before.addresses?.[removedMember] ?? '',
+      ...(joinedInEpoch === undefined ? {} : { joinedIn: joinedInEpoch }),
+    };
+    const predecessors = {
+      ...without(before.predecessors ?? {}, removedMember),
+      [newMember]: predecessor,
+    };
+    const joinedIn = {
+      ...without(before.joinedIn ?? {}, removedMember),
+      [newMember]: before.epoch + 1,
     };
-    const predecessors = { ...without(old.predecessors ?? {}, gone), [replica]: predecessor };
-    const joinedIn = { ...without(old.joinedIn ?? {}, gone), [replica]: old.epoch + 1 };
-    const value = { ...old, epoch: old.epoch + 1, disks, addresses, predecessors, joinedIn };
+    const value = { ...before, epoch: before.epoch + 1, disks, addresses, predecessors, joinedIn };
     return { kind: 'write', value: value satisfies Membership };
   };
--- a/packages/agent/src/proposals/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -1,6 +1,6 @@
 /**
- * What is done with the end of each proposal: answers to its caller, and what this node notes for
- * itself.
+ * Completes changes of registers: sends the response to the client that requested the change, and
+ * updates the node's own state.
  */
 import { recordValue } from '@reedyard/gossip';
 import type { QuotaAllocation } from '@reedyard/quota-division';
@@ -19,35 +19,35 @@
 import { refusalReasons } from './changes.js';
 import type { Purpose } from './proposal-state.js';
 
-/** How a change of a register ended, and what the register held after it. */
+/** The outcome of a change of a register, with the register's value after the change. */
 export type ChangeOutcome =
   | { readonly kind: 'chosen'; readonly value: unknown }
   | { readonly kind: 'refused'; readonly reason: string; readonly value: unknown }
   | { readonly kind: 'unknown' };
 
-type Purposed<K extends Purpose['kind']> = Extract<Purpose, { kind: K }>;
+type PurposeOf<K extends Purpose['kind']> = Extract<Purpose, { kind: K }>;
 
-const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
-  transition.effects.push({ kind: 'send-answer', requestId: id, ...given });
+const respond = (transition: Transition, id: number, response: ApiAnswer): void => {
+  transition.effects.push({ kind: 'send-answer', requestId: id, ...response });
 };
 
-const refusedPolicy = (reason: string, value: PolicyRegister | null): ApiAnswer => {
+const policyRefusal = (reason: string, value: PolicyRegister | null): ApiAnswer => {
   const revision = value?.revision ?? 0;
-  const isTaken = reason === refusalReasons.versionTaken;
-  const detail = isTaken
+  const isVersionTaken = reason === refusalReasons.versionTaken;
+  const detail = isVersionTaken
     ? `another policy is in force under version ${value?.document.version ?? 0}`
     : `the policy in force has revision ${revision}`;
-  const refused = refusal(412, isTaken ? 'Version taken' : 'Stale revision', detail);
-  return { ...refused, body: { ...(refused.body as object), revision } };
+  const response = refusal(412, isVersionTaken ? 'Version taken' : 'Stale revision', detail);
+  return { ...response, body: { ...(response.body as object), revision } };
 };
 
 const finishPutPolicy = (
   transition: Transition,
-  purpose: Purposed<'put-policy'>,
+  purpose: PurposeOf<'put-policy'>,
   outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind === 'unknown') {
-    answer(transition, purpose.id, unreached('The policy'));
+    respond(transition, purpose.id, unreached('The policy'));
     return;
   }
   const value = outcome.value as PolicyRegister | null;
@@ -57,93 +57,99 @@
       revision: value?.revision ?? 0,
       change: purpose.changeId,
     });
-    answer(transition, purpose.id, refusedPolicy(outcome.reason, value));
+    respond(transition, purpose.id, policyRefusal(outcome.reason, value));
     return;
   }
   const revision =
     findRecentChange(value?.changes ?? [], purpose.changeId)?.revision ?? value?.revision ?? 0;
   log(transition, 'policy.acknowledged', { revision, change: purpose.changeId });
-  // The version in force: an older configuration is acknowledged though it is not this one.
+  // The version in force, which may be newer than the one sent: older versions are acknowledged too.
   const version = value?.document.version;
   const body = {
     revision,
     changeId: purpose.changeId,
     ...(version === undefined ? {} : { version }),
   };
-  answer(transition, purpose.id, { status: 200, body });
+  respond(transition, purpose.id, { status: 200, body });
 };
 
 const finishGetPolicy = (
   transition: Transition,
-  purpose: Purposed<'get-policy'>,
+  purpose: PurposeOf<'get-policy'>,
   outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind !== 'chosen') {
-    answer(transition, purpose.id, unreached('The read'));
+    respond(transition, purpose.id, unreached('The read'));
     return;
   }
   const value = outcome.value as PolicyRegister | null;
   const policy = value?.document ?? { services: {}, routes: [] };
-  answer(transition, purpose.id, { status: 200, body: { revision: value?.revision ?? 0, policy } });
+  respond(transition, purpose.id, {
+    status: 200,
+    body: { revision: value?.revision ?? 0, policy },
+  });
 };
 
 const finishZone = (
   transition: Transition,
-  purpose: Purposed<'zone'>,
+  purpose: PurposeOf<'zone'>,
   outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind === 'unknown') {
-    answer(transition, purpose.id, unreached('The order'));
+    respond(transition, purpose.id, unreached('The order'));
     return;
   }
   const value = zonesValueOf(outcome.value);
   if (outcome.kind === 'refused') {
     log(transition, 'zones.overtaken', { revision: value.revision });
     const detail =
-      'Another order for this zone was made meanwhile; nothing was changed. Repeat it.';
-    answer(transition, purpose.id, unavailable('Overtaken', detail));
+      'Another order for this zone was applied in the meantime; nothing was changed. Repeat the request.';
+    respond(transition, purpose.id, unavailable('Overtaken', detail));
     return;
   }
   const revision = findRecentChange(value.changes, purpose.changeId)?.revision ?? value.revision;
   const { emptied, closedOrigins } = value;
   const lists = { emptied: emptied.join(','), closedOrigins: closedOrigins.join(',') };
   log(transition, 'zones.acknowledged', { revision: value.revision, ...lists });
-  answer(transition, purpose.id, { status: 200, body: { revision, emptied, closedOrigins } });
+  respond(transition, purpose.id, { status: 200, body: { revision, emptied, closedOrigins } });
 };
 
 const finishAllocation = (
   transition: Transition,
-  { goal }: Purposed<'publish-allocation'>,
+  { goal }: PurposeOf<'publish-allocation'>,
   outcome: ChangeOutcome,
 ): void => {
   const { state } = transition;
-  const own = outcome.kind === 'chosen' ? (outcome.value as QuotaAllocation) : null;
+  const chosen = outcome.kind === 'chosen' ? (outcome.value as QuotaAllocation) : null;
   if (
-    own === null ||
-    own.holder !== state.self.id ||
-    own.term !== goal.term ||
-    own.beat !== goal.beat
+    chosen === null ||
+    chosen.holder !== state.self.id ||
+    chosen.term !== goal.term ||
+    chosen.beat !== goal.beat
   ) {
     if (state.quotaLeadership !== null)
       log(transition, 'quota-leadership.lost', { term: goal.term, how: outcome.kind });
     update(transition, { quotaLeadership: null });
     return;
   }
-  if (state.quotaLeadership === null || state.quotaLeadership.term !== own.term) {
-    log(transition, 'quota-leadership.won', { term: own.term });
-    update(transition, { quotaLeadership: { term: own.term, precedingAllocations: [] } });
+  if (state.quotaLeadership === null || state.quotaLeadership.term !== chosen.term) {
+    log(transition, 'quota-leadership.won', { term: chosen.term });
+    update(transition, { quotaLeadership: { term: chosen.term, precedingAllocations: [] } });
     return;
   }
-  // Chosen now: from here on its forerunners last one lease more, no longer.
-  const last = state.now + quotaRaiseDelayMs;
-  const held = state.quotaLeadership.precedingAllocations.map((each) => ({
-    ...each,
-    until: Math.min(each.until, last),
+  // Once the allocation is chosen, other nodes use the preceding ones for at most one more lease.
+  const latestEnd = state.now + quotaRaiseDelayMs;
+  const precedingAllocations = state.quotaLeadership.precedingAllocations.map((allocation) => ({
+    ...allocation,
+    until: Math.min(allocation.until, latestEnd),
   }));
-  update(transition, { quotaLeadership: { ...state.quotaLeadership, precedingAllocations: held } });
+  update(transition, { quotaLeadership: { ...state.quotaLeadership, precedingAllocations } });
 };
 
-/** A claim that is pending in an incarnation that is over has no known outcome any more. */
+/**
+ * The state of a claim. A claim that is pending in an incarnation that has ended has an unknown
+ * outcome.
+ */
 const claimState = (transition: Transition, claim: ClaimRegister): ClaimState => {
   if (claim.state !== 'pending') return claim.state;
   const record = recordValue(transition.state.gossip, `node/${claim.node}`) as
@@ -160,7 +166,7 @@
 
 const finishMembershipChange = (
   transition: Transition,
-  purpose: Purposed<'change-membership'>,
+  purpose: PurposeOf<'change-membership'>,
   outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind !== 'chosen') return;
@@ -169,7 +175,7 @@
   else log(transition, 'members.replaced', { replica, disk, instead });
 };
 
-/** Does what is to be done at the end of a proposal. */
+/** Handles the outcome of a change according to its purpose. */
 export const completeChange = (
   transition: Transition,
   purpose: Purpose,
--- a/packages/agent/src/proposals/content-equality.ts
+++ b/packages/agent/src/proposals/content-equality.ts
@@ -1,16 +1,17 @@
-/** Whether two parsed documents say the same. */
+/** Compares parsed documents by content. */
 
-type Tree = Readonly<Record<string, unknown>>;
+type JsonObject = Readonly<Record<string, unknown>>;
 
-const isObject = (value: unknown): value is Tree => typeof value === 'object' && value !== null;
+const isObject = (value: unknown): value is JsonObject =>
+  typeof value === 'object' && value !== null;
 
-/** The fields of an object that have a value: one that is undefined is not sent. */
-const fieldsOf = (tree: Tree): readonly string[] =>
-  Object.keys(tree).filter((field) => tree[field] !== undefined);
+/** The names of an object's fields, except undefined fields, which are not serialized. */
+const fieldsOf = (object: JsonObject): readonly string[] =>
+  Object.keys(object).filter((field) => object[field] !== undefined);
 
 /**
- * Compares by content: the order of an object's fields and fields without a value make no
- * difference, the order of a list does.
+ * Whether two parsed documents have the same content. The order of an object's fields and undefined
+ * fields are ignored; the order of a list is not.
  *
  * @example
  * hasSameContent({ version: 7, routes: [] }, { routes: [], version: 7 }) // true
--- a/packages/agent/src/proposals/journal-appends.ts
+++ b/packages/agent/src/proposals/journal-appends.ts
@@ -1,6 +1,6 @@
 /**
- * Journal entries on their way to the replicas' journals: the caller is answered once a majority
- * has them on disk.
+ * Appends journal entries to the replicas' journals, and responds to the client once a majority of
+ * replicas has the entries on disk.
  */
 import { majorityOf } from '@reedyard/consensus';
 import type { JournalEntry, ReplicaReply } from '@reedyard/replica';
@@ -12,62 +12,68 @@
 import { type PendingAppend, proposalTimeoutMs, resendMs } from './proposal-state.js';
 
 /**
- * Posts journal entries; the waiting caller is answered with `done` once a majority has them on
- * disk.
+ * Appends journal entries. The client's request is answered with `responseBody` once a majority of
+ * replicas has the entries on disk.
  */
 export const appendToJournal = (
   transition: Transition,
   entries: readonly JournalEntry[],
-  id: number,
-  done: unknown,
+  apiRequestId: number,
+  responseBody: unknown,
 ): void => {
-  const which = takeRequestId(transition);
-  const posting = {
+  const appendId = takeRequestId(transition);
+  const append = {
     entries,
     acknowledgedBy: [],
-    apiRequestId: id,
+    apiRequestId,
     requestedAt: transition.state.now,
     lastSentAt: -Infinity,
-    responseBody: done,
+    responseBody,
   };
-  update(transition, { pendingAppends: { ...transition.state.pendingAppends, [which]: posting } });
+  update(transition, {
+    pendingAppends: { ...transition.state.pendingAppends, [appendId]: append },
+  });
   maintainAppends(transition);
 };
 
-/** Counts a replica that appended; answers the caller once a majority has. */
+/**
+ * Counts a replica that has appended the entries, and responds to the client once a majority has.
+ */
 export const handleAppendReply = (
   transition: Transition,
-  which: number,
+  appendId: number,
   replica: string,
   reply: ReplicaReply,
 ): void => {
-  const posting = transition.state.pendingAppends[which];
-  if (posting === undefined || reply.kind !== 'entries-appended') return;
+  const append = transition.state.pendingAppends[appendId];
+  if (append === undefined || reply.kind !== 'entries-appended') return;
   if (
-    posting.acknowledgedBy.includes(replica) ||
+    append.acknowledgedBy.includes(replica) ||
     !isDiskOfMember(transition.state, replica, reply.diskId)
   )
     return;
-  const acks = [...posting.acknowledgedBy, replica];
-  if (acks.length < majorityOf(Object.keys(transition.state.replicas).length)) {
+  const acknowledgedBy = [...append.acknowledgedBy, replica];
+  if (acknowledgedBy.length < majorityOf(Object.keys(transition.state.replicas).length)) {
     update(transition, {
       pendingAppends: {
         ...transition.state.pendingAppends,
-        [which]: { ...posting, acknowledgedBy: acks },
+        [appendId]: { ...append, acknowledgedBy },
       },
     });
     return;
   }
-  const posted = Object.fromEntries(posting.entries.map((entry) => [entry.key, true as const]));
+  const committedKeys = Object.fromEntries(
+    append.entries.map((entry) => [entry.key, true as const]),
+  );
   update(transition, {
-    pendingAppends: without(transition.state.pendingAppends, which),
-    committedEntryKeys: { ...transition.state.committedEntryKeys, ...posted },
+    pendingAppends: without(transition.state.pendingAppends, appendId),
+    committedEntryKeys: { ...transition.state.committedEntryKeys, ...committedKeys },
   });
   transition.effects.push({
     kind: 'send-answer',
-    requestId: posting.apiRequestId,
+    requestId: append.apiRequestId,
     status: 200,
-    body: posting.responseBody,
+    body: append.responseBody,
   });
 };
 
@@ -90,11 +96,11 @@
   }
 };
 
-/** Sends appends again to replicas that did not answer; fails one that has taken too long. */
+/** Resends appends to replicas that have not replied, and fails appends that have timed out. */
 export const maintainAppends = (transition: Transition): void => {
   const { now } = transition.state;
-  for (const [name, append] of Object.entries(transition.state.pendingAppends)) {
-    const appendId = Number(name);
+  for (const [key, append] of Object.entries(transition.state.pendingAppends)) {
+    const appendId = Number(key);
     const isOverdue = now - append.requestedAt > proposalTimeoutMs;
     if (isOverdue || isAppendIsolated(transition.state, append))
       failAppend(transition, appendId, append);
--- a/packages/agent/src/proposals/proposal-state.ts
+++ b/packages/agent/src/proposals/proposal-state.ts
@@ -1,20 +1,24 @@
-/** Changes of registers and of the journal that are under way. */
+/** The state of pending changes of registers and of pending appends to the journal. */
 
 import type { Proposal } from '@reedyard/consensus';
 import type { QuotaAllocation } from '@reedyard/quota-division';
 import type { JournalEntry } from '@reedyard/replica';
 import type { RegisterChange } from './changes.js';
 
-/** ms. A whole proposal (all tries) before its caller is told it is unknown. */
+/**
+ * How long a change may take, in milliseconds, over all proposals that include it, before its
+ * outcome is reported as unknown.
+ */
 export const proposalTimeoutMs = 4_000;
 
 /**
- * ms. Calls of a proposal, and journal entries, are sent again to replicas that have not answered:
- * all may be taken twice. Over two trips between regions 35 ms apart and the syncs of a disk.
+ * The time in milliseconds after which the calls of a proposal, and journal entries, are sent again
+ * to replicas that have not replied; replicas may receive all of them twice. It exceeds two round
+ * trips between regions that are 35 ms apart plus the syncs of a disk.
  */
 export const resendMs = 150;
 
-/** Who waits for a proposal, and what becomes of its end. */
+/** What a change is for, which determines how its outcome is handled, and who is notified. */
 export type Purpose =
   | { readonly kind: 'put-policy'; readonly id: number; readonly changeId: string }
   | { readonly kind: 'get-policy'; readonly id: number }
@@ -27,49 +31,51 @@
       readonly kind: 'change-membership';
       readonly member: string;
       readonly diskId: string;
-      /** Whose slot it is, where another machine gives it up. */ readonly replacedMember?: string;
+      /** The member that is removed from the membership; absent where no member is. */ readonly replacedMember?: string;
     };
 
-/**
- * One change that is to be made to a register, until its proposal is decided or its time is over.
- */
+/** A change of a register whose proposal is not yet decided and that has not timed out. */
 export type PendingChange = {
   readonly key: string;
   readonly change: RegisterChange;
   readonly purpose: Purpose;
   readonly requestedAt: number;
-  /** What the register held when this change was first applied, once that is known. */
+  /** The register's value when this change was first applied; null until then. */
   readonly firstRead: { readonly value: unknown } | null;
-  /** Its caller is gone: no further proposal is opened for it. */
+  /** Whether the client has disconnected: the change is included in no further proposal. */
   readonly isAbandoned: boolean;
 };
 
-/** A change that is part of a proposal. */
+/** A pending change that is included in a proposal, with its id. */
 export type IncludedChange = { readonly id: number; readonly pendingChange: PendingChange };
 
-/** How often a proposal was outvoted, and how often too few answered in time. */
+/** How often a proposal was preempted, and how often too few replicas replied in time. */
 export type Retries = { readonly preempted: number; readonly timedOut: number };
 
 /**
- * The one proposal that this node has under way for a register, for all changes that waited when it
- * was opened.
+ * The only proposal of this node for a register that is in flight. It includes all changes that were
+ * pending when it was started.
  */
 export type ActiveProposal = {
   readonly proposal: Proposal;
-  /** The changes that it makes, as they were when it was opened. */
+  /** The changes that the proposal includes, as they were when the proposal was started. */
   readonly included: readonly IncludedChange[];
-  /** When its present phase began, and when its calls were last sent. */
+  /** When the current phase began. */
   readonly phaseStartedAt: number;
+  /** When the calls of the current phase were last sent. */
   readonly lastSentAt: number;
-  /** How often they were sent again in this phase. */
+  /** How often the calls of the current phase were sent again. */
   readonly resendCount: number;
-  /** How often it was opened anew, by reason. */
+  /** How often the proposal was restarted, by reason. */
   readonly retries: Retries;
-  /** When it is opened anew after it was outvoted. */
+  /** When the proposal is restarted after it was preempted; null where it was not. */
   readonly retryAt: number | null;
 };
 
-/** Journal entries on their way to a majority of disks, for a caller that waits. */
+/**
+ * Journal entries that are not yet on the disks of a majority of replicas, and the API request that
+ * is answered once they are.
+ */
 export type PendingAppend = {
   readonly entries: readonly JournalEntry[];
   readonly acknowledgedBy: readonly string[];
