--- a/packages/agent/src/control/control-state.ts
+++ b/packages/agent/src/control/control-state.ts
@@ -1,31 +1,32 @@
-/** What an agent knows of the replicas: how each answered its polls, and the claims seen chosen. */
+/** What an agent knows about the replicas: their replies to its polls, and the claims it saw chosen. */
 
 import type { Map as Table } from 'immutable';
 import type { ProposalNumber } from '@reedyard/consensus';
 import type { CommittedMembership, JournalCursor, JournalEntry } from '@reedyard/replica';
 
-/** The registers that every agent watches. */
+/** Keys of the registers that every agent watches. */
 export const watchedRegisters = ['members', 'policy', 'zones', 'plan'] as const;
 
 /** The key of a register that every agent watches. */
 export type WatchedRegister = (typeof watchedRegisters)[number];
 
-/** What a replica's last answer to a poll came to. */
+/** The outcome of a replica's last reply to a poll. */
 export type PollOutcome =
+  /** The reply counts towards the lease. */
   | 'counted'
-  /** Its disk takes no writes: it answers, and votes for nothing. */
+  /** The replica's disk accepts no writes: the replica replies to polls, but doesn't vote. */
   | 'read-only'
-  /** It is a member, and may not vote before it has read or heard what the others know. */
+  /** The replica is a member, but may not vote until it has recovered the state of the others. */
   | 'recovering'
-  /** Its disk is blank and is not a member. */
+  /** The replica's disk is blank and is not a member. */
   | 'blank'
-  /** Its disk is not the member's. */
+  /** The replica's disk is not the member's disk. */
   | 'not-a-member'
-  /** It knows of a newer membership than this node. */
+  /** The replica knows of a newer membership than this node. */
   | 'newer-membership'
   | 'refused';
 
-/** How and when a replica last answered a poll, and with which disk. */
+/** The outcome, time and disk id of a replica's last reply to a poll. */
 export type LastPollReply = {
   readonly at: number;
   readonly diskId: string;
@@ -33,46 +34,46 @@
 };
 
 /**
- * What one counted poll showed: when it was sent, whether journal entries are left out, and the
- * proposals accepted by then.
+ * The content of one counted poll: when the poll was sent, whether the replica has more journal
+ * entries, and the proposals that the replica had accepted.
  */
 export type PollSnapshot = {
   readonly sentAt: number;
   readonly hasMoreEntries: boolean;
   readonly acceptedNumbers: Readonly<Record<string, ProposalNumber>>;
-  /** Registers whose value the replica copied from another: it has not voted for it. */
+  /** Registers whose value the replica copied from another replica, without having voted for it. */
   readonly copiedKeys?: readonly string[];
 };
 
 /**
- * The newest counted poll, and those before it that may still carry the lease, the newest first.
+ * The newest counted poll, and the earlier polls that may still support the lease, newest first.
  */
 export type CountedPolls = PollSnapshot & { readonly earlier: readonly PollSnapshot[] };
 
-/** How one replica was last seen. */
+/** What this node knows about one replica. */
 export type ReplicaView = {
   readonly address: string;
   readonly cursor: JournalCursor | null;
   readonly pollId: number | null;
   readonly lastPolledAt: number;
-  /** When it last answered anything, or was first known. */
+  /** When a member's or a blank disk last replied to a poll, or when the replica was first known. */
   readonly lastMemberReplyAt: number;
-  /** How it last answered a poll; null before the first answer. */
+  /** The last reply to a poll; null before the first reply. */
   readonly lastPollReply: LastPollReply | null;
   /**
-   * When any answer last came from its address, whether or not it counted, or when it was first
-   * known.
+   * When any reply was last received from the replica's address, whether or not the reply counted,
+   * or when the replica was first known.
    */
   readonly lastReplyAt: number;
-  /** The counted polls; null where none counts any more. */
+  /** The counted polls; null before the first counted poll and after a reply that doesn't count. */
   readonly countedPolls: CountedPolls | null;
-  /** The members that it named when it found ours out of date. */
+  /** The newer membership that the replica returned to a poll with an outdated membership. */
   readonly newerMembership: CommittedMembership | null;
-  /** Polls that were sent since it last answered one. */
+  /** The number of polls sent since the replica last replied to a poll. */
   readonly unansweredPolls: number;
-  /** Whether it last said that it was asked to stop. */
+  /** Whether the replica's last counted reply reported that it is stopping. */
   readonly isStopping: boolean;
-  /** How much of what this node knows was told again to this replica, in its present recovering. */
+  /** How much of the chosen state this node has sent to the replica in its current recovery. */
   readonly restoreProgress: {
     readonly epoch: number;
     readonly chosen: ChosenValues;
@@ -81,7 +82,7 @@
   } | null;
 };
 
-/** What this node knows to have been chosen, as it was when a replica first asked. */
+/** The values that this node knew to be chosen when a replica's recovery was first seen. */
 export type ChosenValues = {
   readonly registers: readonly (readonly [
     string,
@@ -90,13 +91,13 @@
   readonly entries: readonly JournalEntry[];
 };
 
-/** Claims that this node saw chosen, by key, with the proposals they were chosen in. */
+/** Claims that this node saw chosen, by key, with the proposals that chose them. */
 export type Claims = Table<
   string,
   { readonly proposalNumber: ProposalNumber; readonly value: unknown }
 >;
 
-/** A replica that has not been asked yet. */
+/** The view of a replica that has not been polled yet. */
 export const newReplicaView = (address: string, now: number): ReplicaView => ({
   address,
   cursor: null,
--- a/packages/agent/src/control/lease.ts
+++ b/packages/agent/src/control/lease.ts
@@ -1,7 +1,7 @@
 /**
- * The lease: the proof, from a majority of replicas, that this node knows all that was acknowledged
- * before a moment. It is renewed by polls and lasts `leaseDurationMs` from the sending of the
- * oldest poll that it rests on.
+ * The lease: evidence from a majority of replicas that this node knows everything that was
+ * acknowledged before a certain time. Polls renew the lease. It lasts `leaseDurationMs` from the time
+ * at which the oldest poll that supports it was sent.
  */
 import {
   compareProposalNumbers,
@@ -21,87 +21,95 @@
 } from './control-state.js';
 
 /**
- * ms. While there is no lease, polls and the proxy's questions come this often: callers wait for
- * them.
+ * Interval of polls, and of the proxy's queries, while there is no lease, in milliseconds: clients
+ * are waiting for the lease.
  */
 export const noLeasePollIntervalMs = 100;
 
 /**
- * ms. While a lease runs low, replicas whose polls do not carry it are asked this often: three
- * times before it is over. Not at rest, where each poll renews it: the fleet's control traffic does
- * not grow.
+ * Interval at which replicas whose polls don't support the lease are polled while the lease is low,
+ * in milliseconds: three times before the lease expires. In the steady state every poll renews the
+ * lease, so the fleet's control traffic does not grow.
  */
 export const lowLeasePollIntervalMs = 200;
 
 /**
- * ms. Poll from the replicas. Three polls fit in a lease: one may be lost and the feed still has
- * 0.25 s. Each costs every agent a call to every replica: twice as many saw nothing more than half
- * as many.
+ * Interval of polls in the steady state, in milliseconds. Three polls fit into a lease: one may be
+ * lost and the feed still has 0.25 s. Each poll costs one call from every agent to every replica, and
+ * twice as many polls detected no more than half as many.
  */
 export const pollIntervalAtRestMs = 500;
 
 /**
- * ms. A node without a lease asks more often for this long, and again when a silent replica
- * answers; then the core is really away, and all of a large fleet asking that often would only
- * hinder its return.
+ * How long a node without a lease polls more often, in milliseconds; the period starts again when an
+ * unresponsive replica replies. After that a majority of replicas is evidently unavailable, and the
+ * frequent polls of a large fleet would only hinder its return.
  */
 export const eagerPollingDurationMs = 5_000;
 
 /**
- * ms. A lease with less left than this runs low: at rest 0.9 s are left when the next poll is sent,
- * and one that counts brings it back to 1.5 s within a round trip.
+ * A lease with less time left than this is low, in milliseconds. In the steady state 0.9 s are left
+ * when the next poll is sent, and a counted poll extends the lease to 1.5 s within a round trip.
  */
 export const lowLeaseThresholdMs = 800;
 
-/** ms. A poll without an answer is sent again: two beats, so that a lost one costs no lease. */
+/**
+ * The time in milliseconds after which a poll without a reply is sent again: two ticks, so that a
+ * lost poll does not cost the lease.
+ */
 export const pollResendMs = 500;
 
-/** What a lease proves to be known: the newest value of each register, and all journal entries. */
+/**
+ * What a lease is evidence of: that this node knows the newest value of each register, and all
+ * journal entries (`facts`).
+ */
 type Subject = WatchedRegister | 'facts';
 const subjects: readonly Subject[] = [...watchedRegisters, 'facts'];
 
 /**
- * Whether all that a poll showed of a subject is known here. Once true it stays true: registers
- * only grow.
+ * Whether this node knows everything that a poll showed of a subject. Once true this stays true,
+ * since the proposal numbers of registers only increase.
  */
 const isKnown = (
   state: AgentState,
-  { hasMoreEntries: more, acceptedNumbers: ballots }: PollSnapshot,
+  { hasMoreEntries, acceptedNumbers }: PollSnapshot,
   subject: Subject,
 ): boolean => {
-  if (subject === 'facts') return !more;
-  const shown = ballots[subject] ?? zeroProposalNumber;
+  if (subject === 'facts') return !hasMoreEntries;
+  const shown = acceptedNumbers[subject] ?? zeroProposalNumber;
   const known = state.registers[subject]?.proposalNumber ?? zeroProposalNumber;
   return compareProposalNumbers(shown, known) <= 0;
 };
 
-const isFullyKnown = (state: AgentState, seen: PollSnapshot): boolean =>
-  subjects.every((subject) => isKnown(state, seen, subject));
+const isFullyKnown = (state: AgentState, snapshot: PollSnapshot): boolean =>
+  subjects.every((subject) => isKnown(state, snapshot, subject));
 
-/** The polls of one replica, the newest first. */
-const pollsOf = (pulled: CountedPolls | null): readonly PollSnapshot[] =>
-  pulled === null ? [] : [pulled, ...pulled.earlier];
+/** The counted polls of one replica, the newest first. */
+const pollsOf = (countedPolls: CountedPolls | null): readonly PollSnapshot[] =>
+  countedPolls === null ? [] : [countedPolls, ...countedPolls.earlier];
 
 /**
- * Adds a newer poll to those of a replica. Earlier ones stay as long as they may carry the lease: a
- * register that is being written shows a proposal that is not known here yet in nearly every poll,
- * and a poll whose proposals are learned later counts from then on.
+ * Adds a newer poll to the counted polls of a replica. Earlier polls stay as long as they may support
+ * the lease. While a register is being written, nearly every poll shows a proposal that this node
+ * does not know yet; such a poll supports the lease once its proposals are learned.
  */
 export const addPoll = (
   state: AgentState,
   before: CountedPolls | null,
   newest: PollSnapshot,
 ): CountedPolls => {
-  const live = pollsOf(before).filter((each) => state.now - each.sentAt < leaseDurationMs);
-  const known = live.findIndex((each) => isFullyKnown(state, each));
-  const earlier = live
-    .slice(0, known < 0 ? live.length : known + 1)
-    .map(({ earlier: _earlier, ...seen }: PollSnapshot & Partial<CountedPolls>) => seen);
+  const recentPolls = pollsOf(before).filter(
+    (snapshot) => state.now - snapshot.sentAt < leaseDurationMs,
+  );
+  const firstKnown = recentPolls.findIndex((snapshot) => isFullyKnown(state, snapshot));
+  const earlier = recentPolls
+    .slice(0, firstKnown < 0 ? recentPolls.length : firstKnown + 1)
+    .map(({ earlier: _earlier, ...snapshot }: PollSnapshot & Partial<CountedPolls>) => snapshot);
   return { ...newest, earlier };
 };
 
 /**
- * Whether a replica is known to have accepted a proposal of a register, now or a little while ago.
+ * Whether one of a replica's counted polls shows that the replica voted for a proposal of a register.
  */
 export const hasAccepted = (
   view: ReplicaView,
@@ -109,70 +117,92 @@
   proposalNumber: ProposalNumber,
 ): boolean =>
   pollsOf(view.countedPolls).some(
-    (each) =>
-      each.copiedKeys?.includes(key) !== true &&
-      compareProposalNumbers(each.acceptedNumbers[key] ?? zeroProposalNumber, proposalNumber) === 0,
+    (snapshot) =>
+      snapshot.copiedKeys?.includes(key) !== true &&
+      compareProposalNumbers(
+        snapshot.acceptedNumbers[key] ?? zeroProposalNumber,
+        proposalNumber,
+      ) === 0,
   );
 
-/** When the newest poll that shows nothing unknown of a subject was sent to a replica. */
-const knownSince = (state: AgentState, view: ReplicaView, subject: Subject): number | undefined =>
-  pollsOf(view.countedPolls).find((each) => isKnown(state, each, subject))?.sentAt;
+/** When the newest poll of a replica that shows nothing unknown of a subject was sent. */
+const newestKnownPollSentAt = (
+  state: AgentState,
+  view: ReplicaView,
+  subject: Subject,
+): number | undefined =>
+  pollsOf(view.countedPolls).find((snapshot) => isKnown(state, snapshot, subject))?.sentAt;
 
-/** The sending of the oldest of a majority of polls that show nothing unknown of a subject. */
-const provenSince = (state: AgentState, subject: Subject): number => {
+/**
+ * When the oldest poll was sent of the newest majority of polls that show nothing unknown of a
+ * subject.
+ */
+const majoritySentAt = (state: AgentState, subject: Subject): number => {
   const views = Object.values(state.replicas);
-  const counted = views
-    .flatMap((view) => knownSince(state, view, subject) ?? [])
+  const sentTimes = views
+    .flatMap((view) => newestKnownPollSentAt(state, view, subject) ?? [])
     .sort((a, b) => b - a);
-  return counted[majorityOf(views.length) - 1] ?? -Infinity;
+  return sentTimes[majorityOf(views.length) - 1] ?? -Infinity;
 };
 
 /**
- * Renews the lease. For each register it runs from the sending of the oldest of a majority of polls
- * that show no proposal of it that is unknown here: any majority that acknowledged a value before
- * then has a member among them, so that value is known. The lease is the shortest of these; the
- * majorities need not be the same replicas.
+ * Renews the lease. For each subject the lease starts when the oldest poll was sent of a majority of
+ * polls that show nothing of the subject that this node does not know. Any majority that acknowledged
+ * a value before that time shares a replica with this majority, so the value is known here. The lease
+ * is the shortest over all subjects, whose majorities may be of different replicas.
  */
 export const renewLease = (transition: Transition): void => {
   const { state } = transition;
-  const lease = leaseDurationMs + Math.min(...subjects.map((each) => provenSince(state, each)));
-  if (lease <= state.leaseUntil) return;
-  // Purges stay on the journal for a minute; a node that was away half that long trusts no copy.
-  const missed = state.leaseUntil > 0 && lease - state.leaseUntil > journalRetentionMs / 2;
-  if (missed) log(transition, 'lease.back', { awayMs: Math.round(lease - state.leaseUntil) });
+  const leaseUntil =
+    leaseDurationMs + Math.min(...subjects.map((subject) => majoritySentAt(state, subject)));
+  if (leaseUntil <= state.leaseUntil) return;
+  // Purges stay in the journal for a minute. A node without a lease for over half that time may have
+  // missed one, so it flushes all cached copies.
+  const mayHaveMissedPurge =
+    state.leaseUntil > 0 && leaseUntil - state.leaseUntil > journalRetentionMs / 2;
+  if (mayHaveMissedPurge)
+    log(transition, 'lease.back', { awayMs: Math.round(leaseUntil - state.leaseUntil) });
   update(transition, {
-    leaseUntil: lease,
-    cacheFlushCount: state.cacheFlushCount + (missed ? 1 : 0),
+    leaseUntil,
+    cacheFlushCount: state.cacheFlushCount + (mayHaveMissedPurge ? 1 : 0),
   });
 };
 
-/** Whether the lease still holds, but a renewal that was due did not come. */
+/** Whether the lease is still valid, but a renewal is overdue. */
 export const isLeaseLow = (state: AgentState): boolean => {
-  const left = state.leaseUntil - state.now;
-  return left > 0 && left < lowLeaseThresholdMs;
+  const remainingMs = state.leaseUntil - state.now;
+  return remainingMs > 0 && remainingMs < lowLeaseThresholdMs;
 };
 
-/** Whether a replica is to be asked again before its turn, to renew a lease that runs low. */
+/**
+ * Whether a replica is due for an early poll while the lease is low: for some subject, the replica's
+ * newest poll that supports the lease is older than the regular interval.
+ */
 export const isPollOverdue = (state: AgentState, view: ReplicaView): boolean => {
   if (state.now - view.lastPolledAt < lowLeasePollIntervalMs) return false;
-  const fresh = state.now - pollIntervalAtRestMs;
-  return subjects.some((subject) => (knownSince(state, view, subject) ?? -Infinity) <= fresh);
+  const latestStaleTime = state.now - pollIntervalAtRestMs;
+  return subjects.some(
+    (subject) => (newestKnownPollSentAt(state, view, subject) ?? -Infinity) <= latestStaleTime,
+  );
 };
 
 /**
- * ms between polls. A node without a lease polls more often for a while after its start, after the
- * lease ran out and after a replica that had been silent answers again; not for longer, since then
- * a majority is really away, and a large fleet that asks so often would only hinder its return.
+ * The interval of polls in milliseconds. A node without a lease polls more often for a while after
+ * its start, after the lease expired and after an unresponsive replica replied. It does not do so for
+ * longer, since then a majority is evidently unavailable, and the frequent polls of a large fleet
+ * would only hinder its return.
  */
 export const pollIntervalMs = (state: AgentState): number => {
   if (state.now < state.leaseUntil) return pollIntervalAtRestMs;
-  const since = Math.max(state.leaseUntil, state.startedAt, state.lastReplicaReturnAt);
-  return state.now - since < eagerPollingDurationMs ? noLeasePollIntervalMs : pollIntervalAtRestMs;
+  const eagerSince = Math.max(state.leaseUntil, state.startedAt, state.lastReplicaReturnAt);
+  return state.now - eagerSince < eagerPollingDurationMs
+    ? noLeasePollIntervalMs
+    : pollIntervalAtRestMs;
 };
 
 /**
- * ms after which a poll without an answer is sent again. Sooner while this node asks eagerly: a few
- * lost messages must not pass for silence.
+ * The time in milliseconds after which a poll without a reply is sent again. It is shorter while this
+ * node polls eagerly, so that a few lost messages don't make a replica look unresponsive.
  */
 export const pollTimeoutMs = (state: AgentState): number =>
   pollIntervalMs(state) === noLeasePollIntervalMs ? lowLeasePollIntervalMs : pollResendMs;
--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -1,9 +1,9 @@
 /**
- * What this node can know of its connection to the replicas. Silence and refusal differ: a replica
- * that answers anything, also that it is not a member, still settles or knows newer members, is in
- * touch. Only a node that a majority of replicas leaves without any answer is cut off. Whether its
- * calls or their answers are lost can't be known from here, and need not be: either way it is not
- * in touch.
+ * Detects whether this node is isolated from the replicas. A missing reply differs from a refusal: a
+ * replica that sends any reply is reachable, even if it replies that it is not a member, is
+ * recovering or knows a newer membership. A node is isolated only if a majority of replicas sends no
+ * reply at all. Whether the calls or the replies are lost can't be known here, and makes no
+ * difference.
  */
 import { majorityOf } from '@reedyard/consensus';
 import { type ApiAnswer, unavailable } from '../api/api-answers.js';
@@ -15,72 +15,80 @@
 import { lowLeasePollIntervalMs } from './lease.js';
 
 /**
- * ms. Only a process whose beats all came in time for this long may take itself for cut off: one
- * that was starved or frozen has unanswered polls as well, but others may reach it.
+ * How long all ticks of a process must have been on time before it may consider itself isolated, in
+ * milliseconds. A process that was starved of CPU or frozen has unanswered polls as well, although
+ * others may reach it.
  */
 export const minUndelayedMs = 2_000;
 
 /**
- * ms. Told to a proxy that may serve on while it is cut off, from question to question: two
- * feeds.
+ * The allowance given to a proxy that may serve while isolated, in milliseconds. It lasts until the
+ * proxy's next query: two feeds.
  */
 export const isolatedAllowanceMs = 600;
 
 /**
- * ms. A replica without any answer for this long is silent: two polls, one of them lost, and a
- * round trip. Under the lease, so that a node that is cut off knows it when its lease runs out.
+ * How long a replica may send no reply before it is unresponsive, in milliseconds: two polls, one of
+ * them lost, and a round trip. Shorter than the lease, so that an isolated node has detected its
+ * isolation when its lease expires.
  */
 export const replicaTimeoutMs = 1_200;
 
-/** s. The same where another node, which reaches a majority, may well do it at once. */
+/**
+ * The Retry-After of responses to requests that another node, which reaches a majority, can probably
+ * handle immediately, in seconds.
+ */
 export const retryElsewhereSeconds = 0;
 
 /**
- * ms. What waits this long for a majority of which nobody has answered anything is given up:
- * callers wait a second for any word, and go on to another node.
+ * How long a change or an append waits without any reply from a majority before it fails, in
+ * milliseconds. Clients wait one second for a response and then try another node.
  */
 export const isolatedChangeTimeoutMs = 600;
 
-/** How many replicas answered anything since a moment. */
-const answeredSince = (state: AgentState, since: number): number =>
+/** The number of replicas that sent any reply since the given time. */
+const respondingReplicas = (state: AgentState, since: number): number =>
   Object.values(state.replicas).filter((view) => view.lastReplyAt >= since).length;
 
-/** Whether a majority of replicas answered anything since a moment. */
+/** Whether a majority of replicas sent any reply since the given time. */
 export const hasMajorityRepliedSince = (state: AgentState, since: number): boolean => {
-  const replicas = Object.keys(state.replicas).length;
-  return replicas > 0 && answeredSince(state, since) >= majorityOf(replicas);
+  const replicaCount = Object.keys(state.replicas).length;
+  return replicaCount > 0 && respondingReplicas(state, since) >= majorityOf(replicaCount);
 };
 
 /**
- * Whether this process was itself held up lately: its answers waited as well, so silence proves
- * nothing.
+ * Whether this process was itself delayed recently. Replies to it were delayed as well, so missing
+ * replies are no evidence of isolation.
  */
 const wasDelayed = (state: AgentState, withinMs: number): boolean =>
   isTickLate(state) || state.now - state.lastLateTickAt <= withinMs;
 
-/** Whether a majority of replicas has been silent for so long that it can't be by chance. */
+/** Whether so many replicas have sent no reply for the replica timeout that no majority remains. */
 const isMajorityUnresponsive = (state: AgentState): boolean =>
   !hasMajorityRepliedSince(state, state.now - replicaTimeoutMs);
 
-/** Whether this node has neither a lease nor any answer from a majority of replicas. */
+/**
+ * Whether this node has neither a lease nor any recent reply from a majority of replicas, and was not
+ * itself delayed.
+ */
 export const isUnreachable = (state: AgentState): boolean =>
   state.now >= state.leaseUntil &&
   isMajorityUnresponsive(state) &&
   !wasDelayed(state, replicaTimeoutMs);
 
-/** Notes that a replica answered, whatever it said. */
+/** Records that a replica sent a reply, whatever its content. */
 export const recordReplicaReply = (transition: Transition, replica: string): void => {
   const { state } = transition;
   const view = state.replicas[replica];
   if (view === undefined) return;
-  const wasSilent = state.now - view.lastReplyAt >= replicaTimeoutMs;
+  const wasUnresponsive = state.now - view.lastReplyAt >= replicaTimeoutMs;
   update(transition, {
     replicas: { ...state.replicas, [replica]: { ...view, lastReplyAt: state.now } },
-    ...(wasSilent ? { lastReplicaReturnAt: state.now } : {}),
+    ...(wasUnresponsive ? { lastReplicaReturnAt: state.now } : {}),
   });
 };
 
-/** Whether this node may act without a lease: its operators want it, and it is provably cut off. */
+/** Whether this node may serve without a lease: its operators configured that, and it is isolated. */
 const mayServeIsolated = (state: AgentState): boolean =>
   state.self.servesOn === true &&
   state.registers.policy !== undefined &&
@@ -88,69 +96,87 @@
   !wasDelayed(state, minUndelayedMs);
 
 /**
- * ms that this node may act on what it knows: what is left of its lease, or, where it may serve on,
- * until the next questions; so it does when the last of its lease runs out in silence, since no
- * feed would come between. A process that was itself held up can't tell, since its answers wait as
- * well: it refuses until it has polled.
+ * How long this node may serve from the state that it knows, in milliseconds: the rest of its lease,
+ * or, where it may serve while isolated, at least until the proxy's next queries. The latter applies
+ * already to the last part of a lease that expires in isolation, since no feed would be sent in
+ * between. A process that was itself delayed can't detect isolation, since replies to it were delayed
+ * as well: it refuses until it has polled.
  */
 export const servingAllowanceMs = (state: AgentState): number => {
-  const left = Math.max(0, state.leaseUntil - state.now);
-  return mayServeIsolated(state) ? Math.max(left, isolatedAllowanceMs) : left;
+  const leaseLeftMs = Math.max(0, state.leaseUntil - state.now);
+  return mayServeIsolated(state) ? Math.max(leaseLeftMs, isolatedAllowanceMs) : leaseLeftMs;
 };
 
-/** Tells why this node has no lease, once, when it runs out. */
-export const logLeaseLost = (transition: Transition, beatBefore: number): void => {
+/**
+ * Logs once that the lease expired since the previous tick, with the number of replicas that still
+ * reply.
+ */
+export const logLeaseLost = (transition: Transition, previousTickAt: number): void => {
   const { state } = transition;
-  if (state.leaseUntil <= beatBefore || state.leaseUntil > state.now) return;
-  const answering = answeredSince(state, state.now - replicaTimeoutMs);
+  if (state.leaseUntil <= previousTickAt || state.leaseUntil > state.now) return;
+  const answering = respondingReplicas(state, state.now - replicaTimeoutMs);
   log(transition, 'lease.lost', { answering, replicas: Object.keys(state.replicas).length });
 };
 
-/** Orders and reads of the API: their callers go on to another node after a second of silence. */
-const isOrder = ({ kind }: Purpose): boolean =>
+/**
+ * Whether a change was requested by the operators' API. Its clients try another node after one second
+ * without a response.
+ */
+const isApiPurpose = ({ kind }: Purpose): boolean =>
   kind === 'put-policy' || kind === 'get-policy' || kind === 'zone';
 
-/** Whether a call has gone on for long enough, with too few answers since a moment to progress. */
-const isStuck = (state: AgentState, openedAt: number, since: number): boolean =>
-  state.now - openedAt >= isolatedChangeTimeoutMs &&
-  !hasMajorityRepliedSince(state, Math.max(openedAt, since)) &&
+/**
+ * Whether a request has been pending for long enough, with replies from too few replicas since the
+ * given time to make progress.
+ */
+const isStuck = (state: AgentState, requestedAt: number, since: number): boolean =>
+  state.now - requestedAt >= isolatedChangeTimeoutMs &&
+  !hasMajorityRepliedSince(state, Math.max(requestedAt, since)) &&
   !wasDelayed(state, isolatedChangeTimeoutMs);
 
 /**
- * Whether a proposal that a caller waits for can't progress, since a majority of replicas is
- * silent. While an order is open replicas are probed, so that a shorter silence tells.
+ * Whether a change that a client waits for can't progress, since a majority of replicas does not
+ * reply. While an API request is pending replicas are polled more often, so a shorter time without
+ * replies is enough evidence.
  */
 export const isChangeIsolated = (
   state: AgentState,
-  { purpose, requestedAt: openedAt }: PendingChange,
+  { purpose, requestedAt }: PendingChange,
 ): boolean => {
-  if (isOrder(purpose)) return isStuck(state, openedAt, state.now - isolatedChangeTimeoutMs);
-  return purpose.kind === 'claim' && isStuck(state, openedAt, state.now - replicaTimeoutMs);
+  if (isApiPurpose(purpose))
+    return isStuck(state, requestedAt, state.now - isolatedChangeTimeoutMs);
+  return purpose.kind === 'claim' && isStuck(state, requestedAt, state.now - replicaTimeoutMs);
 };
 
-/** The same for journal entries that wait for a majority of disks. */
-export const isAppendIsolated = (
-  state: AgentState,
-  { requestedAt: openedAt }: PendingAppend,
-): boolean => isStuck(state, openedAt, state.now - isolatedChangeTimeoutMs);
+/** Whether an append of journal entries can't progress, since a majority of replicas does not reply. */
+export const isAppendIsolated = (state: AgentState, { requestedAt }: PendingAppend): boolean =>
+  isStuck(state, requestedAt, state.now - isolatedChangeTimeoutMs);
 
-/** Whether an order has been open for so long that replicas are probed for any answer. */
+/**
+ * Whether an API request or an append has been pending for so long that replicas are polled early, to
+ * check whether they still reply.
+ */
 export const isHealthCheckNeeded = (state: AgentState): boolean => {
-  const orders = Object.values(state.pendingChanges).filter(({ purpose }) => isOrder(purpose));
-  return [...orders, ...Object.values(state.pendingAppends)].some(
-    ({ requestedAt: openedAt }) => state.now - openedAt >= lowLeasePollIntervalMs,
+  const apiChanges = Object.values(state.pendingChanges).filter(({ purpose }) =>
+    isApiPurpose(purpose),
+  );
+  return [...apiChanges, ...Object.values(state.pendingAppends)].some(
+    ({ requestedAt }) => state.now - requestedAt >= lowLeasePollIntervalMs,
   );
 };
 
-/** Whether a replica is to be asked for any answer. */
+/** Whether a replica is due for an early poll that checks whether the replica still replies. */
 export const isHealthCheckDue = (state: AgentState, view: ReplicaView): boolean =>
   state.now - Math.max(view.lastPolledAt, view.lastReplyAt) >= lowLeasePollIntervalMs;
 
-/** The answer, at once, to what needs a majority at a node that reaches none: nothing was sent. */
+/**
+ * The immediate response of an isolated node to requests that need a majority of replicas. Nothing
+ * was sent to the replicas.
+ */
 export const unreachableResponse: ApiAnswer = {
   ...unavailable(
     'No majority reached',
-    'This node reaches no majority of replicas; nothing was changed. Ask another node.',
+    'This node reaches no majority of replicas; nothing was changed. Send the request to another node.',
   ),
   retryAfter: retryElsewhereSeconds,
 };
--- a/packages/agent/src/control/registers.ts
+++ b/packages/agent/src/control/registers.ts
@@ -1,17 +1,20 @@
-/** The registers that this node knows to be chosen, by what they hold. */
+/** Typed access to the values of registers that this node knows to be chosen. */
 
 import type { QuotaAllocation } from '@reedyard/quota-division';
 import type { CommittedMembership, Membership } from '@reedyard/replica';
 import type { PolicyRegister, ZonesRegister } from '../messages.js';
 import type { AgentState } from '../state.js';
 
-/** Whether changes may be acknowledged: not while the loss of `losses` disks could undo them. */
+/**
+ * Whether changes may be acknowledged: not while there are so few members that the loss of
+ * `bootstrap.losses` disks could undo a change.
+ */
 export const toleratesLosses = (state: AgentState): boolean =>
   state.bootstrap === null ||
   Object.keys(committedMembershipOf(state)?.value.disks ?? {}).length >=
     2 * state.bootstrap.losses + 1;
 
-/** The members known to be chosen. */
+/** The newest membership that is known to be chosen; null before any is known. */
 export const committedMembershipOf = (state: AgentState): CommittedMembership | null => {
   const known = state.registers.members;
   return known === undefined
@@ -19,25 +22,28 @@
     : { proposalNumber: known.proposalNumber, value: known.value as Membership };
 };
 
-/** Whether an answer counts: it must come from the disk that holds the replica's place. */
-export const isDiskOfMember = (state: AgentState, replica: string, disk: string): boolean =>
-  committedMembershipOf(state)?.value.disks[replica] === disk;
+/** Whether a disk is the one assigned to the replica in the membership, so that its replies count. */
+export const isDiskOfMember = (state: AgentState, replica: string, diskId: string): boolean =>
+  committedMembershipOf(state)?.value.disks[replica] === diskId;
 
 /** The policy in force; null before any is known. */
 export const policyOf = (state: AgentState): PolicyRegister | null =>
   (state.registers.policy?.value ?? null) as PolicyRegister | null;
 
-/** What the zones register holds; one written before orders for origins alone has fewer fields. */
+/**
+ * The value of the zones register, with defaults for absent fields: a register that was written
+ * before orders could concern a zone's origins alone has fewer fields.
+ */
 export const zonesValueOf = (value: unknown): ZonesRegister => {
-  const known = (value ?? {}) as Partial<ZonesRegister>;
-  const emptied = known.emptied ?? [];
+  const stored = (value ?? {}) as Partial<ZonesRegister>;
+  const emptied = stored.emptied ?? [];
   return {
-    revision: known.revision ?? 0,
+    revision: stored.revision ?? 0,
     emptied,
-    closedOrigins: known.closedOrigins ?? emptied,
-    reopened: known.reopened ?? {},
-    lastOrders: known.lastOrders ?? {},
-    changes: known.changes ?? [],
+    closedOrigins: stored.closedOrigins ?? emptied,
+    reopened: stored.reopened ?? {},
+    lastOrders: stored.lastOrders ?? {},
+    changes: stored.changes ?? [],
   };
 };
 
@@ -45,7 +51,7 @@
 export const zonesOf = (state: AgentState): ZonesRegister | null =>
   state.registers.zones === undefined ? null : zonesValueOf(state.registers.zones.value);
 
-/** Zones whose origins get nothing. */
+/** Zones whose origins get no requests. */
 export const zonesWithClosedOrigins = (state: AgentState): readonly string[] =>
   zonesOf(state)?.closedOrigins ?? [];
 
--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -1,11 +1,12 @@
 /**
- * Proposals of this node. Each register has at most one under way here: changes that come meanwhile
- * wait, and the next proposal makes all of them, each on what the one before it left. So changes of
- * one node never outvote each other, and are made in the order in which they came.
+ * Proposals of this node. At most one proposal per register is in flight: changes that are requested
+ * in the meantime wait, and the next proposal includes all of them, each applied to the value that
+ * the change before it produced. So changes of one node never preempt each other, and are applied in
+ * the order in which they were requested.
  *
- * A change joins only a proposal that is opened after it came. Joining one whose promises may have
- * been given before could answer a read with a value that was replaced before the read was asked
- * for.
+ * A change is included only in a proposal that is started after the change was requested. If it
+ * joined a proposal whose promises may be older than its request, a read could return a value that
+ * was replaced before the read was requested.
  */
 import {
   type Change,
@@ -44,82 +45,88 @@
 } from './proposal-state.js';
 
 /**
- * ms. After this a proposal on the membership is given as long as any other, since the machines are
- * slow.
+ * How long after its request a change of the membership is proposed with the short phase timeout, in
+ * milliseconds. After that it gets the same timeout as any other change, since the machines are
+ * evidently slow.
  */
 export const membershipShortPhasesMs = 1_000;
 
 /**
- * ms. The same for a proposal on the membership in its first second: while it lasts one loss less
- * is borne, and a lost message must not cost a third of the time that there is.
+ * Phase timeout of a proposal on the membership in its first second, in milliseconds. Until the
+ * membership is changed the fleet tolerates one loss less, and a lost message must not take up a
+ * third of the available time.
  */
 export const membershipPhaseTimeoutMs = 200;
 
 /**
- * ms. An order for a zone is proposed this long at most: its caller goes to another node after a
- * second, and is told before that.
+ * How long an order for a zone may be proposed, in milliseconds. Its client switches to another node
+ * after one second, and gets a response before that.
  */
 export const zoneOrderTimeoutMs = 800;
 
 /**
- * The wait of an outvoted proposer is drawn from a span that doubles each time: at first four times
- * what an exchange with the replicas took, two proposals, so that the one that won can end; at most
- * 32 times, which is room for sixteen.
+ * A preempted proposer waits for a random time, up to a limit that doubles with each preemption. The
+ * first limit is four times the duration of an exchange with the replicas, which is the time of two
+ * proposals, so that the winning proposal can finish. The highest limit is 32 times, enough for
+ * sixteen proposals.
  */
 const firstBackoffExchanges = 4;
 const maxBackoffExchanges = 32;
 
-/** ms. An exchange with the replicas counts as this long at least. */
+/** The minimum duration that the backoff assumes for an exchange with the replicas, in milliseconds. */
 const minExchangeMs = 4;
 
-/** ms. The longest wait of a preempted proposer. */
+/** The longest wait of a preempted proposer, in milliseconds. */
 const maxBackoffMs = 640;
 
-const noRetryYet: Retries = { preempted: 0, timedOut: 0 };
+const noRetries: Retries = { preempted: 0, timedOut: 0 };
 
 const isWatched = (key: string): key is WatchedRegister =>
   (watchedRegisters as readonly string[]).includes(key);
 
-/** The changes that wait for a proposal on a register, the oldest first. */
-const waitingFor = (state: AgentState, key: string): readonly IncludedChange[] =>
+/** The pending changes of a register, the oldest first. */
+const pendingChangesOf = (state: AgentState, key: string): readonly IncludedChange[] =>
   Object.entries(state.pendingChanges).flatMap(([id, pendingChange]) =>
     pendingChange.key === key ? [{ id: Number(id), pendingChange }] : [],
   );
 
-/** The changes of a proposal that are still wanted. */
-const wantedOf = (state: AgentState, active: ActiveProposal): readonly IncludedChange[] =>
+/** The changes included in a proposal that are still pending. */
+const stillPendingOf = (state: AgentState, active: ActiveProposal): readonly IncludedChange[] =>
   active.included.filter(({ id }) => state.pendingChanges[id] !== undefined);
 
-/** What a change made of the value it was applied to, and what it left. */
-type Applied = IncludedChange & { readonly changed: ChangeResult; readonly value: unknown };
+/** An applied change: its result, and the register's value after it. */
+type AppliedChange = IncludedChange & { readonly result: ChangeResult; readonly value: unknown };
 
 /**
- * Applies changes one after the other to what a proposal read; tells of each what it made and what
- * it left.
+ * Applies changes one after the other to the value that a proposal read, and returns the result of
+ * each and the value after it.
  */
-const applyAll = (included: readonly IncludedChange[], read: unknown): readonly Applied[] => {
-  let current = read;
+const applyChanges = (
+  included: readonly IncludedChange[],
+  valueRead: unknown,
+): readonly AppliedChange[] => {
+  let current = valueRead;
   return included.map(({ id, pendingChange }) => {
-    const reading: ReadHistory | undefined =
+    const readHistory: ReadHistory | undefined =
       pendingChange.firstRead === null
         ? undefined
-        : { first: pendingChange.firstRead.value, now: read };
-    const changed = pendingChange.change(current, reading);
-    if (changed.kind === 'write') current = changed.value;
-    return { id, pendingChange, changed, value: current };
+        : { first: pendingChange.firstRead.value, now: valueRead };
+    const result = pendingChange.change(current, readHistory);
+    if (result.kind === 'write') current = result.value;
+    return { id, pendingChange, result, value: current };
   });
 };
 
 /**
- * All changes of a proposal as one. Refusals are told to those they concern, and don't hold up the
- * others.
+ * Combines the changes of a proposal into one. A refused change is reported to its own client when
+ * the proposal concludes, and does not prevent the other changes.
  */
-const combine =
+const combineChanges =
   (included: readonly IncludedChange[]): Change =>
   (current) => {
-    const applied = applyAll(included, current);
+    const applied = applyChanges(included, current);
     const last = applied.at(-1);
-    const isWritten = applied.some(({ changed }) => changed.kind === 'write');
+    const isWritten = applied.some(({ result }) => result.kind === 'write');
     return last !== undefined && isWritten
       ? { kind: 'write', value: last.value }
       : { kind: 'keep' };
@@ -136,7 +143,7 @@
     const replica = transition.state.replicas[action.to];
     if (replica === undefined) continue;
     const { proposalNumber } = action;
-    const call =
+    const operation =
       action.kind === 'prepare'
         ? ({ kind: 'prepare', key, proposalNumber } as const)
         : ({
@@ -146,7 +153,7 @@
             value: action.value,
             diskId: action.diskId,
           } as const);
-    sendToReplica(transition, replica.address, call, {
+    sendToReplica(transition, replica.address, operation, {
       kind: 'vote',
       key,
       replica: action.to,
@@ -156,34 +163,34 @@
   }
 };
 
-/** Drops the changes of a register whose callers are gone. */
-const dropAbandoned = (transition: Transition, key: string): void => {
-  for (const { id, pendingChange } of waitingFor(transition.state, key)) {
+/** Removes the pending changes of a register whose clients have disconnected. */
+const removeAbandoned = (transition: Transition, key: string): void => {
+  for (const { id, pendingChange } of pendingChangesOf(transition.state, key)) {
     if (pendingChange.isAbandoned)
       update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
   }
 };
 
-/** Opens a proposal for all changes that wait for a register. */
+/** Starts a proposal that includes all pending changes of a register. */
 const startProposalFor = (
   transition: Transition,
   key: string,
-  retries: Retries = noRetryYet,
+  retries: Retries = noRetries,
 ): void => {
-  dropAbandoned(transition, key);
-  const waiting = waitingFor(transition.state, key);
-  if (waiting.length === 0) {
+  removeAbandoned(transition, key);
+  const included = pendingChangesOf(transition.state, key);
+  if (included.length === 0) {
     update(transition, { activeProposals: without(transition.state.activeProposals, key) });
     return;
   }
   const { state } = transition;
   const members = Object.keys(state.replicas);
-  // A proposal belongs to one incarnation of a process: a new one does not know which proposals the last one
-  // opened.
+  // A proposal number belongs to one incarnation of the process: a new incarnation does not know
+  // which proposals the previous one started.
   const proposer = `${state.self.id}/${state.incarnation}`;
   const proposalTransition = startProposal(
     key,
-    combine(waiting),
+    combineChanges(included),
     members,
     state.highestProposalNumber,
     proposer,
@@ -191,7 +198,7 @@
   update(transition, { highestProposalNumber: proposalTransition.proposal.proposalNumber });
   setActiveProposal(transition, key, {
     proposal: proposalTransition.proposal,
-    included: waiting,
+    included,
     phaseStartedAt: state.now,
     lastSentAt: state.now,
     resendCount: 0,
@@ -202,24 +209,28 @@
   transition.effects.push({ kind: 'schedule-wake-up', delayMs: resendMs });
 };
 
-/** Notes what the register held when changes were first applied. */
-const noteFirstRead = (transition: Transition, active: ActiveProposal, read: unknown): void => {
-  const noted = wantedOf(transition.state, active).flatMap(({ id, pendingChange }) =>
+/** Records the register's value with the changes that were applied for the first time. */
+const recordFirstRead = (
+  transition: Transition,
+  active: ActiveProposal,
+  valueRead: unknown,
+): void => {
+  const changesRead = stillPendingOf(transition.state, active).flatMap(({ id, pendingChange }) =>
     pendingChange.firstRead === null
-      ? [[id, { ...pendingChange, firstRead: { value: read } }] as const]
+      ? [[id, { ...pendingChange, firstRead: { value: valueRead } }] as const]
       : [],
   );
   update(transition, {
-    pendingChanges: { ...transition.state.pendingChanges, ...Object.fromEntries(noted) },
+    pendingChanges: { ...transition.state.pendingChanges, ...Object.fromEntries(changesRead) },
   });
 };
 
-const outcomeOf = ({ changed, value }: Applied): ChangeOutcome =>
-  changed.kind === 'refuse'
-    ? { kind: 'refused', reason: changed.reason, value }
+const outcomeOf = ({ result, value }: AppliedChange): ChangeOutcome =>
+  result.kind === 'refuse'
+    ? { kind: 'refused', reason: result.reason, value }
     : { kind: 'chosen', value };
 
-/** Learns what a proposal chose, and tells each of its changes how it ended. */
+/** Learns the value that a proposal chose, and completes each of the proposal's changes. */
 const concludeProposal = (
   transition: Transition,
   active: ActiveProposal,
@@ -230,20 +241,21 @@
   },
 ): void => {
   const { key } = active.proposal;
-  const isWanted = ({ id }: Applied): boolean => transition.state.pendingChanges[id] !== undefined;
-  const applied = applyAll(active.included, chosen.valueRead).filter(isWanted);
-  const proposalRuns = applied.reduce(
-    (left, { id }) => without(left, id),
+  const isPending = ({ id }: AppliedChange): boolean =>
+    transition.state.pendingChanges[id] !== undefined;
+  const applied = applyChanges(active.included, chosen.valueRead).filter(isPending);
+  const pendingChanges = applied.reduce(
+    (remaining, { id }) => without(remaining, id),
     transition.state.pendingChanges,
   );
   update(transition, {
-    pendingChanges: proposalRuns,
+    pendingChanges,
     activeProposals: without(transition.state.activeProposals, key),
   });
   if (chosen.proposalNumber !== null)
     learnChosen(transition, key, chosen.proposalNumber, chosen.value);
-  for (const each of applied)
-    completeChange(transition, each.pendingChange.purpose, outcomeOf(each));
+  for (const change of applied)
+    completeChange(transition, change.pendingChange.purpose, outcomeOf(change));
   if (transition.state.activeProposals[key] === undefined) startProposalFor(transition, key);
 };
 
@@ -257,30 +269,35 @@
     learnRegister(transition, key, proposalNumber, value);
     return;
   }
-  const [newest, ...older] = transition.state.claimSpans;
-  if (newest !== undefined)
-    update(transition, { claimSpans: [newest.set(key, { proposalNumber, value }), ...older] });
+  const [newestSpan, ...olderSpans] = transition.state.claimSpans;
+  if (newestSpan !== undefined)
+    update(transition, {
+      claimSpans: [newestSpan.set(key, { proposalNumber, value }), ...olderSpans],
+    });
 };
 
 /**
- * Waits before the next proposal, at random and longer each time, so that proposers don't outvote
- * each other for ever.
+ * Schedules the next proposal after a random delay, whose limit grows with each preemption, so that
+ * proposers don't preempt each other forever.
  */
 const backOff = (transition: Transition, active: ActiveProposal): void => {
-  const exchange = Math.max(minExchangeMs, transition.state.now - active.phaseStartedAt);
-  const exchanges = Math.min(
+  const exchangeMs = Math.max(minExchangeMs, transition.state.now - active.phaseStartedAt);
+  const maxExchanges = Math.min(
     maxBackoffExchanges,
     firstBackoffExchanges * 2 ** active.retries.preempted,
   );
-  const wait = Math.min(maxBackoffMs, exchange * exchanges) * nextRandom(transition);
+  const delayMs = Math.min(maxBackoffMs, exchangeMs * maxExchanges) * nextRandom(transition);
   setActiveProposal(transition, active.proposal.key, {
     ...active,
-    retryAt: transition.state.now + wait,
+    retryAt: transition.state.now + delayMs,
   });
-  transition.effects.push({ kind: 'schedule-wake-up', delayMs: wait });
+  transition.effects.push({ kind: 'schedule-wake-up', delayMs });
 };
 
-/** Proposes a change of a register; what becomes of it is told by its purpose. */
+/**
+ * Requests a change of a register. The change is proposed immediately, or after the register's
+ * proposal in flight; its outcome is handled according to its purpose.
+ */
 export const propose = (
   transition: Transition,
   key: string,
@@ -314,8 +331,8 @@
   const active = transition.state.activeProposals[key];
   if (active === undefined) return;
   if (reply.kind === 'too-many-claims') {
-    // There is no room for another key: told at once, not after its whole limit.
-    for (const { id, pendingChange } of wantedOf(transition.state, active))
+    // The replicas have no capacity for another key: fails immediately rather than by timeout.
+    for (const { id, pendingChange } of stillPendingOf(transition.state, active))
       failChange(transition, id, pendingChange);
     startProposalFor(transition, key);
     return;
@@ -328,7 +345,7 @@
   ) {
     update(transition, { highestProposalNumber: vote.promised });
   }
-  advance(
+  advanceProposal(
     transition,
     active,
     handleVote(active.proposal, {
@@ -341,8 +358,8 @@
   );
 };
 
-/** Goes on with a proposal after a vote. */
-const advance = (
+/** Advances a proposal after a vote. */
+const advanceProposal = (
   transition: Transition,
   active: ActiveProposal,
   proposalTransition: ProposalTransition,
@@ -358,7 +375,7 @@
   };
   setActiveProposal(transition, proposalTransition.proposal.key, next);
   if (isNewPhase && active.proposal.phase === 'prepare')
-    noteFirstRead(transition, next, proposalTransition.proposal.valueRead);
+    recordFirstRead(transition, next, proposalTransition.proposal.valueRead);
   sendActions(transition, proposalTransition);
   if (isNewPhase && proposalTransition.proposal.phase === 'accept')
     transition.effects.push({ kind: 'schedule-wake-up', delayMs: resendMs });
@@ -377,29 +394,30 @@
 };
 
 /**
- * Leaves out of a proposal's first phase what is no longer wanted; without anything left it is not
- * gone on with.
+ * Removes changes that are no longer pending from a proposal in its first phase. A proposal without
+ * any pending change is replaced, in either phase, by a proposal for the register's other pending
+ * changes, if there are any.
  */
-const withdrawUnwanted = (transition: Transition, key: string): void => {
+const withdrawRemovedChanges = (transition: Transition, key: string): void => {
   const active = transition.state.activeProposals[key];
   if (active === undefined) return;
-  const included = wantedOf(transition.state, active);
+  const included = stillPendingOf(transition.state, active);
   if (included.length === active.included.length) return;
   if (included.length === 0) {
     startProposalFor(transition, key);
     return;
   }
-  // The second phase is out and can't be recalled.
+  // The accepts of the second phase have been sent and can't be recalled.
   if (active.proposal.phase === 'accept') return;
-  const proposal = { ...active.proposal, change: combine(included) };
+  const proposal = { ...active.proposal, change: combineChanges(included) };
   setActiveProposal(transition, key, { ...active, proposal, included });
 };
 
 /**
- * Prepares for replicas that have not answered, and accepts for those that have promised and not
- * accepted.
+ * The calls to send again: prepares to the replicas that have not promised, and in the second phase
+ * accepts to the replicas that have promised but not accepted.
  */
-const unansweredActions = ({ proposal }: ActiveProposal): ProposalTransition['actions'] => {
+const unacknowledgedActions = ({ proposal }: ActiveProposal): ProposalTransition['actions'] => {
   const { proposalNumber, prepareResponses: promises, proposedValue: value } = proposal;
   return proposal.members.flatMap((to): ProposalTransition['actions'] => {
     const promise = promises[to];
@@ -411,7 +429,10 @@
   });
 };
 
-/** ms that one phase of a proposal may take at most: little at first where members change. */
+/**
+ * The maximum duration of one phase of a proposal, in milliseconds: shorter for young changes of the
+ * membership.
+ */
 const phaseTimeoutMs = (active: ActiveProposal, now: number): number => {
   const [oldest] = active.included;
   const isYoung =
@@ -422,8 +443,8 @@
 };
 
 /**
- * ms after which the calls of a proposal are sent again: longer each time, since a slow replica is
- * not helped by more.
+ * The time in milliseconds after which the calls of a proposal are sent again. It doubles each time,
+ * since more calls don't help a slow replica.
  */
 const resendIntervalMs = (active: ActiveProposal): number => resendMs * 2 ** active.resendCount;
 
@@ -434,47 +455,50 @@
     resendCount: active.resendCount + 1,
   };
   setActiveProposal(transition, active.proposal.key, next);
-  sendActions(transition, { proposal: active.proposal, actions: unansweredActions(active) });
+  sendActions(transition, { proposal: active.proposal, actions: unacknowledgedActions(active) });
   transition.effects.push({ kind: 'schedule-wake-up', delayMs: resendIntervalMs(next) });
 };
 
-const tendProposal = (transition: Transition, key: string, active: ActiveProposal): void => {
+const maintainProposal = (transition: Transition, key: string, active: ActiveProposal): void => {
   const { now } = transition.state;
-  const { preempted: outvoted, timedOut } = active.retries;
+  const { preempted, timedOut } = active.retries;
   if (active.retryAt !== null) {
     if (now >= active.retryAt)
-      startProposalFor(transition, key, { preempted: outvoted + 1, timedOut });
+      startProposalFor(transition, key, { preempted: preempted + 1, timedOut });
   } else if (now - active.phaseStartedAt > phaseTimeoutMs(active, now))
-    startProposalFor(transition, key, { preempted: outvoted, timedOut: timedOut + 1 });
+    startProposalFor(transition, key, { preempted, timedOut: timedOut + 1 });
   else if (now - active.lastSentAt >= resendIntervalMs(active)) resend(transition, active);
 };
 
-/** Looks after proposals that wait or hang, and changes that have taken too long. */
+/**
+ * Fails changes that have timed out or can't progress on an isolated node, then restarts proposals
+ * whose backoff or phase timeout has elapsed and resends the calls of others.
+ */
 export const maintainProposals = (transition: Transition): void => {
   for (const [id, pendingChange] of Object.entries(transition.state.pendingChanges)) {
     const isOverdue =
       transition.state.now - pendingChange.requestedAt > timeoutOf(pendingChange.purpose);
     if (!isOverdue && !isChangeIsolated(transition.state, pendingChange)) continue;
     failChange(transition, Number(id), pendingChange);
-    withdrawUnwanted(transition, pendingChange.key);
+    withdrawRemovedChanges(transition, pendingChange.key);
   }
   for (const [key, active] of Object.entries(transition.state.activeProposals))
-    tendProposal(transition, key, active);
+    maintainProposal(transition, key, active);
 };
 
-const isCallersPurpose = (purpose: Purpose, caller: number): boolean =>
+const isRequestedBy = (purpose: Purpose, apiRequestId: number): boolean =>
   (purpose.kind === 'put-policy' || purpose.kind === 'get-policy' || purpose.kind === 'zone') &&
-  purpose.id === caller;
+  purpose.id === apiRequestId;
 
 /**
- * The caller of an operator's action is gone: it repeats its order at another node. What has not
- * been proposed yet is dropped, and what is being proposed gets no further proposal, so that it
- * can't undo an order that follows.
+ * Abandons the changes of an API request whose client has disconnected, since the client repeats its
+ * request at another node. A change that is not in a second phase yet is removed. A change that is in
+ * a second phase is included in no further proposal, so that it can't undo a later command.
  */
-export const abandonClient = (transition: Transition, caller: number): void => {
+export const abandonClient = (transition: Transition, apiRequestId: number): void => {
   for (const [id, pendingChange] of Object.entries(transition.state.pendingChanges)) {
-    if (!isCallersPurpose(pendingChange.purpose, caller)) continue;
-    if (isProposed(transition.state, Number(id))) {
+    if (!isRequestedBy(pendingChange.purpose, apiRequestId)) continue;
+    if (isInSecondPhase(transition.state, Number(id))) {
       update(transition, {
         pendingChanges: {
           ...transition.state.pendingChanges,
@@ -485,43 +509,44 @@
     }
     update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
     log(transition, 'order.dropped', { kind: pendingChange.purpose.kind });
-    withdrawUnwanted(transition, pendingChange.key);
+    withdrawRemovedChanges(transition, pendingChange.key);
   }
 };
 
-/** Whether a change is part of a proposal whose second phase is out. */
-const isProposed = (state: AgentState, id: number): boolean =>
+/** Whether a change is included in a proposal in its second phase that was not preempted. */
+const isInSecondPhase = (state: AgentState, id: number): boolean =>
   Object.values(state.activeProposals).some(
     (active) =>
       active.proposal.phase === 'accept' &&
       active.retryAt === null &&
-      active.included.some((each) => each.id === id),
+      active.included.some((change) => change.id === id),
   );
 
 /**
- * Under new members nothing counts that was counted by the old ones: all that is under way begins
- * again.
+ * Restarts all proposals, journal appends and counts of polls that are in flight when the membership
+ * changes, since replies that were counted under the previous membership are no longer valid.
  */
 export const restartUnderNewMembership = (transition: Transition): void => {
   const { state } = transition;
-  const runs = Object.entries(state.activeProposals).map(
+  const restartedProposals = Object.entries(state.activeProposals).map(
     ([key, active]) =>
       [
         key,
         { ...active, retryAt: state.now, proposal: { ...active.proposal, phase: 'done' as const } },
       ] as const,
   );
-  const postings = Object.entries(state.pendingAppends).map(
-    ([which, posting]) =>
-      [which, { ...posting, acknowledgedBy: [], lastSentAt: -Infinity }] as const,
+  const restartedAppends = Object.entries(state.pendingAppends).map(
+    ([appendId, append]) =>
+      [appendId, { ...append, acknowledgedBy: [], lastSentAt: -Infinity }] as const,
   );
   const replicas = Object.entries(state.replicas).map(
     ([name, view]) => [name, { ...view, countedPolls: null }] as const,
   );
   update(transition, {
-    activeProposals: Object.fromEntries(runs),
-    pendingAppends: Object.fromEntries(postings),
+    activeProposals: Object.fromEntries(restartedProposals),
+    pendingAppends: Object.fromEntries(restartedAppends),
     replicas: Object.fromEntries(replicas),
   });
-  if (runs.length > 0) transition.effects.push({ kind: 'schedule-wake-up', delayMs: 0 });
+  if (restartedProposals.length > 0)
+    transition.effects.push({ kind: 'schedule-wake-up', delayMs: 0 });
 };
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -1,6 +1,7 @@
 /**
- * Quota leadership: one node at a time divides the services' rate limits among the nodes. It holds
- * the leadership by publishing allocations under its term; one that stands still is taken over.
+ * Quota leadership: one node at a time, the quota leader, divides the services' rate limits among the
+ * nodes. The leader keeps its leadership by publishing allocations under its term. If it publishes
+ * none for the leader timeout, another node takes over.
  */
 import {
   allocateQuotas,
@@ -22,25 +23,29 @@
 import type { AgentState } from '../state.js';
 import { log, nextRandom, type Transition, update } from '../transition.js';
 
-/** ms. The quota leader looks whether quotas should move, and then publishes an allocation. */
+/**
+ * Interval at which the quota leader checks whether quotas should change, and if so publishes an
+ * allocation, in milliseconds.
+ */
 export const allocationIntervalMs = 500;
 
 /**
- * ms. It renews its term with an unchanged allocation: each costs two syncs of every replica and a
- * fetch of every agent. Two of them fit in the time after which it is given up.
+ * Interval at which the quota leader renews its term with an unchanged allocation, in milliseconds.
+ * Each renewal costs two syncs of every replica and a fetch by every agent. Two renewals fit into
+ * the leader timeout.
  */
 export const allocationRenewalIntervalMs = 1_000;
 
 /**
- * ms. An allocation may raise a quota only this long after the lower one was chosen: one lease plus
- * the slack of a beat.
+ * How long after a lower quota was chosen an allocation may raise other quotas, in milliseconds: one
+ * lease plus the tolerance of one tick.
  */
 export const quotaRaiseDelayMs = 1_700;
 
 /**
- * ms. A quota leader whose beat stood still this long is given up: two missed renewals, seen half a
- * poll late. It must stay over `regrant`: a new holder counts only the allocation it finds, and
- * those before that must have lapsed by then.
+ * How long a quota leader may publish no allocation before another node takes over, in milliseconds:
+ * two missed renewals, observed half a poll late. It must stay above `quotaRaiseDelayMs`: a new
+ * leader considers only the allocation in force, so the preceding ones must have expired by then.
  */
 export const quotaLeaderTimeoutMs = 2_500;
 
@@ -51,7 +56,7 @@
 
 type SharesByService = Readonly<Record<string, QuotaShares>>;
 
-/** What each service's nodes are to have, by what they want of it and where it has its homes. */
+/** The target quotas of each service's nodes, by their demand and the service's home regions. */
 const goalsOf = (
   state: AgentState,
   nodes: readonly NodeRecord[],
@@ -72,7 +77,10 @@
   );
 };
 
-/** The next shares on the way to the goals; a service whose shares hardly move keeps its own. */
+/**
+ * The next shares on the way to the goals. A service keeps its current shares where the next ones
+ * hardly differ.
+ */
 const sharesTowards = (
   goals: SharesByService,
   current: SharesByService,
@@ -80,10 +88,10 @@
 ): SharesByService =>
   Object.fromEntries(
     Object.entries(goals).map(([service, goal]): readonly [string, QuotaShares] => {
-      const now = current[service] ?? {};
-      const earlier = preceding.map(({ slices }) => slices[service] ?? {});
-      const next = nextShares(goal, [now, ...earlier]);
-      return [service, hasChangedShares(next, now) ? next : now];
+      const currentShares = current[service] ?? {};
+      const precedingShares = preceding.map(({ slices }) => slices[service] ?? {});
+      const next = nextShares(goal, [currentShares, ...precedingShares]);
+      return [service, hasChangedShares(next, currentShares) ? next : currentShares];
     }),
   );
 
@@ -101,12 +109,18 @@
   );
 };
 
-/** Half an interval early, since the last allocation was chosen a little after it was looked at. */
+/**
+ * Whether the term must be renewed. Renewals are due half a check interval early, since the last
+ * allocation was chosen a little after the check that proposed it.
+ */
 const isRenewalDue = ({ now, allocationSeen }: AgentState): boolean =>
   now - allocationSeen.at >= allocationRenewalIntervalMs - allocationIntervalMs / 2;
 
-/** The leader's turn: renew the term and move quotas to where the demand is. */
-const renew = (transition: Transition, current: QuotaAllocation): void => {
+/**
+ * Publishes the leader's next allocation, which moves quotas to where the demand is, if the shares or
+ * the nodes change or the term must be renewed.
+ */
+const publishNextAllocation = (transition: Transition, current: QuotaAllocation): void => {
   const { state } = transition;
   const { quotaLeadership } = state;
   if (quotaLeadership === null) return;
@@ -115,7 +129,7 @@
   const rateLimits = serviceRateLimits(state);
   const goals = goalsOf(state, nodes, rateLimits);
   const slices = sharesTowards(goals, current.slices, preceding);
-  // A service without a rate limit keeps no node waiting for its share.
+  // No node has to wait for its share of a service without a rate limit.
   const limitedGoals = Object.fromEntries(
     Object.entries(goals).filter(([service]) => rateLimits[service] !== Infinity),
   );
@@ -125,7 +139,7 @@
   if (isSameAllocation(slices, seated, current) && !isRenewalDue(state)) return;
   const { term } = current;
   const goal = { term, holder: state.self.id, beat: current.beat + 1, slices, seated };
-  // What is in force now may be used by others for a lease after its successor is chosen.
+  // Other nodes may use the current allocation for one lease after the next one is chosen.
   const until = state.now + quotaRaiseDelayMs + proposalTimeoutMs;
   update(transition, {
     quotaLeadership: {
@@ -136,7 +150,7 @@
   propose(transition, 'plan', publishAllocationChange(goal), { kind: 'publish-allocation', goal });
 };
 
-/** The probability that a node proposes itself at one look, where the leadership is vacant. */
+/** The probability that a node proposes itself at one check while the leadership is vacant. */
 const proposeLeaderProbability = 0.3;
 
 const isLeader = ({ self, quotaLeadership }: AgentState, current: QuotaAllocation): boolean =>
@@ -161,13 +175,16 @@
   propose(transition, 'plan', change, { kind: 'publish-allocation', goal });
 };
 
-/** Renews the quota leadership where this node has it, and takes it where nobody does. */
+/**
+ * Publishes allocations while this node is the quota leader, and proposes this node as the leader
+ * while the leadership is vacant.
+ */
 export const maintainQuotaLeadership = (transition: Transition): void => {
   const { state } = transition;
   if (state.now >= state.leaseUntil || isPublishing(transition)) return;
   const current = quotaAllocationOf(state);
   if (current !== null && isLeader(state, current)) {
-    renew(transition, current);
+    publishNextAllocation(transition, current);
     return;
   }
   giveUpLeadership(transition);
