--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -1,6 +1,6 @@
 /**
- * Polls of the replicas: what they show of the registers and the journal is learned, incomplete
- * writes are repaired, and replicas that ask for it are restored.
+ * Polls of the replicas. From the replies this node learns the chosen values of registers and the
+ * journal entries, repairs incomplete writes, and restores replicas that are recovering.
  */
 import {
   compareProposalNumbers,
@@ -50,70 +50,79 @@
 import { committedMembershipOf, isDiskOfMember, zonesValueOf } from './registers.js';
 
 /**
- * ms. A value that only a minority shows is taken for hanging, and written again, after this
- * long: far over what a write takes that is merely under way on busy machines, and under a
- * lease.
+ * How long only a minority of replicas may show a value before its write counts as incomplete and the
+ * value is written again, in milliseconds. Far longer than a write in flight takes on busy machines,
+ * and shorter than a lease.
  */
 export const incompleteWriteTimeoutMs = 900;
 
-/** registers and journal entries in one page of what an agent tells again. */
+/** The maximum number of registers and journal entries in one page that restores a replica. */
 export const itemsPerRestorePage = 1_000;
 
-const updateView = (transition: Transition, name: string, part: Partial<ReplicaView>): void => {
+const updateView = (transition: Transition, name: string, changes: Partial<ReplicaView>): void => {
   const view = transition.state.replicas[name];
   if (view !== undefined)
     update(transition, {
-      replicas: { ...transition.state.replicas, [name]: { ...view, ...part } },
+      replicas: { ...transition.state.replicas, [name]: { ...view, ...changes } },
     });
 };
 
 const poll = (transition: Transition, name: string, view: ReplicaView): void => {
   const pending = { kind: 'poll', replica: name, sentAt: transition.state.now } as const;
-  const call = sendToReplica(
+  const pollId = sendToReplica(
     transition,
     view.address,
     { kind: 'poll', cursor: view.cursor, keys: watchedRegisters },
     pending,
   );
   updateView(transition, name, {
-    pollId: call,
+    pollId,
     lastPolledAt: transition.state.now,
     unansweredPolls: view.unansweredPolls + 1,
   });
 };
 
-/** Asks one member for what is new, whether or not an earlier call is under way. */
+/** Polls one replica, whether or not an earlier poll is in flight. */
 export const pollNow = (transition: Transition, name: string): void => {
   const view = transition.state.replicas[name];
   if (view !== undefined) poll(transition, name, view);
 };
 
-/** Asks every replica for what is new; several times a second. */
+/**
+ * Polls every replica, except those with a poll in flight that has not timed out. Runs several times
+ * a second.
+ */
 export const pollAll = (transition: Transition): void => {
-  const patience = pollTimeoutMs(transition.state);
+  const timeoutMs = pollTimeoutMs(transition.state);
   for (const [name, view] of Object.entries(transition.state.replicas)) {
-    if (view.pollId !== null && transition.state.now - view.lastPolledAt < patience) continue;
+    if (view.pollId !== null && transition.state.now - view.lastPolledAt < timeoutMs) continue;
     poll(transition, name, view);
   }
   discoverMembers(transition);
 };
 
 /**
- * Asks replicas before their turn: those that do not carry a lease that runs low, and all while an
- * order hangs.
+ * Polls replicas ahead of their regular poll: while the lease is low those that don't support it, and
+ * while an API request or an append is pending those that have not replied recently.
  */
 export const pollEarly = (transition: Transition): void => {
-  const [low, probing] = [isLeaseLow(transition.state), isHealthCheckNeeded(transition.state)];
-  if (!low && !probing) return;
+  const [isLow, isCheckNeeded] = [
+    isLeaseLow(transition.state),
+    isHealthCheckNeeded(transition.state),
+  ];
+  if (!isLow && !isCheckNeeded) return;
   for (const [name, view] of Object.entries(transition.state.replicas)) {
     const isDue =
-      (low && isPollOverdue(transition.state, view)) ||
-      (probing && isHealthCheckDue(transition.state, view));
+      (isLow && isPollOverdue(transition.state, view)) ||
+      (isCheckNeeded && isHealthCheckDue(transition.state, view));
     if (isDue) poll(transition, name, view);
   }
 };
 
-/** What a replica tells of itself and of the committed membership, wherever it was asked from. */
+/**
+ * Handles the reply of a replica at any address to a look-up: learns the membership that the replica
+ * reports, and whether the replica is a spare or this machine's own.
+ */
 export const handleLookUpReply = (
   transition: Transition,
   address: string,
@@ -125,17 +134,17 @@
   if (address === transition.state.self.replica?.address) noteOwnReplica(transition, reply);
 };
 
-/** Members that a replica was told are chosen. */
-const learnCommittedMembership = (transition: Transition, told: CommittedMembership): void => {
-  if (isNewerMembership(told, committedMembershipOf(transition.state)))
-    learnRegister(transition, 'members', told.proposalNumber, told.value);
+/** Learns a membership that a replica reported as chosen, if it is newer than the known one. */
+const learnCommittedMembership = (transition: Transition, committed: CommittedMembership): void => {
+  if (isNewerMembership(committed, committedMembershipOf(transition.state)))
+    learnRegister(transition, 'members', committed.proposalNumber, committed.value);
 };
 
 /**
- * The slots that are asked and counted are those of the members; what is known of a slot's disk is
- * kept.
+ * Replaces the set of replicas that are polled and counted by the slots of a new membership. The view
+ * of a slot stays while its disk and address are the same.
  */
-const followMembership = (
+const applyMembership = (
   transition: Transition,
   before: Membership | undefined,
   members: Membership,
@@ -144,40 +153,43 @@
   const { replicas, now } = transition.state;
   update(transition, {
     replicas: Object.fromEntries(
-      Object.entries(members.addresses ?? {}).map(([place, address]) => {
-        const view = replicas[place];
-        const same =
-          before?.disks[place] === members.disks[place] &&
-          (before?.addresses?.[place] === address || view?.address === address);
-        return [place, view !== undefined && same ? view : newReplicaView(address, now)];
+      Object.entries(members.addresses ?? {}).map(([slot, address]) => {
+        const view = replicas[slot];
+        const isSameReplica =
+          before?.disks[slot] === members.disks[slot] &&
+          (before?.addresses?.[slot] === address || view?.address === address);
+        return [slot, view !== undefined && isSameReplica ? view : newReplicaView(address, now)];
       }),
     ),
   });
-  // A new member learns from this call that it is one.
+  // A new member learns from this poll that it is a member.
   for (const [name, view] of Object.entries(transition.state.replicas)) {
     if (view.lastPolledAt === -Infinity) poll(transition, name, view);
   }
 };
 
 /**
- * Zones taken back since the orders known before: what their origins said until now is not trusted.
+ * Records when this node learnt that zones were restored: what their origins reported until now is no
+ * longer trusted.
  */
-const noteRestoredZones = (
+const recordRestoredZones = (
   transition: Transition,
   before: ZonesRegister,
-  now: ZonesRegister,
+  after: ZonesRegister,
 ): void => {
-  const opened = Object.entries(now.reopened).filter(([, revision]) => revision > before.revision);
-  if (opened.length > 0)
+  const reopenedZones = Object.entries(after.reopened).filter(
+    ([, revision]) => revision > before.revision,
+  );
+  if (reopenedZones.length > 0)
     update(transition, {
       zonesRestoredAt: {
         ...transition.state.zonesRestoredAt,
-        ...Object.fromEntries(opened.map(([zone]) => [zone, transition.state.now])),
+        ...Object.fromEntries(reopenedZones.map(([zone]) => [zone, transition.state.now])),
       },
     });
 };
 
-/** Whether a value that is known to be chosen is newer than the one known here. */
+/** Whether a chosen value is newer than the value that this node knows. */
 const isNewerValue = (
   state: AgentState,
   key: WatchedRegister,
@@ -186,7 +198,8 @@
 ): boolean => {
   const known = state.registers[key];
   if (known === undefined) return true;
-  // A proposal may write an epoch again after the next one was chosen.
+  // A proposal may write an epoch again after the next epoch was chosen, so a higher proposal number
+  // alone does not make a membership newer.
   return key === 'members'
     ? isNewerMembership(
         { proposalNumber, value: value as Membership },
@@ -195,13 +208,16 @@
     : compareProposalNumbers(proposalNumber, known.proposalNumber) > 0;
 };
 
-const noteAllocation = (transition: Transition, { term, beat }: QuotaAllocation): void => {
+const recordAllocation = (transition: Transition, { term, beat }: QuotaAllocation): void => {
   const { allocationSeen, now } = transition.state;
   if (term === allocationSeen.term && beat === allocationSeen.beat) return;
   update(transition, { allocationSeen: { term, beat, at: now } });
 };
 
-/** Polls at the next tick: there is more to read, or members that do not know the membership yet. */
+/**
+ * Polls at the next tick, since a replica has more journal entries, or since members do not know the
+ * membership yet.
+ */
 const pollAtNextTick = (transition: Transition): void => {
   const { nextDueAt, now } = transition.state;
   update(transition, { nextDueAt: { ...nextDueAt, pull: now } });
@@ -214,13 +230,13 @@
 ): void => {
   const { epoch, disks } = membership;
   log(transition, 'members.in-force', { epoch, members: Object.keys(disks).length });
-  followMembership(transition, before, membership);
+  applyMembership(transition, before, membership);
   restartUnderNewMembership(transition);
   pollAtNextTick(transition);
 };
 
-/** What follows from a new value of a register, by its key. */
-const followRegister = (
+/** Acts on a new value of a register, by the register's key. */
+const applyRegister = (
   transition: Transition,
   key: WatchedRegister,
   before: unknown,
@@ -228,7 +244,7 @@
 ): void => {
   switch (key) {
     case 'plan':
-      noteAllocation(transition, value as QuotaAllocation);
+      recordAllocation(transition, value as QuotaAllocation);
       return;
     case 'members':
       enterMembership(transition, before as Membership | undefined, value as Membership);
@@ -239,7 +255,7 @@
   }
 };
 
-/** Learns a value that is known to be chosen, unless a newer one is known here already. */
+/** Learns a chosen value of a register, unless this node already knows a newer value. */
 export const learnRegister = (
   transition: Transition,
   key: WatchedRegister,
@@ -253,35 +269,41 @@
     registers: { ...registers, [key]: { proposalNumber, value, at: now } },
     highestProposalNumber: higherProposalNumber(highestProposalNumber, proposalNumber),
   });
-  // The routing table rests on the policy's routes; which nodes serve is looked at each time.
+  // The routing table is computed from the policy's routes. Changes of the serving nodes are checked
+  // separately each time.
   if (key === 'policy') update(transition, { isRoutingTableStale: true });
-  followRegister(transition, key, before, value);
-  if (key === 'zones') noteRestoredZones(transition, zonesValueOf(before), zonesValueOf(value));
+  applyRegister(transition, key, before, value);
+  if (key === 'zones') recordRestoredZones(transition, zonesValueOf(before), zonesValueOf(value));
   renewLease(transition);
 };
 
-/** The newest proposal of a register that any replica shows, and the replicas that show it now. */
-const highestShown = (
+/**
+ * The highest proposal number of a register in the newest counted polls, and the replicas that show
+ * it.
+ */
+const highestAccepted = (
   state: AgentState,
   key: WatchedRegister,
-): { readonly proposalNumber: ProposalNumber; readonly at: readonly string[] } => {
-  const shown = Object.entries(state.replicas).flatMap(([name, view]) =>
+): { readonly proposalNumber: ProposalNumber; readonly replicas: readonly string[] } => {
+  const accepted = Object.entries(state.replicas).flatMap(([name, view]) =>
     view.countedPolls === null
       ? []
       : [{ name, proposalNumber: view.countedPolls.acceptedNumbers[key] ?? zeroProposalNumber }],
   );
-  const proposalNumber = shown.reduce<ProposalNumber>(
-    (best, each) =>
-      compareProposalNumbers(each.proposalNumber, best) > 0 ? each.proposalNumber : best,
+  const proposalNumber = accepted.reduce<ProposalNumber>(
+    (highest, candidate) =>
+      compareProposalNumbers(candidate.proposalNumber, highest) > 0
+        ? candidate.proposalNumber
+        : highest,
     zeroProposalNumber,
   );
-  const at = shown.filter(
-    (each) => compareProposalNumbers(each.proposalNumber, proposalNumber) === 0,
+  const holders = accepted.filter(
+    (candidate) => compareProposalNumbers(candidate.proposalNumber, proposalNumber) === 0,
   );
-  return { proposalNumber, at: at.map(({ name }) => name) };
+  return { proposalNumber, replicas: holders.map(({ name }) => name) };
 };
 
-/** Whether a majority of replicas is known to have accepted a proposalNumber: then it is chosen. */
+/** Whether a majority of replicas is known to have accepted a proposal, which is then chosen. */
 const isChosen = (
   state: AgentState,
   key: WatchedRegister,
@@ -294,7 +316,7 @@
   );
 };
 
-/** Learns a value that was fetched earlier, if it turns out to be chosen. */
+/** Learns a value that was fetched earlier, if it is now known to be chosen. */
 const learnFetchedValue = (transition: Transition, key: WatchedRegister): void => {
   const candidate = transition.state.fetchedValues[key];
   if (candidate === undefined || !isChosen(transition.state, key, candidate.proposalNumber)) return;
@@ -304,20 +326,20 @@
 
 const isReadingRegister = (state: AgentState, key: WatchedRegister): boolean =>
   Object.values(state.pendingRequests).some(
-    (each) =>
-      each.kind === 'read-register' &&
-      each.key === key &&
-      state.now - each.sentAt < pollIntervalAtRestMs,
+    (request) =>
+      request.kind === 'read-register' &&
+      request.key === key &&
+      state.now - request.sentAt < pollIntervalAtRestMs,
   );
 
-/** Fetches a value from one of the replicas that show its proposal. */
+/** Fetches a register's value from a random one of the replicas that show its proposal. */
 const readRegisterFrom = (
   transition: Transition,
   key: WatchedRegister,
   replicas: readonly string[],
 ): void => {
-  const chosenHolder = replicas[Math.floor(nextRandom(transition) * replicas.length)];
-  const view = chosenHolder === undefined ? undefined : transition.state.replicas[chosenHolder];
+  const replica = replicas[Math.floor(nextRandom(transition) * replicas.length)];
+  const view = replica === undefined ? undefined : transition.state.replicas[replica];
   if (isReadingRegister(transition.state, key) || view === undefined) return;
   sendToReplica(
     transition,
@@ -327,37 +349,46 @@
   );
 };
 
-/** Writes a value again that only a minority shows for long: its writer may be gone. */
+/**
+ * Writes a value again that only a minority of replicas has shown for the timeout, since its writer
+ * may have failed.
+ */
 const repairIncompleteWrite = (
   transition: Transition,
   key: WatchedRegister,
   proposalNumber: ProposalNumber,
 ): void => {
   const { state } = transition;
-  const seen = state.incompleteWrites[key];
-  if (seen === undefined || compareProposalNumbers(seen.proposalNumber, proposalNumber) !== 0) {
+  const incompleteWrite = state.incompleteWrites[key];
+  if (
+    incompleteWrite === undefined ||
+    compareProposalNumbers(incompleteWrite.proposalNumber, proposalNumber) !== 0
+  ) {
     update(transition, {
       incompleteWrites: { ...state.incompleteWrites, [key]: { proposalNumber, since: state.now } },
     });
     return;
   }
-  const repairing = Object.values(state.pendingChanges).some(
+  const isChangePending = Object.values(state.pendingChanges).some(
     (pendingChange) => pendingChange.key === key,
   );
   if (
-    state.now - seen.since <= incompleteWriteTimeoutMs ||
-    repairing ||
+    state.now - incompleteWrite.since <= incompleteWriteTimeoutMs ||
+    isChangePending ||
     nextRandom(transition) >= 0.1
   )
     return;
   propose(transition, key, () => ({ kind: 'keep' }), { kind: 'repair' });
 };
 
-/** What the last polls show of each register: fetch what is chosen, repair what hangs. */
+/**
+ * Evaluates the last polls for each register: fetches values that are chosen and not known here, and
+ * repairs incomplete writes.
+ */
 const watchRegisters = (transition: Transition): void => {
   for (const key of watchedRegisters) {
     learnFetchedValue(transition, key);
-    const { proposalNumber, at } = highestShown(transition.state, key);
+    const { proposalNumber, replicas } = highestAccepted(transition.state, key);
     if (
       compareProposalNumbers(
         proposalNumber,
@@ -365,12 +396,16 @@
       ) <= 0
     )
       continue;
-    if (isChosen(transition.state, key, proposalNumber)) readRegisterFrom(transition, key, at);
+    if (isChosen(transition.state, key, proposalNumber))
+      readRegisterFrom(transition, key, replicas);
     else repairIncompleteWrite(transition, key, proposalNumber);
   }
 };
 
-/** All that this node knows to have been chosen. Nothing of it changes while a replica settles. */
+/**
+ * All values that this node knows to be chosen. A replica's recovery uses the values from its start
+ * to its end.
+ */
 const knownChosenValues = (state: AgentState): ChosenValues => ({
   registers: [
     ...watchedRegisters.flatMap((key) => {
@@ -384,29 +419,32 @@
   entries: state.entries.map(({ key, value }) => ({ key, value })),
 });
 
-/** Tells a replica that founded the state anew the next page of what is known here. */
+/** Sends the next page of the chosen values known here to a replica that recovers a refounded state. */
 const restore = (transition: Transition, name: string, epoch: number): void => {
   const view = transition.state.replicas[name];
   if (view === undefined) return;
-  const begun =
+  const progress =
     view.restoreProgress !== null && view.restoreProgress.epoch === epoch
       ? view.restoreProgress
       : { epoch, chosen: knownChosenValues(transition.state), count: 0, sentAt: -Infinity };
-  if (transition.state.now - begun.sentAt < pollResendMs) return;
-  const { registers: cells, entries } = begun.chosen;
-  const [from, to] = [begun.count, begun.count + itemsPerRestorePage];
+  if (transition.state.now - progress.sentAt < pollResendMs) return;
+  const { registers, entries } = progress.chosen;
+  const [firstItem, endItem] = [progress.count, progress.count + itemsPerRestorePage];
   const page = {
-    registers: cells.slice(from, to),
-    entries: entries.slice(Math.max(0, from - cells.length), Math.max(0, to - cells.length)),
+    registers: registers.slice(firstItem, endItem),
+    entries: entries.slice(
+      Math.max(0, firstItem - registers.length),
+      Math.max(0, endItem - registers.length),
+    ),
   };
   if (page.registers.length + page.entries.length === 0) return;
-  if (from === 0)
+  if (firstItem === 0)
     log(transition, 'register.restored', {
       replica: name,
-      registers: cells.length,
+      registers: registers.length,
       facts: entries.length,
     });
-  updateView(transition, name, { restoreProgress: { ...begun, sentAt: transition.state.now } });
+  updateView(transition, name, { restoreProgress: { ...progress, sentAt: transition.state.now } });
   sendToReplica(
     transition,
     view.address,
@@ -415,58 +453,62 @@
       kind: 'restore',
       replica: name,
       epoch,
-      restoredCount: from + page.registers.length + page.entries.length,
+      restoredCount: firstItem + page.registers.length + page.entries.length,
     },
   );
 };
 
-/** The page was taken: the next one follows. */
+/** Handles a replica's acknowledgement of a page, and sends the next page. */
 export const handleRestoreReply = (
   transition: Transition,
   name: string,
   epoch: number,
-  upTo: number,
+  restoredCount: number,
   reply: ReplicaReply,
 ): void => {
-  const restored = transition.state.replicas[name]?.restoreProgress;
-  if (reply.kind !== 'restored' || !restored || restored.epoch !== epoch) return;
+  const progress = transition.state.replicas[name]?.restoreProgress;
+  if (reply.kind !== 'restored' || !progress || progress.epoch !== epoch) return;
   updateView(transition, name, {
-    restoreProgress: { ...restored, count: upTo, sentAt: -Infinity },
+    restoreProgress: { ...progress, count: restoredCount, sentAt: -Infinity },
   });
   restore(transition, name, epoch);
 };
 
 /**
- * A replica names only members that it was told are chosen: one such word is enough. Where the
- * state was founded anew after a loss, those who did so apart may differ, and a majority of slots
- * must name the same.
+ * Learns a newer membership that a replica reported. Replicas report only memberships that they know
+ * to be chosen, so one report is enough. After the state was refounded following a loss, replicas that
+ * refounded it separately may report different memberships: then a majority of slots must report the
+ * same one.
  */
-const learnNewerMembership = (transition: Transition, told: CommittedMembership | null): void => {
+const learnNewerMembership = (
+  transition: Transition,
+  reported: CommittedMembership | null,
+): void => {
   if (
-    told !== null &&
-    (told.value.refounded ?? 0) ===
+    reported !== null &&
+    (reported.value.refounded ?? 0) ===
       (committedMembershipOf(transition.state)?.value.refounded ?? 0) &&
     committedMembershipOf(transition.state) !== null
   ) {
-    learnCommittedMembership(transition, told);
+    learnCommittedMembership(transition, reported);
     return;
   }
-  const named = Object.values(transition.state.replicas).flatMap((view) =>
+  const memberships = Object.values(transition.state.replicas).flatMap((view) =>
     view.newerMembership === null ? [] : [view.newerMembership],
   );
   const majority = majorityOf(Object.keys(transition.state.replicas).length);
-  for (const each of named) {
+  for (const membership of memberships) {
     if (
-      named.filter(
-        (other) => compareProposalNumbers(other.proposalNumber, each.proposalNumber) === 0,
+      memberships.filter(
+        (other) => compareProposalNumbers(other.proposalNumber, membership.proposalNumber) === 0,
       ).length >= majority
     )
-      learnRegister(transition, 'members', each.proposalNumber, each.value);
+      learnRegister(transition, 'members', membership.proposalNumber, membership.value);
   }
 };
 
-/** Notes how a replica answered, and that a member of the membership did. */
-const noteReplyTo = (transition: Transition, name: string, reply: ReplicaReply): void => {
+/** Records a replica's reply to a poll, and when a member or a blank disk last replied. */
+const recordPollReply = (transition: Transition, name: string, reply: ReplicaReply): void => {
   updateView(transition, name, { lastPollReply: replicaAnswer(transition.state, name, reply) });
   if (isDiskOfMember(transition.state, name, reply.diskId) || isBlankReply(reply))
     updateView(transition, name, {
@@ -478,7 +520,7 @@
 const isBlankReply = (reply: ReplicaReply): boolean =>
   reply.kind === 'not-a-member' && reply.isBlank;
 
-/** Adds journal entries that are not known here yet. */
+/** Adds the journal entries that this node does not know yet. */
 const learnEntries = (transition: Transition, entries: readonly JournalEntry[]): void => {
   const { entryKeys, lastEntrySequence, now } = transition.state;
   const added = entries
@@ -493,7 +535,7 @@
   });
 };
 
-/** Counts a poll that a member answered, and learns what it shows. */
+/** Counts a poll that a member replied to, and learns the entries and values that the reply shows. */
 const countPoll = (
   transition: Transition,
   name: string,
@@ -520,14 +562,14 @@
   if (reply.hasMore) pollAtNextTick(transition);
 };
 
-/** Handles a replica's reply to a poll, whether or not it counts. */
+/** Handles a replica's reply to a poll, whether or not the reply counts towards the lease. */
 export const handlePollReply = (
   transition: Transition,
   name: string,
   sentAt: number,
   reply: ReplicaReply,
 ): void => {
-  noteReplyTo(transition, name, reply);
+  recordPollReply(transition, name, reply);
   const isFromMember = isDiskOfMember(transition.state, name, reply.diskId);
   if (reply.kind === 'polled' && isFromMember) {
     countPoll(transition, name, sentAt, reply);
@@ -542,7 +584,8 @@
 };
 
 /**
- * Learns a fetched value if it is known to be chosen; else it is kept until polls show that it is.
+ * Learns a fetched value if it is known to be chosen. Otherwise the value is stored until polls show
+ * that it is chosen.
  */
 export const handleRegisterRead = (
   transition: Transition,
@@ -551,14 +594,15 @@
 ): void => {
   if (reply.kind !== 'register-read' || reply.accepted === null) return;
   const { proposalNumber } = reply.accepted;
-  const kept = transition.state.fetchedValues[key];
-  if (kept !== undefined && compareProposalNumbers(proposalNumber, kept.proposalNumber) < 0) return;
+  const stored = transition.state.fetchedValues[key];
+  if (stored !== undefined && compareProposalNumbers(proposalNumber, stored.proposalNumber) < 0)
+    return;
   update(transition, {
     fetchedValues: { ...transition.state.fetchedValues, [key]: reply.accepted },
   });
   learnFetchedValue(transition, key);
 };
 
-/** A poll got no reply; the next one is sent at its time. */
+/** Handles a poll without a reply. The next poll is sent at its regular time. */
 export const handlePollFailure = (transition: Transition, name: string): void =>
   updateView(transition, name, { pollId: null });
--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -63,7 +63,10 @@
 const wasDelayed = (state: AgentState, withinMs: number): boolean =>
   isTickLate(state) || state.now - state.lastLateTickAt <= withinMs;
 
-/** Whether so many replicas have sent no reply for the replica timeout that no majority remains. */
+/**
+ * Whether no majority of replicas replied within the replica timeout, which is too long for a
+ * coincidence of lost messages.
+ */
 const isMajorityUnresponsive = (state: AgentState): boolean =>
   !hasMajorityRepliedSince(state, state.now - replicaTimeoutMs);
 
