--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -403,8 +403,8 @@
 };
 
 /**
- * All values that this node knows to be chosen. A replica's recovery uses the values from its start
- * to its end.
+ * A snapshot of all values that this node knows to be chosen. A replica is restored from the snapshot
+ * taken at the start of its recovery, which stays the same until the recovery ends.
  */
 const knownChosenValues = (state: AgentState): ChosenValues => ({
   registers: [
