--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -6,7 +6,7 @@
  * difference.
  */
 import { majorityOf } from '@reedyard/consensus';
-import { type ApiAnswer, unavailable } from '../api/api-answers.js';
+import { type ActionReply, unavailable } from '../api/action-replies.js';
 import type { PendingAppend, PendingChange, Purpose } from '../proposals/proposal-state.js';
 import type { AgentState } from '../state.js';
 import { isTickLate } from '../tick-delay.js';
@@ -176,7 +176,7 @@
  * The immediate response of an isolated node to requests that need a majority of replicas. Nothing
  * was sent to the replicas.
  */
-export const unreachableResponse: ApiAnswer = {
+export const unreachableResponse: ActionReply = {
   ...unavailable(
     'No majority reached',
     'This node reaches no majority of replicas; nothing was changed. Send the request to another node.',
--- a/packages/agent/src/proposals/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -9,7 +9,7 @@
 import type { Policy, ZoneOrder } from '@reedyard/schemas';
 import { zonesValueOf } from '../control/registers.js';
 import type { ClaimRegister, ClaimState, PolicyRegister, ZonesRegister } from '../messages.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import { findRecentChange, addRecentChange } from './change-ids.js';
 import { hasSameContent } from './content-equality.js';
 
@@ -261,7 +261,7 @@
 ): Pick<Membership, 'predecessors'> => {
   if (membership.predecessors === undefined) return {};
   if (replacedMember === undefined) return { predecessors: membership.predecessors };
-  return { predecessors: without(membership.predecessors, replacedMember) };
+  return { predecessors: omitKey(membership.predecessors, replacedMember) };
 };
 
 const membershipChanged: ChangeResult = {
@@ -321,8 +321,8 @@
     if (before.epoch !== known.epoch || before.disks[removedMember] === undefined) {
       return membershipChanged;
     }
-    const disks = { ...without(before.disks, removedMember), [newMember]: diskId };
-    const addresses = { ...without(before.addresses ?? {}, removedMember), [newMember]: address };
+    const disks = { ...omitKey(before.disks, removedMember), [newMember]: diskId };
+    const addresses = { ...omitKey(before.addresses ?? {}, removedMember), [newMember]: address };
     const joinedInEpoch = before.joinedIn?.[removedMember];
     const predecessor = {
       disk: before.disks[removedMember],
@@ -330,11 +330,11 @@
       ...(joinedInEpoch === undefined ? {} : { joinedIn: joinedInEpoch }),
     };
     const predecessors = {
-      ...without(before.predecessors ?? {}, removedMember),
+      ...omitKey(before.predecessors ?? {}, removedMember),
       [newMember]: predecessor,
     };
     const joinedIn = {
-      ...without(before.joinedIn ?? {}, removedMember),
+      ...omitKey(before.joinedIn ?? {}, removedMember),
       [newMember]: before.epoch + 1,
     };
     const value = { ...before, epoch: before.epoch + 1, disks, addresses, predecessors, joinedIn };
--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -23,7 +23,7 @@
 import { isChangeIsolated } from '../control/reachability.js';
 import { isDiskOfMember } from '../control/registers.js';
 import type { AgentState } from '../state.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import {
   log,
   nextRandom,
@@ -167,7 +167,7 @@
 const removeAbandoned = (transition: Transition, key: string): void => {
   for (const { id, pendingChange } of pendingChangesOf(transition.state, key)) {
     if (pendingChange.isAbandoned)
-      update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+      update(transition, { pendingChanges: omitKey(transition.state.pendingChanges, id) });
   }
 };
 
@@ -180,7 +180,7 @@
   removeAbandoned(transition, key);
   const included = pendingChangesOf(transition.state, key);
   if (included.length === 0) {
-    update(transition, { activeProposals: without(transition.state.activeProposals, key) });
+    update(transition, { activeProposals: omitKey(transition.state.activeProposals, key) });
     return;
   }
   const { state } = transition;
@@ -245,12 +245,12 @@
     transition.state.pendingChanges[id] !== undefined;
   const applied = applyChanges(active.included, chosen.valueRead).filter(isPending);
   const pendingChanges = applied.reduce(
-    (remaining, { id }) => without(remaining, id),
+    (remaining, { id }) => omitKey(remaining, id),
     transition.state.pendingChanges,
   );
   update(transition, {
     pendingChanges,
-    activeProposals: without(transition.state.activeProposals, key),
+    activeProposals: omitKey(transition.state.activeProposals, key),
   });
   if (chosen.proposalNumber !== null)
     learnChosen(transition, key, chosen.proposalNumber, chosen.value);
@@ -389,7 +389,7 @@
   purpose.kind === 'zone' ? zoneOrderTimeoutMs : proposalTimeoutMs;
 
 const failChange = (transition: Transition, id: number, pendingChange: PendingChange): void => {
-  update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+  update(transition, { pendingChanges: omitKey(transition.state.pendingChanges, id) });
   completeChange(transition, pendingChange.purpose, { kind: 'unknown' });
 };
 
@@ -507,7 +507,7 @@
       });
       continue;
     }
-    update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+    update(transition, { pendingChanges: omitKey(transition.state.pendingChanges, id) });
     log(transition, 'order.dropped', { kind: pendingChange.purpose.kind });
     withdrawRemovedChanges(transition, pendingChange.key);
   }
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -5,8 +5,8 @@
  */
 import {
   allocateQuotas,
-  hasChangedShares,
-  hasMostOfGoal,
+  haveSharesChanged,
+  hasReachedReadyShare,
   nextShares,
   type QuotaAllocation,
   type QuotaNode,
@@ -91,7 +91,7 @@
       const currentShares = current[service] ?? {};
       const precedingShares = preceding.map(({ slices }) => slices[service] ?? {});
       const next = nextShares(goal, [currentShares, ...precedingShares]);
-      return [service, hasChangedShares(next, currentShares) ? next : currentShares];
+      return [service, haveSharesChanged(next, currentShares) ? next : currentShares];
     }),
   );
 
@@ -113,7 +113,7 @@
  * Whether the term must be renewed. Renewals are due half a check interval early, since the last
  * allocation was chosen a little after the check that proposed it.
  */
-const isRenewalDue = ({ now, allocationSeen }: AgentState): boolean =>
+const isRenewalDue = ({ now, lastSeenAllocation: allocationSeen }: AgentState): boolean =>
   now - allocationSeen.at >= allocationRenewalIntervalMs - allocationIntervalMs / 2;
 
 /**
@@ -135,7 +135,7 @@
   );
   const seated = nodes
     .map(({ id }) => id)
-    .filter((id) => current.seated.includes(id) || hasMostOfGoal(id, limitedGoals, slices));
+    .filter((id) => current.seated.includes(id) || hasReachedReadyShare(id, limitedGoals, slices));
   if (isSameAllocation(slices, seated, current) && !isRenewalDue(state)) return;
   const { term } = current;
   const goal = { term, holder: state.self.id, beat: current.beat + 1, slices, seated };
@@ -164,8 +164,10 @@
   update(transition, { quotaLeadership: null });
 };
 
-const isVacant = ({ now, allocationSeen }: AgentState, current: QuotaAllocation | null): boolean =>
-  current === null || now - allocationSeen.at > quotaLeaderTimeoutMs;
+const isVacant = (
+  { now, lastSeenAllocation: allocationSeen }: AgentState,
+  current: QuotaAllocation | null,
+): boolean => current === null || now - allocationSeen.at > quotaLeaderTimeoutMs;
 
 const proposeSelf = (transition: Transition, current: QuotaAllocation | null): void => {
   const { term = 0, slices = {}, seated = [] } = current ?? {};
