--- a/packages/agent/src/control/lease.test.ts
+++ b/packages/agent/src/control/lease.test.ts
@@ -8,13 +8,16 @@
 } from '../testing/scripted-replicas.js';
 import { isLeaseLow } from './lease.js';
 
-const pullsIn = (calls: readonly ReplicaCall[]): readonly ReplicaCall[] =>
+const pollsIn = (calls: readonly ReplicaCall[]): readonly ReplicaCall[] =>
   calls.filter(({ call }) => call.kind === 'poll');
-const fetchIn = (calls: readonly ReplicaCall[]): ReplicaCall | undefined =>
+const registerReadIn = (calls: readonly ReplicaCall[]): ReplicaCall | undefined =>
   calls.find(({ call }) => call.kind === 'read-register');
 
-/** Answers polls, all showing one proposal of a register, and gives the calls that follow. */
-const answerAll = (
+/**
+ * Answers polls with replies that show the same proposal of the plan register, and returns the calls
+ * that follow.
+ */
+const answerPolls = (
   agent: AgentUnderTest,
   calls: readonly ReplicaCall[],
   round: number,
@@ -36,19 +39,19 @@
   seated: [],
 });
 
-test('a pull counts from the moment that all it showed is known, also if a newer pull shows news again', (t) => {
+test('a poll supports the lease once all that it showed is known, even if a newer poll shows a newer value', (t) => {
   const agent = new AgentUnderTest();
-  const first = pullsIn(agent.beat(100));
-  const fetch = fetchIn(answerAll(agent, first, 1, 150));
+  const first = pollsIn(agent.beat(100));
+  const registerRead = registerReadIn(answerPolls(agent, first, 1, 150));
   t.is(agent.state.leaseUntil, 0, 'the plan is not known yet');
-  // Before it is fetched, the next poll shows a newer plan: the register is written all the time.
-  answerAll(agent, pullsIn(agent.beat(700)), 2, 750);
-  if (fetch === undefined) {
-    t.fail('the plan should be fetched');
+  // Before the plan is fetched the next poll shows a newer plan: the register is written constantly.
+  answerPolls(agent, pollsIn(agent.beat(700)), 2, 750);
+  if (registerRead === undefined) {
+    t.fail('the plan register is not read');
     return;
   }
   agent.answer(
-    fetch,
+    registerRead,
     {
       kind: 'register-read',
       diskId: 'disk-a',
@@ -59,16 +62,16 @@
   t.is(agent.state.leaseUntil, 100 + leaseDurationMs);
 });
 
-test('a fetched value that is newer than what pulls show is learned once they show it, and not fetched twice', (t) => {
+test('a fetched value that is newer than the polls show is learned once they show it, and is fetched once', (t) => {
   const agent = new AgentUnderTest();
-  const fetch = fetchIn(answerAll(agent, pullsIn(agent.beat(100)), 1, 150));
-  if (fetch === undefined) {
-    t.fail('the plan should be fetched');
+  const registerRead = registerReadIn(answerPolls(agent, pollsIn(agent.beat(100)), 1, 150));
+  if (registerRead === undefined) {
+    t.fail('the plan register is not read');
     return;
   }
-  // By now the replica has accepted the next plan. Whether that one is chosen is not known.
+  // The replica has accepted the next plan by now, and it is not known whether that plan is chosen.
   agent.answer(
-    fetch,
+    registerRead,
     {
       kind: 'register-read',
       diskId: 'disk-a',
@@ -77,84 +80,89 @@
     160,
   );
   t.is(agent.state.registers.plan, undefined);
-  const [one, two, three] = pullsIn(agent.beat(700));
-  if (one === undefined || two === undefined || three === undefined) {
-    t.fail('three replicas should be asked');
+  const [firstPoll, secondPoll, thirdPoll] = pollsIn(agent.beat(700));
+  if (firstPoll === undefined || secondPoll === undefined || thirdPoll === undefined) {
+    t.fail('not all three replicas are polled');
     return;
   }
-  answerAll(agent, [one], 2, 750);
-  t.is(agent.state.registers.plan, undefined, 'one of three shows it');
-  t.is(fetchIn(answerAll(agent, [two], 2, 750)), undefined);
+  answerPolls(agent, [firstPoll], 2, 750);
+  t.is(agent.state.registers.plan, undefined, 'only one of three replicas shows the plan');
+  t.is(registerReadIn(answerPolls(agent, [secondPoll], 2, 750)), undefined);
   t.deepEqual(agent.state.registers.plan?.proposalNumber, proposalNumberOf(2));
   t.is(agent.state.leaseUntil, 700 + leaseDurationMs);
 });
 
-test('each register may be proven by another majority, and none by less than one', (t) => {
+test('each register may have evidence from a different majority, and none from less than a majority', (t) => {
   const agent = new AgentUnderTest();
-  const shown: Readonly<Record<string, object>> = {
+  const acceptedNumbers: Readonly<Record<string, object>> = {
     a: { policy: proposalNumberOf(9) },
     b: { zones: proposalNumberOf(9) },
     c: { plan: proposalNumberOf(9) },
   };
-  for (const call of pullsIn(agent.beat(100)))
-    agent.answer(call, polledReply(call.replica, shown[call.replica] as never), 150);
+  for (const call of pollsIn(agent.beat(100)))
+    agent.answer(call, polledReply(call.replica, acceptedNumbers[call.replica] as never), 150);
   t.is(agent.state.leaseUntil, 100 + leaseDurationMs);
   const other = new AgentUnderTest();
-  for (const call of pullsIn(other.beat(100)))
+  for (const call of pollsIn(other.beat(100)))
     other.answer(
       call,
       polledReply(call.replica, call.replica === 'c' ? {} : { policy: proposalNumberOf(9) }),
       150,
     );
-  t.is(other.state.leaseUntil, 0, 'two of three show a policy that is not known here');
+  t.is(other.state.leaseUntil, 0, 'two of three replicas show a policy that is not known here');
 });
 
-test('a lease that runs low asks those again that do not carry it; at rest nobody is asked more often', (t) => {
+test('while the lease is low the replicas that do not support it are polled early; in the steady state none is', (t) => {
   const agent = new AgentUnderTest();
-  /** Beats until a moment, and counts the polls of each replica. */
-  const active = (
+  /** Runs the agent until the given time, and counts the polls of each replica. */
+  const countPolls = (
     until: number,
-    answers: (replica: string, now: number) => boolean,
+    isAnswered: (replica: string, now: number) => boolean,
   ): Readonly<Record<string, number>> => {
     const counts: Record<string, number> = { a: 0, b: 0, c: 0 };
     agent.run(until, ({ replica, call }) => {
       if (call.kind !== 'poll') return null;
       counts[replica] = (counts[replica] ?? 0) + 1;
-      return answers(replica, agent.state.now) ? polledReply(replica) : null;
+      return isAnswered(replica, agent.state.now) ? polledReply(replica) : null;
     });
     return counts;
   };
-  active(1_000, () => true);
+  countPolls(1_000, () => true);
   t.deepEqual(
-    active(11_000, () => true),
+    countPolls(11_000, () => true),
     { a: 20, b: 20, c: 20 },
-    'at rest, twice a second',
+    'in the steady state, twice a second',
   );
   t.deepEqual(
-    active(21_000, (replica) => replica !== 'c'),
+    countPolls(21_000, (replica) => replica !== 'c'),
     { a: 20, b: 20, c: 20 },
-    'one replica is away',
+    'one replica does not reply',
   );
-  // Two polls in turn are lost: it is borne.
+  // The loss of two consecutive polls does not cost the lease.
   const from = agent.state.now;
-  active(from + 5_000, (_replica, now) => now < from + 700 || now > from + 1_700);
+  countPolls(from + 5_000, (_replica, now) => now < from + 700 || now > from + 1_700);
   t.false(isLeaseLow(agent.state));
   t.true(agent.state.leaseUntil > agent.state.now);
-  // A replica that carries the lease is left alone; the others are asked five times a second.
-  // The regular turn comes 0.2 to 0.3 s from now, so that it meets none of the turns looked at.
-  const untilTurn = (): number => agent.state.nextDueAt.pull - agent.state.now;
-  while (untilTurn() <= 200 || untilTurn() > 300) active(agent.state.now + 100, () => true);
-  const low = agent.state.now;
-  active(low + 600, () => false);
-  const asked = [700, 800, 900, 1_000].map((ms) => {
-    const calls = agent.beat(low + ms);
+  // A replica that supports the lease is not polled early; the others are polled five times a second.
+  // The next regular poll is due in 0.2 to 0.3 s, so that it coincides with none of the checked ticks.
+  const untilRegularPollMs = (): number => agent.state.nextDueAt.pull - agent.state.now;
+  while (untilRegularPollMs() <= 200 || untilRegularPollMs() > 300)
+    countPolls(agent.state.now + 100, () => true);
+  const noReplySince = agent.state.now;
+  countPolls(noReplySince + 600, () => false);
+  const polledReplicas = [700, 800, 900, 1_000].map((afterMs) => {
+    const calls = agent.beat(noReplySince + afterMs);
     for (const call of calls) {
-      if (call.replica === 'a') agent.answer(call, polledReply('a'), low + ms);
+      if (call.replica === 'a') agent.answer(call, polledReply('a'), noReplySince + afterMs);
     }
     return calls.map(({ replica }) => replica).join(' ');
   });
   t.true(isLeaseLow(agent.state));
-  // All three are asked by their regular turn, once in this time, and a once to carry the lease.
-  t.true(asked.includes('b c'), asked.join(', '));
-  t.true(asked.filter((each) => each.includes('a')).length <= 2, asked.join(', '));
+  // All three replicas get one regular poll in this time, and replica a gets one more, which supports
+  // the lease.
+  t.true(polledReplicas.includes('b c'), polledReplicas.join(', '));
+  t.true(
+    polledReplicas.filter((names) => names.includes('a')).length <= 2,
+    polledReplicas.join(', '),
+  );
 });
--- a/packages/agent/src/control/reachability.test.ts
+++ b/packages/agent/src/control/reachability.test.ts
@@ -38,61 +38,66 @@
 } as const;
 const draining = { ...description, draining: true };
 
-const answered = ({ replica, call }: ReplicaCall): ReplicaReply | null =>
+const answerPoll = ({ replica, call }: ReplicaCall): ReplicaReply | null =>
   call.kind === 'poll' ? polledReply(replica) : null;
-const silent = (): null => null;
+const sendNoReply = (): null => null;
 
-/** An agent that had a lease, and whose replicas then answered as given until a moment. */
-const afterwards = (
+/**
+ * An agent whose polls were answered until 3 s, so that it had a lease, and whose replicas then reply
+ * as given until the given time.
+ */
+const agentAfterLease = (
   answer: (call: ReplicaCall) => ReplicaReply | null,
   until = 10_000,
 ): AgentUnderTest => {
   const agent = new AgentUnderTest(true);
-  agent.run(3_000, answered);
+  agent.run(3_000, answerPoll);
   agent.run(until, answer);
   return agent;
 };
 
-/** What a replica may say to a poll without being counted. */
+/** Replies to a poll that don't count towards the lease. */
 const refusals: Readonly<Record<string, (replica: string) => ReplicaReply>> = {
-  'it is no member': (replica) => ({
+  'not a member': (replica) => ({
     kind: 'not-a-member',
     diskId: `disk-${replica}`,
     isBlank: false,
     knowsMembership: true,
   }),
-  'its disk is blank': (replica) => ({
+  'blank disk': (replica) => ({
     kind: 'not-a-member',
     diskId: `new-${replica}`,
     isBlank: true,
     knowsMembership: true,
   }),
-  'it was told of other members': (replica) => ({
+  'newer membership': (replica) => ({
     kind: 'newer-membership',
     diskId: `disk-${replica}`,
     membership: members,
   }),
-  'it waits for what was known': (replica) => ({
+  'still recovering': (replica) => ({
     kind: 'recovering',
     diskId: `disk-${replica}`,
     epoch: 1,
   }),
-  'it answers from another disk': (replica) => ({
+  'another disk': (replica) => ({
     ...polledReply(replica),
     diskId: `new-${replica}`,
   }),
-  'it shows what is not known here': (replica) =>
+  'a value that is not known here': (replica) =>
     polledReply(replica, { zones: proposalNumberOf(9) }),
 };
 
-for (const [what, reply] of Object.entries(refusals)) {
-  test(`a node whose replicas answer is in touch, though none counts: ${what}`, (t) => {
-    const agent = afterwards(({ replica, call }) => (call.kind === 'poll' ? reply(replica) : null));
+for (const [name, reply] of Object.entries(refusals)) {
+  test(`a node whose replicas reply is not isolated, although no reply counts: ${name}`, (t) => {
+    const agent = agentAfterLease(({ replica, call }) =>
+      call.kind === 'poll' ? reply(replica) : null,
+    );
     t.true(agent.state.leaseUntil < agent.state.now);
     t.is(servingAllowanceMs(agent.state), 0);
     t.false(isUnreachable(agent.state));
-    // A minority that answers is no majority.
-    const other = afterwards(({ replica, call }) =>
+    // Replies from a minority are not enough.
+    const other = agentAfterLease(({ replica, call }) =>
       call.kind === 'poll' && replica === 'a' ? reply(replica) : null,
     );
     t.is(servingAllowanceMs(other.state), isolatedAllowanceMs);
@@ -100,45 +105,45 @@
   });
 }
 
-test('a cut is known when the lease runs out, and is over with the first answers of a majority', (t) => {
-  const agent = afterwards(silent, 3_000);
-  const over = agent.state.leaseUntil;
-  // The feed just before has it last until the next one: no caller is refused in between.
-  agent.run(over - 4 * agentTickIntervalMs, silent);
-  t.is(servingAllowanceMs(agent.state), over - agent.state.now);
-  agent.run(over - agentTickIntervalMs, silent);
+test('an isolation is detected when the lease expires, and ends with the first replies of a majority', (t) => {
+  const agent = agentAfterLease(sendNoReply, 3_000);
+  const leaseEnd = agent.state.leaseUntil;
+  // The feed just before the lease expires lasts until the next feed: no client is refused in between.
+  agent.run(leaseEnd - 4 * agentTickIntervalMs, sendNoReply);
+  t.is(servingAllowanceMs(agent.state), leaseEnd - agent.state.now);
+  agent.run(leaseEnd - agentTickIntervalMs, sendNoReply);
   t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
   t.false(isUnreachable(agent.state));
-  agent.run(over, silent);
+  agent.run(leaseEnd, sendNoReply);
   t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
   t.true(isUnreachable(agent.state));
-  agent.run(30_000, silent);
+  agent.run(30_000, sendNoReply);
   t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
-  // What the answers show is not known here yet: in touch, and without a lease.
-  const news = ({ replica, call }: ReplicaCall): ReplicaReply | null =>
+  // The replies show a policy that is not known here yet: the node is not isolated, but has no lease.
+  const answerWithUnknownPolicy = ({ replica, call }: ReplicaCall): ReplicaReply | null =>
     call.kind === 'poll' ? polledReply(replica, { policy: proposalNumberOf(7) }) : null;
-  agent.run(30_600, news);
+  agent.run(30_600, answerWithUnknownPolicy);
   t.is(servingAllowanceMs(agent.state), 0);
   t.true(agent.state.leaseUntil < agent.state.now);
 });
 
-test('a replica that answers again is asked ten times a second for a while, and only then', (t) => {
-  const agent = afterwards(silent, 30_000);
-  const pulls = (until: number, answers: boolean): number => {
+test('a replica that replies again is polled ten times a second for a while, and only then', (t) => {
+  const agent = agentAfterLease(sendNoReply, 30_000);
+  const countPolls = (until: number, isAnswering: boolean): number => {
     let count = 0;
     agent.run(until, ({ replica, call }) => {
       if (call.kind !== 'poll' || replica !== 'a') return null;
       count += 1;
-      return answers ? { kind: 'recovering', diskId: 'disk-a', epoch: 1 } : null;
+      return isAnswering ? { kind: 'recovering', diskId: 'disk-a', epoch: 1 } : null;
     });
     return count;
   };
-  t.is(pulls(35_000, false), 10, 'silent for long');
-  t.true(pulls(40_000, true) >= 40, 'it is back');
-  t.true(pulls(51_000, true) <= 30, 'it goes on refusing');
+  t.is(countPolls(35_000, false), 10, 'unresponsive for long');
+  t.true(countPolls(40_000, true) >= 40, 'replies again');
+  t.true(countPolls(51_000, true) <= 30, 'still refuses');
 });
 
-const needMajority: readonly ApiAction[] = [
+const majorityActions: readonly ApiAction[] = [
   { kind: 'put-policy', document, ifMatch: null, changeId: 'one' },
   { kind: 'get-policy' },
   { kind: 'zone', zone: 'west', order: 'empty', of: 'all', changeId: 'two' },
@@ -148,9 +153,9 @@
   { kind: 'shares' },
 ];
 
-test('what needs a majority is refused at once by a node that is cut off, and nothing is sent', (t) => {
-  for (const action of needMajority) {
-    const agent = afterwards(silent);
+test('an isolated node immediately refuses actions that need a majority, and sends nothing', (t) => {
+  for (const action of majorityActions) {
+    const agent = agentAfterLease(sendNoReply);
     t.deepEqual(agent.sendAction(action, agent.state.now), [], action.kind);
     t.deepEqual(agent.answerStatuses(), [503], action.kind);
     const [answer] = agent.effects.filter((effect) => effect.kind === 'send-answer');
@@ -158,8 +163,8 @@
   }
 });
 
-test('a node that is cut off takes a heartbeat, and confirms a drain that a majority is known to hold', (t) => {
-  const agent = afterwards(silent);
+test('an isolated node accepts a heartbeat, and confirms a drain that a majority is known to have stored', (t) => {
+  const agent = agentAfterLease(sendNoReply);
   agent.sendAction({ kind: 'describe', description }, agent.state.now);
   t.deepEqual(agent.answerStatuses(), [200]);
   agent.state = { ...agent.state, committedEntryKeys: { [drainKey(draining)]: true } };
@@ -167,29 +172,29 @@
   t.deepEqual(agent.answerStatuses(), [200]);
 });
 
-test('without a lease orders go on while a majority answers, right after the start and after a freeze', (t) => {
-  const [order] = needMajority;
-  if (order === undefined) {
+test('a node without a lease sends changes while a majority replies, right after its start and after a freeze', (t) => {
+  const [action] = majorityActions;
+  if (action === undefined) {
     t.fail();
     return;
   }
-  const refused = afterwards(({ replica, call }) =>
+  const refusedAgent = agentAfterLease(({ replica, call }) =>
     call.kind === 'poll' ? { kind: 'recovering', diskId: `disk-${replica}`, epoch: 1 } : null,
   );
-  t.is(refused.sendAction(order, refused.state.now).length, 3);
-  const started = new AgentUnderTest();
-  started.beat(100);
-  t.is(started.sendAction(order, 150).length, 3);
-  const frozen = afterwards(answered, 5_000);
-  t.is(frozen.sendAction(order, 15_000).length, 3);
+  t.is(refusedAgent.sendAction(action, refusedAgent.state.now).length, 3);
+  const startedAgent = new AgentUnderTest();
+  startedAgent.beat(100);
+  t.is(startedAgent.sendAction(action, 150).length, 3);
+  const frozenAgent = agentAfterLease(answerPoll, 5_000);
+  t.is(frozenAgent.sendAction(action, 15_000).length, 3);
 });
 
-test('what is under way when the replicas fall silent is answered well under a second; not while they answer', (t) => {
-  for (const action of needMajority.slice(0, 6)) {
-    const agent = afterwards(answered, 5_000);
+test('a pending action fails well within a second once the replicas stop replying, and not while they reply', (t) => {
+  for (const action of majorityActions.slice(0, 6)) {
+    const agent = agentAfterLease(answerPoll, 5_000);
     const sentAt = agent.state.now;
     t.is(agent.sendAction(action, sentAt).length, 3, action.kind);
-    const answeredAt = (
+    const runUntilAnswered = (
       until: number,
       answer: (call: ReplicaCall) => ReplicaReply | null,
     ): number | undefined => {
@@ -204,39 +209,39 @@
       }
       return undefined;
     };
-    // A majority answers other calls: a slow proposal may yet succeed.
-    const mostMs = action.kind === 'zone' ? zoneOrderTimeoutMs / 2 : 2_000;
-    t.is(answeredAt(sentAt + mostMs, answered), undefined, action.kind);
-    const silentFrom = agent.state.now;
-    const at = answeredAt(sentAt + 5_000, silent) ?? NaN;
+    // A majority replies to other calls, so a slow proposal may still succeed.
+    const maxWaitMs = action.kind === 'zone' ? zoneOrderTimeoutMs / 2 : 2_000;
+    t.is(runUntilAnswered(sentAt + maxWaitMs, answerPoll), undefined, action.kind);
+    const noReplySince = agent.state.now;
+    const answeredAt = runUntilAnswered(sentAt + 5_000, sendNoReply) ?? NaN;
     t.true(
-      at - silentFrom <= isolatedChangeTimeoutMs + agentTickIntervalMs,
-      `${action.kind} ${at - silentFrom}`,
+      answeredAt - noReplySince <= isolatedChangeTimeoutMs + agentTickIntervalMs,
+      `${action.kind} ${answeredAt - noReplySince}`,
     );
     t.deepEqual(agent.answerStatuses(), [503]);
   }
 });
 
-test('while an order is open replicas are probed, so that their silence is known soon', (t) => {
-  const [order] = needMajority;
-  if (order === undefined) {
+test('while an API request is pending replicas are polled more often, so that missing replies are detected soon', (t) => {
+  const [action] = majorityActions;
+  if (action === undefined) {
     t.fail();
     return;
   }
-  const agent = afterwards(answered, 5_000);
-  agent.sendAction(order, agent.state.now);
-  const pulls: string[] = [];
+  const agent = agentAfterLease(answerPoll, 5_000);
+  agent.sendAction(action, agent.state.now);
+  const polledReplicas: string[] = [];
   agent.run(6_000, (call) => {
-    if (call.call.kind === 'poll') pulls.push(call.replica);
-    return answered(call);
+    if (call.call.kind === 'poll') polledReplicas.push(call.replica);
+    return answerPoll(call);
   });
-  // At rest there are two in a second.
-  t.is(pulls.filter((each) => each === 'a').length, 5, pulls.join());
+  // In the steady state there are two polls per second.
+  t.is(polledReplicas.filter((name) => name === 'a').length, 5, polledReplicas.join());
 });
 
-test('a claim is not waited for by a node that is cut off', (t) => {
+test('an isolated node answers a claim without waiting for replicas', (t) => {
   const claim = { kind: 'claim', key: 'k', token: 'token', life: 'life', digest: 'd' } as const;
-  const told = (agent: AgentUnderTest): unknown => {
+  const claimReplies = (agent: AgentUnderTest): unknown => {
     const step = reduceAgent(agent.state, {
       kind: 'proxy-request-received',
       requestId: 9,
@@ -245,6 +250,6 @@
     });
     return step.effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []));
   };
-  t.deepEqual(told(afterwards(silent)), [{ kind: 'unreached' }]);
-  t.deepEqual(told(afterwards(answered)), []);
+  t.deepEqual(claimReplies(agentAfterLease(sendNoReply)), [{ kind: 'unreached' }]);
+  t.deepEqual(claimReplies(agentAfterLease(answerPoll)), []);
 });
--- a/packages/agent/src/proposals/operator-commands.model.test.ts
+++ b/packages/agent/src/proposals/operator-commands.model.test.ts
@@ -1,7 +1,7 @@
 /**
- * Every order of steps of a bounded number of orders: what is sent, read, proposed, chosen,
- * outvoted, answered, lost and sent again. A register is taken as atomic here: that proposals make
- * it so is shown by the tests of the consensus.
+ * Explores every interleaving of the steps of a bounded number of operator commands: commands are
+ * sent, read, proposed, chosen, preempted, answered, lost and sent again. The model assumes that a
+ * register is atomic; the tests of the consensus check that proposals make it so.
  */
 import test from 'ava';
 import { type Policy, Schemas } from '@reedyard/schemas';
@@ -10,290 +10,300 @@
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
 
 /**
- * What an operator wants, and how it is changed into a change of the register; each attempt has an
- * id of its own.
+ * A command of an operator, and the change of the register that one attempt requests; each attempt
+ * has its own change id.
  */
-type Order = { readonly operator: string; readonly change: (id: string) => RegisterChange };
+type Command = { readonly operator: string; readonly change: (id: string) => RegisterChange };
 
-/** One attempt, at whichever node: independent of the others but for the register. */
+/** One attempt at any node; attempts affect each other only through the register. */
 type Attempt = {
-  readonly order: number;
+  readonly command: number;
   readonly id: string;
   readonly phase: 'proposing' | 'accepting' | 'answered' | 'ended';
-  readonly answer: 'acknowledged' | 'refused' | null;
-  readonly isCallerGone: boolean;
+  readonly response: 'acknowledged' | 'refused' | null;
+  readonly hasClientLeft: boolean;
   readonly firstRead: { readonly value: unknown } | null;
-  /** Chosen changes at the time of the first reading. */
+  /** The register's revision at the first read, which is the number of changes chosen by then. */
   readonly firstReadAt: number | null;
-  /** The revision that its accept is based on, and what it proposes. */
-  readonly base: number;
-  readonly proposed: unknown;
+  /** The revision that the proposal read. */
+  readonly baseRevision: number;
+  /** The value that the proposal writes. */
+  readonly proposedValue: unknown;
 };
 
 type World = {
   readonly revision: number;
   readonly value: unknown;
-  /** Attempts whose change was chosen, in order. */
-  readonly chosen: readonly string[];
+  /** Ids of the attempts whose change was chosen, in order. */
+  readonly chosenIds: readonly string[];
   readonly attempts: readonly Attempt[];
-  /** For each order, how it ended for its operator. */
-  readonly ends: readonly ('acknowledged' | 'refused' | 'given-up' | null)[];
+  /** For each command, its outcome for its operator. */
+  readonly outcomes: readonly ('acknowledged' | 'refused' | 'given-up' | null)[];
   readonly lastAcknowledged: number | null;
 };
 
 type Model = {
-  readonly orders: readonly Order[];
-  /** Orders that are sent only after the one before them has ended. */
+  readonly commands: readonly Command[];
+  /** Whether each command is sent only after the one before it has ended. */
   readonly isSequential: boolean;
-  readonly attemptsEach: number;
-  /** Whether nodes notice at once that a caller is gone. */
-  readonly noticesLeaving: boolean;
-  /** Whether a change is told what it first read. */
-  readonly isFenced: boolean;
+  readonly attemptsPerCommand: number;
+  /** Whether nodes immediately detect that a client has disconnected. */
+  readonly detectsDisconnect: boolean;
+  /** Whether a change receives the value that it first read. */
+  readonly hasReadHistory: boolean;
 };
 
-const sendAttempt = (world: World, order: number): World => {
-  const id = `${order}.${world.attempts.filter((each) => each.order === order).length}`;
+const sendAttempt = (world: World, command: number): World => {
+  const id = `${command}.${world.attempts.filter((attempt) => attempt.command === command).length}`;
   const attempt: Attempt = {
-    order,
+    command,
     id,
     phase: 'proposing',
-    answer: null,
-    isCallerGone: false,
+    response: null,
+    hasClientLeft: false,
     firstRead: null,
     firstReadAt: null,
-    base: 0,
-    proposed: null,
+    baseRevision: 0,
+    proposedValue: null,
   };
   return { ...world, attempts: [...world.attempts, attempt] };
 };
 
-const withAttempt = (world: World, index: number, part: Partial<Attempt>): World => ({
+const withAttempt = (world: World, index: number, changes: Partial<Attempt>): World => ({
   ...world,
-  attempts: world.attempts.map((each, at) => (at === index ? { ...each, ...part } : each)),
+  attempts: world.attempts.map((attempt, other) =>
+    other === index ? { ...attempt, ...changes } : attempt,
+  ),
 });
 
-const choose = (world: World, index: number): World => {
+const chooseProposal = (world: World, index: number): World => {
   const attempt = world.attempts[index];
   return {
     ...world,
     revision: world.revision + 1,
-    value: attempt.proposed,
-    chosen: [...world.chosen, attempt.id],
+    value: attempt.proposedValue,
+    chosenIds: [...world.chosenIds, attempt.id],
   };
 };
 
 /** A proposal reads the register and applies the change. */
-const read = (model: Model, world: World, index: number): World => {
+const readRegister = (model: Model, world: World, index: number): World => {
   const attempt = world.attempts[index];
-  const order = model.orders[attempt.order];
+  const command = model.commands[attempt.command];
   const { firstRead } = attempt;
-  const reading =
-    firstRead === null || !model.isFenced
+  const readHistory =
+    firstRead === null || !model.hasReadHistory
       ? undefined
       : { first: firstRead.value, now: world.value };
-  const changed = order.change(attempt.id)(world.value, reading);
-  const noted = {
+  const result = command.change(attempt.id)(world.value, readHistory);
+  const firstReadFields = {
     firstRead: firstRead ?? { value: world.value },
     firstReadAt: attempt.firstReadAt ?? world.revision,
   };
-  if (changed.kind === 'write') {
+  if (result.kind === 'write') {
     return withAttempt(world, index, {
-      ...noted,
+      ...firstReadFields,
       phase: 'accepting',
-      base: world.revision,
-      proposed: changed.value,
+      baseRevision: world.revision,
+      proposedValue: result.value,
     });
   }
-  const answer = changed.kind === 'keep' ? 'acknowledged' : 'refused';
-  return withAttempt(world, index, { ...noted, phase: 'answered', answer });
+  const response = result.kind === 'keep' ? 'acknowledged' : 'refused';
+  return withAttempt(world, index, { ...firstReadFields, phase: 'answered', response });
 };
 
-/** The steps of an attempt inside its node. */
+/** The possible next steps of an attempt at its node. */
 const nodeSteps = (model: Model, world: World, index: number): readonly World[] => {
   const attempt = world.attempts[index];
-  if (attempt.phase === 'proposing') return [read(model, world, index)];
+  if (attempt.phase === 'proposing') return [readRegister(model, world, index)];
   if (attempt.phase !== 'accepting') return [];
-  // A gone caller's change gets no further proposal, where that was noticed.
-  const again = attempt.isCallerGone && model.noticesLeaving ? 'ended' : 'proposing';
-  if (attempt.base !== world.revision) return [withAttempt(world, index, { phase: again })];
-  const chosen = choose(world, index);
+  // A change whose client has disconnected gets no further proposal, where the node detects that.
+  const nextPhase = attempt.hasClientLeft && model.detectsDisconnect ? 'ended' : 'proposing';
+  if (attempt.baseRevision !== world.revision)
+    return [withAttempt(world, index, { phase: nextPhase })];
+  const chosen = chooseProposal(world, index);
   return [
-    withAttempt(chosen, index, { phase: 'answered', answer: 'acknowledged' }),
-    // Chosen, but the votes are lost: the node proposes it again.
-    withAttempt(chosen, index, { phase: again }),
-    // The accepts are lost.
-    withAttempt(world, index, { phase: again }),
+    withAttempt(chosen, index, { phase: 'answered', response: 'acknowledged' }),
+    // The proposal is chosen, but the votes are lost: the node proposes the change again.
+    withAttempt(chosen, index, { phase: nextPhase }),
+    // The accepts are lost, so the proposal is not chosen.
+    withAttempt(world, index, { phase: nextPhase }),
   ];
 };
 
-const endOrder = (
+const endCommand = (
   world: World,
-  order: number,
-  end: 'acknowledged' | 'refused' | 'given-up',
+  command: number,
+  outcome: 'acknowledged' | 'refused' | 'given-up',
 ): World => ({
   ...world,
-  ends: world.ends.map((each, at) => (at === order ? end : each)),
-  lastAcknowledged: end === 'acknowledged' ? order : world.lastAcknowledged,
+  outcomes: world.outcomes.map((current, index) => (index === command ? outcome : current)),
+  lastAcknowledged: outcome === 'acknowledged' ? command : world.lastAcknowledged,
 });
 
 /**
- * The steps of an attempt's caller: it takes the answer, or leaves and sends the order again, or
- * gives it up.
+ * The possible next steps of an attempt's client: it receives the response, or disconnects and either
+ * sends the command again or gives up.
  */
-const callerSteps = (model: Model, world: World, index: number): readonly World[] => {
+const clientSteps = (model: Model, world: World, index: number): readonly World[] => {
   const attempt = world.attempts[index];
-  if (attempt.isCallerGone || world.ends[attempt.order] !== null) return [];
-  const taken =
-    attempt.phase === 'answered' && attempt.answer !== null
+  if (attempt.hasClientLeft || world.outcomes[attempt.command] !== null) return [];
+  const responseReceived =
+    attempt.phase === 'answered' && attempt.response !== null
       ? [
-          endOrder(
-            withAttempt(world, index, { phase: 'ended', isCallerGone: true }),
-            attempt.order,
-            attempt.answer,
+          endCommand(
+            withAttempt(world, index, { phase: 'ended', hasClientLeft: true }),
+            attempt.command,
+            attempt.response,
           ),
         ]
       : [];
   const isDropped =
-    attempt.phase === 'answered' || (model.noticesLeaving && attempt.phase === 'proposing');
-  const left = withAttempt(world, index, {
-    isCallerGone: true,
+    attempt.phase === 'answered' || (model.detectsDisconnect && attempt.phase === 'proposing');
+  const disconnected = withAttempt(world, index, {
+    hasClientLeft: true,
     ...(isDropped ? { phase: 'ended' as const } : {}),
   });
-  const sent = world.attempts.filter((each) => each.order === attempt.order).length;
+  const attemptCount = world.attempts.filter((other) => other.command === attempt.command).length;
   const next =
-    sent < model.attemptsEach
-      ? sendAttempt(left, attempt.order)
-      : endOrder(left, attempt.order, 'given-up');
-  return [...taken, next];
+    attemptCount < model.attemptsPerCommand
+      ? sendAttempt(disconnected, attempt.command)
+      : endCommand(disconnected, attempt.command, 'given-up');
+  return [...responseReceived, next];
 };
 
 const startSteps = (model: Model, world: World): readonly World[] =>
-  model.orders.flatMap((_, order) => {
-    const isSent = world.attempts.some((each) => each.order === order);
-    const isDue = !model.isSequential || order === 0 || world.ends[order - 1] !== null;
-    return isSent || !isDue ? [] : [sendAttempt(world, order)];
+  model.commands.flatMap((_, command) => {
+    const isSent = world.attempts.some((attempt) => attempt.command === command);
+    const isDue = !model.isSequential || command === 0 || world.outcomes[command - 1] !== null;
+    return isSent || !isDue ? [] : [sendAttempt(world, command)];
   });
 
 const stepsOf = (model: Model, world: World): readonly World[] => [
   ...startSteps(model, world),
   ...world.attempts.flatMap((_, index) => [
     ...nodeSteps(model, world, index),
-    ...callerSteps(model, world, index),
+    ...clientSteps(model, world, index),
   ]),
 ];
 
-/** Walks all worlds; tells how many there are, and what an invariant found wrong. */
-const walk = (
+/** Explores all reachable worlds; returns their number and the violations of an invariant. */
+const explore = (
   model: Model,
-  wrongIn: (world: World, before: World | null) => string | null,
-): { readonly worlds: number; readonly wrongs: ReadonlySet<string> } => {
+  violationIn: (world: World, before: World | null) => string | null,
+): { readonly worlds: number; readonly violations: ReadonlySet<string> } => {
   const seen = new Set<string>();
-  const wrongs = new Set<string>();
-  const first: World = {
+  const violations = new Set<string>();
+  const initialWorld: World = {
     revision: 0,
     value: null,
-    chosen: [],
+    chosenIds: [],
     attempts: [],
-    ends: model.orders.map(() => null),
+    outcomes: model.commands.map(() => null),
     lastAcknowledged: null,
   };
-  const open: { readonly world: World; readonly before: World | null }[] = [
-    { world: first, before: null },
+  const stack: { readonly world: World; readonly before: World | null }[] = [
+    { world: initialWorld, before: null },
   ];
-  for (let next = open.pop(); next !== undefined; next = open.pop()) {
+  for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
     const { world, before } = next;
-    const wrong = wrongIn(world, before);
-    if (wrong !== null) wrongs.add(wrong);
+    const violation = violationIn(world, before);
+    if (violation !== null) violations.add(violation);
     const key = JSON.stringify(world);
     if (seen.has(key)) continue;
     seen.add(key);
-    for (const after of stepsOf(model, world)) open.push({ world: after, before: world });
+    for (const successor of stepsOf(model, world)) stack.push({ world: successor, before: world });
   }
-  return { worlds: seen.size, wrongs };
+  return { worlds: seen.size, violations };
 };
 
-// Configurations ----------------------------------------------------------------------------------
+// Policies ----------------------------------------------------------------------------------------
 
 const document = (version: number, content: string): Policy =>
   Schemas.policy({ version, services: {}, routes: [], notes: { content } });
 
 type PolicyChange = (document: Policy, id: string) => RegisterChange;
-const sound: PolicyChange = (sent, changeId) =>
-  putPolicyChange({ document: sent, ifMatch: null, changeId, expiredPolicyRevision: 0 });
-/** The fault: whatever is not above the version held is acknowledged. */
-const keepsAnyContent: PolicyChange = (sent, id) => (current) => {
-  const held = (current as PolicyRegister | null)?.document.version ?? -1;
-  return sent.version !== undefined && sent.version <= held
+const correctChange: PolicyChange = (document, changeId) =>
+  putPolicyChange({ document, ifMatch: null, changeId, expiredPolicyRevision: 0 });
+/** An injected fault: acknowledges any content whose version is not above the current version. */
+const faultyChange: PolicyChange = (document, id) => (current) => {
+  const currentVersion = (current as PolicyRegister | null)?.document.version ?? -1;
+  return document.version !== undefined && document.version <= currentVersion
     ? { kind: 'keep' }
-    : sound(sent, id)(current);
+    : correctChange(document, id)(current);
 };
 
 const policyModel = (sent: readonly Policy[], change: PolicyChange): Model => ({
-  orders: sent.map((each, index) => ({
+  commands: sent.map((policy, index) => ({
     operator: `operator-${index}`,
-    change: (id) => change(each, id),
+    change: (id) => change(policy, id),
   })),
   isSequential: false,
-  attemptsEach: 2,
-  noticesLeaving: false,
-  isFenced: true,
+  attemptsPerCommand: 2,
+  detectsDisconnect: false,
+  hasReadHistory: true,
 });
 
-const heldIn = (world: World): Policy | null =>
+const policyInForce = (world: World): Policy | null =>
   (world.value as PolicyRegister | null)?.document ?? null;
 
-const wrongPolicy =
+const policyViolation =
   (sent: readonly Policy[]) =>
   (world: World, before: World | null): string | null => {
-    const held = heldIn(world);
-    for (const [order, end] of world.ends.entries()) {
-      const mine = sent[order];
-      const [version, content] = [mine.version ?? 0, mine.notes?.content];
-      const heldVersion = held?.version ?? -1;
-      if (end === 'acknowledged' && heldVersion < version)
-        return 'an acknowledged configuration is lost';
-      if (end === 'acknowledged' && heldVersion === version && held?.notes?.content !== content) {
-        return 'another content is held under an acknowledged number';
+    const inForce = policyInForce(world);
+    for (const [command, outcome] of world.outcomes.entries()) {
+      const policy = sent[command];
+      const [version, content] = [policy.version ?? 0, policy.notes?.content];
+      const versionInForce = inForce?.version ?? -1;
+      if (outcome === 'acknowledged' && versionInForce < version)
+        return 'an acknowledged policy is lost';
+      if (
+        outcome === 'acknowledged' &&
+        versionInForce === version &&
+        inForce?.notes?.content !== content
+      ) {
+        return 'another content is in force under an acknowledged version';
       }
-      const isNewEnd = before !== null && before.ends[order] !== end;
-      const wasTaken = world.chosen.some((id) => id.startsWith(`${order}.`));
-      if (isNewEnd && end === 'refused' && wasTaken)
-        return 'a configuration that was taken is refused';
-      const isNoneAbove = sent.every((each) => (each.version ?? 0) <= version);
-      const others = sent.filter(
-        (each) => each.version === version && each.notes?.content !== content,
+      const isNewOutcome = before !== null && before.outcomes[command] !== outcome;
+      const wasTaken = world.chosenIds.some((id) => id.startsWith(`${command}.`));
+      if (isNewOutcome && outcome === 'refused' && wasTaken)
+        return 'a policy that was written is refused';
+      const isHighestVersion = sent.every((other) => (other.version ?? 0) <= version);
+      const competitors = sent.filter(
+        (other) => other.version === version && other.notes?.content !== content,
       );
-      if (isNewEnd && end === 'refused' && others.length === 0)
-        return 'a configuration without a rival is refused';
-      if (end === 'acknowledged' && isNoneAbove) {
-        const rival = others.some((each) => world.ends[sent.indexOf(each)] === 'acknowledged');
-        if (rival) return 'two contents are acknowledged under one number';
+      if (isNewOutcome && outcome === 'refused' && competitors.length === 0)
+        return 'a policy without a competing content is refused';
+      if (outcome === 'acknowledged' && isHighestVersion) {
+        const isCompetitorAcknowledged = competitors.some(
+          (other) => world.outcomes[sent.indexOf(other)] === 'acknowledged',
+        );
+        if (isCompetitorAcknowledged) return 'two contents are acknowledged under one version';
       }
     }
     return null;
   };
 
 const races: readonly (readonly [string, readonly Policy[]])[] = [
-  ['one number, two contents', [document(7, 'x'), document(7, 'y')]],
-  ['one number, one content', [document(7, 'x'), document(7, 'x')]],
-  ['two numbers', [document(7, 'x'), document(8, 'y')]],
+  ['one version, two contents', [document(7, 'x'), document(7, 'y')]],
+  ['one version, one content', [document(7, 'x'), document(7, 'x')]],
+  ['two versions', [document(7, 'x'), document(8, 'y')]],
 ];
 
 for (const [name, sent] of races) {
-  test(`configurations, ${name}: no order of steps, lost answers and repeats confirms what is not held`, (t) => {
-    const { worlds, wrongs } = walk(policyModel(sent, sound), wrongPolicy(sent));
+  test(`policies, ${name}: no interleaving of steps, lost responses and repeats acknowledges a policy that is not in force`, (t) => {
+    const { worlds, violations } = explore(policyModel(sent, correctChange), policyViolation(sent));
     t.log(`${worlds} worlds`);
-    t.deepEqual([...wrongs], []);
+    t.deepEqual([...violations], []);
     t.true(worlds > 500);
   });
 }
 
-test('configurations: acknowledging any content under the number held is found out', (t) => {
+test('policies: the model detects a fault that acknowledges any content under the current version', (t) => {
   const sent = [document(7, 'x'), document(7, 'y')];
-  const { wrongs } = walk(policyModel(sent, keepsAnyContent), wrongPolicy(sent));
-  t.true(wrongs.has('another content is held under an acknowledged number'));
-  t.true(wrongs.has('two contents are acknowledged under one number'));
+  const { violations } = explore(policyModel(sent, faultyChange), policyViolation(sent));
+  t.true(violations.has('another content is in force under an acknowledged version'));
+  t.true(violations.has('two contents are acknowledged under one version'));
 });
 
 // Zones -------------------------------------------------------------------------------------------
@@ -304,59 +314,71 @@
     zoneOrderChange({ zone: 'west', order, of: 'origins', changeId, expiredZonesRevision: 0 });
 
 /**
- * One operator that evacuates a zone and takes it back, each until it is acknowledged or given up.
+ * One operator that evacuates a zone and then restores it, repeating each command until the command
+ * is acknowledged or given up.
  */
-const zoneModel = (parts: Partial<Model>): Model => ({
-  orders: [
+const zoneModel = (overrides: Partial<Model>): Model => ({
+  commands: [
     { operator: 'one', change: zoneChange('empty') },
     { operator: 'one', change: zoneChange('take-back') },
   ],
   isSequential: true,
-  attemptsEach: 2,
-  noticesLeaving: true,
-  isFenced: true,
-  ...parts,
+  attemptsPerCommand: 2,
+  detectsDisconnect: true,
+  hasReadHistory: true,
+  ...overrides,
 });
 
 /**
- * Once the take-back is acknowledged the zone stays open; an acknowledged evacuation holds until
- * the take-back is sent.
+ * The invariant for zones: once the take-back is acknowledged the zone stays open, and an acknowledged
+ * evacuation stays in force until the take-back is sent.
  */
-const wrongZone = (world: World): string | null => {
+const zoneViolation = (world: World): string | null => {
   const isClosed = zonesValueOf(world.value).closedOrigins.includes('west');
-  const isTakeBackSent = world.attempts.some((each) => each.order === 1);
-  if (world.ends[1] === 'acknowledged' && isClosed) return lateReaders(world);
-  if (world.ends[0] === 'acknowledged' && !isTakeBackSent && !isClosed)
+  const isTakeBackSent = world.attempts.some((attempt) => attempt.command === 1);
+  if (world.outcomes[1] === 'acknowledged' && isClosed) return undoneTakeBack(world);
+  if (world.outcomes[0] === 'acknowledged' && !isTakeBackSent && !isClosed)
     return 'an evacuation is not in force';
   return null;
 };
 
-/** Whether what undid the take-back had read the register before that was chosen. */
-const lateReaders = (world: World): string => {
-  const takenBackAt = world.chosen.findIndex((id) => id.startsWith('1.'));
+/**
+ * How the take-back was undone: by an evacuation that first read the register before or after the
+ * take-back was chosen.
+ */
+const undoneTakeBack = (world: World): string => {
+  const takeBackIndex = world.chosenIds.findIndex((id) => id.startsWith('1.'));
   const undoing = world.attempts.find(
-    (each) => each.order === 0 && each.id === world.chosen.at(-1),
+    (attempt) => attempt.command === 0 && attempt.id === world.chosenIds.at(-1),
   );
-  const hadRead = undoing !== undefined && (undoing.firstReadAt ?? Infinity) <= takenBackAt;
-  return hadRead
-    ? 'undone by an order that had read before'
-    : 'undone by an order that read only afterwards';
+  const hadReadBefore = undoing !== undefined && (undoing.firstReadAt ?? Infinity) <= takeBackIndex;
+  return hadReadBefore
+    ? 'undone by an order that read the register before the take-back was chosen'
+    : 'undone by an order that first read the register after the take-back was chosen';
 };
 
-test('zones: an acknowledged order is not undone by an older one whose caller was seen to leave', (t) => {
-  const { worlds, wrongs } = walk(zoneModel({}), wrongZone);
+test('zones: an acknowledged order is not undone by an older one whose client was seen to disconnect', (t) => {
+  const { worlds, violations } = explore(zoneModel({}), zoneViolation);
   t.log(`${worlds} worlds`);
-  t.deepEqual([...wrongs], []);
+  t.deepEqual([...violations], []);
   t.true(worlds > 500);
 });
 
-test('zones, callers not seen to leave: only an order that first reads after the later one was chosen can undo it', (t) => {
-  const { worlds, wrongs } = walk(zoneModel({ noticesLeaving: false }), wrongZone);
+test('zones, disconnects not detected: only an order that first reads after the later one was chosen can undo it', (t) => {
+  const { worlds, violations } = explore(zoneModel({ detectsDisconnect: false }), zoneViolation);
   t.log(`${worlds} worlds`);
-  t.deepEqual([...wrongs], ['undone by an order that read only afterwards']);
+  t.deepEqual(
+    [...violations],
+    ['undone by an order that first read the register after the take-back was chosen'],
+  );
 });
 
-test('zones, callers not seen to leave and nothing remembered of the first reading: the undoing is found out', (t) => {
-  const { wrongs } = walk(zoneModel({ noticesLeaving: false, isFenced: false }), wrongZone);
-  t.true(wrongs.has('undone by an order that had read before'));
+test('zones, disconnects not detected and the first read not recorded: the model detects an undone order', (t) => {
+  const { violations } = explore(
+    zoneModel({ detectsDisconnect: false, hasReadHistory: false }),
+    zoneViolation,
+  );
+  t.true(
+    violations.has('undone by an order that read the register before the take-back was chosen'),
+  );
 });
--- a/packages/agent/src/proposals/proposals.test.ts
+++ b/packages/agent/src/proposals/proposals.test.ts
@@ -18,22 +18,22 @@
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
 
 /** A call of the agent to a replica that has not been answered yet. */
-type Call = { readonly id: number; readonly to: string; readonly call: ReplicaOperation };
+type Call = { readonly id: number; readonly to: string; readonly operation: ReplicaOperation };
 
-/** An agent whose replicas are played by the test. */
-class Bench {
+/** An agent whose replicas are simulated by the test. */
+class TestAgent {
   state: AgentState;
   now = 0;
   calls: Call[] = [];
   readonly answers = new Map<number, { readonly status: number; readonly body: unknown }>();
-  readonly wakes: number[] = [];
-  #caller = 0;
+  readonly wakeUps: number[] = [];
+  #lastRequestId = 0;
 
-  constructor(life = 'l') {
+  constructor(incarnation = 'l') {
     const founders = Object.fromEntries(replicas.map((name) => [name, name]));
     const opened = openAgent({
       self,
-      incarnation: life,
+      incarnation,
       seeds: [],
       founders,
       randomSeed: 1,
@@ -48,30 +48,30 @@
   step(event: AgentEvent): void {
     const { state, effects } = reduceAgent(this.state, event);
     this.state = state;
-    for (const effect of effects) this.#take(effect);
+    for (const effect of effects) this.#handleEffect(effect);
   }
 
-  #take(effect: AgentEffect): void {
+  #handleEffect(effect: AgentEffect): void {
     if (effect.kind === 'send-request' && effect.path === '/replica') {
-      this.calls.push({ id: effect.requestId, to: effect.to, call: effect.request.operation });
+      this.calls.push({ id: effect.requestId, to: effect.to, operation: effect.request.operation });
     }
     if (effect.kind === 'send-answer') this.answers.set(effect.requestId, effect);
-    if (effect.kind === 'schedule-wake-up') this.wakes.push(this.now + effect.delayMs);
+    if (effect.kind === 'schedule-wake-up') this.wakeUps.push(this.now + effect.delayMs);
   }
 
-  order(action: ApiAction): number {
-    this.#caller += 1;
-    this.step({ kind: 'action-received', requestId: this.#caller, action, now: this.now });
-    return this.#caller;
+  request(action: ApiAction): number {
+    this.#lastRequestId += 1;
+    this.step({ kind: 'action-received', requestId: this.#lastRequestId, action, now: this.now });
+    return this.#lastRequestId;
   }
 
-  /** Answers every call of one kind that waits. */
+  /** Answers every pending call of one kind with a vote. */
   vote(
     kind: 'prepare' | 'accept',
     accepted: { readonly proposalNumber: ProposalNumber; readonly value: unknown } | null = null,
   ): void {
-    const due = this.calls.filter(({ call }) => call.kind === kind);
-    this.calls = this.calls.filter(({ call }) => call.kind !== kind);
+    const due = this.calls.filter(({ operation }) => operation.kind === kind);
+    this.calls = this.calls.filter(({ operation }) => operation.kind !== kind);
     for (const { id, to } of due) {
       const body: ReplicaReply = {
         kind: 'vote',
@@ -82,9 +82,10 @@
     }
   }
 
-  refuse(kind: 'prepare' | 'accept', promised: ProposalNumber): void {
-    const due = this.calls.filter(({ call }) => call.kind === kind);
-    this.calls = this.calls.filter(({ call }) => call.kind !== kind);
+  /** Rejects every pending call of one kind, as replicas that promised a higher proposal do. */
+  reject(kind: 'prepare' | 'accept', promised: ProposalNumber): void {
+    const due = this.calls.filter(({ operation }) => operation.kind === kind);
+    this.calls = this.calls.filter(({ operation }) => operation.kind !== kind);
     for (const { id, to } of due) {
       const body: ReplicaReply = {
         kind: 'vote',
@@ -95,15 +96,19 @@
     }
   }
 
-  /** Proposals of the calls of one kind that wait. */
-  ballots(kind: 'prepare' | 'accept'): readonly ProposalNumber[] {
-    const all = this.calls.flatMap(({ call }) =>
-      call.kind === 'prepare' || call.kind === 'accept' ? [call] : [],
+  /** The distinct proposal numbers of the pending calls of one kind. */
+  proposalNumbers(kind: 'prepare' | 'accept'): readonly ProposalNumber[] {
+    const operations = this.calls.flatMap(({ operation }) =>
+      operation.kind === 'prepare' || operation.kind === 'accept' ? [operation] : [],
     );
-    const mine = all.filter((call) => call.kind === kind).map((call) => call.proposalNumber);
-    return mine.filter(
-      (proposalNumber, at) =>
-        mine.findIndex((each) => compareProposalNumbers(each, proposalNumber) === 0) === at,
+    const proposalNumbers = operations
+      .filter((operation) => operation.kind === kind)
+      .map((operation) => operation.proposalNumber);
+    return proposalNumbers.filter(
+      (proposalNumber, index) =>
+        proposalNumbers.findIndex(
+          (other) => compareProposalNumbers(other, proposalNumber) === 0,
+        ) === index,
     );
   }
 
@@ -128,120 +133,120 @@
 const closedIn = (body: unknown): readonly string[] =>
   (body as { readonly closedOrigins: readonly string[] }).closedOrigins;
 
-test('eight orders at once on one register take two ballots, one after the other', (t) => {
-  const bench = new Bench();
+test('eight simultaneous orders for one register take two proposals, one after the other', (t) => {
+  const agent = new TestAgent();
   const orders = Array.from({ length: 8 }, (_, index) =>
-    bench.order(zoneOrder(`zone-${index}`, 'empty', `id-${index}`)),
+    agent.request(zoneOrder(`zone-${index}`, 'empty', `id-${index}`)),
   );
-  t.is(bench.ballots('prepare').length, 1);
-  bench.vote('prepare');
+  t.is(agent.proposalNumbers('prepare').length, 1);
+  agent.vote('prepare');
   t.deepEqual(
-    bench.calls.map(({ call }) => call.kind),
+    agent.calls.map(({ operation }) => operation.kind),
     ['accept', 'accept', 'accept'],
   );
-  const [first] = bench.calls;
+  const [first] = agent.calls;
   const accepted =
-    first?.call.kind === 'accept'
-      ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
+    first?.operation.kind === 'accept'
+      ? { proposalNumber: first.operation.proposalNumber, value: first.operation.value }
       : null;
-  bench.vote('accept');
-  t.is(bench.statusOf(orders[0] ?? 0), 200);
+  agent.vote('accept');
+  t.is(agent.statusOf(orders[0] ?? 0), 200);
   t.deepEqual(
-    orders.slice(1).map((id) => bench.statusOf(id)),
+    orders.slice(1).map((id) => agent.statusOf(id)),
     Array.from({ length: 7 }, () => undefined),
   );
-  const [second] = bench.ballots('prepare');
+  const [second] = agent.proposalNumbers('prepare');
   t.true(
     second !== undefined &&
       accepted !== null &&
       compareProposalNumbers(second, accepted.proposalNumber) > 0,
   );
-  bench.vote('prepare', accepted);
-  bench.vote('accept');
+  agent.vote('prepare', accepted);
+  agent.vote('accept');
   t.deepEqual(
-    orders.map((id) => bench.statusOf(id)),
+    orders.map((id) => agent.statusOf(id)),
     orders.map(() => 200),
   );
   const revisions = orders.map(
-    (id) => (bench.answers.get(id)?.body as { readonly revision: number }).revision,
+    (id) => (agent.answers.get(id)?.body as { readonly revision: number }).revision,
   );
   t.deepEqual(revisions, [1, 2, 3, 4, 5, 6, 7, 8]);
-  t.deepEqual(bench.state.activeProposals, {});
-  t.deepEqual(bench.state.pendingChanges, {});
+  t.deepEqual(agent.state.activeProposals, {});
+  t.deepEqual(agent.state.pendingChanges, {});
 });
 
-test('changes of one ballot are made in the order in which they came, and each is told its own end', (t) => {
-  const bench = new Bench();
-  const held = bench.order(put(7, 'a', 'x'));
+test('changes of one proposal are applied in the order of their requests, and each gets its own response', (t) => {
+  const agent = new TestAgent();
+  const original = agent.request(put(7, 'a', 'x'));
   const [same, other, older, newer] = [
     put(7, 'b', 'x'),
     put(7, 'c', 'y'),
     put(3, 'd'),
     put(9, 'e'),
-  ].map((each) => bench.order(each));
-  const read = bench.order({ kind: 'get-policy' });
-  bench.vote('prepare');
-  const [first] = bench.calls;
+  ].map((action) => agent.request(action));
+  const read = agent.request({ kind: 'get-policy' });
+  agent.vote('prepare');
+  const [firstCall] = agent.calls;
   const accepted =
-    first?.call.kind === 'accept'
-      ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
+    firstCall?.operation.kind === 'accept'
+      ? { proposalNumber: firstCall.operation.proposalNumber, value: firstCall.operation.value }
       : null;
-  bench.vote('accept');
-  bench.vote('prepare', accepted);
-  bench.vote('accept');
-  const ends = [held, same, other, older, newer].map((id) => bench.statusOf(id ?? 0));
-  t.deepEqual(ends, [200, 200, 412, 200, 200]);
+  agent.vote('accept');
+  agent.vote('prepare', accepted);
+  agent.vote('accept');
+  const statuses = [original, same, other, older, newer].map((id) => agent.statusOf(id ?? 0));
+  t.deepEqual(statuses, [200, 200, 412, 200, 200]);
   const policy = (
-    bench.answers.get(read)?.body as { readonly policy: { readonly version: number } }
+    agent.answers.get(read)?.body as { readonly policy: { readonly version: number } }
   ).policy;
   t.is(policy.version, 9);
 });
 
-test('a read that comes while a ballot is under way joins none whose promises may be older than it', (t) => {
-  const bench = new Bench();
-  bench.order({ kind: 'get-policy' });
-  const second = bench.order({ kind: 'get-policy' });
-  bench.vote('prepare');
-  t.is(bench.statusOf(second), undefined);
-  t.is(bench.ballots('prepare').length, 1);
-  bench.vote('prepare');
-  t.is(bench.statusOf(second), 200);
+test('a read that is requested while a proposal is in flight joins no proposal whose promises may be older', (t) => {
+  const agent = new TestAgent();
+  agent.request({ kind: 'get-policy' });
+  const second = agent.request({ kind: 'get-policy' });
+  agent.vote('prepare');
+  t.is(agent.statusOf(second), undefined);
+  t.is(agent.proposalNumbers('prepare').length, 1);
+  agent.vote('prepare');
+  t.is(agent.statusOf(second), 200);
 });
 
-test('an order whose caller is gone before its second phase is proposed no further; the others of its ballot are', (t) => {
-  const bench = new Bench();
-  const [gone, stays] = [
-    bench.order(zoneOrder('west', 'empty', '1')),
-    bench.order(zoneOrder('east', 'empty', '2')),
+test('an order whose client disconnects before the second phase is not proposed; the others of its proposal are', (t) => {
+  const agent = new TestAgent();
+  const [abandoned, remaining] = [
+    agent.request(zoneOrder('west', 'empty', '1')),
+    agent.request(zoneOrder('east', 'empty', '2')),
   ];
-  bench.step({ kind: 'caller-disconnected', requestId: gone, now: 0 });
-  bench.vote('prepare');
-  bench.vote('accept');
-  bench.vote('prepare');
-  bench.vote('accept');
-  t.is(bench.statusOf(gone), undefined);
-  t.deepEqual(closedIn(bench.answers.get(stays)?.body), ['east']);
+  agent.step({ kind: 'caller-disconnected', requestId: abandoned, now: 0 });
+  agent.vote('prepare');
+  agent.vote('accept');
+  agent.vote('prepare');
+  agent.vote('accept');
+  t.is(agent.statusOf(abandoned), undefined);
+  t.deepEqual(closedIn(agent.answers.get(remaining)?.body), ['east']);
 });
 
-test('an order whose caller is gone in its second phase gets no further ballot', (t) => {
-  const bench = new Bench();
-  const gone = bench.order(zoneOrder('west', 'empty', '1'));
-  bench.vote('prepare');
-  bench.step({ kind: 'caller-disconnected', requestId: gone, now: 0 });
-  bench.refuse('accept', { counter: 9, proposerId: 'z' });
-  bench.now = 5_000;
-  bench.step({ kind: 'wake-up-due', now: bench.now });
-  t.deepEqual(bench.ballots('prepare'), []);
-  t.deepEqual([bench.state.activeProposals, bench.state.pendingChanges], [{}, {}]);
+test('an order whose client disconnects in the second phase is included in no further proposal', (t) => {
+  const agent = new TestAgent();
+  const abandoned = agent.request(zoneOrder('west', 'empty', '1'));
+  agent.vote('prepare');
+  agent.step({ kind: 'caller-disconnected', requestId: abandoned, now: 0 });
+  agent.reject('accept', { counter: 9, proposerId: 'z' });
+  agent.now = 5_000;
+  agent.step({ kind: 'wake-up-due', now: agent.now });
+  t.deepEqual(agent.proposalNumbers('prepare'), []);
+  t.deepEqual([agent.state.activeProposals, agent.state.pendingChanges], [{}, {}]);
 });
 
-test('an order that was outvoted by a later one for its zone is not made after it', (t) => {
-  const bench = new Bench();
-  const late = bench.order(zoneOrder('west', 'empty', '1'));
-  bench.vote('prepare');
-  bench.refuse('accept', { counter: 9, proposerId: 'z' });
-  bench.now = 300;
-  bench.step({ kind: 'wake-up-due', now: bench.now });
+test('an order that was preempted by a later one for its zone is not applied after it', (t) => {
+  const agent = new TestAgent();
+  const order = agent.request(zoneOrder('west', 'empty', '1'));
+  agent.vote('prepare');
+  agent.reject('accept', { counter: 9, proposerId: 'z' });
+  agent.now = 300;
+  agent.step({ kind: 'wake-up-due', now: agent.now });
   const value = {
     revision: 5,
     emptied: [],
@@ -250,61 +255,67 @@
     lastOrders: { west: 5 },
     changes: [],
   };
-  bench.vote('prepare', { proposalNumber: { counter: 9, proposerId: 'z' }, value });
-  t.is(bench.statusOf(late), 503);
-  t.deepEqual(bench.ballots('accept'), []);
+  agent.vote('prepare', { proposalNumber: { counter: 9, proposerId: 'z' }, value });
+  t.is(agent.statusOf(order), 503);
+  t.deepEqual(agent.proposalNumbers('accept'), []);
 });
 
-test('an order that was taken though its node saw no majority of votes is acknowledged again, not refused', (t) => {
-  const bench = new Bench();
-  const order = bench.order(zoneOrder('west', 'empty', '1'));
-  bench.vote('prepare');
-  const [first] = bench.calls;
+test('an order that was chosen although its node saw no majority of votes is acknowledged, not refused', (t) => {
+  const agent = new TestAgent();
+  const order = agent.request(zoneOrder('west', 'empty', '1'));
+  agent.vote('prepare');
+  const [first] = agent.calls;
   const accepted =
-    first?.call.kind === 'accept'
-      ? { proposalNumber: first.call.proposalNumber, value: first.call.value }
+    first?.operation.kind === 'accept'
+      ? { proposalNumber: first.operation.proposalNumber, value: first.operation.value }
       : null;
-  bench.calls = [];
-  bench.now = proposalPhaseTimeoutMs + 1;
-  bench.step({ kind: 'wake-up-due', now: bench.now });
-  bench.vote('prepare', accepted);
-  t.is(bench.statusOf(order), 200);
-  t.deepEqual(closedIn(bench.answers.get(order)?.body), ['west']);
+  agent.calls = [];
+  agent.now = proposalPhaseTimeoutMs + 1;
+  agent.step({ kind: 'wake-up-due', now: agent.now });
+  agent.vote('prepare', accepted);
+  t.is(agent.statusOf(order), 200);
+  t.deepEqual(closedIn(agent.answers.get(order)?.body), ['west']);
 });
 
-test('accepts are sent again to replicas that have not answered, in the same ballot', (t) => {
-  const bench = new Bench();
-  bench.order(zoneOrder('west', 'empty', '1'));
-  bench.vote('prepare');
-  const [proposalNumber] = bench.ballots('accept');
-  bench.calls = [];
-  t.deepEqual(bench.wakes, [resendMs, resendMs]);
-  bench.now = resendMs;
-  bench.step({ kind: 'wake-up-due', now: bench.now });
-  t.deepEqual(bench.ballots('accept'), proposalNumber === undefined ? [] : [proposalNumber]);
-  t.deepEqual(bench.ballots('prepare'), []);
+test('accepts are sent again to replicas that have not replied, under the same proposal number', (t) => {
+  const agent = new TestAgent();
+  agent.request(zoneOrder('west', 'empty', '1'));
+  agent.vote('prepare');
+  const [proposalNumber] = agent.proposalNumbers('accept');
+  agent.calls = [];
+  t.deepEqual(agent.wakeUps, [resendMs, resendMs]);
+  agent.now = resendMs;
+  agent.step({ kind: 'wake-up-due', now: agent.now });
+  t.deepEqual(
+    agent.proposalNumbers('accept'),
+    proposalNumber === undefined ? [] : [proposalNumber],
+  );
+  t.deepEqual(agent.proposalNumbers('prepare'), []);
 });
 
-test('prepares are sent again to replicas that have not answered, in the same ballot; promises are kept', (t) => {
-  const bench = new Bench();
-  bench.order(zoneOrder('west', 'empty', '1'));
-  const [proposalNumber] = bench.ballots('prepare');
-  bench.calls = bench.calls.filter(({ to }) => to === 'a');
-  bench.vote('prepare');
-  bench.now = resendMs;
-  bench.step({ kind: 'wake-up-due', now: bench.now });
+test('prepares are sent again to replicas that have not replied, under the same proposal number; earlier promises count', (t) => {
+  const agent = new TestAgent();
+  agent.request(zoneOrder('west', 'empty', '1'));
+  const [proposalNumber] = agent.proposalNumbers('prepare');
+  agent.calls = agent.calls.filter(({ to }) => to === 'a');
+  agent.vote('prepare');
+  agent.now = resendMs;
+  agent.step({ kind: 'wake-up-due', now: agent.now });
   t.deepEqual(
-    bench.calls.map(({ to, call }) => [to, call.kind]),
+    agent.calls.map(({ to, operation }) => [to, operation.kind]),
     [
       ['b', 'prepare'],
       ['c', 'prepare'],
     ],
   );
-  t.deepEqual(bench.ballots('prepare'), proposalNumber === undefined ? [] : [proposalNumber]);
-  bench.calls = bench.calls.filter(({ to }) => to === 'b');
-  bench.vote('prepare');
   t.deepEqual(
-    bench.calls.map(({ to, call }) => [to, call.kind]),
+    agent.proposalNumbers('prepare'),
+    proposalNumber === undefined ? [] : [proposalNumber],
+  );
+  agent.calls = agent.calls.filter(({ to }) => to === 'b');
+  agent.vote('prepare');
+  t.deepEqual(
+    agent.calls.map(({ to, operation }) => [to, operation.kind]),
     [
       ['a', 'accept'],
       ['b', 'accept'],
@@ -312,25 +323,25 @@
   );
 });
 
-test('no two lives of an agent open the same ballot', (t) => {
-  const ballots = ['l', 'm'].map((life) => {
-    const bench = new Bench(life);
-    bench.order({ kind: 'get-policy' });
-    return bench.ballots('prepare')[0];
+test('no two incarnations of an agent use the same proposal number', (t) => {
+  const proposalNumbers = ['l', 'm'].map((incarnation) => {
+    const agent = new TestAgent(incarnation);
+    agent.request({ kind: 'get-policy' });
+    return agent.proposalNumbers('prepare')[0];
   });
-  t.notDeepEqual(ballots[0], ballots[1]);
+  t.notDeepEqual(proposalNumbers[0], proposalNumbers[1]);
 });
 
-test('an outvoted proposer waits for a time that grows with each further try', (t) => {
-  const bench = new Bench();
-  bench.order(zoneOrder('west', 'empty', '1'));
+test('a preempted proposer waits for a time that grows with each further preemption', (t) => {
+  const agent = new TestAgent();
+  agent.request(zoneOrder('west', 'empty', '1'));
   const waits: number[] = [];
   for (let round = 2; round < 12; round += 1) {
-    bench.refuse('prepare', { counter: 10 * round, proposerId: 'z' });
-    const wake = bench.wakes.at(-1) ?? 0;
-    waits.push(wake - bench.now);
-    bench.now = wake;
-    bench.step({ kind: 'wake-up-due', now: bench.now });
+    agent.reject('prepare', { counter: 10 * round, proposerId: 'z' });
+    const wakeUpAt = agent.wakeUps.at(-1) ?? 0;
+    waits.push(wakeUpAt - agent.now);
+    agent.now = wakeUpAt;
+    agent.step({ kind: 'wake-up-due', now: agent.now });
   }
   t.true(Math.max(...waits.slice(0, 2)) < Math.max(...waits.slice(4)));
   t.true(
