--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -523,8 +523,8 @@
   );
 
 /**
- * Restarts all proposals, journal appends and counts of polls that are in flight when the membership
- * changes, since replies that were counted under the previous membership are no longer valid.
+ * Restarts the proposals and journal appends in flight and discards the counted polls when the
+ * membership changes, since replies counted under the previous membership are no longer valid.
  */
 export const restartUnderNewMembership = (transition: Transition): void => {
   const { state } = transition;
