--- a/packages/agent/src/membership/live-spares.ts
+++ b/packages/agent/src/membership/live-spares.ts
@@ -1,13 +1,17 @@
-/** Blank replicas that answered this agent lately, by address: its own proof that they live. */
+/**
+ * Blank replicas that recently replied to this agent, by address: direct evidence, independent of
+ * gossip, that they are running.
+ */
 
 import type { AgentState } from '../state.js';
 
 /**
- * ms. A blank replica must have answered within this time to be given a slot of a suspected member.
+ * How recently a blank replica must have replied to be assigned the slot of a suspected member, in
+ * milliseconds.
  */
 export const spareMaxAgeMs = 700;
 
-/** Spare replicas that answered this agent lately. */
+/** Returns the spare replicas that replied to this agent within `spareMaxAgeMs`. */
 export const liveSpares = (state: AgentState): AgentState['spares'] =>
   Object.fromEntries(
     Object.entries(state.spares).filter(([, { at }]) => state.now - at < spareMaxAgeMs),
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -1,8 +1,10 @@
 /**
- * Membership: which replica should be a member next, and when an agent opens the proposal for it.
- * Nothing here decides who votes: a change takes effect only once a majority of the present members
- * has chosen it, and one that was opened on a wrong suspicion costs a change of place, and neither
- * data nor a majority.
+ * Decides which replica should become a member next, and when an agent opens the proposal for that
+ * change.
+ *
+ * Nothing here decides who votes: a change takes effect only after a majority of the present
+ * members has chosen it. A proposal opened on a wrong suspicion moves a slot to another replica,
+ * but loses neither data nor a majority.
  */
 import type { Membership, ReplicaReply } from '@reedyard/replica';
 import type { ReplicaView } from '../control/control-state.js';
@@ -20,64 +22,70 @@
 import { liveSpares, spareMaxAgeMs } from './live-spares.js';
 
 /**
- * ms. Of half the time that a successor is given to catch up, what is kept for its join itself: to
- * be heard of, for one proposal, to be told and to read; measured in the simulator under all
- * troubles.
+ * The part of half the catch-up time that is reserved for the join itself, in milliseconds: until
+ * the spare is known, one proposal is decided, and the new member has learned of the change and
+ * read the other members.
  */
 export const joinBudgetMs = 1_000;
 
 /**
- * ms. A member is suspected no sooner, whatever the settings say: two polls and the probes between
- * them.
+ * The shortest time without a reply after which a member is suspected, whatever the settings say,
+ * in milliseconds: two polls and the health checks between them.
  */
 export const minSuspicionTimeoutMs = 1_000;
 
 /**
- * ms. A member whose machine was silent this long, in gossip and to every poll, is taken for gone,
- * and its slot given to another: longer than a restart, and than a cut of 6 s with 2 s to be heard
- * of again.
+ * How long a member may be missing from gossip and leave every poll unanswered before its slot is
+ * assigned to another replica, in milliseconds. Longer than a restart, and longer than a network
+ * partition of 6 s plus 2 s to appear in gossip again.
  */
 export const memberTimeoutMs = 8_000;
 
-/** ms. A silent member is asked more often after this: one poll and its answer. */
+/**
+ * How long a member may stay unresponsive before it is polled more often, in milliseconds: one poll
+ * and its reply.
+ */
 export const healthCheckAfterMs = 700;
 
-/** How likely an agent on a machine with a replica opens a due change at one of its intervals. */
+/** Probability that an agent on a machine with a replica opens a due change in one of its ticks. */
 const proposeProbability = 0.5;
-/** The same for agents of other machines, which only help out; each at one of its polls. */
+/**
+ * The same probability for agents on machines without a replica, which act only as a backup, in one
+ * of their polls.
+ */
 const helpProbability = 0.05;
 
 /**
- * A member is suspected only after this many polls without an answer, so that a lost message or two
- * are none.
+ * Number of unanswered polls before a member is suspected, so that one or two lost messages do not
+ * make it a suspect.
  */
 const pollsToSuspect = 4;
 
-/** A change of the membership that is due. */
+/** A membership change that should be proposed. */
 type MembershipChange = {
   readonly member: string;
   readonly diskId: string;
   readonly address: string;
-  /** The member that gives up its slot, where another machine takes it. */
+  /** The member whose slot is removed, if another machine replaces it. */
   readonly replacedMember?: string;
 };
 
 const hasReplica = (state: AgentState): boolean => state.self.replica !== null;
 
 /**
- * ms without any answer after which a member is suspected, where a spare is live: what is left of
- * half the time to catch up after the join itself. Not told how long that is, an agent waits as if
- * there were no spare.
+ * Returns how long a member may leave polls unanswered before it is suspected while a spare is
+ * live, in milliseconds: half of the catch-up time less the budget for the join. If the settings
+ * give no catch-up time, the agent waits as long as it does without a spare.
  */
 export const suspicionTimeoutMs = (state: AgentState): number => {
   const catchUpMs = state.bootstrap?.catchUpMs;
   if (catchUpMs === undefined) return memberTimeoutMs;
-  const left = catchUpMs / 2 - joinBudgetMs;
-  return Math.min(memberTimeoutMs, Math.max(minSuspicionTimeoutMs, left));
+  const remainingMs = catchUpMs / 2 - joinBudgetMs;
+  return Math.min(memberTimeoutMs, Math.max(minSuspicionTimeoutMs, remainingMs));
 };
 
-// What this agent finds out about replicas
-// -----------------------------------------------------------
+// Discovery of replicas
+// --------------------------------------------------------------------------------------
 
 const requestMembership = (transition: Transition, address: string): void => {
   sendToReplica(
@@ -89,51 +97,60 @@
 };
 
 /**
- * An agent without a lease asks the seeds' replicas, and those it heard of, for the membership. Its
- * own it asks always, to tell by gossip which disk waits for a slot.
+ * Requests the membership from replicas. An agent without a lease requests it from the replicas of
+ * the seeds and those known by gossip, except the ones that it polls already. It always requests it
+ * from its own machine's replica, so that gossip can announce whether that disk is waiting for a
+ * slot.
  */
 export const discoverMembers = (transition: Transition): void => {
   const { state } = transition;
   if (state.bootstrap === null) return;
-  const own = state.self.replica?.address;
-  const heard = nodesOf(state).flatMap(({ record }) =>
+  const ownAddress = state.self.replica?.address;
+  const gossipAddresses = nodesOf(state).flatMap(({ record }) =>
     record.replica === null ? [] : [record.replica.address],
   );
-  const known = Object.values(state.replicas).map((view) => view.address);
-  const wanted = state.now < state.leaseUntil ? [] : [...state.bootstrap.seeds, ...heard];
-  const others = wanted.filter((each) => !known.includes(each));
-  for (const address of new Set([...others, ...(own === undefined ? [] : [own])])) {
+  const polledAddresses = Object.values(state.replicas).map((view) => view.address);
+  const candidates =
+    state.now < state.leaseUntil ? [] : [...state.bootstrap.seeds, ...gossipAddresses];
+  const others = candidates.filter((candidate) => !polledAddresses.includes(candidate));
+  for (const address of new Set([...others, ...(ownAddress === undefined ? [] : [ownAddress])])) {
     requestMembership(transition, address);
   }
 };
 
 /**
- * Until this machine's own replica has answered once it is asked at each interval: it may wait for
- * a slot.
+ * Polls the replica of this machine at each tick until it has replied once, because it may be
+ * waiting for a slot.
  */
 export const pollOwnReplica = (transition: Transition): void => {
-  const { bootstrap: voting, self, ownReplica } = transition.state;
-  if (voting !== null && self.replica !== null && ownReplica === null)
+  const { bootstrap, self, ownReplica } = transition.state;
+  if (bootstrap !== null && self.replica !== null && ownReplica === null)
     requestMembership(transition, self.replica.address);
 };
 
-/** What this machine's own replica tells of itself; news of it goes out by gossip at once. */
+/**
+ * Records the disk id of this machine's own replica and whether the disk is blank. A change is put
+ * into this node's gossip record; a newly blank disk is gossiped immediately.
+ */
 export const recordOwnReplica = (transition: Transition, reply: ReplicaReply): void => {
   if (reply.kind === 'newer-membership') return;
-  const fresh = reply.kind === 'not-a-member' && reply.isBlank;
+  const isBlank = reply.kind === 'not-a-member' && reply.isBlank;
   const before = transition.state.ownReplica;
   update(transition, {
-    ownReplica: { diskId: reply.diskId, isBlank: fresh, at: transition.state.now },
+    ownReplica: { diskId: reply.diskId, isBlank, at: transition.state.now },
   });
-  if (before !== null && before.diskId === reply.diskId && before.isBlank === fresh) return;
+  if (before !== null && before.diskId === reply.diskId && before.isBlank === isBlank) return;
   heartbeat(transition);
-  if (fresh)
+  if (isBlank)
     update(transition, {
       nextDueAt: { ...transition.state.nextDueAt, gossip: transition.state.now },
     });
 };
 
-/** Whether the replica that was asked waits for a slot. */
+/**
+ * Adds the replica that replied to the spares if its disk is blank and waits for a slot, and
+ * removes it otherwise.
+ */
 export const recordSpare = (transition: Transition, address: string, reply: ReplicaReply): void => {
   const { spares, now } = transition.state;
   if (reply.kind === 'not-a-member' && reply.isBlank) {
@@ -144,38 +161,43 @@
     update(transition, { spares: without(spares, address) });
 };
 
-const isAlive = (state: AgentState, each: KnownReplica): boolean =>
-  each.id === state.self.id || state.now - each.seenAt < peerTimeoutMs;
+const isReplicaAlive = (state: AgentState, replica: KnownReplica): boolean =>
+  replica.id === state.self.id || state.now - replica.seenAt < peerTimeoutMs;
 
-/** Spare replicas that gossip tells of and that have no slot, nor stand at the address of one. */
-const sparesHeard = (state: AgentState, members: Membership): readonly KnownReplica[] => {
-  const disks = Object.values(members.disks);
-  const addresses = Object.values(members.addresses ?? {});
+/**
+ * Returns the live blank replicas known from gossip that neither hold a slot nor run at the address
+ * of a member.
+ */
+const sparesFromGossip = (state: AgentState, members: Membership): readonly KnownReplica[] => {
+  const memberDisks = Object.values(members.disks);
+  const memberAddresses = Object.values(members.addresses ?? {});
   return knownReplicas(state).filter(
-    (each) =>
-      isAlive(state, each) &&
-      each.isBlank &&
-      !disks.includes(each.diskId) &&
-      !addresses.includes(each.address),
+    (replica) =>
+      isReplicaAlive(state, replica) &&
+      replica.isBlank &&
+      !memberDisks.includes(replica.diskId) &&
+      !memberAddresses.includes(replica.address),
   );
 };
 
-const isUnresponsive = (state: AgentState, view: ReplicaView, ms: number): boolean =>
-  state.now - view.lastMemberReplyAt > ms;
+const isUnresponsive = (state: AgentState, view: ReplicaView, timeoutMs: number): boolean =>
+  state.now - view.lastMemberReplyAt > timeoutMs;
 
 /**
- * Keeps an eye on spares, and, while one is live, on members that have not answered the last poll.
+ * Polls spares whose last reply is getting old and, while gossip reports a spare, members that have
+ * not replied for `healthCheckAfterMs`.
  */
 const checkHealth = (transition: Transition, members: Membership): void => {
-  const spares = sparesHeard(transition.state, members);
+  const spares = sparesFromGossip(transition.state, members);
   if (spares.length === 0) return;
   for (const { address } of spares) {
-    const heardAt = transition.state.spares[address]?.at ?? -Infinity;
-    if (transition.state.now - heardAt >= spareMaxAgeMs / 2) requestMembership(transition, address);
+    const repliedAt = transition.state.spares[address]?.at ?? -Infinity;
+    if (transition.state.now - repliedAt >= spareMaxAgeMs / 2)
+      requestMembership(transition, address);
   }
   for (const [name, view] of Object.entries(transition.state.replicas)) {
-    const wasPolledLately = transition.state.now - view.lastPolledAt < agentTickIntervalMs;
-    if (isUnresponsive(transition.state, view, healthCheckAfterMs) && !wasPolledLately)
+    const wasPolledRecently = transition.state.now - view.lastPolledAt < agentTickIntervalMs;
+    if (isUnresponsive(transition.state, view, healthCheckAfterMs) && !wasPolledRecently)
       pollNow(transition, name);
   }
 };
@@ -183,10 +205,15 @@
 // Which change is due
 // --------------------------------------------------------------------------------
 
-/** A member's disk that gossip tells of at another address than the membership does. */
-const movedMember = (state: AgentState, members: Membership): MembershipChange | null => {
-  for (const each of knownReplicas(state).filter((heard) => isAlive(state, heard))) {
-    const { diskId: disk, address } = each;
+/**
+ * Returns the address change for a member whose disk gossip reports at another address than the
+ * membership does.
+ */
+const movedMemberChange = (state: AgentState, members: Membership): MembershipChange | null => {
+  for (const replica of knownReplicas(state).filter((candidate) =>
+    isReplicaAlive(state, candidate),
+  )) {
+    const { diskId: disk, address } = replica;
     const member = Object.keys(members.disks).find((name) => members.disks[name] === disk);
     if (member !== undefined && members.addresses?.[member] !== address) {
       return { member, diskId: disk, address };
@@ -196,114 +223,127 @@
 };
 
 /**
- * The spare in the zone with the fewest members; every agent takes the same one, so that they don't
- * compete.
+ * Returns the spare in the zone with the fewest live members. The choice is deterministic, so that
+ * agents with the same view propose the same spare and do not compete.
  */
 const bestSpare = (
   state: AgentState,
   members: Membership,
   spares: readonly KnownReplica[],
 ): KnownReplica | undefined => {
-  const disks = Object.values(members.disks);
-  const living = knownReplicas(state).filter(
-    (each) => isAlive(state, each) && disks.includes(each.diskId),
+  const memberDisks = Object.values(members.disks);
+  const liveMembers = knownReplicas(state).filter(
+    (replica) => isReplicaAlive(state, replica) && memberDisks.includes(replica.diskId),
   );
-  const inZone = (zone: string): number => living.filter((each) => each.zone === zone).length;
-  return [...spares].sort((a, b) => inZone(a.zone) - inZone(b.zone) || (a.id < b.id ? -1 : 1))[0];
+  const liveMembersInZone = (zone: string): number =>
+    liveMembers.filter((replica) => replica.zone === zone).length;
+  return [...spares].sort(
+    (a, b) => liveMembersInZone(a.zone) - liveMembersInZone(b.zone) || (a.id < b.id ? -1 : 1),
+  )[0];
 };
 
 /**
- * Whether neither gossip nor any answer has told of a member's machine for long. Another member's
- * disk that came to its address is no word of it; a blank one is, and gets the slot by itself.
+ * Whether a member's machine has been missing from gossip and has not replied for
+ * `memberTimeoutMs`. A record of another member's disk at the same address is no evidence that the
+ * member is running. A blank disk at that address is, and gets the slot back by
+ * `proposeSlotForBlankDisk`.
  */
-const isMachineGone = (state: AgentState, member: string, members: Membership): boolean => {
+const hasMachineTimedOut = (state: AgentState, member: string, members: Membership): boolean => {
   const disk = members.disks[member];
   const address = members.addresses?.[member];
-  const heard = nodesOf(state).flatMap(({ record, seenAt }) => {
+  const heardAt = nodesOf(state).flatMap(({ record, seenAt }) => {
     const replica = record.replica;
     if (replica === null) return [];
     const isBlank = replica.disk === undefined || replica.fresh === true;
-    const tells = replica.disk === disk || (replica.address === address && isBlank);
-    return tells ? [record.id === state.self.id ? state.now : seenAt] : [];
+    const isEvidence = replica.disk === disk || (replica.address === address && isBlank);
+    return isEvidence ? [record.id === state.self.id ? state.now : seenAt] : [];
   });
-  const answered = state.replicas[member]?.lastMemberReplyAt ?? state.now;
-  return state.now - Math.max(answered, ...heard) > memberTimeoutMs;
+  const repliedAt = state.replicas[member]?.lastMemberReplyAt ?? state.now;
+  return state.now - Math.max(repliedAt, ...heardAt) > memberTimeoutMs;
 };
 
 /**
- * The member to replace at once, since a spare that answers this agent is live: one that was silent
- * longest, and for longer than a suspicion takes; else one that was asked to stop. Only an agent
- * that was itself not held up suspects, and one replacement at a time: all members that are not
- * silent must be seen voting.
+ * Returns the member to replace immediately by a live spare: the one that has been unresponsive
+ * longest, and longer than `suspicionTimeoutMs`, or else one that reports that it is stopping.
+ *
+ * An agent whose own ticks were delayed suspects no member. Only one replacement runs at a time:
+ * the polls of all responsive members must count before the next one.
  */
 const memberToReplace = (state: AgentState): string | null => {
-  const silence = suspicionTimeoutMs(state);
-  if (!hasReplica(state) || silence >= memberTimeoutMs) return null;
+  const timeoutMs = suspicionTimeoutMs(state);
+  if (!hasReplica(state) || timeoutMs >= memberTimeoutMs) return null;
   const views = Object.entries(state.replicas);
-  const silent = views.filter(
-    ([, view]) => isUnresponsive(state, view, silence) && view.unansweredPolls >= pollsToSuspect,
+  const unresponsive = views.filter(
+    ([, view]) => isUnresponsive(state, view, timeoutMs) && view.unansweredPolls >= pollsToSuspect,
   );
-  const settled = views.every(
+  const isSettled = views.every(
     ([, view]) => isUnresponsive(state, view, healthCheckAfterMs) || view.countedPolls !== null,
   );
-  if (!settled) return null;
-  const wasHeldUp = state.now - Math.max(state.lastLateTickAt, state.startedAt) < silence;
-  const [longest] = wasHeldUp
+  if (!isSettled) return null;
+  const wasDelayed = state.now - Math.max(state.lastLateTickAt, state.startedAt) < timeoutMs;
+  const [longestUnresponsive] = wasDelayed
     ? []
-    : silent.sort(([, a], [, b]) => a.lastMemberReplyAt - b.lastMemberReplyAt);
-  const leaving = views.find(
+    : unresponsive.sort(([, a], [, b]) => a.lastMemberReplyAt - b.lastMemberReplyAt);
+  const stopping = views.find(
     ([, view]) => view.isStopping && !isUnresponsive(state, view, healthCheckAfterMs),
   );
-  return (longest ?? leaving)?.[0] ?? null;
+  return (longestUnresponsive ?? stopping)?.[0] ?? null;
 };
 
 const changeForSpare = (
   members: Membership,
   spare: KnownReplica,
-  instead?: string,
+  replacedMember?: string,
 ): MembershipChange => {
-  const taken = Object.keys(members.disks).includes(spare.address);
+  const isSlotTaken = Object.keys(members.disks).includes(spare.address);
   return {
-    member: taken ? `${spare.address}/${members.epoch + 1}` : spare.address,
+    member: isSlotTaken ? `${spare.address}/${members.epoch + 1}` : spare.address,
     diskId: spare.diskId,
     address: spare.address,
-    ...(instead === undefined ? {} : { replacedMember: instead }),
+    ...(replacedMember === undefined ? {} : { replacedMember: replacedMember }),
   };
 };
 
-/** The change that is due by what this agent knows: a move, a further member, or a replacement. */
+/**
+ * Returns the change that this agent's view of the cluster calls for: a new address, an additional
+ * member, or a replacement.
+ */
 const dueChange = (state: AgentState, members: Membership): MembershipChange | null => {
-  const moved = movedMember(state, members);
-  if (moved !== null) return moved;
-  const spares = sparesHeard(state, members);
+  const movedChange = movedMemberChange(state, members);
+  if (movedChange !== null) return movedChange;
+  const spares = sparesFromGossip(state, members);
   const spare = bestSpare(state, members, spares);
   if (spare === undefined) return null;
   if (!toleratesLosses(state)) return changeForSpare(members, spare);
-  const live = liveSpares(state);
-  const answering = spares.filter((each) => live[each.address]?.diskId === each.diskId);
-  const liveSpare = bestSpare(state, members, answering);
-  const suspected = memberToReplace(state);
-  if (liveSpare !== undefined && suspected !== null) {
-    return changeForSpare(members, liveSpare, suspected);
+  const recentSpares = liveSpares(state);
+  const answeringSpares = spares.filter(
+    (spareReplica) => recentSpares[spareReplica.address]?.diskId === spareReplica.diskId,
+  );
+  const liveSpare = bestSpare(state, members, answeringSpares);
+  const memberToReplaceNow = memberToReplace(state);
+  if (liveSpare !== undefined && memberToReplaceNow !== null) {
+    return changeForSpare(members, liveSpare, memberToReplaceNow);
   }
-  const gone = Object.keys(members.disks).find((member) => isMachineGone(state, member, members));
-  return gone === undefined ? null : changeForSpare(members, spare, gone);
+  const timedOutMember = Object.keys(members.disks).find((member) =>
+    hasMachineTimedOut(state, member, members),
+  );
+  return timedOutMember === undefined ? null : changeForSpare(members, spare, timedOutMember);
 };
 
 // Opening a proposal
 // -----------------------------------------------------------------------------------
 
-const isChangeUnderWay = (state: AgentState): boolean =>
-  Object.values(state.pendingChanges).some((each) => each.purpose.kind === 'change-membership');
+const isChangeInFlight = (state: AgentState): boolean =>
+  Object.values(state.pendingChanges).some((change) => change.purpose.kind === 'change-membership');
 
 const shouldProposeNow = (transition: Transition): boolean =>
   nextRandom(transition) < (hasReplica(transition.state) ? proposeProbability : helpProbability);
 
 /**
- * A slot at the member's own address is offered with a poll, at another moment by each agent:
- * hardly two meet.
+ * Decides whether to propose the slot at the member's own address after a poll reply. Agents poll
+ * at different moments, so two proposals rarely collide.
  */
-const shouldOfferNow = (transition: Transition): boolean =>
+const shouldProposeSlotNow = (transition: Transition): boolean =>
   hasReplica(transition.state) || nextRandom(transition) < helpProbability;
 
 const proposeChange = (
@@ -311,53 +351,66 @@
   members: Membership,
   change: MembershipChange,
 ): void => {
-  const { member, diskId: disk, address, replacedMember: instead } = change;
+  const { member, diskId: disk, address, replacedMember } = change;
   const purpose = { kind: 'change-membership', member, diskId: disk } as const;
-  log(transition, 'membership.proposed', { member, disk, instead: instead ?? '' });
-  if (instead === undefined) {
+  log(transition, 'membership.proposed', { member, disk, instead: replacedMember ?? '' });
+  if (replacedMember === undefined) {
     propose(transition, 'members', assignSlotChange(members, member, disk, address), purpose);
   } else {
-    const register = replaceMemberChange(members, instead, member, disk, address);
-    propose(transition, 'members', register, { ...purpose, replacedMember: instead });
+    const register = replaceMemberChange(members, replacedMember, member, disk, address);
+    propose(transition, 'members', register, { ...purpose, replacedMember: replacedMember });
   }
 };
 
-/** Opens the change that is due, if any: one at a time, and only by an agent with a lease. */
+/**
+ * Runs the health checks and opens the membership change that is due, if any: one at a time, and
+ * only on an agent with a lease.
+ */
 export const maintainMembership = (transition: Transition): void => {
   const { state } = transition;
   const members = committedMembershipOf(state)?.value;
   if (state.bootstrap === null || members?.addresses === undefined) return;
   if (state.now >= state.leaseUntil) return;
   if (hasReplica(state)) checkHealth(transition, members);
-  if (isChangeUnderWay(transition.state) || !shouldProposeNow(transition)) return;
+  if (isChangeInFlight(transition.state) || !shouldProposeNow(transition)) return;
   const change = dueChange(transition.state, members);
   if (change !== null) proposeChange(transition, members, change);
 };
 
 /**
- * Whether a member's disk lives at another address. An agent that only just began to hear may not
- * have heard of it yet. The last record of a dead disk at its own address tells nothing.
+ * Whether a member's disk may be running at another address. An agent that started only recently
+ * may not have received that record yet, so it assumes that the disk is. The last record of a lost
+ * disk at its own address is no evidence.
  */
 const isLiveElsewhere = (state: AgentState, member: string, disk: string): boolean => {
   if (state.bootstrap === null) return false;
-  const own = state.replicas[member]?.address;
+  const ownAddress = state.replicas[member]?.address;
   if (state.now - state.startedAt < suspicionTimeoutMs(state)) return true;
   return knownReplicas(state).some(
-    (each) =>
-      each.diskId === disk && each.address !== own && state.now - each.seenAt < peerTimeoutMs,
+    (replica) =>
+      replica.diskId === disk &&
+      replica.address !== ownAddress &&
+      state.now - replica.seenAt < peerTimeoutMs,
   );
 };
 
-/** A blank disk that answers at a member's own address gets its slot back. */
+/**
+ * Proposes to assign a slot to the blank disk that replies at the member's own address, unless the
+ * member's previous disk may be running elsewhere.
+ */
 export const proposeSlotForBlankDisk = (
   transition: Transition,
   member: string,
   disk: string,
 ): void => {
   const members = committedMembershipOf(transition.state)?.value;
-  const held = members?.disks[member];
-  if (members === undefined || held === disk || isChangeUnderWay(transition.state)) return;
-  if (isLiveElsewhere(transition.state, member, held ?? '') || !shouldOfferNow(transition)) return;
+  const currentDisk = members?.disks[member];
+  if (members === undefined || currentDisk === disk || isChangeInFlight(transition.state)) return;
+  if (
+    isLiveElsewhere(transition.state, member, currentDisk ?? '') ||
+    !shouldProposeSlotNow(transition)
+  )
+    return;
   propose(transition, 'members', assignSlotChange(members, member, disk), {
     kind: 'change-membership',
     member: member,
