--- a/packages/agent/src/testing/five-founder-agent.ts
+++ b/packages/agent/src/testing/five-founder-agent.ts
@@ -1,6 +1,6 @@
 /**
- * An agent with five founders, whose polls are answered at once: for tests of what it makes of
- * them.
+ * Test support: an agent with five founders whose polls are answered immediately, for tests of how
+ * the agent handles the replies.
  */
 import type { Membership, ReplicaReply } from '@reedyard/replica';
 import { learnRegister } from '../control/polling.js';
@@ -22,14 +22,15 @@
 export const addresses = Object.fromEntries(
   names.map((name, index) => [name, `127.0.0.1:${11 + index}`] as const),
 );
-/** A disk for each member, told apart by a suffix. */
+/** A disk id for each member; the suffix distinguishes the disks of one member. */
 export const diskIdsWithSuffix = (suffix: string): Readonly<Record<string, string>> =>
   Object.fromEntries(names.map((name) => [name, `${name}/${suffix}`] as const));
 
+/** Opens an agent that knows its five founders, but no committed membership. */
 export const openTestAgent = (): AgentState =>
   openAgent({ self, incarnation: 'l', seeds: [], founders: addresses, randomSeed: 1, now: 0 });
 
-/** The agent after it learnt of a membership. */
+/** Returns the agent after it has learned of a membership. */
 export const withMembership = (
   state: AgentState,
   epoch: number,
@@ -40,6 +41,7 @@
   return transition.state;
 };
 
+/** The reply of a disk to a poll that shows no accepted proposal. */
 export const pulled = (disk: string): ReplicaReply => ({
   kind: 'polled',
   diskId: disk,
@@ -50,43 +52,48 @@
   acceptedNumbers: {},
 });
 
-type Step = { readonly state: AgentState; readonly effects: readonly AgentEffect[] };
+type AgentStep = { readonly state: AgentState; readonly effects: readonly AgentEffect[] };
 
-/** What follows when the polls of a step are answered at a moment; null for silence. */
+/** Answers the polls that a step sent, at the given time; a null reply makes the poll fail. */
 export const answerPolls = (
-  step: Step,
+  step: AgentStep,
   now: number,
   replyOf: (name: string) => ReplicaReply | null,
-): Step => {
-  const seen: AgentEffect[] = [];
-  const state = step.effects.reduce((reached, effect) => {
-    if (effect.kind !== 'send-request') return reached;
+): AgentStep => {
+  const newEffects: AgentEffect[] = [];
+  const state = step.effects.reduce((current, effect) => {
+    if (effect.kind !== 'send-request') return current;
     const pending = step.state.pendingRequests[effect.requestId];
-    if (pending?.kind !== 'poll') return reached;
-    const body = replyOf(pending.replica);
-    const next = reduceAgent(
-      reached,
-      body === null
+    if (pending?.kind !== 'poll') return current;
+    const reply = replyOf(pending.replica);
+    const result = reduceAgent(
+      current,
+      reply === null
         ? { kind: 'request-failed', requestId: effect.requestId, now }
-        : { kind: 'reply-received', requestId: effect.requestId, reply: body, now },
+        : { kind: 'reply-received', requestId: effect.requestId, reply: reply, now },
     );
-    seen.push(...next.effects);
-    return next.state;
+    newEffects.push(...result.effects);
+    return result.state;
   }, step.state);
-  return { state, effects: seen };
+  return { state, effects: newEffects };
 };
 
-/** A beat that asks every replica, and what each of them answers at once; null for silence. */
+/**
+ * Runs a tick that polls every replica, and answers the polls immediately; a null reply makes the
+ * poll fail.
+ */
 export const tickAndAnswerPolls = (
   before: AgentState,
   now: number,
   replyOf: (name: string) => ReplicaReply | null,
 ): AgentState => {
-  const beat = reduceAgent(before, { kind: 'tick', now });
-  return answerPolls(beat, now, replyOf).state;
+  const ticked = reduceAgent(before, { kind: 'tick', now });
+  return answerPolls(ticked, now, replyOf).state;
 };
 
+/** Opens an agent that has learned of a membership with one disk for each founder. */
 export const openAgentWithMembership = (): AgentState =>
   withMembership(openTestAgent(), 3, diskIdsWithSuffix('a'));
+/** Runs a tick in which every member replies with its own disk. */
 export const tickWithAllReplies = (state: AgentState, now: number): AgentState =>
   tickAndAnswerPolls(state, now, (name) => pulled(`${name}/a`));
--- a/packages/agent/src/testing/scripted-replicas.ts
+++ b/packages/agent/src/testing/scripted-replicas.ts
@@ -10,10 +10,11 @@
 import type { Transition } from '../transition.js';
 
 /**
- * An agent beside replicas whose answers a test makes up: for tests of leases and of reachability.
+ * Test support: an agent among replicas whose replies a test scripts, for tests of leases and of
+ * reachability.
  */
 
-/** A call to a replica that is under way. */
+/** A request to a replica that is in flight. */
 export type ReplicaCall = {
   readonly id: number;
   readonly replica: string;
@@ -35,16 +36,16 @@
   replica: null,
 };
 
-/** A proposal of some proposer. */
-export const proposalNumberOf = (round: number): ProposalNumber => ({
-  counter: round,
+/** A proposal number with the given counter, by a fixed proposer. */
+export const proposalNumberOf = (counter: number): ProposalNumber => ({
+  counter: counter,
   proposerId: 'p',
 });
 
-/** What a replica that counts answers a poll: the proposals that it accepted. */
+/** The reply of a voting member to a poll, with the proposal numbers that it accepted. */
 export const polledReply = (
   replica: string,
-  ballots: Readonly<Record<string, ProposalNumber>> = {},
+  acceptedNumbers: Readonly<Record<string, ProposalNumber>> = {},
 ): ReplicaReply => ({
   kind: 'polled',
   diskId: `disk-${replica}`,
@@ -52,10 +53,10 @@
   isReset: false,
   hasMore: false,
   entries: [],
-  acceptedNumbers: { members: proposalNumberOf(1), ...ballots },
+  acceptedNumbers: { members: proposalNumberOf(1), ...acceptedNumbers },
 });
 
-/** An agent that beats on time and asks three replicas. */
+/** An agent with three replicas whose ticks run on time. */
 export class AgentUnderTest {
   state: AgentState;
   effects: readonly AgentEffect[] = [];
@@ -73,49 +74,49 @@
     this.learn('policy', 1, { revision: 1, document: { services: {}, routes: [] }, changes: [] });
   }
 
-  /** Lets it know a value as chosen. */
-  learn(key: WatchedRegister, round: number, value: unknown): void {
+  /** Makes the agent learn that a value is chosen. */
+  learn(key: WatchedRegister, counter: number, value: unknown): void {
     const transition: Transition = { state: this.state, effects: [] };
-    learnRegister(transition, key, proposalNumberOf(round), value);
+    learnRegister(transition, key, proposalNumberOf(counter), value);
     this.state = transition.state;
   }
 
-  /** Lets a beat come at a moment, and tells what was asked of replicas in it. */
+  /** Runs a tick at the given time, and returns the requests that it sends to replicas. */
   beat(now: number): readonly ReplicaCall[] {
-    return this.#take(reduceAgent(this.state, { kind: 'tick', now }));
+    return this.#applyStep(reduceAgent(this.state, { kind: 'tick', now }));
   }
 
   /**
-   * Lets beats come on time until a moment; `answer` makes up what each replica answers, if
-   * anything.
+   * Runs ticks on time until the given time; `replyTo` gives the reply of each replica, or null for
+   * none.
    */
-  run(until: number, answer: (call: ReplicaCall) => ReplicaReply | null): void {
+  run(until: number, replyTo: (call: ReplicaCall) => ReplicaReply | null): void {
     for (let now = this.state.now + agentTickIntervalMs; now <= until; now += agentTickIntervalMs) {
-      for (const call of this.beat(now)) this.answer(call, answer(call), now);
+      for (const call of this.beat(now)) this.answer(call, replyTo(call), now);
     }
   }
 
-  /** Gives an answer, or none. */
-  answer(call: ReplicaCall, body: ReplicaReply | null, now: number): readonly ReplicaCall[] {
-    if (body === null) return [];
-    return this.#take(
-      reduceAgent(this.state, { kind: 'reply-received', requestId: call.id, reply: body, now }),
+  /** Delivers a reply to the agent; null delivers nothing. */
+  answer(call: ReplicaCall, reply: ReplicaReply | null, now: number): readonly ReplicaCall[] {
+    if (reply === null) return [];
+    return this.#applyStep(
+      reduceAgent(this.state, { kind: 'reply-received', requestId: call.id, reply: reply, now }),
     );
   }
 
-  /** Asks for something as an operator does. */
+  /** Sends an API action to the agent, as an operator does. */
   sendAction(action: ApiAction, now: number): readonly ReplicaCall[] {
-    return this.#take(
+    return this.#applyStep(
       reduceAgent(this.state, { kind: 'action-received', requestId: 1, action, now }),
     );
   }
 
-  /** The statuses that the last step answered with. */
+  /** Returns the statuses of the API answers in the last step. */
   answerStatuses(): readonly number[] {
     return this.effects.flatMap((effect) => (effect.kind === 'send-answer' ? [effect.status] : []));
   }
 
-  #take(step: {
+  #applyStep(step: {
     readonly state: AgentState;
     readonly effects: readonly AgentEffect[];
   }): readonly ReplicaCall[] {
