--- a/packages/agent/src/membership/membership.test.ts
+++ b/packages/agent/src/membership/membership.test.ts
@@ -7,7 +7,8 @@
 import { agentTickIntervalMs } from '../tick-delay.js';
 import { joinBudgetMs } from './membership.js';
 
-// Which change of the membership an agent opens, and when: its reducer alone, answered by hand.
+// Tests which membership changes an agent proposes, and when. The agent's reducer runs alone; the
+// test gives the replies.
 
 const committed: CommittedMembership = {
   proposalNumber: { counter: 1, proposerId: 'founding' },
@@ -21,21 +22,24 @@
 const spareDisk = 'disk-s';
 
 /**
- * How a replica answers: at once, not at all, as a member that was asked to stop, or as a blank
- * one.
+ * How a replica replies: immediately, not at all, as a member that is stopping, or as a blank disk.
  */
-type Manner = 'answers' | 'silent' | 'leaving' | 'blank';
+type ReplicaBehavior = 'answers' | 'silent' | 'leaving' | 'blank';
 
 class AgentUnderTest {
   now = 0;
-  readonly manners: Record<string, Manner> = { a: 'answers', b: 'answers', c: 'answers' };
-  /** How many of the next calls to an address are lost. */
-  readonly drops: Record<string, number> = {};
-  /** Addresses that a proposal on the membership was opened at, and when. */
-  readonly prepared: { readonly at: number; readonly to: string }[] = [];
+  readonly behaviors: Record<string, ReplicaBehavior> = {
+    a: 'answers',
+    b: 'answers',
+    c: 'answers',
+  };
+  /** How many of the next requests to an address are lost. */
+  readonly droppedCalls: Record<string, number> = {};
+  /** The addresses to which membership proposals were sent, with the time of each. */
+  readonly membershipPrepares: { readonly at: number; readonly to: string }[] = [];
   readonly proposals: string[] = [];
   #state;
-  #calls = 0;
+  #gossipCount = 0;
 
   constructor(catchUpMs: number | undefined = 4_000) {
     this.#state = openAgent({
@@ -56,16 +60,16 @@
     });
   }
 
-  #take(effects: readonly AgentEffect[]): void {
+  #performEffects(effects: readonly AgentEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === 'log' && effect.event === 'membership.proposed') {
         this.proposals.push(`${String(effect.fields.instead)} by ${String(effect.fields.member)}`);
       }
       if (effect.kind !== 'send-request' || effect.path !== '/replica') continue;
-      const { operation: call, membership: members } = effect.request;
-      const isBallot = call.kind === 'prepare' && call.key === 'members';
-      if (isBallot) this.prepared.push({ at: this.now, to: effect.to });
-      const reply = isBallot ? null : this.#replyOf(effect.to, members);
+      const { operation: operation, membership: requestMembership } = effect.request;
+      const isMembershipPrepare = operation.kind === 'prepare' && operation.key === 'members';
+      if (isMembershipPrepare) this.membershipPrepares.push({ at: this.now, to: effect.to });
+      const reply = isMembershipPrepare ? null : this.#replyOf(effect.to, requestMembership);
       if (reply !== null)
         this.step({
           kind: 'reply-received',
@@ -76,202 +80,207 @@
     }
   }
 
-  #replyOf(address: string, members: CommittedMembership | null): ReplicaReply | null {
-    const manner = this.manners[address] ?? 'silent';
-    const drops = this.drops[address] ?? 0;
-    if (drops > 0) {
-      this.drops[address] = drops - 1;
+  #replyOf(address: string, requestMembership: CommittedMembership | null): ReplicaReply | null {
+    const behavior = this.behaviors[address] ?? 'silent';
+    const droppedCalls = this.droppedCalls[address] ?? 0;
+    if (droppedCalls > 0) {
+      this.droppedCalls[address] = droppedCalls - 1;
       return null;
     }
-    const disk = `disk-${address}`;
-    if (manner === 'silent') return null;
-    if (manner === 'blank')
+    const diskId = `disk-${address}`;
+    if (behavior === 'silent') return null;
+    if (behavior === 'blank')
       return { kind: 'not-a-member', diskId: spareDisk, isBlank: true, knowsMembership: true };
-    if (members === null) return { kind: 'newer-membership', diskId: disk, membership: committed };
-    const more = manner === 'leaving' ? { isStopping: true as const } : {};
-    const ballots = { members: committed.proposalNumber };
+    if (requestMembership === null)
+      return { kind: 'newer-membership', diskId: diskId, membership: committed };
+    const stoppingFlag = behavior === 'leaving' ? { isStopping: true as const } : {};
+    const acceptedNumbers = { requestMembership: committed.proposalNumber };
     return {
       kind: 'polled',
-      diskId: disk,
+      diskId: diskId,
       sequence: 0,
       isReset: false,
       hasMore: false,
       entries: [],
-      acceptedNumbers: ballots,
-      ...more,
+      acceptedNumbers: acceptedNumbers,
+      ...stoppingFlag,
     };
   }
 
   step(event: AgentEvent): void {
-    const done = reduceAgent(this.#state, event);
-    this.#state = done.state;
-    this.#take(done.effects);
+    const transition = reduceAgent(this.#state, event);
+    this.#state = transition.state;
+    this.#performEffects(transition.effects);
   }
 
-  /** Gossip tells of a machine with a replica. */
-  hear(id: string, address: string, disk: string, fresh: boolean): void {
+  /** Delivers a gossip record of a machine with a replica. */
+  receiveGossip(id: string, address: string, diskId: string, isBlank: boolean): void {
     const record: NodeRecord = {
       id,
       zone: 'zone-1',
       region: 'home',
       address: `${address}/agent`,
       proxy: null,
-      replica: { address, disk, fresh },
+      replica: { address, disk: diskId, fresh: isBlank },
       ready: false,
       staying: false,
       proxyLife: '',
       wants: {},
     };
-    this.#calls += 1;
-    const tellings = { [`node/${id}`]: { revision: this.#calls, value: record } };
+    this.#gossipCount += 1;
+    const tellings = { [`node/${id}`]: { revision: this.#gossipCount, value: record } };
     const body = { kind: 'push', tellings } as const;
     this.step({
       kind: 'agent-request-received',
-      requestId: this.#calls,
+      requestId: this.#gossipCount,
       request: body,
       now: this.now,
     });
   }
 
   /**
-   * Runs the agent's intervals; meanwhile gossip goes on to tell of a live spare, if one is there.
+   * Runs the agent's ticks for the given time; with `hasSpare`, gossip keeps reporting a live
+   * spare.
    */
-  runFor(ms: number, spare = this.manners[spareAddress] !== undefined): void {
-    for (const end = this.now + ms; this.now < end;) {
+  runFor(durationMs: number, hasSpare = this.behaviors[spareAddress] !== undefined): void {
+    for (const end = this.now + durationMs; this.now < end;) {
       this.now += agentTickIntervalMs;
-      if (spare) this.hear('core-s', spareAddress, spareDisk, true);
+      if (hasSpare) this.receiveGossip('core-s', spareAddress, spareDisk, true);
       this.step({ kind: 'tick', now: this.now });
     }
   }
 }
 
-/** An agent that has had a lease for a while, with or without a spare that answers it. */
-const settled = (spare: boolean, catchUpMs?: number): AgentUnderTest => {
+/**
+ * Creates an agent that has had a lease for a while, with or without a spare that replies to it.
+ */
+const agentWithLease = (hasSpare: boolean, catchUpMs?: number): AgentUnderTest => {
   const agent = catchUpMs === undefined ? new AgentUnderTest() : new AgentUnderTest(catchUpMs);
   agent.runFor(3_000);
-  if (spare) agent.manners[spareAddress] = 'blank';
+  if (hasSpare) agent.behaviors[spareAddress] = 'blank';
   agent.runFor(3_000);
   return agent;
 };
 
-test('a spare is live: a member that answers nothing is replaced after half of the time to catch up less the join', (t) => {
-  const agent = settled(true);
+test('with a live spare, an unresponsive member is replaced after half of the catch-up time less the join budget', (t) => {
+  const agent = agentWithLease(true);
   t.deepEqual(agent.proposals, []);
-  agent.manners.c = 'silent';
-  const lostAt = agent.now;
+  agent.behaviors.c = 'silent';
+  const unresponsiveSince = agent.now;
   agent.runFor(2_000);
   t.is(agent.proposals[0], 'c by s');
-  const after = (agent.prepared[0]?.at ?? 0) - lostAt;
-  const suspicion = 4_000 / 2 - joinBudgetMs;
+  const elapsedMs = (agent.membershipPrepares[0]?.at ?? 0) - unresponsiveSince;
+  const expectedTimeoutMs = 4_000 / 2 - joinBudgetMs;
   t.true(
-    after >= suspicion - pollIntervalAtRestMs && after <= suspicion + 5 * agentTickIntervalMs,
-    `${after} ms`,
+    elapsedMs >= expectedTimeoutMs - pollIntervalAtRestMs &&
+      elapsedMs <= expectedTimeoutMs + 5 * agentTickIntervalMs,
+    `${elapsedMs} ms`,
   );
 });
 
-test('a longer time to catch up gives a member more time to answer', (t) => {
-  const agent = settled(true, 6_000);
-  agent.manners.c = 'silent';
+test('a longer catch-up time gives a member more time to reply', (t) => {
+  const agent = agentWithLease(true, 6_000);
+  agent.behaviors.c = 'silent';
   agent.runFor(1_400);
   t.deepEqual(agent.proposals, []);
   agent.runFor(1_600);
   t.is(agent.proposals[0], 'c by s');
 });
 
-test('without a spare, or with one that gossip tells of but that does not answer, nobody is suspected', (t) => {
-  const alone = settled(false);
-  alone.manners.c = 'silent';
-  alone.runFor(20_000);
-  t.deepEqual(alone.proposals, []);
+test('without a spare, or with a spare that gossip reports but that does not reply, no member is suspected', (t) => {
+  const withoutSpare = agentWithLease(false);
+  withoutSpare.behaviors.c = 'silent';
+  withoutSpare.runFor(20_000);
+  t.deepEqual(withoutSpare.proposals, []);
 
-  const mute = settled(true);
-  mute.manners[spareAddress] = 'silent';
-  mute.runFor(1_000, true);
-  mute.manners.c = 'silent';
-  mute.runFor(6_000, true);
-  t.deepEqual(mute.proposals, []);
+  const withUnresponsiveSpare = agentWithLease(true);
+  withUnresponsiveSpare.behaviors[spareAddress] = 'silent';
+  withUnresponsiveSpare.runFor(1_000, true);
+  withUnresponsiveSpare.behaviors.c = 'silent';
+  withUnresponsiveSpare.runFor(6_000, true);
+  t.deepEqual(withUnresponsiveSpare.proposals, []);
 });
 
-test('an agent that is not told how long a successor may take waits 8 s, also with a spare', (t) => {
+test('an agent with an unlimited catch-up time waits 8 s before it replaces a member, even with a spare', (t) => {
   const agent = new AgentUnderTest(Infinity);
   agent.runFor(3_000);
-  agent.manners[spareAddress] = 'blank';
+  agent.behaviors[spareAddress] = 'blank';
   agent.runFor(3_000);
-  agent.manners.c = 'silent';
+  agent.behaviors.c = 'silent';
   agent.runFor(7_000);
   t.deepEqual(agent.proposals, []);
   agent.runFor(3_000);
   t.is(agent.proposals[0], 'c by s');
 });
 
-test('three messages lost in a row are no silence', (t) => {
-  const agent = settled(true);
+test('three consecutive lost messages do not make a member a suspect', (t) => {
+  const agent = agentWithLease(true);
   for (let round = 0; round < 20; round += 1) {
-    agent.drops.c = 3;
+    agent.droppedCalls.c = 3;
     agent.runFor(2_000);
-    t.is(agent.drops.c, 0);
+    t.is(agent.droppedCalls.c, 0);
   }
   t.deepEqual(agent.proposals, []);
 });
 
-test('a spare that comes while two messages were just lost makes no silence of them', (t) => {
+test('a spare that appears just after two lost messages does not make the member a suspect', (t) => {
   for (let offset = 0; offset < pollIntervalAtRestMs; offset += agentTickIntervalMs) {
-    const agent = settled(false);
+    const agent = agentWithLease(false);
     agent.runFor(offset);
-    agent.drops.c = 2;
+    agent.droppedCalls.c = 2;
     agent.runFor(1_000);
-    agent.manners[spareAddress] = 'blank';
+    agent.behaviors[spareAddress] = 'blank';
     agent.runFor(1_000);
     t.deepEqual(agent.proposals, [], `offset ${offset}`);
   }
 });
 
-test('an agent that was itself held up suspects nobody until it has run in time for as long as a suspicion takes', (t) => {
-  const agent = settled(true);
-  agent.manners.c = 'silent';
+test('an agent whose own ticks were delayed suspects no member until its ticks were on time for the suspicion timeout', (t) => {
+  const agent = agentWithLease(true);
+  agent.behaviors.c = 'silent';
   agent.now += 3_000;
   agent.runFor(900);
   t.deepEqual(agent.proposals, []);
-  agent.manners.c = 'answers';
+  agent.behaviors.c = 'answers';
   agent.runFor(3_000);
   t.deepEqual(agent.proposals, []);
 });
 
-test('an agent without a lease proposes nothing', (t) => {
-  const agent = settled(true);
-  agent.manners.b = 'silent';
-  agent.manners.c = 'silent';
+test('an agent without a lease proposes no membership change', (t) => {
+  const agent = agentWithLease(true);
+  agent.behaviors.b = 'silent';
+  agent.behaviors.c = 'silent';
   agent.runFor(leaseDurationMs);
-  const before = agent.proposals.length;
+  const proposalsBefore = agent.proposals.length;
   agent.runFor(6_000);
-  t.is(agent.proposals.length, before);
+  t.is(agent.proposals.length, proposalsBefore);
 });
 
-test('a member that says it is leaving is replaced at once, if a spare is live', (t) => {
-  const alone = settled(false);
-  alone.manners.b = 'leaving';
-  alone.runFor(4_000);
-  t.deepEqual(alone.proposals, []);
+test('a member that reports that it is stopping is replaced immediately if a spare is live', (t) => {
+  const withoutSpare = agentWithLease(false);
+  withoutSpare.behaviors.b = 'leaving';
+  withoutSpare.runFor(4_000);
+  t.deepEqual(withoutSpare.proposals, []);
 
-  const agent = settled(true);
-  agent.manners.b = 'leaving';
+  const agent = agentWithLease(true);
+  agent.behaviors.b = 'leaving';
   agent.runFor(pollIntervalAtRestMs + 5 * agentTickIntervalMs);
   t.is(agent.proposals[0], 'b by s');
 });
 
-test("a blank disk at a member's own address gets its place at once, though its dead disk was heard of just now", (t) => {
-  const agent = settled(false);
-  agent.hear('core-c', 'c', 'disk-c', false);
-  agent.manners.c = 'blank';
+test("a blank disk at a member's own address is proposed for its slot immediately, even if gossip just reported the lost disk", (t) => {
+  const agent = agentWithLease(false);
+  agent.receiveGossip('core-c', 'c', 'disk-c', false);
+  agent.behaviors.c = 'blank';
   agent.runFor(2 * pollIntervalAtRestMs);
-  t.true(agent.prepared.length > 0);
+  t.true(agent.membershipPrepares.length > 0);
 });
 
-test("an agent that has just begun gives no place to a blank disk at a member's address", (t) => {
-  const young = new AgentUnderTest();
-  young.manners.c = 'blank';
-  young.runFor(800);
-  t.deepEqual(young.prepared, []);
-  young.runFor(1_000);
-  t.true(young.prepared.length > 0);
+test("an agent that has just started proposes no slot for a blank disk at a member's address", (t) => {
+  const justStarted = new AgentUnderTest();
+  justStarted.behaviors.c = 'blank';
+  justStarted.runFor(800);
+  t.deepEqual(justStarted.membershipPrepares, []);
+  justStarted.runFor(1_000);
+  t.true(justStarted.membershipPrepares.length > 0);
 });
