--- a/packages/agent/src/membership/membership-handover.test.ts
+++ b/packages/agent/src/membership/membership-handover.test.ts
@@ -1,158 +1,177 @@
-// A successor that votes after it has read its predecessor alone, in orders that lose a value if
-// what it holds is taken for more than its predecessor's votes.
+// Tests a successor that votes after it has read only its predecessor, in message orders that lose
+// a value if what the successor copied counts for more than the votes of its predecessor.
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 import { Cluster } from '../testing/membership-cluster.js';
 import type { Goal } from '../testing/membership-goals.js';
 import type { Violation } from '../testing/membership-history.js';
-import { mutations, sound } from '../testing/membership-mutations.js';
+import { mutations, noMutation } from '../testing/membership-mutations.js';
 import type { Mutation } from '../testing/membership-mutations.js';
 import type { Message } from '../testing/membership-network.js';
 
-/** ms after which a replica asks again. */
-const wait = 2_000;
+/** The time after which a replica sends its request again, in milliseconds. */
+const retryIntervalMs = 2_000;
 
-const found = (mutation: Mutation): Cluster =>
-  Cluster.found({
+const createCluster = (mutation: Mutation): Cluster =>
+  Cluster.createFounded({
     founders: ['a', 'b', 'c'],
     spares: ['d', 'e'],
     clients: ['p', 'q', 'r'],
     mutation,
-    syncing: 'at-once',
+    syncMode: 'at-once',
   });
 
-/** The replica that a message goes to or comes from. */
+/** Returns the replica that a message is sent to or comes from. */
 const replicaOf = (message: Message): string =>
   message.kind === 'request' ? message.to : message.from;
 
-const callerOf = ({ caller }: Message): string =>
-  caller.kind === 'client' ? caller.name : caller.read.from;
+const requesterOf = ({ requester }: Message): string =>
+  requester.kind === 'client' ? requester.name : requester.read.from;
 
-/** Delivers what this caller and these replicas say to each other, until nothing of it is left. */
-const exchange = (cluster: Cluster, caller: string, replicas: readonly string[]): void => {
+/** Delivers the messages between this requester and these replicas until none is left. */
+const exchangeMessages = (
+  cluster: Cluster,
+  requester: string,
+  replicas: readonly string[],
+): void => {
   for (;;) {
     const next = cluster.messages.findIndex(
-      (message) => callerOf(message) === caller && replicas.includes(replicaOf(message)),
+      (message) => requesterOf(message) === requester && replicas.includes(replicaOf(message)),
     );
     if (next < 0) return;
     cluster.deliver(next);
   }
 };
 
-const loseAll = (cluster: Cluster): void => {
+const dropAllMessages = (cluster: Cluster): void => {
   cluster.messages = [];
 };
 
 const propose = (cluster: Cluster, name: string, goal: Goal, replicas: readonly string[]): void => {
-  cluster.tellClient(name, { kind: 'propose', goal });
-  exchange(cluster, name, replicas);
+  cluster.dispatchToClient(name, { kind: 'propose', goal });
+  exchangeMessages(cluster, name, replicas);
 };
 
-type Replacement = { readonly gone: string; readonly address: string; readonly disk: string };
+type Replacement = {
+  readonly replacedSlot: string;
+  readonly address: string;
+  readonly disk: string;
+};
 
 const replace = (
   cluster: Cluster,
-  { gone, address, disk }: Replacement,
+  { replacedSlot, address, disk }: Replacement,
   replicas: readonly string[],
 ): void => {
   const known = cluster.clients.r?.members?.value;
-  if (known === undefined) throw new Error('the client knows no members');
-  const goal: Goal = { kind: 'replace', known, gone, place: address, disk, address };
+  if (known === undefined) throw new Error('client r knows no membership');
+  const goal: Goal = { kind: 'replace', known, replacedSlot, slot: address, disk, address };
   propose(cluster, 'r', goal, replicas);
-  loseAll(cluster);
+  dropAllMessages(cluster);
 };
 
-/** A client learns of the newest members from a replica that was told of them. */
-const tellClient = (cluster: Cluster, name: string, from: string): void => {
-  cluster.tellClient(name, { kind: 'look', address: from });
-  exchange(cluster, name, [from]);
-  loseAll(cluster);
+/** Makes a client learn the newest membership from a replica that knows it. */
+const learnMembersFrom = (cluster: Cluster, name: string, from: string): void => {
+  cluster.dispatchToClient(name, { kind: 'look', address: from });
+  exchangeMessages(cluster, name, [from]);
+  dropAllMessages(cluster);
 };
 
-/** The client that changes the members tells a replica of them, which reads these. */
-const tellReplica = (cluster: Cluster, address: string, read: readonly string[]): void => {
-  cluster.tellClient('r', { kind: 'look', address });
-  exchange(cluster, 'r', [address]);
-  cluster.now += wait;
-  cluster.tellReplica(address, { kind: 'tick', now: cluster.now });
-  read.forEach((each) => exchange(cluster, address, [each]));
-  loseAll(cluster);
+/**
+ * Sends the membership from the client that changes it to a replica, which then reads these
+ * replicas.
+ */
+const announceMembersTo = (
+  cluster: Cluster,
+  address: string,
+  readFrom: readonly string[],
+): void => {
+  cluster.dispatchToClient('r', { kind: 'look', address });
+  exchangeMessages(cluster, 'r', [address]);
+  cluster.now += retryIntervalMs;
+  cluster.dispatchToReplica(address, { kind: 'tick', now: cluster.now });
+  readFrom.forEach((source) => exchangeMessages(cluster, address, [source]));
+  dropAllMessages(cluster);
 };
 
 const acknowledged = ({ history }: Cluster): readonly string[] =>
   history.appended.map(({ id }) => id);
 
 /**
- * A member's value is copied by a successor that has read its predecessor, but not the third
- * member.
+ * Runs a sequence in which a successor copies a member's value; the successor has read its
+ * predecessor, but not the third member.
  */
 const copyValue = (t: ExecutionContext, mutation: Mutation): readonly Violation[] => {
-  const cluster = found(mutation);
-  // p's value is accepted by a alone.
-  cluster.tellClient('p', { kind: 'propose', goal: { kind: 'append', id: 'p1' } });
+  const cluster = createCluster(mutation);
+  // The value of p is accepted by a alone.
+  cluster.dispatchToClient('p', { kind: 'propose', goal: { kind: 'append', id: 'p1' } });
   const isPromised = (): boolean => cluster.clients.p?.attempts[1]?.proposal.phase === 'accept';
   for (const address of ['a', 'b']) {
-    const prepare = cluster.messages.findIndex((each) => replicaOf(each) === address);
+    const prepare = cluster.messages.findIndex((message) => replicaOf(message) === address);
     cluster.deliver(prepare);
     cluster.deliver(cluster.messages.length - 1);
   }
   t.true(isPromised());
-  exchange(cluster, 'p', ['a']);
-  loseAll(cluster);
-  // q has the promises of b and c, which hold nothing; its value is accepted by b alone.
-  cluster.tellClient('q', { kind: 'outpaced', rounds: 9 });
-  cluster.tellClient('q', { kind: 'propose', goal: { kind: 'append', id: 'q1' } });
+  exchangeMessages(cluster, 'p', ['a']);
+  dropAllMessages(cluster);
+  // q has the promises of b and c, which have accepted nothing; its value is accepted by b alone.
+  cluster.dispatchToClient('q', { kind: 'outpaced', rounds: 9 });
+  cluster.dispatchToClient('q', { kind: 'propose', goal: { kind: 'append', id: 'q1' } });
   for (const address of ['b', 'c']) {
-    const prepare = cluster.messages.findIndex((each) => replicaOf(each) === address);
+    const prepare = cluster.messages.findIndex((message) => replicaOf(message) === address);
     cluster.deliver(prepare);
     cluster.deliver(cluster.messages.length - 1);
   }
-  exchange(cluster, 'q', ['b']);
-  loseAll(cluster);
+  exchangeMessages(cluster, 'q', ['b']);
+  dropAllMessages(cluster);
   t.deepEqual(acknowledged(cluster), []);
-  // d takes over from c: it reads a, then c, and votes.
-  replace(cluster, { gone: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
-  tellReplica(cluster, 'd', ['a', 'c']);
+  // d replaces c: it reads a, then c, and starts to vote.
+  replace(cluster, { replacedSlot: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
+  announceMembersTo(cluster, 'd', ['a', 'c']);
   t.true(cluster.replicas.d?.state.isVoting);
-  // p tries again with a and d, then q with b and d.
+  // p retries with a and d, then q with b and d.
   for (const [name, address] of [
     ['p', 'a'],
     ['q', 'b'],
   ] as const) {
-    tellClient(cluster, name, 'a');
-    for (let tries = 0; tries < 3; tries += 1) {
-      cluster.tellClient(name, { kind: 'retry', attempt: 1 });
-      exchange(cluster, name, [address, 'd']);
+    learnMembersFrom(cluster, name, 'a');
+    for (let retries = 0; retries < 3; retries += 1) {
+      cluster.dispatchToClient(name, { kind: 'retry', attempt: 1 });
+      exchangeMessages(cluster, name, [address, 'd']);
     }
-    loseAll(cluster);
+    dropAllMessages(cluster);
   }
-  if (mutation === sound) t.deepEqual(acknowledged(cluster), ['p1', 'q1']);
+  if (mutation === noMutation) t.deepEqual(acknowledged(cluster), ['p1', 'q1']);
   return cluster.history.violations;
 };
 
-/** A disk gets a slot by old news, and is replaced before it has read what was chosen meanwhile. */
+/**
+ * Runs a sequence in which a disk is assigned a slot because of outdated information, and is
+ * replaced before it has read the values chosen in the meantime.
+ */
 const replaceIdle = (t: ExecutionContext, mutation: Mutation): readonly Violation[] => {
-  const cluster = found(mutation);
-  // d takes over from c and votes, and is replaced by e without hearing of it.
-  replace(cluster, { gone: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
-  tellReplica(cluster, 'd', ['c']);
-  replace(cluster, { gone: 'd', address: 'e', disk: 'disk-5' }, ['a', 'b']);
-  tellReplica(cluster, 'e', ['a', 'b']);
+  const cluster = createCluster(mutation);
+  // d replaces c and starts to vote, and is replaced by e without learning of it.
+  replace(cluster, { replacedSlot: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
+  announceMembersTo(cluster, 'd', ['c']);
+  replace(cluster, { replacedSlot: 'd', address: 'e', disk: 'disk-5' }, ['a', 'b']);
+  announceMembersTo(cluster, 'e', ['a', 'b']);
   t.true(cluster.replicas.e?.state.isVoting);
-  // b and e choose a value; nothing of it comes to a.
-  tellClient(cluster, 'p', 'b');
+  // b and e choose a value; a receives none of the messages.
+  learnMembersFrom(cluster, 'p', 'b');
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['b', 'e']);
-  loseAll(cluster);
+  dropAllMessages(cluster);
   t.deepEqual(acknowledged(cluster), ['p1']);
-  // By old news d is blank: it gets the slot of e, and a wiped machine that of d at once.
-  replace(cluster, { gone: 'e', address: 'd', disk: 'disk-4' }, ['a', 'b']);
+  // Outdated information says that d is blank: d is assigned the slot of e, and a wiped machine is
+  // immediately assigned that of d.
+  replace(cluster, { replacedSlot: 'e', address: 'd', disk: 'disk-4' }, ['a', 'b']);
   cluster.wipe('c');
   const disk = cluster.replicas.c?.state.diskId ?? '';
-  replace(cluster, { gone: 'd', address: 'c', disk }, ['a', 'b']);
-  tellReplica(cluster, 'c', ['d']);
+  replace(cluster, { replacedSlot: 'd', address: 'c', disk }, ['a', 'b']);
+  announceMembersTo(cluster, 'c', ['d']);
   t.is(cluster.clients.r?.members?.value.epoch, 5);
-  // A client of these members reaches a and c alone.
-  tellClient(cluster, 'q', 'b');
+  // A client that knows this membership reaches only a and c.
+  learnMembersFrom(cluster, 'q', 'b');
   propose(cluster, 'q', { kind: 'append', id: 'q1' }, ['a', 'c']);
   return cluster.history.violations;
 };
@@ -161,20 +180,20 @@
   violations.map(({ invariant }) => invariant);
 
 test('a value that a successor copied from another member does not count as its vote', (t) => {
-  t.deepEqual(copyValue(t, sound), []);
+  t.deepEqual(copyValue(t, noMutation), []);
 });
 
-test('where a copied value counts as a vote, an acknowledged value is lost', (t) => {
-  const broken = invariantsOf(copyValue(t, mutations.countsCopies));
-  t.true(broken.includes('acknowledged-is-readable'));
+test('an acknowledged value is lost if a copied value counts as a vote', (t) => {
+  const violated = invariantsOf(copyValue(t, mutations.countsCopies));
+  t.true(violated.includes('acknowledged-is-readable'));
 });
 
-test('a predecessor that did not vote in its last place is not enough to read', (t) => {
-  t.deepEqual(replaceIdle(t, sound), []);
+test('a successor does not vote after reading only a predecessor that did not vote in its last slot', (t) => {
+  t.deepEqual(replaceIdle(t, noMutation), []);
 });
 
-test('where a predecessor that did not vote in its last place is read, a value is lost', (t) => {
-  const broken = invariantsOf(replaceIdle(t, mutations.readsIdlePredecessor));
-  t.true(broken.includes('acknowledged-is-readable'));
-  t.true(broken.includes('reads-before-voting'));
+test('a value is lost if a successor votes after reading a predecessor that did not vote in its last slot', (t) => {
+  const violated = invariantsOf(replaceIdle(t, mutations.readsIdlePredecessor));
+  t.true(violated.includes('acknowledged-is-readable'));
+  t.true(violated.includes('reads-before-voting'));
 });
--- a/packages/agent/src/membership/membership-reoffer.test.ts
+++ b/packages/agent/src/membership/membership-reoffer.test.ts
@@ -1,25 +1,29 @@
-// A blank disk that got a slot, lost it before it had read the others, and gets one again.
+// Tests a blank disk that was assigned a slot, lost it before it had read the other members, and is
+// assigned a slot again.
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 import { Cluster } from '../testing/membership-cluster.js';
 import type { Goal } from '../testing/membership-goals.js';
-import { harm } from '../testing/membership-history.js';
+import { harmfulInvariants } from '../testing/membership-history.js';
 import type { Violation } from '../testing/membership-history.js';
-import { mutations, sound } from '../testing/membership-mutations.js';
+import { mutations, noMutation } from '../testing/membership-mutations.js';
 import type { Mutation } from '../testing/membership-mutations.js';
 import type { Message } from '../testing/membership-network.js';
 
-/** ms after which a replica asks again. */
-const wait = 2_000;
+/** The time after which a replica sends its request again, in milliseconds. */
+const retryIntervalMs = 2_000;
 
-const callerOf = ({ caller }: Message): string =>
-  caller.kind === 'client' ? caller.name : caller.read.from;
+const requesterOf = ({ requester }: Message): string =>
+  requester.kind === 'client' ? requester.name : requester.read.from;
 
-/** Delivers all that goes neither to nor from these, until nothing else is under way. */
-const settle = (cluster: Cluster, apart: readonly string[] = []): void => {
+/**
+ * Delivers all messages that are neither sent to nor by the isolated nodes, until none of them is
+ * in flight.
+ */
+const settle = (cluster: Cluster, isolated: readonly string[] = []): void => {
   const isFree = (message: Message): boolean => {
     const replica = message.kind === 'request' ? message.to : message.from;
-    return !apart.includes(replica) && !apart.includes(callerOf(message));
+    return !isolated.includes(replica) && !isolated.includes(requesterOf(message));
   };
   for (;;) {
     const next = cluster.messages.findIndex(isFree);
@@ -28,72 +32,84 @@
   }
 };
 
-const propose = (cluster: Cluster, name: string, goal: Goal, apart: readonly string[]): void => {
-  cluster.tellClient(name, { kind: 'propose', goal });
-  settle(cluster, apart);
+const propose = (cluster: Cluster, name: string, goal: Goal, isolated: readonly string[]): void => {
+  cluster.dispatchToClient(name, { kind: 'propose', goal });
+  settle(cluster, isolated);
 };
 
 const replace = (
   cluster: Cluster,
-  gone: string,
+  replacedSlot: string,
   [address, disk]: readonly [string, string],
-  apart: readonly string[],
+  isolated: readonly string[],
 ): void => {
   const known = cluster.clients.p?.members?.value;
-  if (known === undefined) throw new Error('the client knows no members');
-  propose(cluster, 'p', { kind: 'replace', known, gone, place: address, disk, address }, apart);
+  if (known === undefined) throw new Error('client p knows no membership');
+  propose(
+    cluster,
+    'p',
+    { kind: 'replace', known, replacedSlot, slot: address, disk, address },
+    isolated,
+  );
 };
 
-/** Tells a replica of the members that the client knows: it asks whom it must read at once. */
-const tell = (cluster: Cluster, address: string, apart: readonly string[]): void => {
-  cluster.now += wait;
-  cluster.tellClient('p', { kind: 'look', address });
-  const look = cluster.messages.length - 1;
-  cluster.deliver(look);
-  settle(cluster, [...apart, address]);
+/**
+ * Sends the membership that the client knows to a replica, which immediately sends requests to the
+ * members that it must read.
+ */
+const announceMembersTo = (
+  cluster: Cluster,
+  address: string,
+  isolated: readonly string[],
+): void => {
+  cluster.now += retryIntervalMs;
+  cluster.dispatchToClient('p', { kind: 'look', address });
+  const lookIndex = cluster.messages.length - 1;
+  cluster.deliver(lookIndex);
+  settle(cluster, [...isolated, address]);
 };
 
-/** Plays the sequence, and shows what the observer has against it. */
-const play = (t: ExecutionContext, mutation: Mutation): readonly Violation[] => {
-  const cluster = Cluster.found({
+/** Runs the sequence and returns the violations that the observer found. */
+const playSequence = (t: ExecutionContext, mutation: Mutation): readonly Violation[] => {
+  const cluster = Cluster.createFounded({
     founders: ['a', 'b', 'c'],
     spares: ['d', 'e'],
     clients: ['p', 'q'],
     mutation,
-    syncing: 'at-once',
+    syncMode: 'at-once',
   });
-  // Epoch 2 names d in place of c. d asks a, b and c for what they hold; the answers are slow.
+  // Epoch 2 names d in place of c. d requests the data of a, b and c; the replies are delayed.
   replace(cluster, 'c', ['d', 'disk-4'], []);
-  tell(cluster, 'd', []);
-  cluster.messages = cluster.messages.filter((message) => callerOf(message) === 'd');
+  announceMembersTo(cluster, 'd', []);
+  cluster.messages = cluster.messages.filter((message) => requesterOf(message) === 'd');
   cluster.messages.forEach(() => cluster.deliver(0));
-  const slow = cluster.messages;
-  t.deepEqual(slow.map((message) => message.kind === 'reply' && message.from).sort(), [
+  const delayedReplies = cluster.messages;
+  t.deepEqual(delayedReplies.map((message) => message.kind === 'reply' && message.from).sort(), [
     'a',
     'b',
     'c',
   ]);
   cluster.messages = [];
-  // Epoch 3 names e in place of d, which hears nothing of it. e reads a and b, and votes.
+  // Epoch 3 names e in place of d, which does not learn of it. e reads a and b, and starts to vote.
   replace(cluster, 'd', ['e', 'disk-5'], ['d']);
-  tell(cluster, 'e', ['d']);
+  announceMembersTo(cluster, 'e', ['d']);
   settle(cluster, ['d']);
   t.true(cluster.replicas.e?.state.isVoting);
-  // b and e choose a value; nothing of it comes to a.
+  // b and e choose a value; a receives none of the messages.
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['a', 'd']);
   t.deepEqual(
     cluster.history.appended.map(({ id }) => id),
     ['p1'],
   );
-  // Epoch 4 gives the slot of e to d, which is blank still.
+  // Epoch 4 assigns the slot of e to d, which is still blank.
   cluster.messages = [];
   replace(cluster, 'e', ['d', 'disk-4'], ['d']);
   t.is(cluster.clients.p?.members?.value.epoch, 4);
-  // The answers of epoch 2 come; then a client of epoch 4 reaches a and d alone.
-  cluster.messages = slow;
+  // The replies of epoch 2 arrive; then a client of epoch 4 reaches only a and d.
+  cluster.messages = delayedReplies;
   settle(cluster);
   for (const name of ['p', 'q']) {
-    cluster.tellClient(name, { kind: 'look', address: 'b' });
+    cluster.dispatchToClient(name, { kind: 'look', address: 'b' });
     settle(cluster);
   }
   t.is(cluster.clients.q?.members?.value.epoch, 4);
@@ -101,12 +117,12 @@
   return cluster.history.violations;
 };
 
-test('a disk that is given a place for the second time reads again before it votes', (t) => {
-  t.deepEqual(play(t, sound), []);
+test('a disk that is assigned a slot for the second time reads the members again before it votes', (t) => {
+  t.deepEqual(playSequence(t, noMutation), []);
 });
 
-test('a disk that votes in every place once it has voted in one: the sequence loses a value', (t) => {
-  const broken = play(t, mutations.votesInAnyPlace).map(({ invariant }) => invariant);
-  t.true(harm.some((invariant) => broken.includes(invariant)));
-  t.true(broken.includes('reads-before-voting'));
+test('a value is lost if a disk votes in every slot after it has voted in one', (t) => {
+  const violated = playSequence(t, mutations.votesInAnySlot).map(({ invariant }) => invariant);
+  t.true(harmfulInvariants.some((invariant) => violated.includes(invariant)));
+  t.true(violated.includes('reads-before-voting'));
 });
--- a/packages/agent/src/membership/membership-search.test.ts
+++ b/packages/agent/src/membership/membership-search.test.ts
@@ -1,10 +1,11 @@
-// The membership protocol against its invariants (docs/control-model.md), with the product's own
-// reducers: every order of a few messages, and planted faults that the same search must find.
+// Checks the membership protocol against its invariants (docs/control-model.md) with the product's
+// own reducers: every order of a few messages, and injected faults that the same search must
+// detect.
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
-import { harm } from '../testing/membership-history.js';
+import { harmfulInvariants } from '../testing/membership-history.js';
 import type { Invariant } from '../testing/membership-history.js';
-import { both, mutations, sound } from '../testing/membership-mutations.js';
+import { combineMutations, mutations, noMutation } from '../testing/membership-mutations.js';
 import type { Mutation } from '../testing/membership-mutations.js';
 import {
   growWhileAppending,
@@ -16,209 +17,214 @@
 import { explore } from '../testing/membership-search.js';
 import type { Bounds, SearchFigures } from '../testing/membership-search.js';
 
-const mostStates = 250_000;
+const defaultMaxStates = 250_000;
 const bounds: Bounds = {
-  lost: 0,
-  repeated: 0,
-  beats: 0,
+  lostReplies: 0,
+  repeatedRequests: 0,
+  ticks: 0,
   losesIdleCalls: true,
-  states: mostStates,
+  maxStates: defaultMaxStates,
 };
 
 const logSearch = (t: ExecutionContext, figures: SearchFigures): void => {
   const { states, depth, complete, violation } = figures;
   const end = violation === null ? '' : `, ${violation.invariant}: ${violation.text}`;
-  t.log(`${states} states, depth ${depth}, ${complete ? 'complete' : 'cut off'}${end}`);
+  t.log(`${states} states, depth ${depth}, ${complete ? 'complete' : 'incomplete'}${end}`);
 };
 
-type SoundCase = {
+type UnmutatedCase = {
   readonly title: string;
-  readonly make: Scenario;
+  readonly scenario: Scenario;
   readonly bounds: Bounds;
-  readonly least: number;
+  readonly minStates: number;
 };
 
-const soundCases: readonly SoundCase[] = [
+const unmutatedCases: readonly UnmutatedCase[] = [
   {
-    title: 'a replacement beside an append, every order',
-    make: replaceWhileAppending,
+    title: 'a replacement during an append, in every message order',
+    scenario: replaceWhileAppending,
     bounds: { ...bounds, losesIdleCalls: false },
-    least: 150_000,
+    minStates: 150_000,
   },
   {
-    title: 'a replacement beside an append, the successor woken while it reads',
-    make: replaceWhileAppending,
-    bounds: { ...bounds, beats: 1 },
-    least: 6_000,
+    title: 'a replacement during an append, with a tick of the successor while it reads',
+    scenario: replaceWhileAppending,
+    bounds: { ...bounds, ticks: 1 },
+    minStates: 6_000,
   },
   {
-    title: 'a replacement beside an append, one answer lost',
-    make: replaceWhileAppending,
-    bounds: { ...bounds, lost: 1 },
-    least: 25_000,
+    title: 'a replacement during an append, with one lost reply',
+    scenario: replaceWhileAppending,
+    bounds: { ...bounds, lostReplies: 1 },
+    minStates: 25_000,
   },
   {
-    title: 'a replacement beside an append, one request twice',
-    make: replaceWhileAppending,
-    bounds: { ...bounds, repeated: 1 },
-    least: 29_000,
+    title: 'a replacement during an append, with one request delivered twice',
+    scenario: replaceWhileAppending,
+    bounds: { ...bounds, repeatedRequests: 1 },
+    minStates: 29_000,
   },
   {
-    title: 'a replacement beside an append, reads answered late',
-    make: replaceWhileAppending,
+    title: 'a replacement during an append, with delayed replies to reads',
+    scenario: replaceWhileAppending,
     bounds: { ...bounds, delaysReads: true },
-    least: 35_000,
+    minStates: 35_000,
   },
   {
-    title: 'a fourth member joins beside an append',
-    make: growWhileAppending,
-    bounds: { ...bounds, beats: 1 },
-    least: 20_000,
+    title: 'a fourth member joins during an append',
+    scenario: growWhileAppending,
+    bounds: { ...bounds, ticks: 1 },
+    minStates: 20_000,
   },
   {
-    title: 'a member wiped at any moment of an append joins again',
-    make: rejoinAfterWipe,
-    bounds: { ...bounds, beats: 1 },
-    least: 4_000,
+    title: 'a member that is wiped at any point of an append joins again',
+    scenario: rejoinAfterWipe,
+    bounds: { ...bounds, ticks: 1 },
+    minStates: 4_000,
   },
 ];
 
-for (const { title, make, bounds: within, least } of soundCases) {
-  test(`search: ${title}: no invariant breaks`, (t) => {
-    const figures = explore(make(sound, within));
+for (const { title, scenario, bounds: caseBounds, minStates } of unmutatedCases) {
+  test(`search: ${title}: no invariant is violated`, (t) => {
+    const figures = explore(scenario(noMutation, caseBounds));
     logSearch(t, figures);
     t.is(figures.violation, null);
     t.true(figures.complete);
-    t.true(figures.states >= least);
+    t.true(figures.states >= minStates);
     t.deepEqual([figures.appended, figures.epochs], [1, 2]);
   });
 }
 
-/** More than a planted fault needs; the whole of it, more than 100,000 states, takes far longer. */
-const statesOfTwoReplacements = process.env.MEMBERSHIP_MODEL === 'whole' ? 1_000_000 : 20_000;
+/**
+ * More states than the search needs to find an injected fault. The complete search takes far
+ * longer, with more than 100,000 states.
+ */
+const maxStatesOfTwoReplacements = process.env.MEMBERSHIP_MODEL === 'whole' ? 1_000_000 : 20_000;
 
-test('search: two replacements beside a client of the first epoch: no invariant breaks', (t) => {
-  const figures = explore(replaceTwice(sound, { ...bounds, states: statesOfTwoReplacements }));
+test('search: two replacements while a client knows only the first epoch: no invariant is violated', (t) => {
+  const figures = explore(
+    replaceTwice(noMutation, { ...bounds, maxStates: maxStatesOfTwoReplacements }),
+  );
   logSearch(t, figures);
   t.is(figures.violation, null);
   t.is(figures.epochs, 3);
 });
 
-/** What alone takes nothing away, since another safeguard stands before it. */
-const secondLines: readonly (readonly [Mutation, Scenario])[] = [
+/** Faults that do no harm alone, because another safeguard prevents it. */
+const redundantSafeguards: readonly (readonly [Mutation, Scenario])[] = [
   [mutations.acceptsForAnyDisk, rejoinAfterWipe],
   [mutations.keepsPromises, rejoinAfterWipe],
-  [mutations.takesNoPromises, rejoinAfterWipe],
-  [mutations.takesNoPromises, replaceWhileAppending],
+  [mutations.copiesNoPromises, rejoinAfterWipe],
+  [mutations.copiesNoPromises, replaceWhileAppending],
 ];
 
-for (const [index, [mutation, make]] of secondLines.entries()) {
-  test(`search: alone no harm comes of this (${index}): ${mutation.name}`, (t) => {
-    const figures = explore(make(mutation, bounds));
+for (const [index, [mutation, scenario]] of redundantSafeguards.entries()) {
+  test(`search: this fault alone violates no invariant (${index}): ${mutation.name}`, (t) => {
+    const figures = explore(scenario(mutation, bounds));
     logSearch(t, figures);
     t.is(figures.violation, null);
     t.true(figures.complete);
   });
 }
 
-type PlantedSearch = {
+type MutationSearch = {
   readonly mutation: Mutation;
-  readonly make: Scenario;
-  readonly breaks: Invariant;
+  readonly scenario: Scenario;
+  readonly violated: Invariant;
   readonly watched: readonly Invariant[];
 };
 
-const plantedSearches: readonly PlantedSearch[] = [
+const mutationSearches: readonly MutationSearch[] = [
   {
     mutation: mutations.votesBeforeReading,
-    make: replaceWhileAppending,
-    breaks: 'reads-before-voting',
+    scenario: replaceWhileAppending,
+    violated: 'reads-before-voting',
     watched: ['reads-before-voting'],
   },
   {
     mutation: mutations.votesBeforeReading,
-    make: replaceWhileAppending,
-    breaks: 'quorums-of-epochs-meet',
-    watched: harm,
+    scenario: replaceWhileAppending,
+    violated: 'quorums-of-epochs-meet',
+    watched: harmfulInvariants,
   },
   {
     mutation: mutations.readsTooFew,
-    make: replaceWhileAppending,
-    breaks: 'reads-before-voting',
+    scenario: replaceWhileAppending,
+    violated: 'reads-before-voting',
     watched: ['reads-before-voting'],
   },
   {
     mutation: mutations.readsTooFew,
-    make: replaceWhileAppending,
-    breaks: 'quorums-of-epochs-meet',
-    watched: harm,
+    scenario: replaceWhileAppending,
+    violated: 'quorums-of-epochs-meet',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.readsWithoutTelling,
-    make: replaceWhileAppending,
-    breaks: 'quorums-of-epochs-meet',
-    watched: harm,
+    mutation: mutations.readsWithoutEpoch,
+    scenario: replaceWhileAppending,
+    violated: 'quorums-of-epochs-meet',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.readsPredecessorUntold,
-    make: replaceWhileAppending,
-    breaks: 'reads-before-voting',
+    mutation: mutations.readsPredecessorWithoutEpoch,
+    scenario: replaceWhileAppending,
+    violated: 'reads-before-voting',
     watched: ['reads-before-voting'],
   },
   {
-    mutation: mutations.readsPredecessorUntold,
-    make: replaceWhileAppending,
-    breaks: 'quorums-of-epochs-meet',
-    watched: harm,
+    mutation: mutations.readsPredecessorWithoutEpoch,
+    scenario: replaceWhileAppending,
+    violated: 'quorums-of-epochs-meet',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.predecessorVotesOn,
-    make: replaceWhileAppending,
-    breaks: 'read-predecessor-is-frozen',
+    mutation: mutations.predecessorKeepsVoting,
+    scenario: replaceWhileAppending,
+    violated: 'read-predecessor-is-frozen',
     watched: ['read-predecessor-is-frozen'],
   },
   {
-    mutation: mutations.predecessorVotesOn,
-    make: replaceWhileAppending,
-    breaks: 'quorums-of-epochs-meet',
-    watched: harm,
+    mutation: mutations.predecessorKeepsVoting,
+    scenario: replaceWhileAppending,
+    violated: 'quorums-of-epochs-meet',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.predecessorForgets,
-    make: replaceWhileAppending,
-    breaks: 'acknowledged-is-readable',
-    watched: harm,
+    mutation: mutations.predecessorErasesData,
+    scenario: replaceWhileAppending,
+    violated: 'acknowledged-is-readable',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.takesStaleEpochs,
-    make: replaceWhileAppending,
-    breaks: 'acknowledged-is-readable',
-    watched: harm,
+    mutation: mutations.acceptsStaleEpochs,
+    scenario: replaceWhileAppending,
+    violated: 'acknowledged-is-readable',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.takesStaleMembership,
-    make: replaceTwice,
-    breaks: 'chosen-values-descend',
-    watched: harm,
+    mutation: mutations.acceptsStaleMembershipProposals,
+    scenario: replaceTwice,
+    violated: 'chosen-values-descend',
+    watched: harmfulInvariants,
   },
   {
-    mutation: mutations.keepsNameAfterWipe,
-    make: rejoinAfterWipe,
-    breaks: 'acknowledged-is-readable',
-    watched: harm,
+    mutation: mutations.keepsDiskIdAfterWipe,
+    scenario: rejoinAfterWipe,
+    violated: 'acknowledged-is-readable',
+    watched: harmfulInvariants,
   },
   {
-    mutation: both(mutations.acceptsForAnyDisk, mutations.keepsPromises),
-    make: rejoinAfterWipe,
-    breaks: 'promise-and-vote-of-one-life',
+    mutation: combineMutations(mutations.acceptsForAnyDisk, mutations.keepsPromises),
+    scenario: rejoinAfterWipe,
+    violated: 'promise-and-vote-of-one-life',
     watched: ['promise-and-vote-of-one-life'],
   },
 ];
 
-for (const { mutation, make, breaks, watched } of plantedSearches) {
-  test(`search finds: ${mutation.name} (${breaks})`, (t) => {
-    const figures = explore({ ...make(mutation, bounds), watched });
+for (const { mutation, scenario, violated, watched } of mutationSearches) {
+  test(`search detects the fault: ${mutation.name} (${violated})`, (t) => {
+    const figures = explore({ ...scenario(mutation, bounds), watched });
     logSearch(t, figures);
-    t.is(figures.violation?.invariant, breaks);
+    t.is(figures.violation?.invariant, violated);
   });
 }
--- a/packages/agent/src/testing/membership-client-types.ts
+++ b/packages/agent/src/testing/membership-client-types.ts
@@ -1,4 +1,4 @@
-/** Test support: the state, calls, events and effects of a client of the membership model. */
+/** Test support: the state, calls, events and effects of a client in the membership model. */
 import type {
   ReplicaRequest,
   ReplicaReply,
@@ -8,8 +8,8 @@
 import type { ProposalNumber, Proposal } from '@reedyard/consensus';
 import type { Goal, WatchedKey } from './membership-goals.js';
 
-/** Why a call was made; comes back with its answer. */
-export type Purpose =
+/** Why a client made a call; the reply carries it back to the client. */
+export type CallPurpose =
   | {
       readonly kind: 'vote';
       readonly attempt: number;
@@ -19,57 +19,60 @@
   | { readonly kind: 'pull' }
   | { readonly kind: 'look' }
   | { readonly kind: 'fetch'; readonly key: WatchedKey }
-  | { readonly kind: 'post'; readonly fact: string };
+  | { readonly kind: 'post'; readonly entryKey: string };
 
-/** A call to the replica at an address, on behalf of a member's place. */
+/** A call to the replica at an address, addressed to the member in a slot. */
 export type ClientCall = {
-  /** Which life of the client's process made it. */
-  readonly life: number;
-  readonly place: string;
+  /** The incarnation of the client's process that made the call. */
+  readonly incarnation: number;
+  readonly slot: string;
   readonly to: string;
-  readonly purpose: Purpose;
+  readonly purpose: CallPurpose;
   readonly body: ReplicaRequest;
   readonly sentAt: number;
 };
 
-/** A proposal under way. */
+/** A proposal in flight. */
 export type Attempt = {
   readonly goal: Goal;
   readonly proposal: Proposal;
-  /** The physical disk behind each promise, which a real agent can't see. */
+  /** The number of the physical disk behind each promise, which a real agent can't see. */
   readonly promisedBy: Readonly<Record<string, number>>;
-  readonly outvoted: boolean;
+  readonly isPreempted: boolean;
 };
-/** What the newest counted poll of a slot showed. */
-export type View = {
+/** The result of the newest counted poll of a slot. */
+export type PollView = {
   readonly sentAt: number;
-  readonly ballots: Readonly<Record<string, ProposalNumber>>;
-  /** Registers whose value the replica copied from another. */
+  readonly acceptedNumbers: Readonly<Record<string, ProposalNumber>>;
+  /** Registers whose value the replica copied from another replica. */
   readonly copied: readonly string[];
 };
-/** A value that is known to be chosen. */
-export type Known = { readonly proposalNumber: ProposalNumber; readonly value: unknown };
+/** A chosen value and the number of its proposal. */
+export type ChosenValue = { readonly proposalNumber: ProposalNumber; readonly value: unknown };
 
-/** A client's whole state. */
+/** The complete state of a client. */
 export type Client = {
   readonly name: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly members: CommittedMembership | null;
-  readonly highest: ProposalNumber;
+  readonly highestNumber: ProposalNumber;
   readonly attempts: Readonly<Record<number, Attempt>>;
   readonly nextAttempt: number;
-  readonly posting: { readonly fact: string; readonly acks: readonly string[] } | null;
-  readonly views: Readonly<Record<string, View>>;
+  readonly pendingEntry: { readonly entryKey: string; readonly acks: readonly string[] } | null;
+  readonly views: Readonly<Record<string, PollView>>;
   readonly cursors: Readonly<Record<string, JournalCursor>>;
-  readonly data: Known | null;
-  readonly facts: readonly string[];
-  /** Registers that only a minority shows in the newest proposal. */
-  readonly hanging: readonly WatchedKey[];
-  /** The step after which everything acknowledged may be unknown here. */
-  readonly leaseFrom: number;
+  readonly data: ChosenValue | null;
+  readonly entryKeys: readonly string[];
+  /** Registers whose newest proposal only a minority of the members has accepted. */
+  readonly minorityKeys: readonly WatchedKey[];
+  /**
+   * The step at which the lease starts; the client may not know entries acknowledged after this
+   * step.
+   */
+  readonly leaseStartStep: number;
 };
 
-/** What a client sends, and what it holds for true: the checks look at the latter. */
+/** The calls that a client sends, and the facts that it concludes, which the invariants check. */
 export type ClientEffect =
   | { readonly kind: 'call'; readonly call: ClientCall }
   | {
@@ -79,10 +82,10 @@
       readonly value: unknown;
     }
   | { readonly kind: 'appended'; readonly id: string }
-  | { readonly kind: 'posted'; readonly fact: string }
+  | { readonly kind: 'posted'; readonly entryKey: string }
   | {
       readonly kind: 'lives-mixed';
-      readonly place: string;
+      readonly slot: string;
       readonly proposalNumber: ProposalNumber;
     }
   | {
@@ -90,32 +93,32 @@
       readonly from: number;
       readonly epoch: number;
       readonly data: string;
-      readonly facts: readonly string[];
+      readonly entryKeys: readonly string[];
     };
 
-/** What a client is told. */
+/** The events that drive a client. */
 export type ClientEvent =
   | { readonly kind: 'propose'; readonly goal: Goal }
   | { readonly kind: 'retry'; readonly attempt: number }
   | { readonly kind: 'pull' }
   | { readonly kind: 'look'; readonly address: string }
-  | { readonly kind: 'post'; readonly fact: string }
+  | { readonly kind: 'post'; readonly entryKey: string }
   | { readonly kind: 'restart' }
-  /** It has heard of a ballot this many rounds higher than any it knew. */
+  /** The client has learned of a proposal number this many rounds above its highest. */
   | { readonly kind: 'outpaced'; readonly rounds: number }
   | {
       readonly kind: 'replied';
       readonly call: ClientCall;
       readonly body: ReplicaReply;
-      readonly life: number;
+      readonly diskNumber: number;
     };
 
-/** Faults planted on the client's side. */
+/** Faults injected into a client. */
 export type ClientFaults = {
-  /** Promises go on counting under members learned since. */
+  /** Promises still count after the client has learned a newer membership. */
   readonly keepsPromises?: boolean;
-  /** A lease runs from the newest of the counted polls, not from the oldest. */
+  /** A lease starts with the newest of the counted polls instead of the oldest. */
   readonly leasesFromNewest?: boolean;
-  /** Polls count though they show what the client does not know yet. */
+  /** Polls count even if they show a value that the client does not know. */
   readonly countsUnknown?: boolean;
 };
--- a/packages/agent/src/testing/membership-client.ts
+++ b/packages/agent/src/testing/membership-client.ts
@@ -1,10 +1,11 @@
 /**
- * Test support: the part of an agent that the membership protocol sees, as a reducer without
- * clocks.
+ * Test support: a reducer without clocks that models the part of an agent that takes part in the
+ * membership protocol.
  *
- * It counts answers by the members that it knows, learns newer members in the three ways that an
- * agent does (a proposal of its own, a majority of polls that show one proposal, a replica that was
- * told), begins anew under them, and proposes with the real `Proposer` and the real `Changes`.
+ * The client counts replies by the membership that it knows. It learns a newer membership in the
+ * same three ways as an agent: from its own proposal, from a majority of polls that show the same
+ * proposal, or from a replica that knows it. Under the new membership it restarts its attempts. It
+ * proposes with the product's own proposer and change functions.
  */
 import {
   compareProposalNumbers,
@@ -31,12 +32,12 @@
   ClientEffect,
   ClientEvent,
   ClientFaults,
-  Purpose,
-  View,
+  CallPurpose,
+  PollView,
 } from './membership-client-types.js';
 import { changeOf, type Goal, keyOf, type WatchedKey, watchedKeys } from './membership-goals.js';
 
-type Work = {
+type ClientTransition = {
   client: Client;
   readonly effects: ClientEffect[];
   readonly step: number;
@@ -44,338 +45,426 @@
 };
 
 /**
- * A client that knows these members, or none yet.
+ * Creates a client that knows these members, or none if `members` is null.
  *
  * @example
- * openClient('p', null).leaseFrom // -1
+ * openClient('p', null).leaseStartStep // -1
  */
 export const openClient = (name: string, members: CommittedMembership | null): Client => ({
   name,
-  life: 1,
+  incarnation: 1,
   members,
-  highest: members?.proposalNumber ?? zeroProposalNumber,
+  highestNumber: members?.proposalNumber ?? zeroProposalNumber,
   attempts: {},
   nextAttempt: 1,
-  posting: null,
+  pendingEntry: null,
   views: {},
   cursors: {},
   data: null,
-  facts: [],
-  hanging: [],
-  leaseFrom: -1,
+  entryKeys: [],
+  minorityKeys: [],
+  leaseStartStep: -1,
 });
 
-const set = (work: Work, change: Partial<Client>): void => {
-  work.client = { ...work.client, ...change };
+const update = (transition: ClientTransition, change: Partial<Client>): void => {
+  transition.client = { ...transition.client, ...change };
 };
 
-const placesOf = (client: Client): readonly string[] =>
+const slotsOf = (client: Client): readonly string[] =>
   Object.keys(client.members?.value.disks ?? {});
 
-const call = (work: Work, place: string, body: ReplicaOperation, purpose: Purpose): void => {
-  const { members, life } = work.client;
-  const to = members?.value.addresses?.[place] ?? place;
-  const ask = { membership: members, operation: body };
-  const sent = { life, place, to, purpose, body: ask, sentAt: work.step };
-  work.effects.push({ kind: 'call', call: sent });
+const sendCall = (
+  transition: ClientTransition,
+  slot: string,
+  body: ReplicaOperation,
+  purpose: CallPurpose,
+): void => {
+  const { members, incarnation } = transition.client;
+  const to = members?.value.addresses?.[slot] ?? slot;
+  const request = { membership: members, operation: body };
+  const clientCall = { incarnation, slot, to, purpose, body: request, sentAt: transition.step };
+  transition.effects.push({ kind: 'call', call: clientCall });
 };
 
-const open = (work: Work, number: number, goal: Goal, above: ProposalNumber): void => {
-  const { client } = work;
-  // As an agent does: a proposal is used once, and names the incarnation of its process.
-  const higher = compareProposalNumbers(above, client.highest) > 0 ? above : client.highest;
-  const proposer = `${client.name}/${client.life}`;
-  const turn = startProposal(keyOf(goal), changeOf(goal), placesOf(client), higher, proposer);
-  const attempt = { goal, proposal: turn.proposal, promisedBy: {}, outvoted: false };
-  const attempts = { ...client.attempts, [number]: attempt };
-  set(work, { attempts, highest: turn.proposal.proposalNumber });
-  turn.actions.forEach((move) => perform(work, number, move));
+const openProposal = (
+  transition: ClientTransition,
+  attemptId: number,
+  goal: Goal,
+  above: ProposalNumber,
+): void => {
+  const { client } = transition;
+  // As in an agent, each proposal number is used only once and names the incarnation of its
+  // process.
+  const startAbove =
+    compareProposalNumbers(above, client.highestNumber) > 0 ? above : client.highestNumber;
+  const proposer = `${client.name}/${client.incarnation}`;
+  const proposalTransition = startProposal(
+    keyOf(goal),
+    changeOf(goal),
+    slotsOf(client),
+    startAbove,
+    proposer,
+  );
+  const attempt = {
+    goal,
+    proposal: proposalTransition.proposal,
+    promisedBy: {},
+    isPreempted: false,
+  };
+  const attempts = { ...client.attempts, [attemptId]: attempt };
+  update(transition, { attempts, highestNumber: proposalTransition.proposal.proposalNumber });
+  proposalTransition.actions.forEach((action) => performAction(transition, attemptId, action));
 };
 
-const perform = (work: Work, number: number, move: ProposerAction): void => {
-  const attempt = work.client.attempts[number];
+const performAction = (
+  transition: ClientTransition,
+  attemptId: number,
+  action: ProposerAction,
+): void => {
+  const attempt = transition.client.attempts[attemptId];
   if (attempt === undefined) return;
   const key = keyOf(attempt.goal);
-  if (move.kind === 'prepare' || move.kind === 'accept') {
-    const { kind, to, proposalNumber } = move;
+  if (action.kind === 'prepare' || action.kind === 'accept') {
+    const { kind, to, proposalNumber } = action;
     const body: ReplicaOperation =
-      move.kind === 'prepare'
+      action.kind === 'prepare'
         ? { kind: 'prepare', key, proposalNumber }
-        : { kind: 'accept', key, proposalNumber, value: move.value, diskId: move.diskId };
-    call(work, to, body, { kind: 'vote', attempt: number, phase: kind, proposalNumber });
+        : { kind: 'accept', key, proposalNumber, value: action.value, diskId: action.diskId };
+    sendCall(transition, to, body, {
+      kind: 'vote',
+      attempt: attemptId,
+      phase: kind,
+      proposalNumber,
+    });
     return;
   }
-  if (move.kind === 'preempted') {
-    set(work, { attempts: { ...work.client.attempts, [number]: { ...attempt, outvoted: true } } });
+  if (action.kind === 'preempted') {
+    update(transition, {
+      attempts: { ...transition.client.attempts, [attemptId]: { ...attempt, isPreempted: true } },
+    });
     return;
   }
-  const { [number]: _ended, ...attempts } = work.client.attempts;
-  set(work, { attempts });
-  if (move.kind === 'chosen') choose(work, key, attempt.goal, move);
+  const { [attemptId]: _endedAttempt, ...attempts } = transition.client.attempts;
+  update(transition, { attempts });
+  if (action.kind === 'chosen') handleChosen(transition, key, attempt.goal, action);
 };
 
-const choose = (
-  work: Work,
+const handleChosen = (
+  transition: ClientTransition,
   key: WatchedKey,
   goal: Goal,
   { proposalNumber, value }: Extract<ProposerAction, { kind: 'chosen' }>,
 ): void => {
   if (proposalNumber === null) return;
-  work.effects.push({ kind: 'chosen', key, proposalNumber, value });
-  learn(work, key, proposalNumber, value);
-  if (goal.kind === 'append') work.effects.push({ kind: 'appended', id: goal.id });
+  transition.effects.push({ kind: 'chosen', key, proposalNumber, value });
+  learnChosen(transition, key, proposalNumber, value);
+  if (goal.kind === 'append') transition.effects.push({ kind: 'appended', id: goal.id });
 };
 
-/** Learns a value that is known to be chosen. */
-const learn = (
-  work: Work,
+/** Learns a chosen value if its proposal is newer than the known one. */
+const learnChosen = (
+  transition: ClientTransition,
   key: WatchedKey,
   proposalNumber: ProposalNumber,
   value: unknown,
 ): void => {
   if (key === membershipKey) {
-    learnMembers(work, { proposalNumber, value: value as Membership });
+    learnMembership(transition, { proposalNumber, value: value as Membership });
     return;
   }
-  const known = work.client.data?.proposalNumber ?? zeroProposalNumber;
-  if (compareProposalNumbers(proposalNumber, known) <= 0) return;
-  set(work, { data: { proposalNumber, value } });
-  raise(work, proposalNumber);
-  renewLease(work);
+  const currentNumber = transition.client.data?.proposalNumber ?? zeroProposalNumber;
+  if (compareProposalNumbers(proposalNumber, currentNumber) <= 0) return;
+  update(transition, { data: { proposalNumber, value } });
+  raiseHighestNumber(transition, proposalNumber);
+  renewLease(transition);
 };
 
-const raise = (work: Work, proposalNumber: ProposalNumber): void => {
-  if (compareProposalNumbers(proposalNumber, work.client.highest) > 0)
-    set(work, { highest: proposalNumber });
+const raiseHighestNumber = (transition: ClientTransition, proposalNumber: ProposalNumber): void => {
+  if (compareProposalNumbers(proposalNumber, transition.client.highestNumber) > 0)
+    update(transition, { highestNumber: proposalNumber });
 };
 
-const learnMembers = (work: Work, told: CommittedMembership): void => {
-  if (!isNewerMembership(told, work.client.members)) return;
-  set(work, { members: told, views: {}, hanging: [] });
-  raise(work, told.proposalNumber);
-  countAnew(work);
+const learnMembership = (transition: ClientTransition, membership: CommittedMembership): void => {
+  if (!isNewerMembership(membership, transition.client.members)) return;
+  update(transition, { members: membership, views: {}, minorityKeys: [] });
+  raiseHighestNumber(transition, membership.proposalNumber);
+  restartUnderNewMembership(transition);
 };
 
-/** Nothing that was counted by the former members counts under the new ones. */
-const countAnew = (work: Work): void => {
-  const { attempts, posting } = work.client;
-  if (posting !== null) post(work, posting.fact);
+/**
+ * Restarts all attempts, because replies counted under the former membership do not count under the
+ * new one.
+ */
+const restartUnderNewMembership = (transition: ClientTransition): void => {
+  const { attempts, pendingEntry } = transition.client;
+  if (pendingEntry !== null) postEntry(transition, pendingEntry.entryKey);
   for (const [name, attempt] of Object.entries(attempts)) {
-    if (work.faults.keepsPromises === true) resendAccepts(work, Number(name), attempt);
-    else open(work, Number(name), attempt.goal, aboveOf(work.client, attempt));
+    if (transition.faults.keepsPromises === true) resendAccepts(transition, Number(name), attempt);
+    else
+      openProposal(
+        transition,
+        Number(name),
+        attempt.goal,
+        highestKnownNumber(transition.client, attempt),
+      );
   }
 };
 
-/** Planted fault: accepts that build on promises to the former members are sent to the new ones. */
-const resendAccepts = (work: Work, number: number, attempt: Attempt): void => {
-  const {
-    proposalNumber,
-    prepareResponses: promises,
-    proposedValue: proposed,
-    phase,
-  } = attempt.proposal;
+/** Injected fault: sends accepts based on promises of the former members to the new members. */
+const resendAccepts = (transition: ClientTransition, attemptId: number, attempt: Attempt): void => {
+  const { proposalNumber, prepareResponses: promises, proposedValue, phase } = attempt.proposal;
   if (phase !== 'accept') return;
-  const anew = { ...attempt, proposal: { ...attempt.proposal, acceptedBy: [] } };
-  set(work, { attempts: { ...work.client.attempts, [number]: anew } });
+  const restarted = { ...attempt, proposal: { ...attempt.proposal, acceptedBy: [] } };
+  update(transition, { attempts: { ...transition.client.attempts, [attemptId]: restarted } });
   for (const [to, { diskId: disk }] of Object.entries(promises)) {
-    perform(work, number, {
+    performAction(transition, attemptId, {
       kind: 'accept',
       to,
       proposalNumber,
-      value: proposed,
+      value: proposedValue,
       diskId: disk,
     });
   }
 };
 
-const aboveOf = (client: Client, { proposal }: Attempt): ProposalNumber =>
-  compareProposalNumbers(client.highest, proposal.highestSeen) > 0
-    ? client.highest
+const highestKnownNumber = (client: Client, { proposal }: Attempt): ProposalNumber =>
+  compareProposalNumbers(client.highestNumber, proposal.highestSeen) > 0
+    ? client.highestNumber
     : proposal.highestSeen;
 
-const counts = (client: Client, place: string, disk: string): boolean =>
-  client.members?.value.disks[place] === disk;
+const isMemberDisk = (client: Client, slot: string, disk: string): boolean =>
+  client.members?.value.disks[slot] === disk;
 
-const tookVote = (work: Work, event: Extract<ClientEvent, { kind: 'replied' }>): void => {
-  const { purpose, place } = event.call;
+const handleVoteReply = (
+  transition: ClientTransition,
+  event: Extract<ClientEvent, { kind: 'replied' }>,
+): void => {
+  const { purpose, slot } = event.call;
   const { body } = event;
   if (purpose.kind !== 'vote' || body.kind !== 'vote') return;
-  const attempt = work.client.attempts[purpose.attempt];
-  if (attempt === undefined || !counts(work.client, place, body.diskId)) return;
-  if (body.vote.kind === 'no') raise(work, body.vote.promised);
+  const attempt = transition.client.attempts[purpose.attempt];
+  if (attempt === undefined || !isMemberDisk(transition.client, slot, body.diskId)) return;
+  if (body.vote.kind === 'no') raiseHighestNumber(transition, body.vote.promised);
   const { phase, proposalNumber } = purpose;
-  const before = attempt.proposal;
-  const turn = handleVote(before, {
-    member: place,
+  const proposal = attempt.proposal;
+  const proposalTransition = handleVote(proposal, {
+    member: slot,
     diskId: body.diskId,
     phase,
     proposalNumber,
     vote: body.vote,
   });
-  noteLives(work, attempt, turn, event);
-  turn.actions.forEach((move) => perform(work, purpose.attempt, move));
+  recordVoteDisk(transition, attempt, proposalTransition, event);
+  proposalTransition.actions.forEach((action) =>
+    performAction(transition, purpose.attempt, action),
+  );
 };
 
-/** Keeps the proposal, and compares the physical disk of an accept with that of its promise. */
-const noteLives = (
-  work: Work,
+/**
+ * Stores the proposal's new state, and reports a vote whose physical disk differs from the disk
+ * that gave the promise.
+ */
+const recordVoteDisk = (
+  transition: ClientTransition,
   attempt: Attempt,
   { proposal }: ProposalTransition,
-  { call: { place, purpose }, life }: Extract<ClientEvent, { kind: 'replied' }>,
+  { call: { slot, purpose }, diskNumber }: Extract<ClientEvent, { kind: 'replied' }>,
 ): void => {
   if (purpose.kind !== 'vote') return;
-  const promised = proposal.prepareResponses !== attempt.proposal.prepareResponses;
-  const accepted = proposal.acceptedBy.length > attempt.proposal.acceptedBy.length;
-  const promisedBy = promised ? { ...attempt.promisedBy, [place]: life } : attempt.promisedBy;
-  if (accepted && promisedBy[place] !== life) {
-    work.effects.push({ kind: 'lives-mixed', place, proposalNumber: purpose.proposalNumber });
+  const hasNewPromise = proposal.prepareResponses !== attempt.proposal.prepareResponses;
+  const hasNewAccept = proposal.acceptedBy.length > attempt.proposal.acceptedBy.length;
+  const promisedBy = hasNewPromise
+    ? { ...attempt.promisedBy, [slot]: diskNumber }
+    : attempt.promisedBy;
+  if (hasNewAccept && promisedBy[slot] !== diskNumber) {
+    transition.effects.push({ kind: 'lives-mixed', slot, proposalNumber: purpose.proposalNumber });
   }
-  const next = { ...attempt, proposal, promisedBy };
-  set(work, { attempts: { ...work.client.attempts, [purpose.attempt]: next } });
+  const updated = { ...attempt, proposal, promisedBy };
+  update(transition, { attempts: { ...transition.client.attempts, [purpose.attempt]: updated } });
 };
 
-const pull = (work: Work): void => {
-  for (const place of placesOf(work.client)) {
-    const disk = work.client.members?.value.disks[place] ?? '';
-    const cursor = work.client.cursors[disk] ?? null;
-    call(work, place, { kind: 'poll', cursor, keys: watchedKeys }, { kind: 'pull' });
+const pollMembers = (transition: ClientTransition): void => {
+  for (const slot of slotsOf(transition.client)) {
+    const disk = transition.client.members?.value.disks[slot] ?? '';
+    const cursor = transition.client.cursors[disk] ?? null;
+    sendCall(transition, slot, { kind: 'poll', cursor, keys: watchedKeys }, { kind: 'pull' });
   }
 };
 
-const tookPull = (work: Work, { place, sentAt }: ClientCall, body: ReplicaReply): void => {
-  if (body.kind !== 'polled' || !counts(work.client, place, body.diskId)) return;
-  const { views, cursors, facts } = work.client;
-  if ((views[place]?.sentAt ?? -1) > sentAt) return;
-  const added = body.entries.map(({ key }) => key).filter((key) => !facts.includes(key));
-  set(work, {
-    facts: [...facts, ...added],
+const handlePollReply = (
+  transition: ClientTransition,
+  { slot, sentAt }: ClientCall,
+  body: ReplicaReply,
+): void => {
+  if (body.kind !== 'polled' || !isMemberDisk(transition.client, slot, body.diskId)) return;
+  const { views, cursors, entryKeys } = transition.client;
+  if ((views[slot]?.sentAt ?? -1) > sentAt) return;
+  const addedKeys = body.entries.map(({ key }) => key).filter((key) => !entryKeys.includes(key));
+  update(transition, {
+    entryKeys: [...entryKeys, ...addedKeys],
     cursors: { ...cursors, [body.diskId]: { diskId: body.diskId, sequence: body.sequence } },
     views: {
       ...views,
-      [place]: { sentAt, ballots: body.acceptedNumbers, copied: body.copiedKeys ?? [] },
+      [slot]: { sentAt, acceptedNumbers: body.acceptedNumbers, copied: body.copiedKeys ?? [] },
     },
-    hanging: [],
+    minorityKeys: [],
   });
-  watchedKeys.forEach((key) => watch(work, key));
-  renewLease(work);
+  watchedKeys.forEach((key) => checkRegister(transition, key));
+  renewLease(transition);
 };
 
-const knownBallot = (client: Client, key: WatchedKey): ProposalNumber =>
+const knownNumber = (client: Client, key: WatchedKey): ProposalNumber =>
   (key === membershipKey ? client.members?.proposalNumber : client.data?.proposalNumber) ??
   zeroProposalNumber;
 
-/** Whether a replica shows a proposal that it accepted itself. */
-const votedFor = (view: View, key: WatchedKey, proposalNumber: ProposalNumber): boolean =>
+/**
+ * Whether the replica accepted this proposal itself, rather than copying the value from another
+ * replica.
+ */
+const hasVotedFor = (view: PollView, key: WatchedKey, proposalNumber: ProposalNumber): boolean =>
   !view.copied.includes(key) &&
-  compareProposalNumbers(view.ballots[key] ?? zeroProposalNumber, proposalNumber) === 0;
+  compareProposalNumbers(view.acceptedNumbers[key] ?? zeroProposalNumber, proposalNumber) === 0;
 
-/** What a majority of polls shows is fetched; what only a minority shows hangs. */
-const watch = (work: Work, key: WatchedKey): void => {
-  const { client } = work;
+/**
+ * Fetches a newer value that a majority has voted for, and notes the register as incomplete if only
+ * a minority has.
+ */
+const checkRegister = (transition: ClientTransition, key: WatchedKey): void => {
+  const { client } = transition;
   const shown = Object.entries(client.views).map(
-    ([place, view]) => [place, view.ballots[key] ?? zeroProposalNumber] as const,
+    ([slot, view]) => [slot, view.acceptedNumbers[key] ?? zeroProposalNumber] as const,
   );
-  const highest = shown.reduce<ProposalNumber>(
+  const highestNumber = shown.reduce<ProposalNumber>(
     (best, [, proposalNumber]) =>
       compareProposalNumbers(proposalNumber, best) > 0 ? proposalNumber : best,
     zeroProposalNumber,
   );
-  if (compareProposalNumbers(highest, knownBallot(client, key)) <= 0) return;
+  if (compareProposalNumbers(highestNumber, knownNumber(client, key)) <= 0) return;
   const holders = shown.filter(
-    ([, proposalNumber]) => compareProposalNumbers(proposalNumber, highest) === 0,
+    ([, proposalNumber]) => compareProposalNumbers(proposalNumber, highestNumber) === 0,
   );
   const holder = holders[0]?.[0];
   if (holder === undefined) return;
-  const votes = Object.values(client.views).filter((view) => votedFor(view, key, highest));
-  if (votes.length < majorityOf(placesOf(client).length)) {
-    set(work, { hanging: [...client.hanging, key] });
-  } else call(work, holder, { kind: 'read-register', key }, { kind: 'fetch', key });
+  const votes = Object.values(client.views).filter((view) => hasVotedFor(view, key, highestNumber));
+  if (votes.length < majorityOf(slotsOf(client).length)) {
+    update(transition, { minorityKeys: [...client.minorityKeys, key] });
+  } else sendCall(transition, holder, { kind: 'read-register', key }, { kind: 'fetch', key });
 };
 
-const tookFetch = (work: Work, key: WatchedKey, body: ReplicaReply): void => {
+const handleFetchReply = (
+  transition: ClientTransition,
+  key: WatchedKey,
+  body: ReplicaReply,
+): void => {
   if (body.kind !== 'register-read' || body.accepted === null) return;
   const { proposalNumber, value } = body.accepted;
-  const { views } = work.client;
-  const holders = Object.values(views).filter((view) => votedFor(view, key, proposalNumber));
-  if (holders.length < majorityOf(placesOf(work.client).length)) return;
-  work.effects.push({ kind: 'chosen', key, proposalNumber, value });
-  learn(work, key, proposalNumber, value);
+  const { views } = transition.client;
+  const voters = Object.values(views).filter((view) => hasVotedFor(view, key, proposalNumber));
+  if (voters.length < majorityOf(slotsOf(transition.client).length)) return;
+  transition.effects.push({ kind: 'chosen', key, proposalNumber, value });
+  learnChosen(transition, key, proposalNumber, value);
 };
 
 /**
- * The lease runs from the sending of the oldest of a majority of polls that show nothing unknown.
+ * Renews the lease. It starts when the oldest poll of a majority was sent, counting only polls that
+ * show no value unknown to the client.
  */
-const renewLease = (work: Work): void => {
-  const { client, faults } = work;
+const renewLease = (transition: ClientTransition): void => {
+  const { client, faults } = transition;
   const counted = Object.values(client.views)
-    .filter((view) => faults.countsUnknown === true || showsKnown(client, view))
+    .filter((view) => faults.countsUnknown === true || showsNothingUnknown(client, view))
     .map((view) => view.sentAt)
     .sort((left, right) => right - left);
-  const quorum = majorityOf(placesOf(client).length);
+  const quorum = majorityOf(slotsOf(client).length);
   const oldest = counted[quorum - 1];
   const from = faults.leasesFromNewest === true && oldest !== undefined ? counted[0] : oldest;
-  if (from === undefined || from <= client.leaseFrom) return;
-  set(work, { leaseFrom: from });
-  work.effects.push({
+  if (from === undefined || from <= client.leaseStartStep) return;
+  update(transition, { leaseStartStep: from });
+  transition.effects.push({
     kind: 'lease',
     from,
     epoch: client.members?.value.epoch ?? 0,
     data: (client.data?.value ?? '') as string,
-    facts: client.facts,
+    entryKeys: client.entryKeys,
   });
 };
 
-const showsKnown = (client: Client, view: View): boolean =>
+const showsNothingUnknown = (client: Client, view: PollView): boolean =>
   watchedKeys.every(
     (key) =>
-      compareProposalNumbers(view.ballots[key] ?? zeroProposalNumber, knownBallot(client, key)) <=
-      0,
+      compareProposalNumbers(
+        view.acceptedNumbers[key] ?? zeroProposalNumber,
+        knownNumber(client, key),
+      ) <= 0,
   );
 
-const post = (work: Work, fact: string): void => {
-  set(work, { posting: { fact, acks: [] } });
-  const body: ReplicaOperation = { kind: 'append-entries', entries: [{ key: fact, value: null }] };
-  placesOf(work.client).forEach((place) => call(work, place, body, { kind: 'post', fact }));
+const postEntry = (transition: ClientTransition, entryKey: string): void => {
+  update(transition, { pendingEntry: { entryKey, acks: [] } });
+  const body: ReplicaOperation = {
+    kind: 'append-entries',
+    entries: [{ key: entryKey, value: null }],
+  };
+  slotsOf(transition.client).forEach((slot) =>
+    sendCall(transition, slot, body, { kind: 'post', entryKey }),
+  );
 };
 
-const tookPost = (work: Work, place: string, fact: string, body: ReplicaReply): void => {
-  const { posting } = work.client;
-  if (body.kind !== 'entries-appended' || posting?.fact !== fact || posting.acks.includes(place))
+const handlePostReply = (
+  transition: ClientTransition,
+  slot: string,
+  entryKey: string,
+  body: ReplicaReply,
+): void => {
+  const { pendingEntry } = transition.client;
+  if (
+    body.kind !== 'entries-appended' ||
+    pendingEntry?.entryKey !== entryKey ||
+    pendingEntry.acks.includes(slot)
+  )
     return;
-  if (!counts(work.client, place, body.diskId)) return;
-  const acks = [...posting.acks, place];
-  const done = acks.length >= majorityOf(placesOf(work.client).length);
-  set(work, { posting: done ? null : { fact, acks } });
-  if (done) work.effects.push({ kind: 'posted', fact });
+  if (!isMemberDisk(transition.client, slot, body.diskId)) return;
+  const acks = [...pendingEntry.acks, slot];
+  const isDone = acks.length >= majorityOf(slotsOf(transition.client).length);
+  update(transition, { pendingEntry: isDone ? null : { entryKey, acks } });
+  if (isDone) transition.effects.push({ kind: 'posted', entryKey });
 };
 
-const tookReply = (work: Work, event: Extract<ClientEvent, { kind: 'replied' }>): void => {
-  const { purpose, place } = event.call;
+const handleReply = (
+  transition: ClientTransition,
+  event: Extract<ClientEvent, { kind: 'replied' }>,
+): void => {
+  const { purpose, slot } = event.call;
   const { body } = event;
-  if (event.call.life !== work.client.life) return;
+  if (event.call.incarnation !== transition.client.incarnation) return;
   if (body.kind === 'newer-membership' && body.membership !== null) {
-    learnMembers(work, body.membership);
+    learnMembership(transition, body.membership);
     return;
   }
-  if (purpose.kind === 'vote') tookVote(work, event);
-  if (purpose.kind === 'pull') tookPull(work, event.call, body);
-  if (purpose.kind === 'fetch') tookFetch(work, purpose.key, body);
-  if (purpose.kind === 'post') tookPost(work, place, purpose.fact, body);
+  if (purpose.kind === 'vote') handleVoteReply(transition, event);
+  if (purpose.kind === 'pull') handlePollReply(transition, event.call, body);
+  if (purpose.kind === 'fetch') handleFetchReply(transition, purpose.key, body);
+  if (purpose.kind === 'post') handlePostReply(transition, slot, purpose.entryKey, body);
 };
 
-const retry = (work: Work, number: number): void => {
-  const attempt = work.client.attempts[number];
-  if (attempt !== undefined) open(work, number, attempt.goal, aboveOf(work.client, attempt));
+const retryAttempt = (transition: ClientTransition, attemptId: number): void => {
+  const attempt = transition.client.attempts[attemptId];
+  if (attempt !== undefined)
+    openProposal(
+      transition,
+      attemptId,
+      attempt.goal,
+      highestKnownNumber(transition.client, attempt),
+    );
 };
 
-const propose = (work: Work, goal: Goal): void => {
-  const number = work.client.nextAttempt;
-  set(work, { nextAttempt: number + 1 });
-  open(work, number, goal, work.client.highest);
+const proposeGoal = (transition: ClientTransition, goal: Goal): void => {
+  const attemptId = transition.client.nextAttempt;
+  update(transition, { nextAttempt: attemptId + 1 });
+  openProposal(transition, attemptId, goal, transition.client.highestNumber);
 };
 
 /**
- * One step of a client.
+ * Applies one event to a client.
  *
  * @example
  * reduceClient(client, { kind: 'pull' }, 7, {}).effects // one call for each member it knows
@@ -386,34 +475,42 @@
   step: number,
   faults: ClientFaults,
 ): { readonly client: Client; readonly effects: readonly ClientEffect[] } => {
-  const work: Work = { client, effects: [], step, faults };
+  const transition: ClientTransition = { client, effects: [], step, faults };
   switch (event.kind) {
     case 'propose':
-      propose(work, event.goal);
+      proposeGoal(transition, event.goal);
       break;
     case 'retry':
-      retry(work, event.attempt);
+      retryAttempt(transition, event.attempt);
       break;
     case 'pull':
-      pull(work);
+      pollMembers(transition);
       break;
     case 'look':
-      call(work, event.address, { kind: 'poll', cursor: null, keys: [] }, { kind: 'look' });
+      sendCall(
+        transition,
+        event.address,
+        { kind: 'poll', cursor: null, keys: [] },
+        { kind: 'look' },
+      );
       break;
     case 'post':
-      post(work, event.fact);
+      postEntry(transition, event.entryKey);
       break;
     case 'restart':
-      work.client = { ...openClient(client.name, null), life: client.life + 1 };
+      transition.client = { ...openClient(client.name, null), incarnation: client.incarnation + 1 };
       break;
     case 'outpaced':
-      set(work, {
-        highest: { counter: client.highest.counter + event.rounds, proposerId: client.name },
+      update(transition, {
+        highestNumber: {
+          counter: client.highestNumber.counter + event.rounds,
+          proposerId: client.name,
+        },
       });
       break;
     case 'replied':
-      tookReply(work, event);
+      handleReply(transition, event);
       break;
   }
-  return { client: work.client, effects: work.effects };
+  return { client: transition.client, effects: transition.effects };
 };
--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -1,8 +1,8 @@
 /**
  * Test support: replicas with their disks, clients, and the messages between them.
  *
- * The replicas are the product's reducer, opened from the records that their disks kept. A cluster
- * holds only immutable values, so `fork` costs nothing and a search can try every next step.
+ * The replicas run the product's reducer and are opened from the records on their disks. A cluster
+ * holds only immutable values, so `fork` is cheap and a search can try every possible next step.
  */
 import {
   openReplica,
@@ -20,23 +20,23 @@
   checkLease,
   checkQuorums,
   type History,
-  noteAccept,
-  noteAppended,
-  noteBegun,
-  noteChosen,
-  noteLivesMixed,
-  notePosted,
-  noteRead,
-  noteTold,
-  noteVoting,
+  recordAccept,
+  recordAppended,
+  recordVotingStart,
+  recordChosen,
+  recordMixedDisks,
+  recordPosted,
+  recordRead,
+  recordMembership,
+  checkVoting,
 } from './membership-history.js';
 import type { Mutation } from './membership-mutations.js';
-import type { Caller, Message, ModelReplica, Told } from './membership-network.js';
+import type { Requester, Message, ModelReplica, PendingReply } from './membership-network.js';
 
-/** How writes reach the disk: with each step, or only when the model says so. */
-export type Syncing = 'at-once' | 'later';
+/** When writes reach the disk: in the same step, or only when the model calls `sync`. */
+export type SyncMode = 'at-once' | 'later';
 
-/** Replicas, clients and messages, and the history that an observer makes of them. */
+/** Replicas, clients and messages, and the history that an omniscient observer records of them. */
 export class Cluster {
   replicas: Readonly<Record<string, ModelReplica>> = {};
   clients: Readonly<Record<string, Client>> = {};
@@ -44,73 +44,73 @@
   history: History;
   now = 0;
   step = 0;
-  lives = 0;
+  diskCount = 0;
 
   private constructor(
     readonly mutation: Mutation,
-    readonly syncing: Syncing,
+    readonly syncMode: SyncMode,
     history: History,
   ) {
     this.history = history;
   }
 
   /**
-   * Founders that came to their members by the product's own founding, blank spares, and clients
-   * that know the founders.
+   * Creates a cluster with founders that founded the membership with the product's own code, blank
+   * spares, and clients that know the founders.
    *
    * @example
-   * Cluster.found({ founders: ['a', 'b', 'c'], spares: ['d'], clients: ['p'], mutation: none, syncing: 'at-once' })
+   * Cluster.createFounded({ founders: ['a', 'b', 'c'], spares: ['d'], clients: ['p'], mutation: noMutation, syncMode: 'at-once' })
    */
-  static found(parts: {
+  static createFounded(parts: {
     readonly founders: readonly string[];
     readonly spares: readonly string[];
     readonly clients: readonly string[];
     readonly mutation: Mutation;
-    readonly syncing: Syncing;
+    readonly syncMode: SyncMode;
   }): Cluster {
-    const { replicas, members, lives } = foundReplicas(parts.founders);
-    const cluster = new Cluster(parts.mutation, parts.syncing, beginHistory(members.value));
+    const { replicas, members, diskCount } = foundReplicas(parts.founders);
+    const cluster = new Cluster(parts.mutation, parts.syncMode, beginHistory(members.value));
     cluster.replicas = replicas;
-    cluster.lives = lives;
-    for (const address of parts.spares) cluster.plugIn(address, []);
+    cluster.diskCount = diskCount;
+    for (const address of parts.spares) cluster.startOnDisk(address, []);
     cluster.clients = Object.fromEntries(
       parts.clients.map((name) => [name, openClient(name, members)]),
     );
     return cluster;
   }
 
-  /** A copy that can go another way. */
+  /** Returns a copy that can take other steps than this cluster. */
   fork(): Cluster {
-    return Object.assign(new Cluster(this.mutation, this.syncing, this.history), this);
+    return Object.assign(new Cluster(this.mutation, this.syncMode, this.history), this);
   }
 
-  /** Tells a client something; its calls go under way. */
-  tellClient(name: string, event: ClientEvent): void {
+  /** Applies an event to a client, and puts its calls onto the network. */
+  dispatchToClient(name: string, event: ClientEvent): void {
     const client = this.clients[name];
     if (client === undefined) return;
-    const done = reduceClient(client, event, this.step, this.mutation.client ?? {});
-    this.clients = { ...this.clients, [name]: done.client };
-    done.effects.forEach((effect) => this.#performClient(name, effect));
+    const transition = reduceClient(client, event, this.step, this.mutation.client ?? {});
+    this.clients = { ...this.clients, [name]: transition.client };
+    transition.effects.forEach((effect) => this.#performClient(name, effect));
   }
 
-  /** Tells a running replica something. */
-  tellReplica(address: string, event: ReplicaEvent): void {
+  /** Applies an event to a replica if it is running. */
+  dispatchToReplica(address: string, event: ReplicaEvent): void {
     const replica = this.replicas[address];
-    if (replica?.running === true) this.#reduce(replica, event, null);
+    if (replica?.isRunning === true) this.#reduce(replica, event, null);
   }
 
-  /** Takes a message off the network; `keep` leaves a copy of it there. */
-  deliver(index: number, keep = false): void {
+  /** Delivers a message and removes it from the network; `keepsCopy` leaves a copy of it there. */
+  deliver(index: number, keepsCopy = false): void {
     const message = this.messages[index];
     if (message === undefined) return;
-    if (!keep) this.drop(index);
+    if (!keepsCopy) this.drop(index);
     if (message.kind === 'reply') {
       this.#deliverReply(message);
       return;
     }
     const replica = this.replicas[message.to];
-    if (replica?.running !== true) return;
-    const body = this.mutation.hears?.(replica.state, message.body) ?? message.body;
+    if (replica?.isRunning !== true) return;
+    const body = this.mutation.alterRequest?.(replica.state, message.body) ?? message.body;
     this.#reduce(
       replica,
       { kind: 'request-received', requestId: 0, request: body, now: this.now },
@@ -119,96 +119,106 @@
   }
 
   drop(index: number): void {
-    this.messages = this.messages.filter((_, at) => at !== index);
+    this.messages = this.messages.filter((_, messageIndex) => messageIndex !== index);
   }
 
-  /** The caller gives a call up, though its message may still be under way. */
-  timeOut({ caller }: Message): void {
-    if (caller.kind !== 'replica') return;
-    this.tellReplica(caller.read.from, {
+  /**
+   * Fails the request of a replica with a timeout, although its message may still be in flight.
+   * Requests of clients have no timeout.
+   */
+  timeOut({ requester }: Message): void {
+    if (requester.kind !== 'replica') return;
+    this.dispatchToReplica(requester.read.from, {
       kind: 'request-failed',
-      requestId: caller.read.id,
+      requestId: requester.read.id,
       now: this.now,
     });
   }
 
-  /** What was appended is on disk now; answers that waited for it go out. */
+  /** Makes all appended records durable, and sends the replies that waited for them. */
   sync(address: string): void {
     const replica = this.replicas[address];
     if (replica === undefined) return;
-    this.#put({
+    this.#setReplica({
       ...replica,
       durable: [...replica.durable, ...replica.unsynced],
       unsynced: [],
-      waiting: [],
+      pendingReplies: [],
     });
-    replica.waiting.forEach((told) => this.#answer(replica, told));
+    replica.pendingReplies.forEach((pendingReply) => this.#sendReply(replica, pendingReply));
   }
 
-  /** The process ends; of what was not synced only the first records reached the disk. */
-  stop(address: string, kept = 0): void {
+  /** Ends the process; of the unsynced records only the first `syncedCount` reach the disk. */
+  stop(address: string, syncedCount = 0): void {
     const replica = this.replicas[address];
-    if (replica?.running !== true) return;
-    const durable = [...replica.durable, ...replica.unsynced.slice(0, kept)];
-    const state = this.#open(address, durable, replica.state.diskId).state;
-    this.#put({ ...replica, durable, state, running: false, unsynced: [], waiting: [] });
+    if (replica?.isRunning !== true) return;
+    const durable = [...replica.durable, ...replica.unsynced.slice(0, syncedCount)];
+    const state = this.#openReplica(address, durable, replica.state.diskId).state;
+    this.#setReplica({
+      ...replica,
+      durable,
+      state,
+      isRunning: false,
+      unsynced: [],
+      pendingReplies: [],
+    });
   }
 
   start(address: string): void {
     const replica = this.replicas[address];
-    if (replica === undefined || replica.running) return;
-    this.plugIn(address, replica.durable, replica.life);
+    if (replica === undefined || replica.isRunning) return;
+    this.startOnDisk(address, replica.durable, replica.diskNumber);
   }
 
-  /** The disk is lost, and the process starts with a blank one. */
+  /** Replaces the disk of a replica by a blank one, and starts the process on it. */
   wipe(address: string): void {
-    const old = this.replicas[address]?.state.diskId ?? '';
-    this.plugIn(address, [], undefined, this.mutation.wipedDisk?.(old));
+    const oldDiskId = this.replicas[address]?.state.diskId ?? '';
+    this.startOnDisk(address, [], undefined, this.mutation.diskIdAfterWipe?.(oldDiskId));
   }
 
-  /** Starts a process on a disk with these records. */
-  plugIn(
+  /** Starts a process on a disk that contains these records. */
+  startOnDisk(
     address: string,
     records: readonly ReplicaRecord[],
-    life: number = (this.lives += 1),
-    newDiskId = `disk-${life}`,
+    diskNumber: number = (this.diskCount += 1),
+    newDiskId = `disk-${diskNumber}`,
   ): void {
-    const opened = this.#open(address, records, newDiskId);
-    const appended = opened.effects.flatMap((effect) =>
+    const replica = this.#openReplica(address, records, newDiskId);
+    const appendedRecords = replica.effects.flatMap((effect) =>
       effect.kind === 'append-records' ? effect.records : [],
     );
-    const { committedMembership: told, diskId: disk } = opened.state;
-    if (told !== null) this.history = noteTold(this.history, disk, told.value);
-    this.#put({
+    const { committedMembership: membership, diskId: disk } = replica.state;
+    if (membership !== null) this.history = recordMembership(this.history, disk, membership.value);
+    this.#setReplica({
       address,
-      life,
-      state: opened.state,
-      running: true,
-      durable: [...records, ...appended],
+      diskNumber,
+      state: replica.state,
+      isRunning: true,
+      durable: [...records, ...appendedRecords],
       unsynced: [],
-      waiting: [],
+      pendingReplies: [],
     });
   }
 
-  #open(
+  #openReplica(
     address: string,
     records: readonly ReplicaRecord[],
     newDiskId: string,
   ): ReturnType<typeof openReplica> {
     const bootstrap = { address, seeds: [], isFirstStart: false };
-    const kept = this.mutation.replays?.(records) ?? records;
+    const replayedRecords = this.mutation.alterReplayedRecords?.(records) ?? records;
     const parts = {
       name: address,
       otherFounders: {},
       bootstrap,
-      records: kept,
+      records: replayedRecords,
       newDiskId,
       now: this.now,
     };
     return openReplica(parts);
   }
 
-  #put(replica: ModelReplica): void {
+  #setReplica(replica: ModelReplica): void {
     this.replicas = { ...this.replicas, [replica.address]: replica };
   }
 
@@ -217,75 +227,78 @@
     event: ReplicaEvent,
     request: Extract<Message, { kind: 'request' }> | null,
   ): void {
-    const done = reduceReplica(replica.state, event);
-    const after = this.mutation.after?.(replica.state, done) ?? done;
-    if (after.state === replica.state && after.effects.length === 0) return;
-    const appended = after.effects.flatMap((effect) =>
+    const transition = reduceReplica(replica.state, event);
+    const finalTransition =
+      this.mutation.alterTransition?.(replica.state, transition) ?? transition;
+    if (finalTransition.state === replica.state && finalTransition.effects.length === 0) return;
+    const appendedRecords = finalTransition.effects.flatMap((effect) =>
       effect.kind === 'append-records' ? effect.records : [],
     );
-    const told = after.effects.flatMap((effect) =>
+    const replies = finalTransition.effects.flatMap((effect) =>
       effect.kind === 'send-reply' && request !== null
-        ? [{ request, body: effect.reply, by: after.state.committedMembership }]
+        ? [{ request, body: effect.reply, membership: finalTransition.state.committedMembership }]
         : [],
     );
-    const early = this.mutation.answersBeforeSync === true;
-    const unsynced = [...replica.unsynced, ...appended];
-    const waiting = early ? [] : [...replica.waiting, ...told];
-    this.#put({ ...replica, state: after.state, unsynced, waiting });
-    if (early) told.forEach((each) => this.#answer(replica, each));
-    after.effects.forEach((effect) => this.#call(replica, effect));
-    if (this.syncing === 'at-once') this.sync(replica.address);
-    const hasChanged = appended.length > 0 || after.state.isVoting !== replica.state.isVoting;
-    this.#noteBegun(replica.state, after.state);
+    const repliesEarly = this.mutation.repliesBeforeSync === true;
+    const unsynced = [...replica.unsynced, ...appendedRecords];
+    const pendingReplies = repliesEarly ? [] : [...replica.pendingReplies, ...replies];
+    this.#setReplica({ ...replica, state: finalTransition.state, unsynced, pendingReplies });
+    if (repliesEarly) replies.forEach((reply) => this.#sendReply(replica, reply));
+    finalTransition.effects.forEach((effect) => this.#sendReadRequest(replica, effect));
+    if (this.syncMode === 'at-once') this.sync(replica.address);
+    const hasChanged =
+      appendedRecords.length > 0 || finalTransition.state.isVoting !== replica.state.isVoting;
+    this.#recordVotingStart(replica.state, finalTransition.state);
     if (hasChanged) this.checkQuorums();
   }
 
-  #noteBegun(
+  #recordVotingStart(
     before: ReplicaState,
-    { isVoting: voting, votingEpoch, diskId: disk, committedMembership: told }: ReplicaState,
+    { isVoting, votingEpoch, diskId: disk, committedMembership: membership }: ReplicaState,
   ): void {
-    if (told !== null && told !== before.committedMembership) {
-      this.history = noteTold(this.history, disk, told.value);
+    if (membership !== null && membership !== before.committedMembership) {
+      this.history = recordMembership(this.history, disk, membership.value);
     }
-    const hasBegun = voting && (!before.isVoting || votingEpoch !== before.votingEpoch);
-    if (!hasBegun || told === null) return;
-    this.history = noteBegun(this.history, disk, told.value);
+    const hasBegunVoting = isVoting && (!before.isVoting || votingEpoch !== before.votingEpoch);
+    if (!hasBegunVoting || membership === null) return;
+    this.history = recordVotingStart(this.history, disk, membership.value);
   }
 
-  #call(replica: ModelReplica, effect: ReplicaEffect): void {
+  #sendReadRequest(replica: ModelReplica, effect: ReplicaEffect): void {
     if (effect.kind !== 'send-request') return;
     const read = { from: replica.address, to: effect.to, id: effect.requestId };
-    const body = this.mutation.reads?.(effect.request, effect.to) ?? effect.request;
-    this.#send({ kind: 'request', caller: { kind: 'replica', read }, to: effect.to, body });
+    const body = this.mutation.alterReadRequest?.(effect.request, effect.to) ?? effect.request;
+    this.#send({ kind: 'request', requester: { kind: 'replica', read }, to: effect.to, body });
   }
 
   #send(message: Message): void {
     this.messages = [...this.messages, message];
   }
 
-  /** Sends an answer, and notes what it commits its replica to. */
-  #answer(replica: ModelReplica, told: Told): void {
-    const { request, body } = told;
-    const { caller } = request;
-    const { life } = replica;
-    this.#noteAnswer(told);
-    this.#send({ kind: 'reply', caller, from: replica.address, body, life });
+  /** Sends a reply, and records in the history what it commits its replica to. */
+  #sendReply(replica: ModelReplica, pendingReply: PendingReply): void {
+    const { request, body } = pendingReply;
+    const { requester } = request;
+    const { diskNumber } = replica;
+    this.#recordReply(pendingReply);
+    this.#send({ kind: 'reply', requester, from: replica.address, body, diskNumber });
   }
 
-  #noteAnswer({ request, body, by }: Told): void {
-    const { caller } = request;
-    const { membership: members, operation: call } = request.body;
-    const commits = ['vote', 'posted', 'pulled', 'fetched'].includes(body.kind);
-    if (commits) this.history = noteVoting(this.history, body.diskId, by?.value);
-    if (caller.kind === 'replica' && body.kind === 'page-read' && body.nextPage === null) {
-      const reader = this.replicas[caller.read.from]?.state.diskId ?? '';
+  #recordReply({ request, body, membership }: PendingReply): void {
+    const { requester } = request;
+    const { membership: requesterMembership, operation } = request.body;
+    const impliesMembership = ['vote', 'posted', 'pulled', 'fetched'].includes(body.kind);
+    if (impliesMembership) this.history = checkVoting(this.history, body.diskId, membership?.value);
+    if (requester.kind === 'replica' && body.kind === 'page-read' && body.nextPage === null) {
+      const reader = this.replicas[requester.read.from]?.state.diskId ?? '';
       const epoch = body.membership?.value.epoch ?? 0;
-      this.history = noteRead(this.history, reader, body.diskId, epoch);
+      this.history = recordRead(this.history, reader, body.diskId, epoch);
     }
-    const accepts = call.kind === 'accept' && body.kind === 'vote' && body.vote.kind === 'yes';
-    if (!accepts || members === null) return;
-    const { key, proposalNumber, value } = call;
-    this.history = noteAccept(this.history, body.diskId, members.value, {
+    const isAccept =
+      operation.kind === 'accept' && body.kind === 'vote' && body.vote.kind === 'yes';
+    if (!isAccept || requesterMembership === null) return;
+    const { key, proposalNumber, value } = operation;
+    this.history = recordAccept(this.history, body.diskId, requesterMembership.value, {
       key,
       proposalNumber,
       value,
@@ -293,17 +306,22 @@
   }
 
   #deliverReply(message: Extract<Message, { kind: 'reply' }>): void {
-    const { caller, body, life } = message;
-    if (caller.kind === 'client') {
-      this.tellClient(caller.name, { kind: 'replied', call: caller.call, body, life });
+    const { requester, body, diskNumber } = message;
+    if (requester.kind === 'client') {
+      this.dispatchToClient(requester.name, {
+        kind: 'replied',
+        call: requester.call,
+        body,
+        diskNumber,
+      });
       return;
     }
-    const { from, id } = caller.read;
-    const shown = this.mutation.shows?.(body) ?? body;
-    this.tellReplica(from, {
+    const { from, id } = requester.read;
+    const alteredReply = this.mutation.alterReadReply?.(body) ?? body;
+    this.dispatchToReplica(from, {
       kind: 'reply-received',
       requestId: id,
-      reply: shown,
+      reply: alteredReply,
       now: this.now,
     });
   }
@@ -312,23 +330,23 @@
     const { history, step } = this;
     switch (effect.kind) {
       case 'call': {
-        const caller: Caller = { kind: 'client', name, call: effect.call };
-        this.#send({ kind: 'request', caller, to: effect.call.to, body: effect.call.body });
+        const requester: Requester = { kind: 'client', name, call: effect.call };
+        this.#send({ kind: 'request', requester, to: effect.call.to, body: effect.call.body });
         return;
       }
       case 'chosen':
-        this.history = noteChosen(history, effect);
+        this.history = recordChosen(history, effect);
         this.checkQuorums();
         return;
       case 'appended':
-        this.history = noteAppended(history, effect.id, step);
+        this.history = recordAppended(history, effect.id, step);
         return;
       case 'posted':
-        this.history = notePosted(history, effect.fact, step);
+        this.history = recordPosted(history, effect.entryKey, step);
         this.checkQuorums();
         return;
       case 'lives-mixed':
-        this.history = noteLivesMixed(history, effect.place, effect.proposalNumber);
+        this.history = recordMixedDisks(history, effect.slot, effect.proposalNumber);
         return;
       case 'lease':
         this.history = checkLease(history, effect);
--- a/packages/agent/src/testing/membership-founding.ts
+++ b/packages/agent/src/testing/membership-founding.ts
@@ -1,4 +1,4 @@
-/** Test support: founders that came to their members by the product's own founding. */
+/** Test support: founders that found the membership with the product's own code. */
 import {
   type CommittedMembership,
   openReplica,
@@ -10,39 +10,42 @@
 } from '@reedyard/replica';
 import type { ModelReplica } from './membership-network.js';
 
-/** Runs the product's founding among blank seeds, with every message delivered. */
+/** Founds a membership among blank seeds with the product's own code, delivering every message. */
 export const foundReplicas = (
   seeds: readonly string[],
 ): {
   readonly replicas: Readonly<Record<string, ModelReplica>>;
   readonly members: CommittedMembership;
-  readonly lives: number;
+  readonly diskCount: number;
 } => {
   const states = new Map<string, ReplicaState>();
   const records = new Map<string, ReplicaRecord[]>();
   const perform = (address: string, effects: readonly ReplicaEffect[]): void => {
     for (const effect of effects) {
       if (effect.kind === 'append-records') records.get(address)?.push(...effect.records);
-      if (effect.kind === 'send-request') ask(address, effect);
+      if (effect.kind === 'send-request') deliverRequest(address, effect);
     }
   };
   const reduce = (address: string, event: ReplicaEvent): readonly ReplicaEffect[] => {
     const state = states.get(address);
     if (state === undefined) return [];
-    const done = reduceReplica(state, event);
-    states.set(address, done.state);
-    perform(address, done.effects);
-    return done.effects;
+    const transition = reduceReplica(state, event);
+    states.set(address, transition.state);
+    perform(address, transition.effects);
+    return transition.effects;
   };
-  const ask = (
+  const deliverRequest = (
     from: string,
     { to, requestId: id, request: body }: Extract<ReplicaEffect, { kind: 'send-request' }>,
   ): void => {
-    const told = reduce(to, { kind: 'request-received', requestId: 0, request: body, now: 0 }).find(
-      (effect) => effect.kind === 'send-reply',
-    );
-    if (told !== undefined)
-      reduce(from, { kind: 'reply-received', requestId: id, reply: told.reply, now: 0 });
+    const replyEffect = reduce(to, {
+      kind: 'request-received',
+      requestId: 0,
+      request: body,
+      now: 0,
+    }).find((effect) => effect.kind === 'send-reply');
+    if (replyEffect !== undefined)
+      reduce(from, { kind: 'reply-received', requestId: id, reply: replyEffect.reply, now: 0 });
   };
   seeds.forEach((address, index) => {
     const bootstrap = { address, seeds, isFirstStart: true };
@@ -55,10 +58,11 @@
   });
   const rounds = seeds.flatMap((_, round) => seeds.map((address) => ({ address, round })));
   for (const { address, round } of rounds) {
-    reduce(address, { kind: 'tick', now: (round + 1) * foundingRound });
+    reduce(address, { kind: 'tick', now: (round + 1) * foundingRoundMs });
   }
   const members = states.get(seeds[0] ?? '')?.committedMembership;
-  if (members === null || members === undefined) throw new Error('the seeds did not found');
+  if (members === null || members === undefined)
+    throw new Error('the seeds have not founded a membership');
   const replicas = Object.fromEntries(
     seeds.map((address, index) => {
       const durable = records.get(address) ?? [];
@@ -72,15 +76,18 @@
         now: 0,
       };
       const { state } = openReplica(parts);
-      if (!state.isVoting) throw new Error(`${address} does not vote`);
-      const life = index + 1;
-      return [address, { ...blankReplica, address, life, state, durable }];
+      if (!state.isVoting) throw new Error(`${address} is not a voting member after the founding`);
+      const diskNumber = index + 1;
+      return [address, { ...idleReplica, address, diskNumber, state, durable }];
     }),
   );
-  return { replicas, members, lives: seeds.length };
+  return { replicas, members, diskCount: seeds.length };
 };
 
-/** ms between the beats of founding: longer than any wait of a replica for an answer. */
-const foundingRound = 2_000;
+/**
+ * The time between two ticks during founding, in milliseconds: longer than a replica waits for any
+ * reply.
+ */
+const foundingRoundMs = 2_000;
 
-const blankReplica = { running: true, unsynced: [], waiting: [] } as const;
+const idleReplica = { isRunning: true, unsynced: [], pendingReplies: [] } as const;
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -1,6 +1,6 @@
 /**
- * Test support: what an observer who sees every disk and message knows of a run, and the checks
- * that it makes. Values are immutable, so that a search can fork them.
+ * Test support: the history of a run as recorded by an observer that sees every disk and message,
+ * and the checks of the invariants on it. Values are immutable, so that a search can fork them.
  */
 import {
   compareProposalNumbers,
@@ -18,7 +18,7 @@
 } from '@reedyard/replica';
 import { dataKey } from './membership-goals.js';
 
-/** The invariants, by the letter that docs/control-model.md gives them. */
+/** The invariants, as docs/control-model.md lists them. */
 export type Invariant =
   | 'one-value-a-ballot'
   | 'chosen-values-descend'
@@ -31,8 +31,12 @@
   | 'promise-and-vote-of-one-life'
   | 'pull-shows-acknowledged';
 
-/** What a broken rule leads to: the rules of reading and of lives are left out. */
-export const harm: readonly Invariant[] = [
+/**
+ * The invariants whose violation is itself harmful. The rules about reading before voting, about
+ * the frozen predecessor, and about promise and vote on the same disk are left out: they matter
+ * only because breaking them can violate one of these.
+ */
+export const harmfulInvariants: readonly Invariant[] = [
   'one-value-a-ballot',
   'chosen-values-descend',
   'one-membership-an-epoch',
@@ -49,34 +53,40 @@
   readonly proposalNumber: ProposalNumber;
   readonly value: unknown;
 };
-type Attempts = { readonly disks: readonly string[]; readonly value: unknown };
+type AcceptTally = { readonly disks: readonly string[]; readonly value: unknown };
 type Acknowledged = { readonly id: string; readonly step: number };
 
 export type History = {
-  /** Every membership that was chosen. */
+  /** Every membership that was chosen, by epoch. */
   readonly epochs: Readonly<Record<number, Membership>>;
-  /** Disks that accepted a value, by register, proposal and the epoch that the caller counts by. */
-  readonly accepts: Readonly<Record<string, Attempts>>;
-  /** In the order of their proposals. */
+  /**
+   * Disks that accepted a value, by register, proposal number and the epoch by which the proposer
+   * counts.
+   */
+  readonly accepts: Readonly<Record<string, AcceptTally>>;
+  /** Chosen values, in the order in which the observer or a client found them. */
   readonly chosen: readonly Chosen[];
   readonly appended: readonly Acknowledged[];
   readonly posted: readonly Acknowledged[];
-  /** How often a client got or prolonged its lease. */
+  /** How often a client acquired or renewed its lease. */
   readonly leases: number;
-  /** Whom each disk has read to the end, and by which epoch the read one was bound then. */
+  /**
+   * For each disk, the disks that it has read completely, with the epoch that the source knew at
+   * that time.
+   */
   readonly reads: Readonly<Record<string, Readonly<Record<string, number>>>>;
-  /** The epoch that each disk went by when it last began to vote. */
-  readonly begun: Readonly<Record<string, number>>;
+  /** The epoch that each disk knew when it last started to vote. */
+  readonly votingEpochs: Readonly<Record<string, number>>;
   /**
-   * Disks whose successor votes by what it read of them alone, and the epoch that it got their
-   * place in.
+   * Disks whose successor votes after it has read only them, with the epoch in which it was
+   * assigned their slot.
    */
   readonly handedOver: Readonly<Record<string, number>>;
   readonly violations: readonly Violation[];
 };
 
 /**
- * The history of a state that was just founded.
+ * Creates the history of a cluster that has just been founded.
  *
  * @example
  * beginHistory(members).violations // []
@@ -89,12 +99,14 @@
   posted: [],
   leases: 0,
   reads: {},
-  begun: Object.fromEntries(Object.values(founders.disks).map((disk) => [disk, founders.epoch])),
+  votingEpochs: Object.fromEntries(
+    Object.values(founders.disks).map((disk) => [disk, founders.epoch]),
+  ),
   handedOver: {},
   violations: [],
 });
 
-const violate = (history: History, invariant: Invariant, text: string): History => ({
+const addViolation = (history: History, invariant: Invariant, text: string): History => ({
   ...history,
   violations: [...history.violations, { invariant, text }],
 });
@@ -104,7 +116,7 @@
 
 const describeMembers = (members: Membership): string =>
   `${members.epoch}:${Object.entries(members.disks)
-    .map(([place, disk]) => `${place}=${disk}`)
+    .map(([slot, disk]) => `${slot}=${disk}`)
     .sort()
     .join(',')}`;
 
@@ -120,216 +132,255 @@
 };
 
 /**
- * A value is chosen, as the observer or a client finds: it must be the only one of its proposal,
- * and descend from those of lower proposals.
+ * Records a value that the observer or a client found to be chosen. It must be the only value of
+ * its proposal, and must descend from the chosen values of all lower proposals.
  */
-export const noteChosen = (history: History, fresh: Chosen): History => {
-  const rivals = history.chosen.filter(({ key }) => key === fresh.key);
-  const same = rivals.find(
-    ({ proposalNumber }) => compareProposalNumbers(proposalNumber, fresh.proposalNumber) === 0,
+export const recordChosen = (history: History, chosen: Chosen): History => {
+  const sameRegister = history.chosen.filter(({ key }) => key === chosen.key);
+  const sameNumber = sameRegister.find(
+    ({ proposalNumber }) => compareProposalNumbers(proposalNumber, chosen.proposalNumber) === 0,
   );
-  if (same !== undefined) {
-    return sameValue(fresh.key, same.value, fresh.value)
+  if (sameNumber !== undefined) {
+    return sameValue(chosen.key, sameNumber.value, chosen.value)
       ? history
-      : violate(history, 'one-value-a-ballot', `${describe(same)} and ${describe(fresh)}`);
+      : addViolation(
+          history,
+          'one-value-a-ballot',
+          `${describe(sameNumber)} and ${describe(chosen)}`,
+        );
   }
-  let next: History = { ...history, chosen: [...history.chosen, fresh] };
-  for (const rival of rivals) {
-    const isEarlier = compareProposalNumbers(rival.proposalNumber, fresh.proposalNumber) < 0;
-    const [earlier, later] = isEarlier ? [rival, fresh] : [fresh, rival];
-    if (!descends(fresh.key, earlier.value, later.value)) {
+  let next: History = { ...history, chosen: [...history.chosen, chosen] };
+  for (const other of sameRegister) {
+    const isEarlier = compareProposalNumbers(other.proposalNumber, chosen.proposalNumber) < 0;
+    const [earlier, later] = isEarlier ? [other, chosen] : [chosen, other];
+    if (!descends(chosen.key, earlier.value, later.value)) {
       const text = `${describe(later)} after ${describe(earlier)}`;
-      next = violate(next, 'chosen-values-descend', text);
+      next = addViolation(next, 'chosen-values-descend', text);
     }
   }
-  return fresh.key === membershipKey ? noteEpoch(next, fresh.value as Membership) : next;
+  return chosen.key === membershipKey ? recordEpoch(next, chosen.value as Membership) : next;
 };
 
-const noteEpoch = (history: History, members: Membership): History => {
+const recordEpoch = (history: History, members: Membership): History => {
   const known = history.epochs[members.epoch];
   if (known === undefined) {
     return { ...history, epochs: { ...history.epochs, [members.epoch]: members } };
   }
   if (sameValue(membershipKey, known, members)) return history;
   const text = `${describeMembers(known)} and ${describeMembers(members)}`;
-  return violate(history, 'one-membership-an-epoch', text);
+  return addViolation(history, 'one-membership-an-epoch', text);
 };
 
-/** A replica goes by these members from now on: they must have been chosen. */
-export const noteTold = (history: History, disk: string, members: Membership): History => {
+/** Records that a replica uses this membership from now on; it must have been chosen. */
+export const recordMembership = (history: History, disk: string, members: Membership): History => {
   const known = history.epochs[members.epoch];
   if (known !== undefined && sameValue(membershipKey, known, members)) return history;
-  return violate(history, 'told-is-chosen', `${disk} goes by ${describeMembers(members)}`);
+  return addViolation(
+    history,
+    'told-is-chosen',
+    `${disk} uses membership ${describeMembers(members)}`,
+  );
 };
 
-/** A disk has accepted a value for a caller that counts by these members. */
-export const noteAccept = (
+/** Records that a disk has accepted a value from a proposer that counts by this membership. */
+export const recordAccept = (
   history: History,
   disk: string,
-  callersMembers: Membership,
+  requesterMembers: Membership,
   accepted: Chosen,
 ): History => {
-  const members = Object.values(callersMembers.disks);
-  if (!members.includes(disk)) return history;
+  const memberDisks = Object.values(requesterMembers.disks);
+  if (!memberDisks.includes(disk)) return history;
   const { key, proposalNumber, value } = accepted;
-  const name = `${key} ${formatProposalNumber(proposalNumber)} ${callersMembers.epoch}`;
-  const before = history.accepts[name];
+  const tallyKey = `${key} ${formatProposalNumber(proposalNumber)} ${requesterMembers.epoch}`;
+  const before = history.accepts[tallyKey];
   if (before !== undefined && !sameValue(key, before.value, value)) {
     const text = `${describe({ key, proposalNumber, value: before.value })} and ${describe(accepted)}`;
-    return violate(history, 'one-value-a-ballot', text);
+    return addViolation(history, 'one-value-a-ballot', text);
   }
   const disks = [...new Set([...(before?.disks ?? []), disk])].sort();
-  const next = { ...history, accepts: { ...history.accepts, [name]: { disks, value } } };
-  return disks.length >= majorityOf(members.length) ? noteChosen(next, accepted) : next;
+  const next = { ...history, accepts: { ...history.accepts, [tallyKey]: { disks, value } } };
+  return disks.length >= majorityOf(memberDisks.length) ? recordChosen(next, accepted) : next;
 };
 
-/** A disk was read to the end by another, and had been told of this epoch before. */
-export const noteRead = (
+/**
+ * Records that a disk has read another disk completely, and the epoch that the source knew then.
+ */
+export const recordRead = (
   history: History,
   reader: string,
-  read: string,
+  source: string,
   epoch: number,
 ): History => ({
   ...history,
-  reads: { ...history.reads, [reader]: { ...history.reads[reader], [read]: epoch } },
+  reads: { ...history.reads, [reader]: { ...history.reads[reader], [source]: epoch } },
 });
 
 /**
- * The disk that another took over from, if that one has read it to the end after it was told so. It
- * must have come to vote in that slot itself, and have no slot now.
+ * Returns the disk that the given disk replaced, if the given disk has read it completely after the
+ * predecessor had learned of the replacement. The predecessor must have voted in that slot, and
+ * must hold no slot now.
  */
-const readPredecessor = (history: History, disk: string, told: Membership): string | undefined => {
-  const place = Object.keys(told.disks).find((each) => told.disks[each] === disk) ?? '';
-  const predecessor = told.predecessors?.[place]?.disk;
-  if (predecessor === undefined || Object.values(told.disks).includes(predecessor))
+const readPredecessor = (
+  history: History,
+  disk: string,
+  members: Membership,
+): string | undefined => {
+  const slot = Object.keys(members.disks).find((name) => members.disks[name] === disk) ?? '';
+  const predecessor = members.predecessors?.[slot]?.disk;
+  if (predecessor === undefined || Object.values(members.disks).includes(predecessor))
     return undefined;
-  const joined = joinedAt(history, disk, told);
-  const before = history.epochs[joined - 1];
+  const joinEpoch = joinEpochOf(history, disk, members);
+  const before = history.epochs[joinEpoch - 1];
   if (before === undefined || !Object.values(before.disks).includes(predecessor)) return undefined;
-  const hasVoted = (history.begun[predecessor] ?? 0) >= joinedAt(history, predecessor, before);
-  const readIn = history.reads[disk]?.[predecessor] ?? 0;
-  return hasVoted && readIn >= joined ? predecessor : undefined;
+  const hasVoted =
+    (history.votingEpochs[predecessor] ?? 0) >= joinEpochOf(history, predecessor, before);
+  const readEpoch = history.reads[disk]?.[predecessor] ?? 0;
+  return hasVoted && readEpoch >= joinEpoch ? predecessor : undefined;
 };
 
 /**
- * A disk begins to vote: it must have read enough of the other members, or the disk that it took
- * over from.
+ * Records that a disk starts to vote. It must have read either enough of the other members or the
+ * disk that it replaced.
  */
-export const noteBegun = (history: History, disk: string, told: Membership): History => {
-  const members = Object.values(told.disks);
-  const needed = members.length - majorityOf(members.length) + 1;
-  const joined = joinedAt(history, disk, told);
+export const recordVotingStart = (history: History, disk: string, members: Membership): History => {
+  const memberDisks = Object.values(members.disks);
+  const requiredReads = memberDisks.length - majorityOf(memberDisks.length) + 1;
+  const joinEpoch = joinEpochOf(history, disk, members);
   const reads = Object.entries(history.reads[disk] ?? {});
-  const read = reads.filter(([other, epoch]) => epoch >= joined && members.includes(other)).length;
-  const next = { ...history, begun: { ...history.begun, [disk]: told.epoch } };
-  if (read >= needed) return next;
-  const predecessor = readPredecessor(history, disk, told);
+  const readCount = reads.filter(
+    ([other, epoch]) => epoch >= joinEpoch && memberDisks.includes(other),
+  ).length;
+  const next = { ...history, votingEpochs: { ...history.votingEpochs, [disk]: members.epoch } };
+  if (readCount >= requiredReads) return next;
+  const predecessor = readPredecessor(history, disk, members);
   if (predecessor !== undefined) {
-    return { ...next, handedOver: { ...next.handedOver, [predecessor]: joined } };
+    return { ...next, handedOver: { ...next.handedOver, [predecessor]: joinEpoch } };
   }
-  return violate(next, 'reads-before-voting', `${disk} has read ${read} of ${needed}`);
+  return addViolation(
+    next,
+    'reads-before-voting',
+    `${disk} has read ${readCount} of ${requiredReads} required disks`,
+  );
 };
 
-/** A disk answers as a member: it must have begun to vote since it became one. */
-export const noteVoting = (
+/**
+ * Checks a disk that replies as a member: it must have started to vote since it became one, and
+ * must not have handed over its slot.
+ */
+export const checkVoting = (
   history: History,
   disk: string,
-  told: Membership | undefined,
+  members: Membership | undefined,
 ): History => {
-  if (told === undefined) return history;
-  const handedOverIn = history.handedOver[disk];
-  if (handedOverIn !== undefined && told.epoch < handedOverIn) {
-    const text = `${disk} answers by epoch ${told.epoch}, and handed over in ${handedOverIn}`;
-    return violate(history, 'read-predecessor-is-frozen', text);
+  if (members === undefined) return history;
+  const handoverEpoch = history.handedOver[disk];
+  if (handoverEpoch !== undefined && members.epoch < handoverEpoch) {
+    const text = `${disk} replies in epoch ${members.epoch}, but handed over in epoch ${handoverEpoch}`;
+    return addViolation(history, 'read-predecessor-is-frozen', text);
   }
-  if (!Object.values(told.disks).includes(disk)) {
-    return violate(history, 'reads-before-voting', `${disk} is no member of epoch ${told.epoch}`);
+  if (!Object.values(members.disks).includes(disk)) {
+    return addViolation(
+      history,
+      'reads-before-voting',
+      `${disk} is not a member in epoch ${members.epoch}`,
+    );
   }
-  const joined = joinedAt(history, disk, told);
-  const begun = history.begun[disk] ?? 0;
-  if (begun >= joined) return history;
-  const text = `${disk} is a member since epoch ${joined} and read in ${begun}`;
-  return violate(history, 'reads-before-voting', text);
+  const joinEpoch = joinEpochOf(history, disk, members);
+  const votingEpoch = history.votingEpochs[disk] ?? 0;
+  if (votingEpoch >= joinEpoch) return history;
+  const text = `${disk} is a member since epoch ${joinEpoch}, but last started to vote in epoch ${votingEpoch}`;
+  return addViolation(history, 'reads-before-voting', text);
 };
 
-/** The epoch from which on a disk has been a member without a gap, up to the one told. */
-const joinedAt = (history: History, disk: string, told: Membership): number => {
-  let epoch = told.epoch;
+/**
+ * Returns the first epoch since which the disk has been a member without a gap, up to the given
+ * membership.
+ */
+const joinEpochOf = (history: History, disk: string, members: Membership): number => {
+  let epoch = members.epoch;
   while (Object.values(history.epochs[epoch - 1]?.disks ?? {}).includes(disk)) epoch -= 1;
   return epoch;
 };
 
-export const noteAppended = (history: History, id: string, step: number): History => ({
+export const recordAppended = (history: History, id: string, step: number): History => ({
   ...history,
   appended: [...history.appended, { id, step }],
 });
 
-export const notePosted = (history: History, id: string, step: number): History => ({
+export const recordPosted = (history: History, id: string, step: number): History => ({
   ...history,
   posted: [...history.posted, { id, step }],
 });
 
-export const noteLivesMixed = (
+export const recordMixedDisks = (
   history: History,
-  place: string,
+  slot: string,
   proposalNumber: ProposalNumber,
 ): History =>
-  violate(
+  addViolation(
     history,
     'promise-and-vote-of-one-life',
-    `${place} in ballot ${formatProposalNumber(proposalNumber)}`,
+    `${slot} in proposal ${formatProposalNumber(proposalNumber)}`,
   );
 
-/** A client may act on what it knows: it must know all that was acknowledged before its polls. */
+/**
+ * Checks a lease: the client must know everything that was acknowledged before the start of the
+ * lease.
+ */
 export const checkLease = (
   before: History,
-  lease: { readonly from: number; readonly data: string; readonly facts: readonly string[] },
+  lease: { readonly from: number; readonly data: string; readonly entryKeys: readonly string[] },
 ): History => {
   const history = { ...before, leases: before.leases + 1 };
   const missing = [
     ...history.appended.filter(({ id }) => !lease.data.includes(`${id};`)),
-    ...history.posted.filter(({ id }) => !lease.facts.includes(id)),
+    ...history.posted.filter(({ id }) => !lease.entryKeys.includes(id)),
   ].find(({ step }) => step < lease.from);
   if (missing === undefined) return history;
-  const text = `${missing.id} of step ${missing.step}, unknown at ${lease.from}`;
-  return violate(history, 'pull-shows-acknowledged', text);
+  const text = `${missing.id}, acknowledged at step ${missing.step}, is unknown to a lease from step ${lease.from}`;
+  return addViolation(history, 'pull-shows-acknowledged', text);
 };
 
-/** Whether a replica, told of these members by a caller who counts by them, answers as one. */
-const answersAsMember = (state: ReplicaState, members: Membership): boolean => {
+/** Whether a replica replies as a member to a request that carries this membership. */
+const wouldReplyAsMember = (state: ReplicaState, members: Membership): boolean => {
   const known = state.committedMembership?.value.epoch ?? 0;
   if (known >= members.epoch) return known === members.epoch && isVotingMember(state);
-  const told = {
+  const committed = {
     proposalNumber: state.committedMembership?.proposalNumber ?? zeroProposalNumber,
     value: members,
   };
   const operation = { kind: 'poll', cursor: null, keys: [] } as const;
-  const request = { membership: told, operation };
+  const request = { membership: committed, operation };
   const event = { kind: 'request-received', requestId: 0, request, now: 0 } as const;
   const { effects } = reduceReplica(state, event);
   return effects.some((effect) => effect.kind === 'send-reply' && effect.reply.kind === 'polled');
 };
 
-/** Disks that a caller who counts by these members could still win over. */
-const gatherable = (
+/**
+ * Returns the voting disks that a requester with this membership can still reach, or none if they
+ * are no majority.
+ */
+const reachableVoters = (
   disks: readonly ReplicaState[],
   members: Membership,
 ): readonly ReplicaState[] => {
-  const named = Object.values(members.disks);
-  const found = disks.filter(
-    (state) => state.isVoting && named.includes(state.diskId) && answersAsMember(state, members),
+  const memberDisks = Object.values(members.disks);
+  const voters = disks.filter(
+    (state) =>
+      state.isVoting && memberDisks.includes(state.diskId) && wouldReplyAsMember(state, members),
   );
-  return found.length >= majorityOf(named.length) ? found : [];
+  return voters.length >= majorityOf(memberDisks.length) ? voters : [];
 };
 
-type Gathered = {
+type ReachableMembers = {
   readonly members: Membership;
   readonly disks: readonly ReplicaState[];
   readonly quorum: number;
 };
 
-/** Whether two quorums can be taken out of these that share no disk. */
-const canBeDisjoint = (left: Gathered, right: Gathered): boolean => {
+/** Whether the two sets of disks contain two quorums without a common disk. */
+const canBeDisjoint = (left: ReachableMembers, right: ReachableMembers): boolean => {
   const shared = left.disks.filter(({ diskId: disk }) =>
     right.disks.some((other) => other.diskId === disk),
   ).length;
@@ -338,58 +389,70 @@
   return leftNeeds + rightNeeds <= shared;
 };
 
-const checkMeeting = (history: History, gathered: readonly Gathered[]): History => {
-  for (const [index, left] of gathered.entries()) {
-    for (const right of gathered.slice(index + 1)) {
+const checkQuorumsIntersect = (
+  history: History,
+  reachable: readonly ReachableMembers[],
+): History => {
+  for (const [index, left] of reachable.entries()) {
+    for (const right of reachable.slice(index + 1)) {
       if (!canBeDisjoint(left, right)) continue;
       const text = `${describeMembers(left.members)} and ${describeMembers(right.members)}`;
-      return violate(history, 'quorums-of-epochs-meet', text);
+      return addViolation(history, 'quorums-of-epochs-meet', text);
     }
   }
   return history;
 };
 
-const acceptedOf = ({ registers: cells }: ReplicaState): Chosen | null => {
-  const accepted = cells.get(dataKey)?.accepted ?? null;
+const acceptedData = ({ registers: registers }: ReplicaState): Chosen | null => {
+  const accepted = registers.get(dataKey)?.accepted ?? null;
   return accepted === null ? null : { key: dataKey, ...accepted };
 };
 
-const byBallot = (left: Chosen | null, right: Chosen | null): number =>
+const compareChosen = (left: Chosen | null, right: Chosen | null): number =>
   compareProposalNumbers(
     left?.proposalNumber ?? zeroProposalNumber,
     right?.proposalNumber ?? zeroProposalNumber,
   );
 
-/** Every quorum that could read must find the newest chosen value, or one that descends from it. */
-const checkReadable = (history: History, { disks, quorum, members }: Gathered): History => {
-  const sorted = disks.map(acceptedOf).sort(byBallot);
+/**
+ * Checks that every quorum that could be read shows the newest chosen value or a descendant of it,
+ * and every acknowledged journal entry.
+ */
+const checkReadable = (history: History, { disks, quorum, members }: ReachableMembers): History => {
+  const sorted = disks.map(acceptedData).sort(compareChosen);
   const newest = history.chosen
     .filter(({ key }) => key === dataKey)
-    .sort(byBallot)
+    .sort(compareChosen)
     .at(-1);
-  const bad = sorted
+  const outdated = sorted
     .slice(quorum - 1)
-    .find((held) => newest !== undefined && !descends(dataKey, newest.value, held?.value ?? ''));
-  if (bad !== undefined && newest !== undefined) {
-    const shown = bad === null ? 'nothing' : describe(bad);
-    const text = `epoch ${members.epoch} may read ${shown} where ${describe(newest)} was chosen`;
-    return violate(history, 'acknowledged-is-readable', text);
+    .find(
+      (accepted) => newest !== undefined && !descends(dataKey, newest.value, accepted?.value ?? ''),
+    );
+  if (outdated !== undefined && newest !== undefined) {
+    const shown = outdated === null ? 'nothing' : describe(outdated);
+    const text = `a quorum of epoch ${members.epoch} may read ${shown}, but ${describe(newest)} was chosen`;
+    return addViolation(history, 'acknowledged-is-readable', text);
   }
-  const lost = history.posted.find(
+  const lostEntry = history.posted.find(
     ({ id }) =>
-      disks.filter(({ sequenceByEntryKey: factKeys }) => !factKeys.has(id)).length >= quorum,
+      disks.filter(({ sequenceByEntryKey: sequences }) => !sequences.has(id)).length >= quorum,
   );
-  return lost === undefined
+  return lostEntry === undefined
     ? history
-    : violate(history, 'acknowledged-is-readable', `fact ${lost.id} in epoch ${members.epoch}`);
+    : addViolation(
+        history,
+        'acknowledged-is-readable',
+        `journal entry ${lostEntry.id} is missing from a quorum of epoch ${members.epoch}`,
+      );
 };
 
-/** Looks at every quorum that could still be gathered, under every epoch that was chosen. */
+/** Checks every quorum that can still be formed, under every membership that was chosen. */
 export const checkQuorums = (history: History, disks: readonly ReplicaState[]): History => {
-  const gathered = Object.values(history.epochs).flatMap((members) => {
-    const found = gatherable(disks, members);
+  const reachable = Object.values(history.epochs).flatMap((members) => {
+    const voters = reachableVoters(disks, members);
     const quorum = majorityOf(Object.keys(members.disks).length);
-    return found.length === 0 ? [] : [{ members, disks: found, quorum }];
+    return voters.length === 0 ? [] : [{ members, disks: voters, quorum }];
   });
-  return gathered.reduce(checkReadable, checkMeeting(history, gathered));
+  return reachable.reduce(checkReadable, checkQuorumsIntersect(history, reachable));
 };
--- a/packages/agent/src/testing/membership-mutations.ts
+++ b/packages/agent/src/testing/membership-mutations.ts
@@ -1,6 +1,6 @@
 /**
- * Test support: planted faults. Each takes one safeguard of the membership protocol away by
- * changing what goes into a replica's reducer or comes out of it.
+ * Test support: injected faults. Each one disables one safeguard of the membership protocol by
+ * changing the input or the output of a replica's reducer, or the behavior of a client.
  */
 import { majorityOf, type RegisterState, zeroProposalNumber } from '@reedyard/consensus';
 import {
@@ -14,211 +14,260 @@
 } from '@reedyard/replica';
 import type { ClientFaults } from './membership-client-types.js';
 
-type Step = { readonly state: ReplicaState; readonly effects: readonly ReplicaEffect[] };
+type ReplicaTransition = {
+  readonly state: ReplicaState;
+  readonly effects: readonly ReplicaEffect[];
+};
 
 export type Mutation = {
   readonly name: string;
-  /** What a replica hears of a call. */
-  readonly hears?: (state: ReplicaState, ask: ReplicaRequest) => ReplicaRequest;
-  /** What a replica makes of a step. */
-  readonly after?: (before: ReplicaState, step: Step) => Step;
-  /** The name that a wiped disk gets. */
-  readonly wipedDisk?: (old: string) => string;
-  /** The call by which a replica reads another. */
-  readonly reads?: (ask: ReplicaRequest, to: string) => ReplicaRequest;
-  /** What a replica that reads another gets to see of the answer. */
-  readonly shows?: (body: ReplicaReply) => ReplicaReply;
-  /** What a restart finds on the disk. */
-  readonly replays?: (records: readonly ReplicaRecord[]) => readonly ReplicaRecord[];
-  readonly answersBeforeSync?: boolean;
+  /** Alters a request before the replica handles it. */
+  readonly alterRequest?: (state: ReplicaState, request: ReplicaRequest) => ReplicaRequest;
+  /** Alters the result of a step of the replica. */
+  readonly alterTransition?: (
+    before: ReplicaState,
+    transition: ReplicaTransition,
+  ) => ReplicaTransition;
+  /** Returns the disk id of the blank disk after a wipe. */
+  readonly diskIdAfterWipe?: (oldDiskId: string) => string;
+  /** Alters the request by which a replica reads another. */
+  readonly alterReadRequest?: (request: ReplicaRequest, to: string) => ReplicaRequest;
+  /** Alters the reply to a replica that reads another. */
+  readonly alterReadReply?: (body: ReplicaReply) => ReplicaReply;
+  /** Alters the records that a restart reads from the disk. */
+  readonly alterReplayedRecords?: (records: readonly ReplicaRecord[]) => readonly ReplicaRecord[];
+  readonly repliesBeforeSync?: boolean;
   readonly client?: ClientFaults;
 };
 
-export const sound: Mutation = { name: 'none' };
+export const noMutation: Mutation = { name: 'none' };
 
-const hearsAsCurrent = (state: ReplicaState, ask: ReplicaRequest): ReplicaRequest => {
-  const { committedMembership: told } = state;
-  const isStale =
-    told !== null && ask.membership !== null && isNewerMembership(told, ask.membership);
-  return isStale && state.isVoting ? { ...ask, membership: told } : ask;
+const treatAsCurrent = (state: ReplicaState, request: ReplicaRequest): ReplicaRequest => {
+  const { committedMembership: committed } = state;
+  const isOlder =
+    committed !== null &&
+    request.membership !== null &&
+    isNewerMembership(committed, request.membership);
+  return isOlder && state.isVoting ? { ...request, membership: committed } : request;
 };
 
-const isMembershipCall = ({ operation: call }: ReplicaRequest): boolean =>
-  (call.kind === 'prepare' || call.kind === 'accept') && call.key === membershipKey;
+const isMembershipProposal = ({ operation: operation }: ReplicaRequest): boolean =>
+  (operation.kind === 'prepare' || operation.kind === 'accept') && operation.key === membershipKey;
 
-const isNamed = ({ committedMembership: told, diskId: disk }: ReplicaState): boolean =>
-  told !== null && Object.values(told.value.disks).includes(disk);
+const isNamedInMembership = ({
+  committedMembership: committed,
+  diskId: disk,
+}: ReplicaState): boolean =>
+  committed !== null && Object.values(committed.value.disks).includes(disk);
 
-/** Lets a replica vote once it has read this many members. */
-const votesAfter =
-  (enough: (members: number) => number) =>
-  (_before: ReplicaState, step: Step): Step => {
-    const { state } = step;
-    if (state.isVoting || state.committedMembership === null || !isNamed(state)) return step;
+/** Makes a replica vote as soon as it has read the required number of members. */
+const voteAfterReading =
+  (requiredReads: (members: number) => number) =>
+  (_before: ReplicaState, transition: ReplicaTransition): ReplicaTransition => {
+    const { state } = transition;
+    if (state.isVoting || state.committedMembership === null || !isNamedInMembership(state))
+      return transition;
     const { epoch, disks } = state.committedMembership.value;
-    const read = Object.values(state.peerReads).filter(
+    const doneReads = Object.values(state.peerReads).filter(
       (reading) => reading.state === 'done' && reading.epoch >= epoch,
     );
-    if (read.length < enough(Object.keys(disks).length)) return step;
+    if (doneReads.length < requiredReads(Object.keys(disks).length)) return transition;
     const append = { kind: 'append-records', records: [{ kind: 'voting-begun' }] } as const;
     const votingEpoch = state.committedMembership.value.epoch;
     return {
       state: { ...state, isVoting: true, votingEpoch, peerReads: {} },
-      effects: [...step.effects, append],
+      effects: [...transition.effects, append],
     };
   };
 
-const withoutBlanking = (before: ReplicaState, step: Step): Step => {
-  if (!before.isVoting || step.state.isVoting) return step;
+const keepDiskIdWhenErased = (
+  before: ReplicaState,
+  transition: ReplicaTransition,
+): ReplicaTransition => {
+  if (!before.isVoting || transition.state.isVoting) return transition;
   const records: readonly ReplicaRecord[] = [{ kind: 'disk-erased', diskId: before.diskId }];
-  const renamed = step.effects.map((effect) =>
+  const renamed = transition.effects.map((effect) =>
     effect.kind === 'append-records' &&
     effect.records.some((record) => record.kind === 'disk-erased')
       ? { ...effect, records: [...records, ...effect.records.slice(1)] }
       : effect,
   );
-  return { state: { ...step.state, diskId: before.diskId }, effects: renamed };
+  return { state: { ...transition.state, diskId: before.diskId }, effects: renamed };
 };
 
-const withoutPromise = ([key, cell]: readonly [string, RegisterState]): readonly [
+const withoutPromise = ([key, register]: readonly [string, RegisterState]): readonly [
   string,
   RegisterState,
-] => [key, { ...cell, promised: cell.accepted?.proposalNumber ?? zeroProposalNumber }];
+] => [key, { ...register, promised: register.accepted?.proposalNumber ?? zeroProposalNumber }];
 
-const isPredecessorAt = (ask: ReplicaRequest, address: string): boolean => {
-  const { addresses = {}, predecessors = {} } = ask.membership?.value ?? {};
+const isPredecessorAt = (request: ReplicaRequest, address: string): boolean => {
+  const { addresses = {}, predecessors = {} } = request.membership?.value ?? {};
   const isMember = Object.values(addresses).includes(address);
-  return !isMember && Object.values(predecessors).some((each) => each.address === address);
+  return (
+    !isMember && Object.values(predecessors).some((predecessor) => predecessor.address === address)
+  );
 };
 
-const isRetired = (state: ReplicaState): boolean => state.isVoting && !isNamed(state);
+const isRetired = (state: ReplicaState): boolean => state.isVoting && !isNamedInMembership(state);
 
-/** A replica that is told of members without it tells so to its reader, and goes on as before. */
-const votesOn = (before: ReplicaState, step: Step): Step => {
-  if (!before.isVoting || !isNamed(before) || isNamed(step.state)) return step;
-  const effects = step.effects.filter(({ kind }) => kind === 'send-reply');
+/**
+ * Makes a replica that learns of a membership without it send its reply, but keep its state and
+ * continue to vote.
+ */
+const keepVotingWhenReplaced = (
+  before: ReplicaState,
+  transition: ReplicaTransition,
+): ReplicaTransition => {
+  if (!before.isVoting || !isNamedInMembership(before) || isNamedInMembership(transition.state))
+    return transition;
+  const effects = transition.effects.filter(({ kind }) => kind === 'send-reply');
   return { state: before, effects };
 };
 
-/** A replaced replica keeps its name, but none of its data. */
-const forgetsAtOnce = (_before: ReplicaState, step: Step): Step => {
-  const { state } = step;
-  if (!isRetired(state)) return step;
+/** Makes a replaced replica keep its disk id but erase its data immediately. */
+const eraseDataWhenReplaced = (
+  _before: ReplicaState,
+  transition: ReplicaTransition,
+): ReplicaTransition => {
+  const { state } = transition;
+  if (!isRetired(state)) return transition;
   const isEmpty = state.registers.isEmpty() && state.entries.length === 0;
-  const emptied = isEmpty ? state : { ...state, registers: state.registers.clear(), entries: [] };
-  const effects = step.effects.map((effect) =>
+  const emptiedState = isEmpty
+    ? state
+    : { ...state, registers: state.registers.clear(), entries: [] };
+  const effects = transition.effects.map((effect) =>
     effect.kind === 'send-reply' && effect.reply.kind === 'page-read'
       ? { ...effect, reply: { ...effect.reply, registers: [], entries: [] } }
       : effect,
   );
-  return { state: emptied, effects };
+  return { state: emptiedState, effects };
 };
 
-const countsCopiedCells = (_before: ReplicaState, step: Step): Step => {
-  const cells = step.state.registers.map((cell): RegisterState => {
-    if (cell.accepted?.copied !== true) return cell;
-    const { proposalNumber, value } = cell.accepted;
-    return { ...cell, accepted: { proposalNumber, value } };
+const countCopiedRegisters = (
+  _before: ReplicaState,
+  transition: ReplicaTransition,
+): ReplicaTransition => {
+  const registers = transition.state.registers.map((register): RegisterState => {
+    if (register.accepted?.copied !== true) return register;
+    const { proposalNumber, value } = register.accepted;
+    return { ...register, accepted: { proposalNumber, value } };
   });
-  return { ...step, state: { ...step.state, registers: cells } };
+  return { ...transition, state: { ...transition.state, registers: registers } };
 };
 
-/** Tells of members as if every replaced disk had been a founder. */
-const withoutPredecessorEpochs = (ask: ReplicaRequest): ReplicaRequest => {
-  if (ask.membership === null) return ask;
-  const { value } = ask.membership;
+/**
+ * Removes the epochs of predecessors from the membership, as if every replaced disk had been a
+ * founder.
+ */
+const withoutPredecessorEpochs = (request: ReplicaRequest): ReplicaRequest => {
+  if (request.membership === null) return request;
+  const { value } = request.membership;
   const predecessors = Object.fromEntries(
-    Object.entries(value.predecessors ?? {}).map(([place, { disk, address }]) => [
-      place,
+    Object.entries(value.predecessors ?? {}).map(([slot, { disk, address }]) => [
+      slot,
       { disk, address },
     ]),
   );
-  return { ...ask, membership: { ...ask.membership, value: { ...value, predecessors } } };
+  return { ...request, membership: { ...request.membership, value: { ...value, predecessors } } };
 };
 
-/** Every planted fault, by a short name. */
+/** All injected faults, by a short name. */
 export const mutations = {
-  votesBeforeReading: { name: 'a successor votes before it has read', after: votesAfter(() => 0) },
+  votesBeforeReading: {
+    name: 'a successor votes before it has read',
+    alterTransition: voteAfterReading(() => 0),
+  },
   readsTooFew: {
     name: 'a successor reads one member fewer than it must',
-    after: votesAfter((members) => members - majorityOf(members)),
+    alterTransition: voteAfterReading((members) => members - majorityOf(members)),
+  },
+  acceptsStaleEpochs: {
+    name: 'replicas handle requests of older epochs',
+    alterRequest: treatAsCurrent,
+  },
+  acceptsStaleMembershipProposals: {
+    name: 'replicas handle membership proposals of older epochs',
+    alterRequest: (state, request) =>
+      isMembershipProposal(request) ? treatAsCurrent(state, request) : request,
   },
-  takesStaleEpochs: { name: 'replicas take calls of older epochs', hears: hearsAsCurrent },
-  takesStaleMembership: {
-    name: 'replicas take ballots on the membership of older epochs',
-    hears: (state, ask) => (isMembershipCall(ask) ? hearsAsCurrent(state, ask) : ask),
+  keepsDiskIdAfterWipe: {
+    name: 'a wiped disk keeps its disk id',
+    diskIdAfterWipe: (oldDiskId) => oldDiskId,
   },
-  keepsNameAfterWipe: { name: 'a wiped disk keeps its name', wipedDisk: (old) => old },
-  keepsNameAfterReplacement: {
-    name: 'a replaced disk keeps its name',
-    after: withoutBlanking,
+  keepsDiskIdAfterReplacement: {
+    name: 'a replaced disk keeps its disk id',
+    alterTransition: keepDiskIdWhenErased,
   },
   acceptsForAnyDisk: {
     name: 'an accept is not bound to the disk that promised',
-    hears: (state, ask) =>
-      ask.operation.kind === 'accept'
-        ? { ...ask, operation: { ...ask.operation, diskId: state.diskId } }
-        : ask,
+    alterRequest: (state, request) =>
+      request.operation.kind === 'accept'
+        ? { ...request, operation: { ...request.operation, diskId: state.diskId } }
+        : request,
   },
   keepsPromises: {
-    name: 'a client keeps its promises over a change of members',
+    name: 'a client keeps its promises after a membership change',
     client: { keepsPromises: true },
   },
-  readsWithoutTelling: {
-    name: 'a successor does not tell whom it reads of its epoch',
-    reads: (ask) => ({ ...ask, membership: null }),
+  readsWithoutEpoch: {
+    name: 'a successor does not send its epoch to the members that it reads',
+    alterReadRequest: (request) => ({ ...request, membership: null }),
   },
-  readsPredecessorUntold: {
-    name: 'a successor does not tell its predecessor of its epoch before it reads it',
-    reads: (ask, to) => (isPredecessorAt(ask, to) ? { ...ask, membership: null } : ask),
+  readsPredecessorWithoutEpoch: {
+    name: 'a successor reads its predecessor without sending its epoch',
+    alterReadRequest: (request, to) =>
+      isPredecessorAt(request, to) ? { ...request, membership: null } : request,
   },
-  predecessorVotesOn: {
-    name: 'a predecessor goes on voting after it was read',
-    after: votesOn,
+  predecessorKeepsVoting: {
+    name: 'a predecessor continues to vote after its successor has read it',
+    alterTransition: keepVotingWhenReplaced,
   },
-  predecessorForgets: {
-    name: 'a predecessor forgets its data before its successor has read it',
-    after: forgetsAtOnce,
+  predecessorErasesData: {
+    name: 'a predecessor erases its data before its successor has read it',
+    alterTransition: eraseDataWhenReplaced,
   },
   readsIdlePredecessor: {
-    name: 'a predecessor is read that did not vote in its last place',
-    hears: (_state, ask) => withoutPredecessorEpochs(ask),
+    name: 'a successor reads a predecessor that did not vote in its last slot',
+    alterRequest: (_state, request) => withoutPredecessorEpochs(request),
   },
   countsCopies: {
     name: 'a copied value counts as a vote',
-    after: countsCopiedCells,
+    alterTransition: countCopiedRegisters,
   },
-  votesInAnyPlace: {
-    name: 'a disk votes in every place once it has voted in one',
-    after: (_before, step) =>
-      step.state.isVoting ? { ...step, state: { ...step.state, votingEpoch: Infinity } } : step,
+  votesInAnySlot: {
+    name: 'a disk votes in every slot after it has voted in one',
+    alterTransition: (_before, transition) =>
+      transition.state.isVoting
+        ? { ...transition, state: { ...transition.state, votingEpoch: Infinity } }
+        : transition,
   },
-  takesNoPromises: {
-    name: 'a successor takes over what was accepted, not what was promised',
-    shows: (body) =>
+  copiesNoPromises: {
+    name: 'a successor copies accepted values but no promises',
+    alterReadReply: (body) =>
       body.kind === 'page-read' ? { ...body, registers: body.registers.map(withoutPromise) } : body,
   },
-  takesNoFacts: {
-    name: 'a successor takes no facts over',
-    shows: (body) => (body.kind === 'page-read' ? { ...body, entries: [] } : body),
+  copiesNoEntries: {
+    name: 'a successor copies no journal entries',
+    alterReadReply: (body) => (body.kind === 'page-read' ? { ...body, entries: [] } : body),
   },
   leasesFromNewest: {
-    name: 'a lease runs from the newest of a majority of pulls',
+    name: 'a lease starts with the newest of a majority of polls',
     client: { leasesFromNewest: true },
   },
   countsUnknown: {
-    name: 'a pull counts that shows a value not known yet',
+    name: 'a poll counts although it shows an unknown value',
     client: { countsUnknown: true },
   },
-  forgetsTold: {
-    name: 'a restarted replica forgets the members that it was told of',
-    replays: (records) => records.filter((record) => record.kind !== 'membership-committed'),
+  forgetsMembership: {
+    name: 'a restarted replica forgets the committed membership',
+    alterReplayedRecords: (records) =>
+      records.filter((record) => record.kind !== 'membership-committed'),
   },
-  answersBeforeSync: { name: 'replicas answer before they sync', answersBeforeSync: true },
+  repliesBeforeSync: { name: 'replicas reply before they sync', repliesBeforeSync: true },
 } as const satisfies Record<string, Mutation>;
 
-/** Two faults at once. */
-export const both = (left: Mutation, right: Mutation): Mutation => ({
+/** Combines two faults into one mutation. */
+export const combineMutations = (left: Mutation, right: Mutation): Mutation => ({
   ...left,
   ...right,
   name: `${left.name}; ${right.name}`,
--- a/packages/agent/src/testing/membership-network.ts
+++ b/packages/agent/src/testing/membership-network.ts
@@ -8,48 +8,48 @@
 } from '@reedyard/replica';
 import type { ClientCall } from './membership-client-types.js';
 
-/** A call of a replica that reads another before it votes. */
+/** A request of a replica that reads another replica before it votes. */
 export type ReadCall = { readonly from: string; readonly to: string; readonly id: number };
-/** Who waits for an answer. */
-export type Caller =
+/** The client or replica that waits for a reply. */
+export type Requester =
   | { readonly kind: 'client'; readonly name: string; readonly call: ClientCall }
   | { readonly kind: 'replica'; readonly read: ReadCall };
 
 export type Message =
   | {
       readonly kind: 'request';
-      readonly caller: Caller;
+      readonly requester: Requester;
       readonly to: string;
       readonly body: ReplicaRequest;
-      readonly frozen?: boolean;
+      readonly isFrozen?: boolean;
     }
   | {
       readonly kind: 'reply';
-      readonly caller: Caller;
+      readonly requester: Requester;
       readonly from: string;
       readonly body: ReplicaReply;
-      /** The physical disk that answered. */
-      readonly life: number;
-      readonly frozen?: boolean;
+      /** The number of the physical disk that replied. */
+      readonly diskNumber: number;
+      readonly isFrozen?: boolean;
     };
 
-/** An answer, and the request that it is for. */
-export type Told = {
+/** A reply and the request that it answers. */
+export type PendingReply = {
   readonly request: Extract<Message, { kind: 'request' }>;
   readonly body: ReplicaReply;
-  /** The members that the replica went by when it made the answer. */
-  readonly by: CommittedMembership | null;
+  /** The membership that the replica knew when it made the reply. */
+  readonly membership: CommittedMembership | null;
 };
 
 export type ModelReplica = {
   readonly address: string;
-  /** Number of the physical disk; a wipe puts in another. */
-  readonly life: number;
-  /** What the process holds, or would hold if it were started now. */
+  /** The number of the physical disk; a wipe replaces the disk by one with a new number. */
+  readonly diskNumber: number;
+  /** The state of the process, or the state that it would have if it were started now. */
   readonly state: ReplicaState;
-  readonly running: boolean;
+  readonly isRunning: boolean;
   readonly durable: readonly ReplicaRecord[];
   readonly unsynced: readonly ReplicaRecord[];
-  /** Answers that wait for the disk. */
-  readonly waiting: readonly Told[];
+  /** Replies that wait until their records are durable. */
+  readonly pendingReplies: readonly PendingReply[];
 };
--- a/packages/agent/src/testing/membership-random.ts
+++ b/packages/agent/src/testing/membership-random.ts
@@ -1,30 +1,31 @@
 /**
- * Test support: long random runs of a cluster. Each number of a schedule is one step; the same
+ * Test support: long random runs of a cluster. Each number of a schedule seeds one step; the same
  * numbers give the same run.
  */
 import { majorityOf } from '@reedyard/consensus';
 import { type Membership, openReplica } from '@reedyard/replica';
-import { Cluster, type Syncing } from './membership-cluster.js';
+import { Cluster, type SyncMode } from './membership-cluster.js';
 import type { Goal } from './membership-goals.js';
 import type { Invariant, Violation } from './membership-history.js';
 import type { Mutation } from './membership-mutations.js';
 import type { ModelReplica } from './membership-network.js';
 
 /**
- * OriginStandIn disks that no membership ever named; those that are blank now, though one may have
- * named them; or also such as were blank once, by old news.
+ * Which blank disks clients may assign a slot to: disks that no membership ever named, disks that
+ * are blank now even if a membership has named them, or also disks that were blank earlier, as
+ * outdated gossip reports them.
  */
-export type Offers = 'never-named' | 'blank-now' | 'blank-once';
+export type OfferedDisks = 'never-named' | 'blank-now' | 'blank-once';
 
 export type RunOptions = {
   readonly founders: readonly string[];
   readonly spares: readonly string[];
   readonly members: number;
   readonly mutation: Mutation;
-  readonly syncing: Syncing;
-  /** Which blank disks clients offer a slot to. */
-  readonly offers: Offers;
-  /** The run ends with the first of these; all if left out. */
+  readonly syncMode: SyncMode;
+  /** Which blank disks clients propose for a slot. */
+  readonly offeredDisks: OfferedDisks;
+  /** The run stops at the first violation of one of these invariants; of any if left out. */
   readonly watched?: readonly Invariant[];
 };
 
@@ -37,25 +38,28 @@
   readonly leases: number;
   readonly wipes: number;
   readonly crashes: number;
-  /** Disks that came back after their place was given away. */
+  /** Voting disks that were started again after their slot had been assigned to another disk. */
   readonly returns: number;
 };
 
-/** ms that pass with each step; a run stays far under the incarnation of a journal entry. */
-const stepMillis = 20;
-/** Steps of a calm or a rough time. */
-const spellSteps = 100;
-/** Messages under way; the oldest get lost beyond it. */
-const networkLimit = 80;
-/** Rounds by which a client's proposals may jump. */
-const farthestRounds = 6;
-/** Share of the steps after which a replica's writes reach its disk. */
-const syncShare = 0.5;
-/** Share of the draws of a running replica that end its process. */
-const crashShare = 0.4;
+/**
+ * The time that passes with each step, in milliseconds; a run ends long before a journal entry
+ * expires.
+ */
+const stepMs = 20;
+/** Number of steps in a calm or a rough phase. */
+const phaseSteps = 100;
+/** Maximum number of messages in flight; beyond it the oldest message is dropped. */
+const maxMessages = 80;
+/** Maximum number of rounds by which a client's proposal number may jump. */
+const maxOutpaceRounds = 6;
+/** Probability that the unsynced writes of a replica reach its disk after a step. */
+const syncProbability = 0.5;
+/** Probability that a selected running replica crashes. */
+const crashProbability = 0.4;
 const clientNames = ['p', 'q', 'r'];
 
-/** Draws from one number of the schedule. */
+/** A pseudorandom generator seeded with one number of the schedule. */
 class Draw {
   #state: number;
   constructor(seed: number) {
@@ -70,8 +74,11 @@
   index(length: number): number {
     return Math.floor(this.next() * length);
   }
-  /** Low indexes more often: messages tend to come in the order they were sent. */
-  early(length: number): number {
+  /**
+   * Returns a random index, low ones more often, because messages tend to arrive in the order in
+   * which they were sent.
+   */
+  lowIndex(length: number): number {
     return Math.floor(this.next() ** 2 * length);
   }
   pick<T>(items: readonly T[]): T | undefined {
@@ -79,12 +86,12 @@
   }
 }
 
-type OriginStandIn = { readonly address: string; readonly disk: string };
+type BlankDisk = { readonly address: string; readonly disk: string };
 
 class Run {
   readonly cluster: Cluster;
   readonly #options: RunOptions;
-  readonly #blanksSeen: OriginStandIn[] = [];
+  readonly #blankDisksSeen: BlankDisk[] = [];
   #counter = 0;
   wipes = 0;
   crashes = 0;
@@ -92,27 +99,30 @@
 
   constructor(options: RunOptions) {
     this.#options = options;
-    this.cluster = Cluster.found({ ...options, clients: clientNames });
+    this.cluster = Cluster.createFounded({ ...options, clients: clientNames });
   }
 
-  step(number: number): void {
+  step(seed: number): void {
     const { cluster } = this;
     cluster.step += 1;
-    cluster.now += stepMillis;
-    const draw = new Draw(number);
+    cluster.now += stepMs;
+    const draw = new Draw(seed);
     const kind = draw.next();
     const action = actions.find(({ upTo }) => kind < upTo);
-    if (action?.rough === true && this.#isCalm(draw)) deliver(this, draw, false);
-    else action?.act(this, draw);
-    if (cluster.messages.length > networkLimit) cluster.drop(0);
-    if (cluster.syncing === 'later') this.#syncSome(draw);
+    if (action?.isRough === true && this.#isCalm(draw)) deliverMessage(this, draw, false);
+    else action?.perform(this, draw);
+    if (cluster.messages.length > maxMessages) cluster.drop(0);
+    if (cluster.syncMode === 'later') this.#syncSome(draw);
   }
 
-  /** Rough times and calm ones take turns; what stands still is started again in calm ones. */
+  /**
+   * Whether the run is in a calm phase; calm and rough phases alternate. In a calm phase, each call
+   * may also start one stopped replica.
+   */
   #isCalm(draw: Draw): boolean {
-    if (Math.floor(this.cluster.step / spellSteps) % 2 === 1) return false;
+    if (Math.floor(this.cluster.step / phaseSteps) % 2 === 1) return false;
     const { replicas } = this.cluster;
-    const stopped = Object.values(replicas).filter(({ running }) => !running);
+    const stopped = Object.values(replicas).filter(({ isRunning }) => !isRunning);
     const address = draw.pick(stopped)?.address;
     if (address !== undefined && draw.next() < 0.1) this.cluster.start(address);
     return true;
@@ -127,40 +137,44 @@
     return `${prefix}${this.#counter}`;
   }
 
-  /** Most writes reach the disk soon. */
+  /** Syncs the writes of a random part of the replicas, so that most writes reach the disk soon. */
   #syncSome(draw: Draw): void {
     for (const { address, unsynced } of Object.values(this.cluster.replicas)) {
-      if (unsynced.length > 0 && draw.next() < syncShare) this.cluster.sync(address);
+      if (unsynced.length > 0 && draw.next() < syncProbability) this.cluster.sync(address);
     }
   }
 
-  /** Disks without a slot, as gossip tells of them. */
-  blanks(draw: Draw): readonly OriginStandIn[] {
-    const now = Object.values(this.cluster.replicas)
-      .filter(({ running, state }) => running && !state.isVoting)
+  /** Returns disks without a slot, as gossip would report them. */
+  blankDisks(draw: Draw): readonly BlankDisk[] {
+    const currentlyBlank = Object.values(this.cluster.replicas)
+      .filter(({ isRunning, state }) => isRunning && !state.isVoting)
       .map(({ address, state }) => ({ address, disk: state.diskId }));
-    if (this.#options.offers === 'never-named') return now.filter((each) => !this.#named(each));
-    if (this.#options.offers === 'blank-now') return now;
-    this.#blanksSeen.push(...now.filter(({ disk }) => !this.#seen(disk)));
-    return draw.next() < 0.5 ? this.#blanksSeen : now;
+    if (this.#options.offeredDisks === 'never-named')
+      return currentlyBlank.filter((blankDisk) => !this.#wasNamed(blankDisk));
+    if (this.#options.offeredDisks === 'blank-now') return currentlyBlank;
+    this.#blankDisksSeen.push(...currentlyBlank.filter(({ disk }) => !this.#wasSeen(disk)));
+    return draw.next() < 0.5 ? this.#blankDisksSeen : currentlyBlank;
   }
 
-  #named({ disk }: OriginStandIn): boolean {
+  #wasNamed({ disk }: BlankDisk): boolean {
     const epochs = Object.values(this.cluster.history.epochs);
     return epochs.some(({ disks }) => Object.values(disks).includes(disk));
   }
 
-  #seen(disk: string): boolean {
-    return this.#blanksSeen.some((blank) => blank.disk === disk);
+  #wasSeen(disk: string): boolean {
+    return this.#blankDisksSeen.some((blankDisk) => blankDisk.disk === disk);
   }
 
   newestMembers(): Membership {
     const epochs = Object.values(this.cluster.history.epochs);
-    return epochs.reduce((best, each) => (each.epoch > best.epoch ? each : best));
+    return epochs.reduce((newest, members) => (members.epoch > newest.epoch ? members : newest));
   }
 
-  /** Whether a disk holds its slot in the newest membership, on what it would be after a crash. */
-  isSound({ address, durable }: ModelReplica, members: Membership): boolean {
+  /**
+   * Whether the disk of a replica would hold a slot of this membership as a voting member if its
+   * process crashed now.
+   */
+  holdsSlot({ address, durable }: ModelReplica, members: Membership): boolean {
     const bootstrap = { address, seeds: [], isFirstStart: false };
     const parts = {
       name: address,
@@ -171,34 +185,39 @@
       now: 0,
     };
     const { state } = openReplica(parts);
-    const place = Object.keys(members.disks).find((each) => members.disks[each] === state.diskId);
+    const slot = Object.keys(members.disks).find((name) => members.disks[name] === state.diskId);
     return (
-      state.isVoting && place !== undefined && (members.joinedIn?.[place] ?? 0) <= state.votingEpoch
+      state.isVoting && slot !== undefined && (members.joinedIn?.[slot] ?? 0) <= state.votingEpoch
     );
   }
 
-  /** A wipe may leave no fewer than a majority of sound disks: at most f are lost at once. */
+  /**
+   * Whether a wipe would leave at least a majority of disks that hold their slots: the protocol
+   * tolerates the loss of a minority of the disks at the same time.
+   */
   mayWipe(address: string): boolean {
     const members = this.newestMembers();
-    const others = Object.values(this.cluster.replicas).filter((each) => each.address !== address);
-    const sound = others.filter((each) => this.isSound(each, members)).length;
-    return sound >= majorityOf(Object.keys(members.disks).length);
+    const others = Object.values(this.cluster.replicas).filter(
+      (replica) => replica.address !== address,
+    );
+    const remainingCount = others.filter((replica) => this.holdsSlot(replica, members)).length;
+    return remainingCount >= majorityOf(Object.keys(members.disks).length);
   }
 }
 
-const deliver = (run: Run, draw: Draw, keep: boolean): void => {
+const deliverMessage = (run: Run, draw: Draw, keepsCopy: boolean): void => {
   const { cluster } = run;
-  const index = draw.early(cluster.messages.length);
-  if (cluster.messages[index]?.frozen === true) return;
-  cluster.deliver(index, keep);
+  const index = draw.lowIndex(cluster.messages.length);
+  if (cluster.messages[index]?.isFrozen === true) return;
+  cluster.deliver(index, keepsCopy);
 };
 
 const freeze = (run: Run, draw: Draw): void => {
   const { cluster } = run;
-  const chosen = draw.index(cluster.messages.length);
-  const thaws = draw.next() < 0.5;
+  const frozenIndex = draw.index(cluster.messages.length);
+  const thawsAll = draw.next() < 0.5;
   cluster.messages = cluster.messages.map((message, index) =>
-    thaws || index === chosen ? { ...message, frozen: !thaws } : message,
+    thawsAll || index === frozenIndex ? { ...message, isFrozen: !thawsAll } : message,
   );
 };
 
@@ -211,28 +230,29 @@
   cluster.timeOut(message);
 };
 
-const beat = (run: Run, draw: Draw): void => {
+const tickReplica = (run: Run, draw: Draw): void => {
   const { cluster } = run;
-  const running = Object.values(cluster.replicas).filter((each) => each.running);
-  const waiting = running.filter(({ state }) => !state.isVoting);
-  const replica = draw.pick(waiting.length > 0 && draw.next() < 0.8 ? waiting : running);
+  const running = Object.values(cluster.replicas).filter((candidate) => candidate.isRunning);
+  const notVoting = running.filter(({ state }) => !state.isVoting);
+  const replica = draw.pick(notVoting.length > 0 && draw.next() < 0.8 ? notVoting : running);
   if (replica === undefined) return;
-  cluster.tellReplica(replica.address, { kind: 'tick', now: cluster.now });
+  cluster.dispatchToReplica(replica.address, { kind: 'tick', now: cluster.now });
 };
 
 const crashOrStart = (run: Run, draw: Draw): void => {
   const { cluster } = run;
   const replicas = Object.values(cluster.replicas);
-  const stopped = replicas.filter(({ running }) => !running);
-  const busy = replicas.filter(({ unsynced }) => unsynced.length > 0);
-  const first = stopped.length > 0 ? stopped : busy.length > 0 ? busy : replicas;
-  const replica = draw.pick(draw.next() < 0.6 ? first : replicas);
+  const stopped = replicas.filter(({ isRunning }) => !isRunning);
+  const withUnsyncedRecords = replicas.filter(({ unsynced }) => unsynced.length > 0);
+  const preferred =
+    stopped.length > 0 ? stopped : withUnsyncedRecords.length > 0 ? withUnsyncedRecords : replicas;
+  const replica = draw.pick(draw.next() < 0.6 ? preferred : replicas);
   if (replica === undefined) return;
-  if (!replica.running) {
+  if (!replica.isRunning) {
     cluster.start(replica.address);
     const isMember = Object.values(run.newestMembers().disks).includes(replica.state.diskId);
     if (replica.state.isVoting && !isMember) run.returns += 1;
-  } else if (draw.next() < crashShare) {
+  } else if (draw.next() < crashProbability) {
     cluster.stop(replica.address, draw.index(replica.unsynced.length + 1));
     run.crashes += 1;
   }
@@ -247,31 +267,31 @@
 
 const append = (run: Run, draw: Draw): void => {
   const name = draw.pick(clientNames) ?? '';
-  run.cluster.tellClient(name, {
+  run.cluster.dispatchToClient(name, {
     kind: 'propose',
     goal: { kind: 'append', id: run.id(name) },
   });
 };
 
 const membershipGoal = (run: Run, draw: Draw, known: Membership): Goal | null => {
-  const places = Object.keys(known.disks);
+  const slots = Object.keys(known.disks);
   const members = Object.values(known.disks);
-  const blank = draw.pick(run.blanks(draw).filter(({ disk }) => !members.includes(disk)));
+  const blank = draw.pick(run.blankDisks(draw).filter(({ disk }) => !members.includes(disk)));
   if (blank === undefined) return null;
   const { address, disk } = blank;
-  const here = places.find((place) => known.addresses?.[place] === address);
-  if (here !== undefined) return { kind: 'join', known, place: here, disk };
-  const place = places.includes(address) ? `${address}/${known.epoch + 1}` : address;
-  if (places.length < run.options.members) return { kind: 'join', known, place, disk, address };
-  const gone = draw.pick(places) ?? '';
-  return { kind: 'replace', known, gone, place, disk, address };
+  const slotAtAddress = slots.find((slot) => known.addresses?.[slot] === address);
+  if (slotAtAddress !== undefined) return { kind: 'join', known, slot: slotAtAddress, disk };
+  const slot = slots.includes(address) ? `${address}/${known.epoch + 1}` : address;
+  if (slots.length < run.options.members) return { kind: 'join', known, slot, disk, address };
+  const replacedSlot = draw.pick(slots) ?? '';
+  return { kind: 'replace', known, replacedSlot, slot, disk, address };
 };
 
 const changeMembers = (run: Run, draw: Draw): void => {
   const name = draw.pick(clientNames) ?? '';
   const known = run.cluster.clients[name]?.members?.value;
   const goal = known === undefined ? null : membershipGoal(run, draw, known);
-  if (goal !== null) run.cluster.tellClient(name, { kind: 'propose', goal });
+  if (goal !== null) run.cluster.dispatchToClient(name, { kind: 'propose', goal });
 };
 
 const retryOrRepair = (run: Run, draw: Draw): void => {
@@ -279,67 +299,74 @@
   const client = run.cluster.clients[name];
   const attempt = draw.pick(Object.keys(client?.attempts ?? {}));
   if (attempt !== undefined) {
-    run.cluster.tellClient(name, { kind: 'retry', attempt: Number(attempt) });
+    run.cluster.dispatchToClient(name, { kind: 'retry', attempt: Number(attempt) });
     return;
   }
-  const key = draw.pick(client?.hanging ?? []);
+  const key = draw.pick(client?.minorityKeys ?? []);
   if (key === undefined) return;
-  run.cluster.tellClient(name, { kind: 'propose', goal: { kind: 'repair', key } });
+  run.cluster.dispatchToClient(name, { kind: 'propose', goal: { kind: 'repair', key } });
 };
 
-const pullOrLook = (run: Run, draw: Draw): void => {
+const pollMembersOrReplica = (run: Run, draw: Draw): void => {
   const name = draw.pick(clientNames) ?? '';
   if (draw.next() < 0.8) {
-    run.cluster.tellClient(name, { kind: 'pull' });
+    run.cluster.dispatchToClient(name, { kind: 'pull' });
     return;
   }
   const address = draw.pick(Object.keys(run.cluster.replicas)) ?? '';
-  run.cluster.tellClient(name, { kind: 'look', address });
+  run.cluster.dispatchToClient(name, { kind: 'look', address });
 };
 
-const post = (run: Run, draw: Draw): void => {
+const postEntry = (run: Run, draw: Draw): void => {
   const name = draw.pick(clientNames) ?? '';
-  run.cluster.tellClient(name, { kind: 'post', fact: run.id(`fact-${name}`) });
+  run.cluster.dispatchToClient(name, { kind: 'post', entryKey: run.id(`fact-${name}`) });
 };
 
 const outpace = (run: Run, draw: Draw): void => {
-  const rounds = 1 + draw.index(farthestRounds);
-  run.cluster.tellClient(draw.pick(clientNames) ?? '', { kind: 'outpaced', rounds });
+  const rounds = 1 + draw.index(maxOutpaceRounds);
+  run.cluster.dispatchToClient(draw.pick(clientNames) ?? '', { kind: 'outpaced', rounds });
 };
 
 const restartClient = (run: Run, draw: Draw): void => {
-  run.cluster.tellClient(draw.pick(clientNames) ?? '', { kind: 'restart' });
+  run.cluster.dispatchToClient(draw.pick(clientNames) ?? '', { kind: 'restart' });
+};
+
+type PerformAction = (run: Run, draw: Draw) => void;
+/**
+ * An action and its probability. A rough action runs only in rough phases; in calm phases a message
+ * is delivered instead.
+ */
+type Action = {
+  readonly weight: number;
+  readonly perform: PerformAction;
+  readonly isRough?: boolean;
 };
 
-type Act = (run: Run, draw: Draw) => void;
-/** A rough one comes in rough times alone; in calm ones a message is delivered instead. */
-type Action = { readonly share: number; readonly act: Act; readonly rough?: boolean };
-
-const shares: readonly Action[] = [
-  { share: 0.72, act: (run, draw) => deliver(run, draw, false) },
-  { share: 0.01, act: (run, draw) => deliver(run, draw, true), rough: true },
-  { share: 0.01, act: freeze, rough: true },
-  { share: 0.02, act: loseOrTimeOut, rough: true },
-  { share: 0.12, act: beat },
-  { share: 0.03, act: crashOrStart, rough: true },
-  { share: 0.008, act: wipe, rough: true },
-  { share: 0.015, act: append },
-  { share: 0.015, act: changeMembers },
-  { share: 0.02, act: retryOrRepair },
-  { share: 0.02, act: pullOrLook },
-  { share: 0.007, act: post },
-  { share: 0.003, act: restartClient, rough: true },
-  { share: 0.002, act: outpace, rough: true },
+const weightedActions: readonly Action[] = [
+  { weight: 0.72, perform: (run, draw) => deliverMessage(run, draw, false) },
+  { weight: 0.01, perform: (run, draw) => deliverMessage(run, draw, true), isRough: true },
+  { weight: 0.01, perform: freeze, isRough: true },
+  { weight: 0.02, perform: loseOrTimeOut, isRough: true },
+  { weight: 0.12, perform: tickReplica },
+  { weight: 0.03, perform: crashOrStart, isRough: true },
+  { weight: 0.008, perform: wipe, isRough: true },
+  { weight: 0.015, perform: append },
+  { weight: 0.015, perform: changeMembers },
+  { weight: 0.02, perform: retryOrRepair },
+  { weight: 0.02, perform: pollMembersOrReplica },
+  { weight: 0.007, perform: postEntry },
+  { weight: 0.003, perform: restartClient, isRough: true },
+  { weight: 0.002, perform: outpace, isRough: true },
 ];
 
-const actions = shares.map(({ act, rough }, index) => ({
-  act,
-  rough: rough === true,
-  upTo: shares.slice(0, index + 1).reduce((sum, { share }) => sum + share, 0),
+const actions = weightedActions.map(({ perform, isRough }, index) => ({
+  perform,
+  isRough: isRough === true,
+  upTo: weightedActions.slice(0, index + 1).reduce((sum, { weight }) => sum + weight, 0),
 }));
 
 /**
- * Plays a schedule, until an invariant breaks.
+ * Runs a schedule until an invariant is violated.
  *
  * @example
  * playRun(options, [1, 2, 3]).violations // []
@@ -347,18 +374,18 @@
 export const playRun = (options: RunOptions, schedule: readonly number[]): RunFigures => {
   const run = new Run(options);
   let steps = 0;
-  const broken = (): readonly Violation[] =>
+  const watchedViolations = (): readonly Violation[] =>
     run.cluster.history.violations.filter(
       ({ invariant }) => options.watched?.includes(invariant) ?? true,
     );
-  for (const number of schedule) {
-    run.step(number);
+  for (const seed of schedule) {
+    run.step(seed);
     steps += 1;
-    if (broken().length > 0) break;
+    if (watchedViolations().length > 0) break;
   }
   const { history } = run.cluster;
   return {
-    violations: broken(),
+    violations: watchedViolations(),
     steps,
     epochs: Object.keys(history.epochs).length,
     appended: history.appended.length,
@@ -371,20 +398,23 @@
 };
 
 /**
- * A schedule that breaks the same invariant in far fewer steps, for whoever has to read the run.
+ * Returns a much shorter schedule that violates the same invariant, to make the run easier to read.
  *
  * @example
- * shorten(options, schedule).length // a few dozen steps, of a thousand
+ * shortenSchedule(options, schedule).length // a few dozen steps, of a thousand
  */
-export const shorten = (options: RunOptions, schedule: readonly number[]): readonly number[] => {
-  const [broken] = playRun(options, schedule).violations;
-  if (broken === undefined) return schedule;
-  const watching = { ...options, watched: [broken.invariant] };
+export const shortenSchedule = (
+  options: RunOptions,
+  schedule: readonly number[],
+): readonly number[] => {
+  const [firstViolation] = playRun(options, schedule).violations;
+  if (firstViolation === undefined) return schedule;
+  const watching = { ...options, watched: [firstViolation.invariant] };
   let shortest = schedule;
-  for (let part = schedule.length >> 1; part >= 1; part >>= 1) {
-    for (let from = shortest.length - part; from >= 0; from -= part) {
-      const fewer = [...shortest.slice(0, from), ...shortest.slice(from + part)];
-      if (playRun(watching, fewer).violations.length > 0) shortest = fewer;
+  for (let chunkLength = schedule.length >> 1; chunkLength >= 1; chunkLength >>= 1) {
+    for (let from = shortest.length - chunkLength; from >= 0; from -= chunkLength) {
+      const candidate = [...shortest.slice(0, from), ...shortest.slice(from + chunkLength)];
+      if (playRun(watching, candidate).violations.length > 0) shortest = candidate;
     }
   }
   return shortest;
--- a/packages/agent/src/testing/membership-scenarios.ts
+++ b/packages/agent/src/testing/membership-scenarios.ts
@@ -4,13 +4,16 @@
 import type { Mutation } from './membership-mutations.js';
 import type { Bounds, Operation, Search } from './membership-search.js';
 
-/** Proposes what the goal makes of the members that the client knows by then. */
+/**
+ * Proposes the goal that the function returns for the members that the client knows at that point,
+ * or does not run yet.
+ */
 const propose = (name: string, goal: (client: KnownMembers) => Goal | null): Operation => ({
   kind: 'client',
   name,
   event: ({ members }) => {
-    const made = members === null ? null : goal({ known: members.value });
-    return made === null ? null : { kind: 'propose', goal: made };
+    const proposedGoal = members === null ? null : goal({ known: members.value });
+    return proposedGoal === null ? null : { kind: 'propose', goal: proposedGoal };
   },
 });
 
@@ -19,26 +22,40 @@
 const append = (name: string, id: string): Operation =>
   propose(name, () => ({ kind: 'append', id }));
 
-/** A slot passes to a spare, once the client knows the members of this epoch. */
-const replace = (name: string, epoch: number, gone: string, disk: string, address: string) =>
+/** Replaces a member by a spare as soon as the client knows the members of this epoch. */
+const replace = (
+  name: string,
+  epoch: number,
+  replacedSlot: string,
+  disk: string,
+  address: string,
+) =>
   propose(name, ({ known }) =>
-    known.epoch === epoch ? { kind: 'replace', known, gone, place: address, disk, address } : null,
+    known.epoch === epoch
+      ? { kind: 'replace', known, replacedSlot, slot: address, disk, address }
+      : null,
   );
 
-/** A disk joins at its slot, or at a new one. */
-const join = (name: string, epoch: number, place: string, disk: string): Operation =>
+/**
+ * Assigns a disk to an existing slot or to a new one, as soon as the client knows the members of
+ * this epoch.
+ */
+const join = (name: string, epoch: number, slot: string, disk: string): Operation =>
   propose(name, ({ known }) =>
-    known.epoch === epoch ? { kind: 'join', known, place, disk, address: place } : null,
+    known.epoch === epoch ? { kind: 'join', known, slot, disk, address: slot } : null,
   );
 
-/** The client asks a replica for news once it knows members of this epoch, and so tells it. */
-const tell = (name: string, epoch: number, address: string): Operation => ({
+/**
+ * Polls a replica as soon as the client knows members of at least this epoch; the request carries
+ * the membership to the replica.
+ */
+const requestFrom = (name: string, epoch: number, address: string): Operation => ({
   kind: 'client',
   name,
   event: ({ members }) => ((members?.value.epoch ?? 0) >= epoch ? { kind: 'look', address } : null),
 });
 
-const outpaced = (name: string, rounds: number): Operation => ({
+const outpace = (name: string, rounds: number): Operation => ({
   kind: 'client',
   name,
   event: () => ({ kind: 'outpaced', rounds }),
@@ -49,54 +66,59 @@
 
 const wipe = (address: string): Operation => ({ kind: 'wipe', address });
 
-/** More rounds than the other client's proposals come to. */
+/** More rounds than the proposal numbers of the other client reach. */
 const higherRounds = 9;
 const founders = ['a', 'b', 'c'];
 const clients = ['p', 'q'];
-/** Disks get their numbers in the order in which they are plugged in, after the three founders. */
+/** Disks are numbered in the order in which they are first started, after the three founders. */
 const [fourthDisk, fifthDisk] = ['disk-4', 'disk-5'];
 
-/** A configuration with a planted fault, or none. */
+/** Creates the search of a configuration with the given mutation and bounds. */
 export type Scenario = (mutation: Mutation, bounds: Bounds) => Search;
 
 const scenario =
-  (spares: readonly string[], lines: readonly (readonly Operation[])[]): Scenario =>
+  (spares: readonly string[], sequences: readonly (readonly Operation[])[]): Scenario =>
   (mutation, bounds) => ({
-    start: Cluster.found({ founders, spares, clients, mutation, syncing: 'at-once' }),
-    lines,
+    start: Cluster.createFounded({ founders, spares, clients, mutation, syncMode: 'at-once' }),
+    sequences,
     bounds,
   });
 
-/** One client gives c's place to a spare, while the other appends by the members it knows. */
+/**
+ * One client assigns the slot of c to a spare, while the other appends under the members that it
+ * knows.
+ */
 export const replaceWhileAppending = scenario(
   ['d'],
-  [[replace('p', 1, 'c', fourthDisk, 'd'), tell('p', 2, 'd')], [append('q', 'q1')]],
+  [[replace('p', 1, 'c', fourthDisk, 'd'), requestFrom('p', 2, 'd')], [append('q', 'q1')]],
 );
 
-/** One client gives a spare a slot of its own, while the other appends by the founders. */
+/**
+ * One client assigns a new slot to a spare, while the other appends under the founding membership.
+ */
 export const growWhileAppending = scenario(
   ['d'],
-  [[join('p', 1, 'd', fourthDisk), tell('p', 2, 'd')], [append('q', 'q1')]],
+  [[join('p', 1, 'd', fourthDisk), requestFrom('p', 2, 'd')], [append('q', 'q1')]],
 );
 
-/** c is wiped at some moment, and its blank disk given the slot back. */
+/** Replica c is wiped at any point, and its blank disk is assigned its slot again. */
 export const rejoinAfterWipe = scenario(
   [],
-  [[wipe('c')], [join('p', 1, 'c', fourthDisk), tell('p', 2, 'c')], [append('q', 'q1')]],
+  [[wipe('c')], [join('p', 1, 'c', fourthDisk), requestFrom('p', 2, 'c')], [append('q', 'q1')]],
 );
 
 /**
- * Two replacements one after the other, while a client that knows only the founders confirms, with
- * a higher proposal than theirs, what the register of members holds.
+ * Two successive replacements, while a client that knows only the founders confirms the value of
+ * the membership register with a higher proposal number.
  */
 export const replaceTwice = scenario(
   ['d', 'e'],
   [
     [
       replace('p', 1, 'c', fourthDisk, 'd'),
-      tell('p', 2, 'd'),
+      requestFrom('p', 2, 'd'),
       replace('p', 2, 'b', fifthDisk, 'e'),
     ],
-    [outpaced('q', higherRounds), repairMembership('q')],
+    [outpace('q', higherRounds), repairMembership('q')],
   ],
 );
--- a/packages/agent/src/testing/membership-search.ts
+++ b/packages/agent/src/testing/membership-search.ts
@@ -1,6 +1,7 @@
 /**
- * Test support: every order of the messages of a few operations, with a bounded number of lost
- * answers and repeated requests. States that were met before, by a digest, are not gone on from.
+ * Test support: an exhaustive search over every order of the messages of a few operations, with a
+ * bounded number of lost replies and repeated requests. A state whose digest was seen before is not
+ * expanded again.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -19,47 +20,47 @@
 import type { History, Invariant, Violation } from './membership-history.js';
 import type { Message, ModelReplica, ReadCall } from './membership-network.js';
 
-/** Something that a client does, or that befalls a replica; those of one line come in order. */
+/** An action of a client or a fault of a replica; the operations of one sequence run in order. */
 export type Operation =
   | {
       readonly kind: 'client';
       readonly name: string;
-      /** What it does, if it can by now. */
+      /** The event for the client, or null if the operation cannot run yet. */
       readonly event: (client: Client, cluster: Cluster) => ClientEvent | null;
     }
   | { readonly kind: 'wipe'; readonly address: string }
   | { readonly kind: 'restart'; readonly address: string };
 
 export type Bounds = {
-  /** Answers that may get lost. */
-  readonly lost: number;
-  /** Requests that may come twice. */
-  readonly repeated: number;
-  /** Times that replicas which wait for a slot may be woken. */
-  readonly beats: number;
-  /** Whether answers to replicas that read others are steps of their own. */
+  /** Maximum number of lost replies. */
+  readonly lostReplies: number;
+  /** Maximum number of requests that are delivered twice. */
+  readonly repeatedRequests: number;
+  /** Maximum number of ticks of members that do not vote yet. */
+  readonly ticks: number;
+  /** Whether replies to replicas that read others are delivered in steps of their own. */
   readonly delaysReads?: boolean;
   /**
-   * Whether prepares are lost whose attempt needs no more promises, and reads that nobody waits
-   * for.
+   * Whether the network drops prepares whose attempt needs no more promises, and reads that no
+   * replica waits for.
    */
   readonly losesIdleCalls: boolean;
-  /** More states than this are not looked at. */
-  readonly states: number;
+  /** Maximum number of states; the search stops there. */
+  readonly maxStates: number;
 };
 
 export type Search = {
   readonly start: Cluster;
-  readonly lines: readonly (readonly Operation[])[];
+  readonly sequences: readonly (readonly Operation[])[];
   readonly bounds: Bounds;
-  /** The search ends with the first of these; all if left out. */
+  /** The search stops at the first violation of one of these invariants; of any if left out. */
   readonly watched?: readonly Invariant[];
 };
 
 export type SearchFigures = {
   readonly states: number;
   readonly depth: number;
-  /** Whether every state within the bounds was looked at. */
+  /** Whether the search was not stopped by the maximum number of states. */
   readonly complete: boolean;
   readonly violation: Violation | null;
   readonly appended: number;
@@ -68,82 +69,92 @@
 
 type Node = {
   readonly cluster: Cluster;
-  /** How many operations of each line were begun. */
-  readonly begun: readonly number[];
-  readonly lost: number;
-  readonly repeated: number;
-  readonly beats: number;
+  /** How many operations of each sequence have begun. */
+  readonly begunCounts: readonly number[];
+  readonly lostReplies: number;
+  readonly repeatedRequests: number;
+  readonly ticks: number;
   readonly depth: number;
 };
 
-/** ms between two steps: longer than any wait, so that a beat always asks again. */
-const stepMillis = 2_000;
+/**
+ * The time between two steps, in milliseconds: longer than any retry interval, so that a tick
+ * always sends the request again.
+ */
+const stepMs = 2_000;
 
-const stepped = (node: Node, change: Partial<Node>): Node => {
+const withNextStep = (node: Node, change: Partial<Node>): Node => {
   const cluster = node.cluster.fork();
   cluster.step += 1;
-  cluster.now += stepMillis;
+  cluster.now += stepMs;
   return { ...node, ...change, cluster, depth: node.depth + 1 };
 };
 
-/** How one message is taken off the network. */
-type Delivery = { readonly isLost?: boolean; readonly keep?: boolean };
+/**
+ * How a message is delivered: whether the reply is lost, and whether a copy of the message stays on
+ * the network.
+ */
+type Delivery = { readonly isLost?: boolean; readonly keepsCopy?: boolean };
 
-/** Delivers a request and its answer in one step; the answer may get lost. */
+/**
+ * Delivers a message and, unless reads are delayed, its reply in one step; the reply may be lost.
+ */
 const exchange = (
   node: Node,
   index: number,
-  { isLost = false, keep = false }: Delivery,
+  { isLost = false, keepsCopy = false }: Delivery,
   delaysReads: boolean,
 ): Node => {
-  const next = stepped(node, {
-    lost: node.lost + (isLost ? 1 : 0),
-    repeated: node.repeated + (keep ? 1 : 0),
+  const next = withNextStep(node, {
+    lostReplies: node.lostReplies + (isLost ? 1 : 0),
+    repeatedRequests: node.repeatedRequests + (keepsCopy ? 1 : 0),
   });
   const { cluster } = next;
   const delivered = cluster.messages[index];
-  cluster.deliver(index, keep);
-  const answer = cluster.messages.length - 1;
-  const isAnswered = delivered?.kind === 'request' && cluster.messages[answer]?.kind === 'reply';
-  if (!isAnswered) return next;
+  cluster.deliver(index, keepsCopy);
+  const replyIndex = cluster.messages.length - 1;
+  const hasReply = delivered?.kind === 'request' && cluster.messages[replyIndex]?.kind === 'reply';
+  if (!hasReply) return next;
   if (isLost) {
-    cluster.drop(answer);
+    cluster.drop(replyIndex);
     cluster.timeOut(delivered);
-  } else if (!delaysReads || delivered.caller.kind === 'client') cluster.deliver(answer);
+  } else if (!delaysReads || delivered.requester.kind === 'client') cluster.deliver(replyIndex);
   return next;
 };
 
-const exchanges = (node: Node, bounds: Bounds): readonly Node[] => {
+const exchangeSteps = (node: Node, bounds: Bounds): readonly Node[] => {
   const deliveries: readonly Delivery[] = [
     {},
-    ...(node.lost < bounds.lost ? [{ isLost: true }] : []),
-    ...(node.repeated < bounds.repeated ? [{ keep: true }] : []),
+    ...(node.lostReplies < bounds.lostReplies ? [{ isLost: true }] : []),
+    ...(node.repeatedRequests < bounds.repeatedRequests ? [{ keepsCopy: true }] : []),
   ];
-  const delays = bounds.delaysReads === true;
+  const delaysReads = bounds.delaysReads === true;
   return node.cluster.messages.flatMap((_, index) =>
-    deliveries.map((delivery) => exchange(node, index, delivery, delays)),
+    deliveries.map((delivery) => exchange(node, index, delivery, delaysReads)),
   );
 };
 
-const waits = ({ running, state }: ModelReplica): boolean =>
-  running &&
+const isWaitingToVote = ({ isRunning, state }: ModelReplica): boolean =>
+  isRunning &&
   !isVotingMember(state) &&
   Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId);
 
-const beats = (node: Node, bounds: Bounds): readonly Node[] => {
-  if (node.beats >= bounds.beats) return [];
+const tickSteps = (node: Node, bounds: Bounds): readonly Node[] => {
+  if (node.ticks >= bounds.ticks) return [];
   return Object.values(node.cluster.replicas)
-    .filter(waits)
+    .filter(isWaitingToVote)
     .map(({ address }) => {
-      const next = stepped(node, { beats: node.beats + 1 });
-      next.cluster.tellReplica(address, { kind: 'tick', now: next.cluster.now });
+      const next = withNextStep(node, { ticks: node.ticks + 1 });
+      next.cluster.dispatchToReplica(address, { kind: 'tick', now: next.cluster.now });
       return next;
     });
 };
 
-const begin = (node: Node, line: number, operation: Operation): Node | null => {
-  const begun = node.begun.map((count, index) => (index === line ? count + 1 : count));
-  const next = stepped(node, { begun });
+const beginOperation = (node: Node, sequenceIndex: number, operation: Operation): Node | null => {
+  const begunCounts = node.begunCounts.map((count, index) =>
+    index === sequenceIndex ? count + 1 : count,
+  );
+  const next = withNextStep(node, { begunCounts });
   const { cluster } = next;
   if (operation.kind === 'wipe') cluster.wipe(operation.address);
   if (operation.kind === 'restart') {
@@ -154,19 +165,19 @@
   const client = cluster.clients[operation.name];
   const event = client === undefined ? null : operation.event(client, cluster);
   if (event === null) return null;
-  cluster.tellClient(operation.name, event);
+  cluster.dispatchToClient(operation.name, event);
   return next;
 };
 
-const beginnings = (node: Node, search: Search): readonly Node[] =>
-  search.lines.flatMap((line, index) => {
-    const operation = line[node.begun[index] ?? 0];
-    const next = operation === undefined ? null : begin(node, index, operation);
+const operationSteps = (node: Node, search: Search): readonly Node[] =>
+  search.sequences.flatMap((sequence, index) => {
+    const operation = sequence[node.begunCounts[index] ?? 0];
+    const next = operation === undefined ? null : beginOperation(node, index, operation);
     return next === null ? [] : [next];
   });
 
-/** Values never change, so what was made of one holds for good. */
-const remembered = <Value extends object>(
+/** Caches the text of each value; the values are immutable, so the text stays valid. */
+const memoized = <Value extends object>(
   textOf: (value: Value) => string,
 ): ((value: Value) => string) => {
   const texts = new WeakMap<Value, string>();
@@ -177,11 +188,13 @@
   };
 };
 
-const textOfTold = (told: CommittedMembership | null): string =>
-  told === null ? '-' : `${told.value.epoch}@${formatProposalNumber(told.proposalNumber)}`;
+const textOfMembership = (committed: CommittedMembership | null): string =>
+  committed === null
+    ? '-'
+    : `${committed.value.epoch}@${formatProposalNumber(committed.proposalNumber)}`;
 
-const textOfCell = (cell: RegisterState): string => {
-  const { promised, accepted } = cell;
+const textOfRegister = (register: RegisterState): string => {
+  const { promised, accepted } = register;
   if (accepted === null) return formatProposalNumber(promised);
   const value = accepted.value as { epoch?: number; disks?: unknown } | string;
   const text = typeof value === 'string' ? value : JSON.stringify(value.disks);
@@ -189,105 +202,125 @@
   return `${formatProposalNumber(promised)}:${formatProposalNumber(accepted.proposalNumber)}=${text}${copied}`;
 };
 
-const textOfState = remembered((state: ReplicaState): string => {
-  const cells = [...state.registers].map(([key, cell]) => `${key} ${textOfCell(cell)}`).sort();
+const textOfState = memoized((state: ReplicaState): string => {
+  const registers = [...state.registers]
+    .map(([key, register]) => `${key} ${textOfRegister(register)}`)
+    .sort();
   const readings = Object.entries(state.peerReads)
-    .map(([name, { state: how, diskId: disk, epoch, requestId: call }]) => [
+    .map(([name, { state: readState, diskId: disk, epoch, requestId: readRequestId }]) => [
       name,
-      how,
+      readState,
       disk,
       epoch,
-      call !== null,
+      readRequestId !== null,
     ])
     .sort();
   return JSON.stringify([
     state.diskId,
     state.isVoting,
     state.votingEpoch,
-    textOfTold(state.committedMembership),
-    cells,
+    textOfMembership(state.committedMembership),
+    registers,
     readings,
   ]);
 });
 
-const textOfClient = remembered((client: Client): string => {
+const textOfClient = memoized((client: Client): string => {
   const attempts = Object.values(client.attempts).map(({ goal, proposal }) => {
     const promises = Object.entries(proposal.prepareResponses)
-      .map(([place, { diskId: disk, vote }]) => [place, disk, JSON.stringify(vote)])
+      .map(([slot, { diskId: disk, vote }]) => [slot, disk, JSON.stringify(vote)])
       .sort();
-    const { proposalNumber, highestSeen: highest, phase } = proposal;
+    const { proposalNumber, highestSeen: highestNumber, phase } = proposal;
     const refusedBy = [...proposal.rejectedBy].sort();
     const accepts = [...proposal.acceptedBy].sort();
-    return [goal.kind, proposalNumber, highest, phase, refusedBy, promises, accepts];
+    return [goal.kind, proposalNumber, highestNumber, phase, refusedBy, promises, accepts];
   });
-  const { members, highest, data, views, leaseFrom } = client;
-  return JSON.stringify([textOfTold(members), highest, attempts, data, views, leaseFrom]);
+  const { members, highestNumber, data, views, leaseStartStep } = client;
+  return JSON.stringify([
+    textOfMembership(members),
+    highestNumber,
+    attempts,
+    data,
+    views,
+    leaseStartStep,
+  ]);
 });
 
-const textOfCall = remembered(({ purpose, to, body }: ClientCall): string =>
-  JSON.stringify([purpose, to, textOfTold(body.membership), body.operation]),
+const textOfCall = memoized(({ purpose, to, body }: ClientCall): string =>
+  JSON.stringify([purpose, to, textOfMembership(body.membership), body.operation]),
 );
 
-/** A call by which a replica reads another counts while the replica waits for its answer. */
+/** Describes the read of a replica, including whether the replica still waits for the reply. */
 const textOfRead = ({ from, to, id }: ReadCall, body: ReplicaRequest, cluster: Cluster): string => {
   const readings = Object.values(cluster.replicas[from]?.state.peerReads ?? {});
-  const isAwaited = readings.some(({ requestId: call }) => call === id);
-  return `${from} ${isAwaited} ${to} ${textOfTold(body.membership)}`;
+  const isAwaited = readings.some(({ requestId }) => requestId === id);
+  return `${from} ${isAwaited} ${to} ${textOfMembership(body.membership)}`;
 };
 
 const textOfMessage = (message: Message, cluster: Cluster): string => {
   if (message.kind === 'reply') return JSON.stringify(message);
-  const { caller, body } = message;
-  return caller.kind === 'client'
-    ? `${caller.name} ${textOfCall(caller.call)}`
-    : textOfRead(caller.read, body, cluster);
+  const { requester, body } = message;
+  return requester.kind === 'client'
+    ? `${requester.name} ${textOfCall(requester.call)}`
+    : textOfRead(requester.read, body, cluster);
 };
 
-const textOfHistory = remembered((history: History): string => {
-  const { accepts, chosen, appended, reads, begun, handedOver } = history;
+const textOfHistory = memoized((history: History): string => {
+  const { accepts, chosen, appended, reads, votingEpochs, handedOver } = history;
   const tallies = Object.entries(accepts).map(([name, { disks }]) => `${name} ${disks.join()}`);
-  const ballots = chosen.map(
+  const chosenNumbers = chosen.map(
     ({ key, proposalNumber }) => `${key} ${formatProposalNumber(proposalNumber)}`,
   );
   const ids = appended.map(({ id }) => id);
-  return JSON.stringify([tallies.sort(), ballots.sort(), ids.sort(), reads, begun, handedOver]);
+  return JSON.stringify([
+    tallies.sort(),
+    chosenNumbers.sort(),
+    ids.sort(),
+    reads,
+    votingEpochs,
+    handedOver,
+  ]);
 });
 
-/** Equal for two states that go on alike. */
-const digestOf = ({ cluster, begun, lost, repeated, beats: woken }: Node): string => {
+/** Returns a digest that is equal for two states with the same possible continuations. */
+const digestOf = ({ cluster, begunCounts, lostReplies, repeatedRequests, ticks }: Node): string => {
   const { replicas, clients, messages, history } = cluster;
   const parts = [
     ...Object.entries(replicas).map(([name, { state }]) => name + textOfState(state)),
     ...Object.values(clients).map(textOfClient),
     ...messages.map((message) => textOfMessage(message, cluster)).sort(),
     textOfHistory(history),
-    [...begun, lost, repeated, woken].join(),
+    [...begunCounts, lostReplies, repeatedRequests, ticks].join(),
   ];
   return createHash('md5').update(parts.join('\n')).digest('base64');
 };
 
 const isIdle = (message: Message, cluster: Cluster): boolean => {
-  if (message.caller.kind === 'replica') return isIdleRead(message.caller.read, cluster);
+  if (message.requester.kind === 'replica') return isIdleRead(message.requester.read, cluster);
   return isIdlePrepare(message, cluster);
 };
 
 const isIdleRead = ({ from, id }: ReadCall, { replicas }: Cluster): boolean =>
-  !Object.values(replicas[from]?.state.peerReads ?? {}).some(({ requestId: call }) => call === id);
+  !Object.values(replicas[from]?.state.peerReads ?? {}).some(({ requestId }) => requestId === id);
 
 const isIdlePrepare = (message: Message, { clients }: Cluster): boolean => {
-  if (message.kind === 'reply' || message.caller.kind === 'replica') return false;
-  const { name, call } = message.caller;
+  if (message.kind === 'reply' || message.requester.kind === 'replica') return false;
+  const { name, call } = message.requester;
   if (call.purpose.kind !== 'vote' || call.purpose.phase === 'accept') return false;
   const proposal = clients[name]?.attempts[call.purpose.attempt]?.proposal;
-  const isWanted =
+  const isAwaited =
     proposal?.phase === 'prepare' &&
     compareProposalNumbers(proposal.proposalNumber, call.purpose.proposalNumber) === 0;
-  return !isWanted;
+  return !isAwaited;
 };
 
-const nextOf = (node: Node, search: Search): readonly Node[] => {
+const nextNodes = (node: Node, search: Search): readonly Node[] => {
   const { bounds } = search;
-  const next = [...beats(node, bounds), ...beginnings(node, search), ...exchanges(node, bounds)];
+  const next = [
+    ...tickSteps(node, bounds),
+    ...operationSteps(node, search),
+    ...exchangeSteps(node, bounds),
+  ];
   if (!bounds.losesIdleCalls) return next;
   for (const { cluster } of next) {
     cluster.messages = cluster.messages.filter((message) => !isIdle(message, cluster));
@@ -296,15 +329,21 @@
 };
 
 /**
- * Looks at every state that the bounds allow, or until an invariant breaks.
+ * Explores every state that the bounds allow, or until an invariant is violated.
  *
  * @example
  * explore(search).violation // null
  */
 export const explore = (search: Search): SearchFigures => {
-  const { start, lines, bounds, watched } = search;
-  const first = { cluster: start, begun: lines.map(() => 0), lost: 0, repeated: 0, beats: 0 };
-  const work: Node[] = [{ ...first, depth: 0 }];
+  const { start, sequences, bounds, watched } = search;
+  const first = {
+    cluster: start,
+    begunCounts: sequences.map(() => 0),
+    lostReplies: 0,
+    repeatedRequests: 0,
+    ticks: 0,
+  };
+  const pendingNodes: Node[] = [{ ...first, depth: 0 }];
   const seen = new Set<string>();
   let [depth, appended, epochs] = [0, 0, 0];
   const figures = (complete: boolean, violation: Violation | null): SearchFigures => ({
@@ -315,10 +354,10 @@
     appended,
     epochs,
   });
-  for (let node = work.pop(); node !== undefined; node = work.pop()) {
+  for (let node = pendingNodes.pop(); node !== undefined; node = pendingNodes.pop()) {
     const digest = digestOf(node);
     if (seen.has(digest)) continue;
-    if (seen.size >= bounds.states) return figures(false, null);
+    if (seen.size >= bounds.maxStates) return figures(false, null);
     seen.add(digest);
     const { history } = node.cluster;
     depth = Math.max(depth, node.depth);
@@ -328,7 +367,7 @@
       ({ invariant }) => watched?.includes(invariant) ?? true,
     );
     if (violation !== undefined) return figures(true, violation);
-    work.push(...nextOf(node, search));
+    pendingNodes.push(...nextNodes(node, search));
   }
   return figures(true, null);
 };
