--- a/packages/agent/src/membership/membership.test.ts
+++ b/packages/agent/src/membership/membership.test.ts
@@ -66,7 +66,7 @@
         this.proposals.push(`${String(effect.fields.instead)} by ${String(effect.fields.member)}`);
       }
       if (effect.kind !== 'send-request' || effect.path !== '/replica') continue;
-      const { operation: operation, membership: requestMembership } = effect.request;
+      const { operation, membership: requestMembership } = effect.request;
       const isMembershipPrepare = operation.kind === 'prepare' && operation.key === 'members';
       if (isMembershipPrepare) this.membershipPrepares.push({ at: this.now, to: effect.to });
       const reply = isMembershipPrepare ? null : this.#replyOf(effect.to, requestMembership);
@@ -94,7 +94,7 @@
     if (requestMembership === null)
       return { kind: 'newer-membership', diskId: diskId, membership: committed };
     const stoppingFlag = behavior === 'leaving' ? { isStopping: true as const } : {};
-    const acceptedNumbers = { requestMembership: committed.proposalNumber };
+    const acceptedNumbers = { members: committed.proposalNumber };
     return {
       kind: 'polled',
       diskId: diskId,
