--- a/packages/replica/src/members.test.ts
+++ b/packages/replica/src/membership.test.ts
@@ -16,7 +16,7 @@
   membershipKey,
 } from './membership.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
-import { openReplica } from './open.js';
+import { openReplica } from './open-replica.js';
 import { reduceReplica } from './reducer.js';
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
