--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -259,8 +259,8 @@
     if (membership !== null && membership !== before.committedMembership) {
       this.history = recordMembership(this.history, disk, membership.value);
     }
-    const hasBegunVoting = isVoting && (!before.isVoting || votingEpoch !== before.votingEpoch);
-    if (!hasBegunVoting || membership === null) return;
+    const startsVoting = isVoting && (!before.isVoting || votingEpoch !== before.votingEpoch);
+    if (!startsVoting || membership === null) return;
     this.history = recordVotingStart(this.history, disk, membership.value);
   }
 
