--- a/packages/agent/src/membership/membership-handover.test.ts
+++ b/packages/agent/src/membership/membership-handover.test.ts
@@ -128,7 +128,7 @@
   // d replaces c: it reads a, then c, and starts to vote.
   replace(cluster, { replacedSlot: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
   announceMembersTo(cluster, 'd', ['a', 'c']);
-  t.true(cluster.replicas.d?.state.isVoting);
+  t.true(cluster.replicas.d?.state.hasBegunVoting);
   // p retries with a and d, then q with b and d.
   for (const [name, address] of [
     ['p', 'a'],
@@ -156,7 +156,7 @@
   announceMembersTo(cluster, 'd', ['c']);
   replace(cluster, { replacedSlot: 'd', address: 'e', disk: 'disk-5' }, ['a', 'b']);
   announceMembersTo(cluster, 'e', ['a', 'b']);
-  t.true(cluster.replicas.e?.state.isVoting);
+  t.true(cluster.replicas.e?.state.hasBegunVoting);
   // b and e choose a value; a receives none of the messages.
   learnMembersFrom(cluster, 'p', 'b');
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['b', 'e']);
--- a/packages/agent/src/membership/membership-reoffer.test.ts
+++ b/packages/agent/src/membership/membership-reoffer.test.ts
@@ -94,7 +94,7 @@
   replace(cluster, 'd', ['e', 'disk-5'], ['d']);
   announceMembersTo(cluster, 'e', ['d']);
   settle(cluster, ['d']);
-  t.true(cluster.replicas.e?.state.isVoting);
+  t.true(cluster.replicas.e?.state.hasBegunVoting);
   // b and e choose a value; a receives none of the messages.
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['a', 'd']);
   t.deepEqual(
--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -247,19 +247,25 @@
     finalTransition.effects.forEach((effect) => this.#sendReadRequest(replica, effect));
     if (this.syncMode === 'at-once') this.sync(replica.address);
     const hasChanged =
-      appendedRecords.length > 0 || finalTransition.state.isVoting !== replica.state.isVoting;
+      appendedRecords.length > 0 ||
+      finalTransition.state.hasBegunVoting !== replica.state.hasBegunVoting;
     this.#recordVotingStart(replica.state, finalTransition.state);
     if (hasChanged) this.checkQuorums();
   }
 
   #recordVotingStart(
     before: ReplicaState,
-    { isVoting, votingEpoch, diskId: disk, committedMembership: membership }: ReplicaState,
+    {
+      hasBegunVoting: isVoting,
+      votingEpoch,
+      diskId: disk,
+      committedMembership: membership,
+    }: ReplicaState,
   ): void {
     if (membership !== null && membership !== before.committedMembership) {
       this.history = recordMembership(this.history, disk, membership.value);
     }
-    const startsVoting = isVoting && (!before.isVoting || votingEpoch !== before.votingEpoch);
+    const startsVoting = isVoting && (!before.hasBegunVoting || votingEpoch !== before.votingEpoch);
     if (!startsVoting || membership === null) return;
     this.history = recordVotingStart(this.history, disk, membership.value);
   }
--- a/packages/agent/src/testing/membership-founding.ts
+++ b/packages/agent/src/testing/membership-founding.ts
@@ -76,7 +76,8 @@
         now: 0,
       };
       const { state } = openReplica(parts);
-      if (!state.isVoting) throw new Error(`${address} is not a voting member after the founding`);
+      if (!state.hasBegunVoting)
+        throw new Error(`${address} is not a voting member after the founding`);
       const diskNumber = index + 1;
       return [address, { ...idleReplica, address, diskNumber, state, durable }];
     }),
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -368,7 +368,9 @@
   const memberDisks = Object.values(members.disks);
   const voters = disks.filter(
     (state) =>
-      state.isVoting && memberDisks.includes(state.diskId) && wouldReplyAsMember(state, members),
+      state.hasBegunVoting &&
+      memberDisks.includes(state.diskId) &&
+      wouldReplyAsMember(state, members),
   );
   return voters.length >= majorityOf(memberDisks.length) ? voters : [];
 };
--- a/packages/agent/src/testing/membership-mutations.ts
+++ b/packages/agent/src/testing/membership-mutations.ts
@@ -48,7 +48,7 @@
     committed !== null &&
     request.membership !== null &&
     isNewerMembership(committed, request.membership);
-  return isOlder && state.isVoting ? { ...request, membership: committed } : request;
+  return isOlder && state.hasBegunVoting ? { ...request, membership: committed } : request;
 };
 
 const isMembershipProposal = ({ operation: operation }: ReplicaRequest): boolean =>
@@ -65,7 +65,7 @@
   (requiredReads: (members: number) => number) =>
   (_before: ReplicaState, transition: ReplicaTransition): ReplicaTransition => {
     const { state } = transition;
-    if (state.isVoting || state.committedMembership === null || !isNamedInMembership(state))
+    if (state.hasBegunVoting || state.committedMembership === null || !isNamedInMembership(state))
       return transition;
     const { epoch, disks } = state.committedMembership.value;
     const doneReads = Object.values(state.peerReads).filter(
@@ -75,7 +75,7 @@
     const append = { kind: 'append-records', records: [{ kind: 'voting-begun' }] } as const;
     const votingEpoch = state.committedMembership.value.epoch;
     return {
-      state: { ...state, isVoting: true, votingEpoch, peerReads: {} },
+      state: { ...state, hasBegunVoting: true, votingEpoch, peerReads: {} },
       effects: [...transition.effects, append],
     };
   };
@@ -84,7 +84,7 @@
   before: ReplicaState,
   transition: ReplicaTransition,
 ): ReplicaTransition => {
-  if (!before.isVoting || transition.state.isVoting) return transition;
+  if (!before.hasBegunVoting || transition.state.hasBegunVoting) return transition;
   const records: readonly ReplicaRecord[] = [{ kind: 'disk-erased', diskId: before.diskId }];
   const renamed = transition.effects.map((effect) =>
     effect.kind === 'append-records' &&
@@ -108,7 +108,8 @@
   );
 };
 
-const isRetired = (state: ReplicaState): boolean => state.isVoting && !isNamedInMembership(state);
+const isRetired = (state: ReplicaState): boolean =>
+  state.hasBegunVoting && !isNamedInMembership(state);
 
 /**
  * Makes a replica that learns of a membership without it send its reply, but keep its state and
@@ -118,7 +119,11 @@
   before: ReplicaState,
   transition: ReplicaTransition,
 ): ReplicaTransition => {
-  if (!before.isVoting || !isNamedInMembership(before) || isNamedInMembership(transition.state))
+  if (
+    !before.hasBegunVoting ||
+    !isNamedInMembership(before) ||
+    isNamedInMembership(transition.state)
+  )
     return transition;
   const effects = transition.effects.filter(({ kind }) => kind === 'send-reply');
   return { state: before, effects };
@@ -237,7 +242,7 @@
   votesInAnySlot: {
     name: 'a disk votes in every slot after it has voted in one',
     alterTransition: (_before, transition) =>
-      transition.state.isVoting
+      transition.state.hasBegunVoting
         ? { ...transition, state: { ...transition.state, votingEpoch: Infinity } }
         : transition,
   },
--- a/packages/agent/src/testing/membership-random.ts
+++ b/packages/agent/src/testing/membership-random.ts
@@ -147,7 +147,7 @@
   /** Returns disks without a slot, as gossip would report them. */
   blankDisks(draw: Draw): readonly BlankDisk[] {
     const currentlyBlank = Object.values(this.cluster.replicas)
-      .filter(({ isRunning, state }) => isRunning && !state.isVoting)
+      .filter(({ isRunning, state }) => isRunning && !state.hasBegunVoting)
       .map(({ address, state }) => ({ address, disk: state.diskId }));
     if (this.#options.offeredDisks === 'never-named')
       return currentlyBlank.filter((blankDisk) => !this.#wasNamed(blankDisk));
@@ -187,7 +187,9 @@
     const { state } = openReplica(parts);
     const slot = Object.keys(members.disks).find((name) => members.disks[name] === state.diskId);
     return (
-      state.isVoting && slot !== undefined && (members.joinedIn?.[slot] ?? 0) <= state.votingEpoch
+      state.hasBegunVoting &&
+      slot !== undefined &&
+      (members.joinedIn?.[slot] ?? 0) <= state.votingEpoch
     );
   }
 
@@ -233,7 +235,7 @@
 const tickReplica = (run: Run, draw: Draw): void => {
   const { cluster } = run;
   const running = Object.values(cluster.replicas).filter((candidate) => candidate.isRunning);
-  const notVoting = running.filter(({ state }) => !state.isVoting);
+  const notVoting = running.filter(({ state }) => !state.hasBegunVoting);
   const replica = draw.pick(notVoting.length > 0 && draw.next() < 0.8 ? notVoting : running);
   if (replica === undefined) return;
   cluster.dispatchToReplica(replica.address, { kind: 'tick', now: cluster.now });
@@ -251,7 +253,7 @@
   if (!replica.isRunning) {
     cluster.start(replica.address);
     const isMember = Object.values(run.newestMembers().disks).includes(replica.state.diskId);
-    if (replica.state.isVoting && !isMember) run.returns += 1;
+    if (replica.state.hasBegunVoting && !isMember) run.returns += 1;
   } else if (draw.next() < crashProbability) {
     cluster.stop(replica.address, draw.index(replica.unsynced.length + 1));
     run.crashes += 1;
--- a/packages/agent/src/testing/membership-search.ts
+++ b/packages/agent/src/testing/membership-search.ts
@@ -217,7 +217,7 @@
     .sort();
   return JSON.stringify([
     state.diskId,
-    state.isVoting,
+    state.hasBegunVoting,
     state.votingEpoch,
     textOfMembership(state.committedMembership),
     registers,
--- a/packages/replica/src/page-read-handler.ts
+++ b/packages/replica/src/page-read-handler.ts
@@ -13,7 +13,7 @@
 export const buildNotAMemberReply = (state: ReplicaState): ReplicaReply => ({
   kind: 'not-a-member',
   diskId: state.diskId,
-  isBlank: !state.isVoting,
+  isBlank: !state.hasBegunVoting,
   knowsMembership: state.committedMembership !== null,
 });
 
--- a/packages/replica/src/peers.ts
+++ b/packages/replica/src/peers.ts
@@ -14,7 +14,7 @@
   state.bootstrap.isFirstStart &&
   state.bootstrap.seeds.includes(state.bootstrap.address) &&
   state.committedMembership === null &&
-  !state.isVoting;
+  !state.hasBegunVoting;
 
 /** This replica's slot in the membership that it knows, and that membership. */
 export const slotAssignmentOf = (
--- a/packages/replica/src/request-handler.ts
+++ b/packages/replica/src/request-handler.ts
@@ -72,7 +72,8 @@
   const { diskId } = state;
   // A blank disk that members find from seeds tells a sender of older members which are in force.
   const isOlder = isFromOlderMembership(state, request);
-  if (!state.isVoting && (state.bootstrap === null || !isOlder)) return buildNotAMemberReply(state);
+  if (!state.hasBegunVoting && (state.bootstrap === null || !isOlder))
+    return buildNotAMemberReply(state);
   if (isOlder) return { kind: 'newer-membership', diskId, membership: state.committedMembership };
   if (operation.kind === 'restore') return null;
   if (!isForMembership(operation) && now < state.recoveringUntil)
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -112,7 +112,7 @@
     },
   );
   setInterval(() => replica.tick(), replicaTickIntervalMs);
-  const { diskId: disk, isVoting: voting } = opened.state;
+  const { diskId: disk, hasBegunVoting: voting } = opened.state;
   logger.info('started', { port: listening.port, disk, voting });
   stopOnSignals(replica, leave);
 };
--- a/packages/replica/src/stored-data.test.ts
+++ b/packages/replica/src/stored-data.test.ts
@@ -24,7 +24,7 @@
 
 const summaryOf = (state: ReplicaState): Expected['summary'] => ({
   disk: state.diskId,
-  voting: state.isVoting,
+  voting: state.hasBegunVoting,
   votingEpoch: state.votingEpoch,
   epoch: state.committedMembership?.value.epoch ?? null,
   seq: state.lastSequence,
--- a/packages/replica/src/voting.ts
+++ b/packages/replica/src/voting.ts
@@ -55,9 +55,9 @@
 };
 
 const beginVoting = (transition: Transition, startedAs: VotingStart, now: number): void => {
-  if (transition.state.isVoting) disownVotes(transition, now);
+  if (transition.state.hasBegunVoting) disownVotes(transition, now);
   const epoch = transition.state.committedMembership?.value.epoch ?? 0;
-  update(transition, { isVoting: true, votingEpoch: epoch, peerReads: {} });
+  update(transition, { hasBegunVoting: true, votingEpoch: epoch, peerReads: {} });
   const { diskId, registers } = transition.state;
   transition.effects.push(
     { kind: 'append-records', records: [{ kind: 'voting-begun', epoch }] },
