--- a/packages/agent/src/membership/membership-search.test.ts
+++ b/packages/agent/src/membership/membership-search.test.ts
@@ -96,8 +96,9 @@
 }
 
 /**
- * More states than the search needs to find an injected fault. The complete search takes far
- * longer, with more than 100,000 states.
+ * The maximum number of states in the search with two replacements: more than the search needs to
+ * find an injected fault. The complete search, with more than 100,000 states, takes far longer and
+ * runs only with `MEMBERSHIP_MODEL=whole`.
  */
 const maxStatesOfTwoReplacements = process.env.MEMBERSHIP_MODEL === 'whole' ? 1_000_000 : 20_000;
 
@@ -110,15 +111,15 @@
   t.is(figures.epochs, 3);
 });
 
-/** Faults that do no harm alone, because another safeguard prevents it. */
-const redundantSafeguards: readonly (readonly [Mutation, Scenario])[] = [
+/** Faults that violate no invariant alone, because another safeguard prevents it. */
+const harmlessFaults: readonly (readonly [Mutation, Scenario])[] = [
   [mutations.acceptsForAnyDisk, rejoinAfterWipe],
   [mutations.keepsPromises, rejoinAfterWipe],
   [mutations.copiesNoPromises, rejoinAfterWipe],
   [mutations.copiesNoPromises, replaceWhileAppending],
 ];
 
-for (const [index, [mutation, scenario]] of redundantSafeguards.entries()) {
+for (const [index, [mutation, scenario]] of harmlessFaults.entries()) {
   test(`search: this fault alone violates no invariant (${index}): ${mutation.name}`, (t) => {
     const figures = explore(scenario(mutation, bounds));
     logSearch(t, figures);
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -266,7 +266,7 @@
 
 /**
  * Checks a disk that replies as a member: it must have started to vote since it became one, and
- * must not have handed over its slot.
+ * must not reply in an epoch before the one in which it handed over its slot.
  */
 export const checkVoting = (
   history: History,
