--- a/packages/attempts/src/attempts.test.ts
+++ b/packages/attempts/src/attempts.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
 import { type Attempt, type AttemptResult, decideNextStep, shouldHedge } from './index.js';
 
-const attempt = (number: number, end: AttemptResult | null): Attempt => ({
+const attempt = (number: number, result: AttemptResult | null): Attempt => ({
   number,
   to: { kind: 'origin', id: `o${number}` },
   openedAt: 0,
   timeoutAt: 10,
-  result: end,
+  result,
 });
-const ends: readonly AttemptResult[] = [
+const results: readonly AttemptResult[] = [
   { kind: 'failed', sent: 'nothing', why: 'connect' },
   { kind: 'failed', sent: 'maybe', why: 'cut' },
   { kind: 'failed', sent: 'maybe', why: 'limit' },
@@ -16,37 +16,36 @@
   { kind: 'answered', status: 503, final: false, provablyNotExecuted: true },
   { kind: 'answered', status: 503, final: false, provablyNotExecuted: false },
 ];
-const ran = (end: AttemptResult): boolean =>
-  end.kind === 'failed' ? end.sent === 'maybe' : !end.provablyNotExecuted;
+const mayHaveRun = (result: AttemptResult): boolean =>
+  result.kind === 'failed' ? result.sent === 'maybe' : !result.provablyNotExecuted;
 
-test('over every ledger of up to three attempts: an unsafe one is never made again once an attempt may have run', (t) => {
-  const ledgers = ends.flatMap((a) => [
+test('for every sequence of up to three attempts, an unsafe request is never repeated once an attempt may have run', (t) => {
+  const ledgers = results.flatMap((a) => [
     [a],
-    ...ends.flatMap((b) => [[a, b], ...ends.map((c) => [a, b, c])]),
+    ...results.flatMap((b) => [[a, b], ...results.map((c) => [a, b, c])]),
   ]);
   t.is(ledgers.length, 6 + 36 + 216);
-  for (const list of ledgers) {
+  for (const ledger of ledgers) {
     for (const hasRetryBudget of [true, false]) {
-      const attempts = list.map((end, index) => attempt(index, end));
-      const move = decideNextStep({
+      const attempts = ledger.map((result, index) => attempt(index, result));
+      const step = decideNextStep({
         safe: false,
         attempts,
         now: 5,
         requestDeadlineAt: 9,
         hasRetryBudget: hasRetryBudget,
       });
-      if (list.some(ran) && move.kind === 'open') t.fail(JSON.stringify(list));
-      // A 503 tells "not run", and is told only where no attempt may have run; nothing else claims
-      // it.
-      if (move.kind === 'fail') t.is(move.status === 503, !list.some(ran));
-      if (move.kind === 'fail') t.is(move.outcome === 'not-run', !list.some(ran));
-      if (!hasRetryBudget) t.not(move.kind, 'open');
+      if (ledger.some(mayHaveRun) && step.kind === 'open') t.fail(JSON.stringify(ledger));
+      // A 503 and the outcome "not-run" appear exactly when no attempt may have run.
+      if (step.kind === 'fail') t.is(step.status === 503, !ledger.some(mayHaveRun));
+      if (step.kind === 'fail') t.is(step.outcome === 'not-run', !ledger.some(mayHaveRun));
+      if (!hasRetryBudget) t.not(step.kind, 'open');
     }
   }
 });
 
-test('a safe one is made again within its limit and budget, then given up at once', (t) => {
-  const attempts = [attempt(0, ends[1] ?? null)];
+test('a safe request is retried within its deadline, retry budget and number of attempts, and fails beyond them', (t) => {
+  const attempts = [attempt(0, results[1] ?? null)];
   t.is(
     decideNextStep({ safe: true, attempts, now: 5, requestDeadlineAt: 9, hasRetryBudget: true })
       .kind,
@@ -75,7 +74,7 @@
   t.is(
     decideNextStep({
       safe: true,
-      attempts: [0, 1, 2].map((n) => attempt(n, ends[1] ?? null)),
+      attempts: [0, 1, 2].map((number) => attempt(number, results[1] ?? null)),
       now: 5,
       requestDeadlineAt: 9,
       hasRetryBudget: true,
@@ -84,13 +83,13 @@
   );
 });
 
-test('beside a silent attempt a second one is made for a safe request alone, and nothing is given up while one is under way', (t) => {
-  const silent = attempt(0, null);
+test('only a safe request is hedged, and no request fails while an attempt is in flight', (t) => {
+  const unresponsive = attempt(0, null);
   const hedge = {
     safe: true,
-    attempts: [silent],
+    attempts: [unresponsive],
     now: 5,
-    limitAt: 9,
+    requestDeadlineAt: 9,
     hasRetryBudget: true,
     hedgeDelayMs: 5,
   };
@@ -100,15 +99,15 @@
   t.false(shouldHedge({ ...hedge, now: 4 }));
   t.false(shouldHedge({ ...hedge, now: 9 }));
   t.false(shouldHedge({ ...hedge, maxAttempts: 1 }));
-  t.false(shouldHedge({ ...hedge, attempts: [silent, attempt(1, null)] }));
-  for (const end of ends) {
-    const move = decideNextStep({
+  t.false(shouldHedge({ ...hedge, attempts: [unresponsive, attempt(1, null)] }));
+  for (const result of results) {
+    const step = decideNextStep({
       safe: true,
-      attempts: [silent, attempt(1, end)],
+      attempts: [unresponsive, attempt(1, result)],
       now: 5,
       requestDeadlineAt: 9,
       hasRetryBudget: true,
     });
-    t.is(move.kind, end.kind === 'answered' && end.final ? 'relay' : 'wait');
+    t.is(step.kind, result.kind === 'answered' && result.final ? 'relay' : 'wait');
   }
 });
--- a/packages/attempts/src/attempts.ts
+++ b/packages/attempts/src/attempts.ts
@@ -1,7 +1,10 @@
-/** Attempts of a request: whether there is another one, and whether there is a hedge. */
+/**
+ * The attempts of a request: whether it gets another one, and whether it gets a hedge, which is a
+ * second attempt beside one that is still in flight.
+ */
 
-/** How far a failed attempt may have got. */
-export type Sent = 'nothing' | 'maybe';
+/** How much of a failed attempt may have reached its target. */
+export type SendProgress = 'nothing' | 'maybe';
 
 /** How an attempt ended. */
 export type AttemptResult =
@@ -10,10 +13,13 @@
       readonly status: number;
       readonly final: boolean;
       readonly provablyNotExecuted: boolean;
-      /** Attempts at origins that a peer says it made for this answer; null where nobody says. */
+      /**
+       * Attempts at origins that a peer reports to have made for this response; null if it reports
+       * none.
+       */
       readonly consumedAttempts?: number | null;
     }
-  | { readonly kind: 'failed'; readonly sent: Sent; readonly why: string };
+  | { readonly kind: 'failed'; readonly sent: SendProgress; readonly why: string };
 
 /** One attempt of a request. */
 export type Attempt = {
@@ -23,15 +29,19 @@
   readonly timeoutAt: number;
   readonly result: AttemptResult | null;
   /**
-   * Attempts at origins that may be made through this one: those granted to a peer. Left out: one.
+   * How many attempts at origins may be made through this one: the number granted to a peer.
+   * Defaults to 1.
    */
   readonly delegatedAttempts?: number;
 };
 
-/** What a caller learns of a request that was given up. */
+/** What a client is told about the execution of a request that failed. */
 export type Outcome = 'not-run' | 'unknown';
 
-/** What follows from the attempts so far: another attempt, a wait, an answer, or a failure. */
+/**
+ * The next step of a request: open another attempt, wait for those in flight, relay a response, or
+ * fail.
+ */
 export type RetryDecision =
   | { readonly kind: 'open' }
   | { readonly kind: 'wait' }
@@ -43,20 +53,20 @@
       readonly why: string;
     };
 
-/** Attempts of one request at most, where its route does not say. */
+/** The maximum number of attempts of a request, unless its route sets another one. */
 const defaultMaxAttempts = 3;
 
-/** What the client may be told: `not-run` only if every attempt provably executed nothing. */
+/** The outcome to report to the client: `not-run` only if every attempt provably executed nothing. */
 export const outcomeOf = (attempts: readonly Attempt[]): Outcome =>
-  attempts.every(({ result: end }) =>
-    end !== null && end.kind === 'failed'
-      ? end.sent === 'nothing'
-      : end !== null && end.provablyNotExecuted,
+  attempts.every(({ result }) =>
+    result !== null && result.kind === 'failed'
+      ? result.sent === 'nothing'
+      : result !== null && result.provablyNotExecuted,
   )
     ? 'not-run'
     : 'unknown';
 
-/** Attempts at origins that one attempt has used up, or may still use. */
+/** The number of attempts at origins that one attempt has consumed or may still consume. */
 const consumedBy = (attempt: Attempt): number => {
   const granted = attempt.delegatedAttempts ?? 1;
   if (attempt.to.kind === 'origin' || attempt.result === null) return granted;
@@ -64,29 +74,34 @@
   return Math.min(granted, attempt.result.consumedAttempts ?? granted);
 };
 
-/** @example isIdempotentMethod('GET') // true */
+/**
+ * Whether a method is safe to repeat by its definition alone.
+ *
+ * @example
+ * isIdempotentMethod('GET') // true
+ */
 export const isIdempotentMethod = (method: string): boolean =>
   method === 'GET' || method === 'HEAD' || method === 'OPTIONS';
 
 /**
- * Attempts at origins that a request has used up over all nodes, as far as this node can know: a
- * peer holds what it was granted until its answer says what it used, and for ever where no answer
- * comes.
+ * The number of attempts at origins that a request has consumed over all nodes, as far as this node
+ * can know. Attempts granted to a peer count as consumed until its response reports how many it
+ * made, and forever if no response arrives.
  *
  * @example
- * consumedAttempts([originAttempt, peerAttemptGrantedTwoUnanswered]) // 3
+ * consumedAttempts([originAttempt, peerAttemptGrantedTwoInFlight]) // 3
  */
 export const consumedAttempts = (attempts: readonly Attempt[]): number =>
   attempts.reduce((sum, attempt) => sum + consumedBy(attempt), 0);
 
 /**
- * The next move, from the ledger alone. An unsafe request gets a second attempt only if every
- * attempt before it provably ran nothing.
+ * Decides the next step of a request from its attempts alone. A request that isn't safe to repeat
+ * gets another attempt only if every previous attempt provably executed nothing.
  *
  * @example
- * nextMove({ safe: false, attempts: [failedAttempt('maybe')], now: 5, limitAt: 9, mayRepeat: true }) // give-up, 502, unknown
+ * decideNextStep({ safe: false, attempts: [failedAttempt('maybe')], now: 5, requestDeadlineAt: 9, hasRetryBudget: true }) // fail, 502, unknown
  */
-export const nextMove = (ledger: {
+export const decideNextStep = (ledger: {
   readonly safe: boolean;
   readonly attempts: readonly Attempt[];
   readonly now: number;
@@ -97,55 +112,57 @@
   const { attempts } = ledger;
   const last = attempts.at(-1);
   const outcome = outcomeOf(attempts);
-  const giveUp = (why: string, late: boolean): RetryDecision => ({
+  const fail = (reason: string, isTimeout: boolean): RetryDecision => ({
     kind: 'fail',
-    status: outcome === 'not-run' ? 503 : late ? 504 : 502,
+    status: outcome === 'not-run' ? 503 : isTimeout ? 504 : 502,
     outcome,
-    why,
+    why: reason,
   });
   if (last === undefined)
     return ledger.now >= ledger.requestDeadlineAt
-      ? giveUp('the limit was reached before an attempt was made', true)
+      ? fail('the deadline passed before an attempt was made', true)
       : { kind: 'open' };
   if (attempts.some((attempt) => attempt.result?.kind === 'answered' && attempt.result.final))
     return { kind: 'relay' };
   if (last.result === null || attempts.some((attempt) => attempt.result === null))
     return { kind: 'wait' };
-  const why = last.result.kind === 'failed' ? last.result.why : `answered ${last.result.status}`;
-  const late = last.result.kind === 'failed' && last.result.why === 'limit';
-  if (!ledger.safe && outcome === 'unknown') return giveUp(why, late);
-  if (ledger.now >= ledger.requestDeadlineAt) return giveUp(why, true);
-  if (attempts.length >= (ledger.maxAttempts ?? defaultMaxAttempts)) return giveUp(why, late);
-  if (!ledger.hasRetryBudget) return giveUp(why, late);
+  const reason = last.result.kind === 'failed' ? last.result.why : `answered ${last.result.status}`;
+  const isTimeout = last.result.kind === 'failed' && last.result.why === 'limit';
+  if (!ledger.safe && outcome === 'unknown') return fail(reason, isTimeout);
+  if (ledger.now >= ledger.requestDeadlineAt) return fail(reason, true);
+  if (attempts.length >= (ledger.maxAttempts ?? defaultMaxAttempts)) return fail(reason, isTimeout);
+  if (!ledger.hasRetryBudget) return fail(reason, isTimeout);
   return { kind: 'open' };
 };
 
 /**
- * Whether a second attempt may be made beside one that is silent (a hedge): only where running
- * twice does no harm, only beside a single one, and only while its answer could still be of use.
+ * Whether a hedge may be opened beside an attempt that has not been answered for `hedgeDelayMs`:
+ * only if executing the request twice does no harm, beside a single attempt in flight, and before
+ * the request's deadline.
  *
  * @example
- * shouldHedge({ safe: true, attempts: [silentAttempt], now: 200, limitAt: 800, mayRepeat: true, silentMs: 150 }) // true
+ * shouldHedge({ safe: true, attempts: [attemptInFlight], now: 200, requestDeadlineAt: 800, hasRetryBudget: true, hedgeDelayMs: 150 }) // true
  */
 export const shouldHedge = (ledger: {
   readonly safe: boolean;
   readonly attempts: readonly Attempt[];
   readonly now: number;
-  readonly limitAt: number;
+  readonly requestDeadlineAt: number;
   readonly hasRetryBudget: boolean;
   readonly maxAttempts?: number;
-  /** ms after which an attempt counts as silent. */ readonly hedgeDelayMs: number;
+  /** How long an attempt may take before it is hedged, in milliseconds. */
+  readonly hedgeDelayMs: number;
 }): boolean => {
   const { attempts } = ledger;
-  const live = attempts.filter((attempt) => attempt.result === null);
-  const [only] = live;
+  const inFlight = attempts.filter((attempt) => attempt.result === null);
+  const [single] = inFlight;
   return (
     ledger.safe &&
     ledger.hasRetryBudget &&
-    live.length === 1 &&
-    only !== undefined &&
+    inFlight.length === 1 &&
+    single !== undefined &&
     attempts.length < (ledger.maxAttempts ?? defaultMaxAttempts) &&
-    ledger.now < ledger.limitAt &&
-    ledger.now - only.openedAt >= ledger.hedgeDelayMs
+    ledger.now < ledger.requestDeadlineAt &&
+    ledger.now - single.openedAt >= ledger.hedgeDelayMs
   );
 };
--- a/packages/attempts/src/index.ts
+++ b/packages/attempts/src/index.ts
@@ -1,13 +1,13 @@
-/** Attempts of a request: whether there is another one, and whether there is a hedge. */
+/** Retry and hedging decisions for the attempts of a request. */
 export {
   type Attempt,
   type AttemptResult,
   consumedAttempts,
+  decideNextStep,
   isIdempotentMethod,
-  nextMove as decideNextStep,
   type Outcome,
   outcomeOf,
   type RetryDecision,
-  type Sent as SendProgress,
+  type SendProgress,
   shouldHedge,
 } from './attempts.js';
--- a/packages/cache/src/cache.ts
+++ b/packages/cache/src/cache.ts
@@ -1,57 +1,63 @@
-/** The shared cache of a proxy: what is kept, and for how long. */
+/** The shared HTTP cache of a proxy: which responses it stores, and for how long. */
 
 import CachePolicy from 'http-cache-semantics';
-import { Map as Table, OrderedMap, Set as Group } from 'immutable';
+import { Map as ImmutableMap, OrderedMap, Set as ImmutableSet } from 'immutable';
 
 /**
- * ms. Purges are remembered this long: as long as the journal keeps them, so that an answer that
- * was fetched before a purge is not kept after it.
+ * How long applied purges are remembered, in milliseconds. The journal retains purges for the same
+ * time, so a response that was fetched before a purge is not stored after it.
  */
 export const purgeRetentionMs = 60_000;
 
-/** bytes. All copies of one proxy. */
+/** The maximum total size of the cached responses of one proxy, in bytes. */
 export const maxCacheBytes = 256 * 1024 * 1024;
 
+/** Header fields by lower-case name. */
 export type Headers = Readonly<Record<string, string | readonly string[] | undefined>>;
 
-/** A kept answer. The body is only carried; who carries it knows what it is. */
-export type Copy = {
+/** A cached response. The cache never reads the body; its type is known to the cache's user alone. */
+export type CachedResponse = {
   readonly key: string;
-  /** The service that it came from. */
+  /** The service whose origin sent the response. */
   readonly service: string;
   readonly status: number;
   readonly headers: Headers;
   readonly body: unknown;
   readonly sizeBytes: number;
   readonly tags: readonly string[];
-  /** Request fields that the answer varies by, with the values it was made for. */
+  /** The request header fields that the response varies by, with the values of its own request. */
   readonly vary: Readonly<Record<string, string>>;
-  /** ms, monotonic: taken at, and fresh until. */
+  /** When the response was stored, in milliseconds of the monotonic clock. */
   readonly storedAt: number;
+  /** Until when the response is fresh, in milliseconds of the monotonic clock. */
   readonly freshUntil: number;
-  /** s. Age that it had when it was taken. */
+  /** The age of the response when it was stored, in seconds. */
   readonly initialAgeSeconds: number;
 };
 
-/** A purge that was applied, and when. */
-export type Purged = {
+/** A purge and the time at which it was applied. */
+export type AppliedPurge = {
   readonly objects: readonly string[];
   readonly tags: readonly string[];
   readonly at: number;
 };
 
+/** The state of a cache. */
 export type CacheState = {
-  /** Least lately used first. */
-  readonly copies: OrderedMap<string, Copy>;
-  readonly byTag: Table<string, Group<string>>;
+  /** Cached responses by key, least recently used first. */
+  readonly copies: OrderedMap<string, CachedResponse>;
+  readonly byTag: ImmutableMap<string, ImmutableSet<string>>;
   readonly bytes: number;
-  readonly purges: readonly Purged[];
-  /** When each object and each tag was purged lately, oldest first. */
-  readonly purgedAt: Table<string, readonly number[]>;
+  readonly purges: readonly AppliedPurge[];
+  /** When each object and each tag was purged within the retention time, oldest first. */
+  readonly purgedAt: ImmutableMap<string, readonly number[]>;
 };
 
-/** Time stands still inside the library: ages are counted here, on a clock that does not jump. */
-class StillPolicy extends CachePolicy {
+/**
+ * Freezes the library's clock, because this module computes ages itself, from a clock that does not
+ * jump.
+ */
+class FrozenClockPolicy extends CachePolicy {
   now(): number {
     return 0;
   }
@@ -62,82 +68,101 @@
   return value === undefined ? '' : typeof value === 'string' ? value : value.join(',');
 };
 
-const plain = (headers: Headers): Record<string, string> =>
+const flatten = (headers: Headers): Record<string, string> =>
   Object.fromEntries(Object.keys(headers).map((name) => [name, textOf(headers, name)]));
 
-const drop = (state: CacheState, key: string): CacheState => {
+const evict = (state: CacheState, key: string): CacheState => {
   const copy = state.copies.get(key);
   if (copy === undefined) return state;
-  const byTag = copy.tags.reduce((table, tag) => {
-    const group = (table.get(tag) ?? Group<string>()).delete(key);
-    return group.isEmpty() ? table.delete(tag) : table.set(tag, group);
+  const byTag = copy.tags.reduce((map, tag) => {
+    const keys = (map.get(tag) ?? ImmutableSet<string>()).delete(key);
+    return keys.isEmpty() ? map.delete(tag) : map.set(tag, keys);
   }, state.byTag);
   return { ...state, copies: state.copies.delete(key), byTag, bytes: state.bytes - copy.sizeBytes };
 };
 
+/** The operations of the cache; all of them are pure. */
 export const Cache = {
   empty: {
-    copies: OrderedMap<string, Copy>(),
-    byTag: Table<string, Group<string>>(),
+    copies: OrderedMap<string, CachedResponse>(),
+    byTag: ImmutableMap<string, ImmutableSet<string>>(),
     bytes: 0,
     purges: [],
-    purgedAt: Table<string, readonly number[]>(),
+    purgedAt: ImmutableMap<string, readonly number[]>(),
   } as CacheState,
 
-  /** The key of an object. @example Cache.key('A.example:80', '/x') // 'a.example/x' */
+  /** The cache key of an object. @example Cache.key('A.example:80', '/x') // 'a.example/x' */
   key: (host: string, target: string): string =>
     `${host.toLowerCase().replace(/:\d+$/, '')}${target}`,
 
-  /** The host and target of a key. @example Cache.place('a.example/x') // ['a.example', '/x'] */
-  place: (key: string): readonly [host: string, target: string] => {
-    const cut = key.indexOf('/');
-    return [key.slice(0, cut), key.slice(cut)];
+  /** Splits a key into host and target. @example Cache.splitKey('a.example/x') // ['a.example', '/x'] */
+  splitKey: (key: string): readonly [host: string, target: string] => {
+    const slash = key.indexOf('/');
+    return [key.slice(0, slash), key.slice(slash)];
   },
 
-  /** The key that a purge means. @example Cache.purgeKey('http://a.example/x') // 'a.example/x' */
+  /** The key of an object named in a purge. @example Cache.keyOfPurgedUrl('http://a.example/x') // 'a.example/x' */
   keyOfPurgedUrl: (object: string): string => {
-    const bare = object.replace(/^https?:\/\//, '');
-    const cut = bare.indexOf('/');
-    return cut < 0 ? Cache.key(bare, '/') : Cache.key(bare.slice(0, cut), bare.slice(cut));
+    const withoutScheme = object.replace(/^https?:\/\//, '');
+    const slash = withoutScheme.indexOf('/');
+    return slash < 0
+      ? Cache.key(withoutScheme, '/')
+      : Cache.key(withoutScheme.slice(0, slash), withoutScheme.slice(slash));
   },
 
-  /** @example Cache.tags({ 'surrogate-key': 'a b' }, 'surrogate-key') // ['a', 'b'] */
-  tags: (headers: Headers, name: string): readonly string[] =>
+  /**
+   * The cache tags in a response header.
+   *
+   * @example
+   * Cache.tagsOf({ 'surrogate-key': 'a b' }, 'surrogate-key') // ['a', 'b']
+   */
+  tagsOf: (headers: Headers, name: string): readonly string[] =>
     textOf(headers, name)
       .split(/[\s,]+/)
       .filter((tag) => tag !== ''),
 
   /**
-   * How long an answer may be kept, by RFC 9111; 0 where it may not. The attempt's own time is age.
+   * How long a response may be cached under RFC 9111, in milliseconds; 0 if it may not be cached.
+   * The duration of the attempt counts as age.
    *
    * @example
-   * Cache.life({ method: 'GET', url: '/', headers: {} }, { status: 200, headers: { 'cache-control': 'max-age=60' } }, 100) // 59_900
+   * Cache.freshnessLifetimeMs({ method: 'GET', url: '/', headers: {} }, { status: 200, headers: { 'cache-control': 'max-age=60' } }, 100) // 59_900
    */
-  life: (
+  freshnessLifetimeMs: (
     request: { readonly method: string; readonly url: string; readonly headers: Headers },
-    answer: { readonly status: number; readonly headers: Headers },
+    response: { readonly status: number; readonly headers: Headers },
     attemptMs: number,
   ): number => {
-    const policy = new StillPolicy(
-      { method: request.method, url: request.url, headers: plain(request.headers) },
-      { status: answer.status, headers: plain(answer.headers) },
+    const policy = new FrozenClockPolicy(
+      { method: request.method, url: request.url, headers: flatten(request.headers) },
+      { status: response.status, headers: flatten(response.headers) },
       { shared: true, cacheHeuristic: 0 },
     );
     return policy.storable() ? Math.max(0, policy.timeToLive() - attemptMs) : 0;
   },
 
-  /** The fields that an answer varies by, as this request had them. @example Cache.vary({ vary: 'accept' }, { accept: 'a' }) // { accept: 'a' } */
-  vary: (answer: Headers, request: Headers): Readonly<Record<string, string>> =>
+  /**
+   * The request's values of the header fields that a response varies by.
+   *
+   * @example
+   * Cache.varyValuesOf({ vary: 'accept' }, { accept: 'a' }) // { accept: 'a' }
+   */
+  varyValuesOf: (response: Headers, request: Headers): Readonly<Record<string, string>> =>
     Object.fromEntries(
-      textOf(answer, 'vary')
+      textOf(response, 'vary')
         .split(',')
         .map((name) => name.trim().toLowerCase())
         .filter((name) => name !== '')
         .map((name) => [name, textOf(request, name)]),
     ),
 
-  /** A fresh copy that fits the request. @example Cache.find(state, 'a.example/x', {}, 5) */
-  find: (state: CacheState, key: string, request: Headers, now: number): Copy | undefined => {
+  /** Finds a fresh cached response that matches the request. @example Cache.find(state, 'a.example/x', {}, 5) */
+  find: (
+    state: CacheState,
+    key: string,
+    request: Headers,
+    now: number,
+  ): CachedResponse | undefined => {
     const copy = state.copies.get(key);
     if (copy === undefined || now >= copy.freshUntil) return undefined;
     return Object.entries(copy.vary).every(([name, value]) => textOf(request, name) === value)
@@ -145,7 +170,7 @@
       : undefined;
   },
 
-  /** Marks a copy as just used. @example Cache.touch(state, 'a.example/x') */
+  /** Marks a cached response as most recently used. @example Cache.touch(state, 'a.example/x') */
   touch: (state: CacheState, key: string): CacheState => {
     const copy = state.copies.get(key);
     return copy === undefined
@@ -153,42 +178,60 @@
       : { ...state, copies: state.copies.delete(key).set(key, copy) };
   },
 
-  /** Keeps a copy, and lets the least lately used go when memory is full. @example Cache.keep(state, copy) */
-  keep: (state: CacheState, copy: Copy, most: number = maxCacheBytes): CacheState => {
-    let next = drop(state, copy.key);
+  /**
+   * Stores a response, and evicts the least recently used ones while the cache exceeds its maximum
+   * size.
+   *
+   * @example
+   * Cache.keep(state, copy)
+   */
+  keep: (state: CacheState, copy: CachedResponse, maxBytes: number = maxCacheBytes): CacheState => {
+    let next = evict(state, copy.key);
     next = {
       ...next,
       copies: next.copies.set(copy.key, copy),
       byTag: copy.tags.reduce(
-        (table, tag) => table.set(tag, (table.get(tag) ?? Group<string>()).add(copy.key)),
+        (map, tag) => map.set(tag, (map.get(tag) ?? ImmutableSet<string>()).add(copy.key)),
         next.byTag,
       ),
       bytes: next.bytes + copy.sizeBytes,
     };
-    while (next.bytes > most) {
+    while (next.bytes > maxBytes) {
       const oldest = next.copies.keySeq().first();
       if (oldest === undefined) break;
-      next = drop(next, oldest);
+      next = evict(next, oldest);
     }
     return next;
   },
 
-  /** Whether a purge that came after `since` means this object. @example Cache.purgedSince(state, 'a.example/x', [], 5) */
+  /**
+   * When the first purge of an object, or of one of its tags, at or after `since` was applied; null
+   * if there was none.
+   *
+   * @example
+   * Cache.firstPurgeSince(state, 'a.example/x', [], 5)
+   */
   firstPurgeSince: (
     state: CacheState,
     key: string,
     tags: readonly string[],
     since: number,
   ): number | null => {
-    const first = Math.min(
+    const firstAt = Math.min(
       ...[`object ${key}`, ...tags.map((tag) => `tag ${tag}`)].map(
-        (name) => state.purgedAt.get(name)?.find((at) => at >= since) ?? Infinity,
+        (name) => state.purgedAt.get(name)?.find((time) => time >= since) ?? Infinity,
       ),
     );
-    return first === Infinity ? null : first;
+    return firstAt === Infinity ? null : firstAt;
   },
 
-  /** Takes objects and tagged groups out, and remembers it for fetches under way. @example Cache.purge(state, { objects: [], tags: ['t'] }, 5) */
+  /**
+   * Removes the purged objects and every object with a purged tag. Remembers the purge, so that
+   * fetches in flight don't store a response from before it.
+   *
+   * @example
+   * Cache.purge(state, { objects: [], tags: ['t'] }, 5)
+   */
   purge: (
     state: CacheState,
     purge: { readonly objects: readonly string[]; readonly tags: readonly string[] },
@@ -196,35 +239,38 @@
   ): CacheState => {
     const objects = purge.objects.map(Cache.keyOfPurgedUrl);
     const keys = [...objects, ...purge.tags.flatMap((tag) => [...(state.byTag.get(tag) ?? [])])];
-    const namesOf = (each: Purged): readonly string[] => [
-      ...each.objects.map((key) => `object ${key}`),
-      ...each.tags.map((tag) => `tag ${tag}`),
+    const namesOf = (applied: AppliedPurge): readonly string[] => [
+      ...applied.objects.map((key) => `object ${key}`),
+      ...applied.tags.map((tag) => `tag ${tag}`),
     ];
-    const added: Purged = { objects, tags: purge.tags, at: now };
-    const old = state.purges.filter((each) => now - each.at >= purgeRetentionMs);
+    const added: AppliedPurge = { objects, tags: purge.tags, at: now };
+    const expired = state.purges.filter((past) => now - past.at >= purgeRetentionMs);
     return {
-      ...keys.reduce(drop, state),
-      purges: [...(old.length === 0 ? state.purges : state.purges.slice(old.length)), added],
-      purgedAt: state.purgedAt.withMutations((table) => {
-        for (const each of old)
-          for (const name of namesOf(each)) {
-            const left = (table.get(name) ?? []).filter((at) => at > each.at);
-            if (left.length === 0) table.delete(name);
-            else table.set(name, left);
+      ...keys.reduce(evict, state),
+      purges: [
+        ...(expired.length === 0 ? state.purges : state.purges.slice(expired.length)),
+        added,
+      ],
+      purgedAt: state.purgedAt.withMutations((map) => {
+        for (const past of expired)
+          for (const name of namesOf(past)) {
+            const remaining = (map.get(name) ?? []).filter((time) => time > past.at);
+            if (remaining.length === 0) map.delete(name);
+            else map.set(name, remaining);
           }
-        for (const name of namesOf(added)) table.set(name, [...(table.get(name) ?? []), now]);
+        for (const name of namesOf(added)) map.set(name, [...(map.get(name) ?? []), now]);
       }),
     };
   },
 
-  /** Takes everything out. @example Cache.flush(state).bytes // 0 */
+  /** Removes all cached responses. @example Cache.flush(state).bytes // 0 */
   flush: (state: CacheState): CacheState => ({
     ...Cache.empty,
     purges: state.purges,
     purgedAt: state.purgedAt,
   }),
 
-  /** Drops what is no longer fit. @example Cache.dropWhere(state, (copy) => now >= copy.freshUntil) */
-  evictWhere: (state: CacheState, unfit: (copy: Copy) => boolean): CacheState =>
-    state.copies.filter(unfit).keySeq().toArray().reduce(drop, state),
+  /** Evicts the cached responses that match a condition. @example Cache.evictWhere(state, (copy) => now >= copy.freshUntil) */
+  evictWhere: (state: CacheState, shouldEvict: (copy: CachedResponse) => boolean): CacheState =>
+    state.copies.filter(shouldEvict).keySeq().toArray().reduce(evict, state),
 } as const;
--- a/packages/cache/src/index.ts
+++ b/packages/cache/src/index.ts
@@ -1,10 +1,10 @@
-/** The shared cache of a proxy: what is kept, and for how long. */
+/** The shared HTTP cache of a proxy. */
 export {
+  type AppliedPurge,
   Cache,
+  type CachedResponse,
   type CacheState,
-  type Copy as CachedResponse,
   type Headers,
   maxCacheBytes,
-  type Purged as AppliedPurge,
   purgeRetentionMs,
 } from './cache.js';
--- a/packages/proxy/src/attempt-results.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -131,7 +131,7 @@
     return;
   }
   const { isIdempotent: safe } = request;
-  const tags = Cache.tags(answer.headers, request.route.tagsHeader);
+  const tags = Cache.tagsOf(answer.headers, request.route.tagsHeader);
   const purgedAt = mayCache(request.route, request.clientRequest.method)
     ? Cache.firstPurgeSince(state.cache, request.key, tags, attempt.openedAt)
     : null;
@@ -295,7 +295,7 @@
       ? answer.status === 200
         ? (route.cache.mostSeconds ?? 0) * 1_000
         : 0
-      : Cache.life(
+      : Cache.freshnessLifetimeMs(
           {
             method: 'GET',
             url: request.clientRequest.target,
@@ -313,7 +313,7 @@
     body: answer.body,
     sizeBytes: answer.size,
     tags,
-    vary: Cache.vary(answer.headers, request.clientRequest.headers),
+    vary: Cache.varyValuesOf(answer.headers, request.clientRequest.headers),
     storedAt: state.now,
     freshUntil: state.now + life,
     initialAgeSeconds:
--- a/packages/proxy/src/feed-handler.ts
+++ b/packages/proxy/src/feed-handler.ts
@@ -37,7 +37,7 @@
     cache = Cache.evictWhere(
       cache,
       (copy) =>
-        state.now >= copyExpiresAtMs(Routes.find(table, ...Cache.place(copy.key)), state, copy),
+        state.now >= copyExpiresAtMs(Routes.find(table, ...Cache.splitKey(copy.key)), state, copy),
     );
   }
   const emptied = feed.emptied.includes(state.self.zone);
