--- a/packages/server-selection/src/index.ts
+++ b/packages/server-selection/src/index.ts
@@ -1,11 +1,11 @@
-/** The paper's server selection. */
+/** Server selection by load: the optimal routing of the demand, and the vectors that it is computed from. */
 export {
   convergenceRatio,
   costKneeShare,
   costOf,
   maxIterations,
   type Network,
-  queueing as queueingCost,
+  queueingCost,
   type Solution,
   solve,
 } from './server-selection.js';
--- a/packages/server-selection/src/load-vectors.ts
+++ b/packages/server-selection/src/load-vectors.ts
@@ -1,52 +1,67 @@
-/** Load vectors of the nodes: when one is announced again, and the routes that they lead to. */
+/**
+ * Load vectors of the edges, which are the nodes that run a proxy: when an edge announces its vector
+ * again, and the routing table that all vectors together yield.
+ */
 import { solve } from './index.js';
 
-/** ratio. A ping that moved by more than this share (and by delayFloor) also sends again. */
+/**
+ * A vector is also announced again when a ping delay changed by more than this ratio, and by more
+ * than delayNoiseSeconds.
+ */
 export const delayChangeRatio = 0.5;
 
-/** s. Changes of delay under this are noise of the machine. */
+/** Smaller changes of a ping delay are noise of the machine, in seconds. */
 export const delayNoiseSeconds = 0.002;
 
-/** share of capacity. The paper's delta: a vector is sent again on this change of utilisation. */
+/** The paper's delta: a vector is announced again when the utilisation changed by this share of capacity. */
 export const utilisationDelta = 0.1;
 
-/** s. Left-link delay of an edge that holds no copy and must fetch one, until measured. */
+/**
+ * The delay of the left-hand link of an edge that has no cached copy and must fetch the object, in
+ * seconds, until it has measured its fetches.
+ */
 export const fetchPenaltySeconds = 0.02;
 
-/** bits. A mean reply where none was measured (the paper's 12 KB). */
+/** The size of a mean reply if no edge has measured one, in bits: the paper's 12 KB. */
 export const defaultMeanReplyBits = 96_000;
 
-/** What an edge tells the others: its load, its replicas, its delays. */
+/** The vector that an edge announces to the others: its load, its cached copies, its delays. */
 export type LoadVector = {
-  /** bps that this edge's own clients ask of each object. */
+  /** The demand of the edge's own clients for each object, in bits per second. */
   readonly demand: Readonly<Record<string, number>>;
-  /** Busy objects of which it holds a copy. */
+  /** The objects in demand of which the edge has a cached copy. */
   readonly copies: readonly string[];
-  /** bps it can serve. */
+  /** How much the edge can serve, in bits per second. */
   readonly capacity: number;
-  /** Share of the capacity in use. */
+  /** The share of the capacity in use. */
   readonly utilisation: number;
-  /** Share of the capacity that its own clients ask for. */
+  /** The demand of the edge's own clients, as a share of the capacity. */
   readonly offered: number;
-  /** s. Pinged delay to each other edge. */
+  /** The pinged delay to each other edge, in seconds. */
   readonly delays: Readonly<Record<string, number>>;
-  /** bits. Mean reply. */
+  /** The size of a mean reply, in bits. */
   readonly meanReply: number;
-  /** s. What fetching a copy from an origin takes. */
+  /** How long a fetch from an origin takes, in seconds. */
   readonly fetchDelay: number;
 };
 
-/** What of a route the routing table must know. */
+/** Which edges serve a route, and where its objects are placed, as the routing table needs it. */
 export type RoutePlacementRule = {
   readonly servers: (edge: string) => boolean;
   /**
-   * Where the route's objects are placed for the clients of an edge: each at one of these, drawn by
-   * its name. Left out: nowhere, copies lie where they happened to be made.
+   * The edges at which the route's objects are placed for the clients of an edge. Each object is
+   * cached at one of them, chosen by its name. If undefined, the route's objects aren't placed:
+   * copies stay wherever requests caused them.
    */
-  readonly placementOf?: (client: string) => readonly string[];
+  readonly placementOf?: (clientEdge: string) => readonly string[];
 };
 
-/** An even spread of numbers over names, the same on every node. @example mixed('a') === mixed('a') // true */
+/**
+ * A 32-bit hash of a text, evenly distributed and the same on every node.
+ *
+ * @example
+ * hashOf('a') === hashOf('a') // true
+ */
 export const hashOf = (text: string): number => {
   let hash = 2_166_136_261;
   for (let index = 0; index < text.length; index += 1)
@@ -56,66 +71,77 @@
 };
 
 /**
- * Which of some edges holds an object, by rendezvous hashing: where one leaves, only its objects
- * move.
+ * The owner of an object among some edges, by rendezvous hashing: when an edge leaves, only its own
+ * objects move.
  *
  * @example
- * holderOf('a.example/1', ['front-1', 'front-2']) // the same one everywhere
+ * rendezvousOwner('a.example/1', ['front-1', 'front-2']) // the same edge on every node
  */
 export const rendezvousOwner = (object: string, edges: readonly string[]): string | undefined => {
   const seed = hashOf(object);
-  let best: string | undefined;
-  let highest = -1;
+  let owner: string | undefined;
+  let highestScore = -1;
   for (const edge of edges) {
     const score = hashOf(`${edge} ${seed}`);
-    if (score > highest) {
-      highest = score;
-      best = edge;
+    if (score > highestScore) {
+      highestScore = score;
+      owner = edge;
     }
   }
-  return best;
+  return owner;
 };
 
-/** The key of those of a route's objects that are placed at one edge. @example groupKey('sheets', 'front-1') // 'sheets @front-1' */
-export const placementKey = (route: string, holder: string): string => `${route} @${holder}`;
-/** The holders that a split has rows for, by route. @example holdersOf({ 'sheets @front-1': [['front-1', 1]] }) // { sheets: ['front-1'] } */
+/**
+ * The key of the objects of a route that are placed at one edge.
+ *
+ * @example
+ * placementKey('sheets', 'front-1') // 'sheets @front-1'
+ */
+export const placementKey = (route: string, owner: string): string => `${route} @${owner}`;
+/**
+ * The owners that a routing table has rows for, by route.
+ *
+ * @example
+ * ownersByRouteOf({ 'sheets @front-1': [['front-1', 1]] }) // { sheets: ['front-1'] }
+ */
 export const ownersByRouteOf = (
   split: RoutingTable,
 ): Readonly<Record<string, readonly string[]>> => {
-  const found: Record<string, string[]> = {};
+  const owners: Record<string, string[]> = {};
   for (const key of Object.keys(split)) {
-    const cut = key.indexOf(' @');
-    if (cut > 0) (found[key.slice(0, cut)] ??= []).push(key.slice(cut + 2));
+    const separator = key.indexOf(' @');
+    if (separator > 0) (owners[key.slice(0, separator)] ??= []).push(key.slice(separator + 2));
   }
-  return found;
+  return owners;
 };
 
-/** Share of an object's demand by the edge that serves it. */
+/** The share of an object's demand that each edge serves. */
 export type RoutingRow = readonly (readonly [edge: string, share: number])[];
+/** The rows of one edge's clients, by the key of an object, a placement or a route. */
 export type RoutingTable = Readonly<Record<string, RoutingRow>>;
 
-/** The key of an object told one by one, or of the rest of its route. */
+/** The key of an object that is listed by itself, or of the remaining objects of its route. */
 export const objectKey = (route: string, path: string | null): string =>
   path === null ? route : `${route} ${path}`;
-/** @example routeOf('sheets /sheets/7') // 'sheets' */
+/** The name of the route in a key. @example routeNameOf('sheets /sheets/7') // 'sheets' */
 export const routeNameOf = (key: string): string => key.split(' ', 1)[0] ?? key;
 
-/** A change of delta or more; the last digits of a float don't count. */
-const changed = (next: number, old: number): boolean =>
+/** Whether a value changed by delta or more, with a tolerance for rounding errors. */
+const hasChanged = (next: number, old: number): boolean =>
   Math.abs(next - old) >= utilisationDelta - 1e-9;
 
 /**
- * Whether a vector must be sent: the paper's |u_new - u_old| >= delta, the same for the demand of
- * the edge's own clients (an edge at its limit shows no change of use), or a marked change of
- * delay.
+ * Whether a vector must be announced: if the utilisation u changed by the paper's
+ * |u_new - u_old| >= delta, if the demand of the edge's own clients changed as much (the utilisation
+ * of an edge at its capacity no longer changes), or if a delay changed a lot.
  *
  * @example
- * mustSend({ ...old, utilisation: old.utilisation + 0.1 }, old) // true
+ * shouldAnnounce({ ...old, utilisation: old.utilisation + 0.1 }, old) // true
  */
 export const shouldAnnounce = (next: LoadVector, sent: LoadVector | null): boolean =>
   sent === null ||
-  changed(next.utilisation, sent.utilisation) ||
-  changed(next.offered, sent.offered) ||
+  hasChanged(next.utilisation, sent.utilisation) ||
+  hasChanged(next.offered, sent.offered) ||
   Object.entries(next.delays).some(([edge, delay]) => {
     const old = sent.delays[edge];
     if (old === undefined) return true;
@@ -125,10 +151,10 @@
   });
 
 /**
- * The rows of one edge, computed from everybody's vectors as that edge has them.
+ * Computes the routing table of one edge from the vectors of all edges, as far as it knows them.
  *
  * @example
- * splitFor('a', { a: vectorOfA, b: vectorOfB }, () => ({ servers: () => true }))
+ * computeRoutes('a', { a: vectorOfA, b: vectorOfB }, () => ({ servers: () => true }))
  */
 export const computeRoutes = (
   self: string,
@@ -136,79 +162,82 @@
   ruleOf: (route: string) => RoutePlacementRule | null,
 ): { readonly split: RoutingTable; readonly iterations: number; readonly cost: number } => {
   const edges = Object.keys(vectors).sort();
-  const list = edges.flatMap((edge) => {
+  const vectorList = edges.flatMap((edge) => {
     const vector = vectors[edge];
     return vector === undefined ? [] : [vector];
   });
-  const replies = list.filter((vector) => vector.meanReply > 0);
+  const withReplies = vectorList.filter((vector) => vector.meanReply > 0);
   const meanReply =
-    replies.length === 0
+    withReplies.length === 0
       ? defaultMeanReplyBits
-      : replies.reduce((sum, vector) => sum + vector.meanReply, 0) / replies.length;
-  const keys = [...new Set(list.flatMap((vector) => Object.keys(vector.demand)))]
+      : withReplies.reduce((sum, vector) => sum + vector.meanReply, 0) / withReplies.length;
+  const keys = [...new Set(vectorList.flatMap((vector) => Object.keys(vector.demand)))]
     .sort()
     .flatMap((key) => {
       const rule = ruleOf(routeNameOf(key));
       return rule === null ? [] : [{ key, rule }];
     });
-  const copies = list.map((vector) => new Set(vector.copies));
-  const grouped = keys.flatMap(({ key, rule }) => {
-    const { placementOf: placed } = rule;
-    if (placed === undefined || key !== routeNameOf(key)) return [];
-    const places = edges.map((edge) => placed(edge));
-    return [...new Set(places.flat())].sort().map((holder) => ({
-      key: placementKey(key, holder),
+  const copies = vectorList.map((vector) => new Set(vector.copies));
+  const placements = keys.flatMap(({ key, rule }) => {
+    const { placementOf } = rule;
+    if (placementOf === undefined || key !== routeNameOf(key)) return [];
+    const ownersByClientEdge = edges.map((edge) => placementOf(edge));
+    return [...new Set(ownersByClientEdge.flat())].sort().map((owner) => ({
+      key: placementKey(key, owner),
       object: {
-        demand: list.map((vector, k) =>
-          places[k]?.includes(holder) === true
-            ? (vector.demand[key] ?? 0) / meanReply / places[k].length
+        demand: vectorList.map((vector, k) =>
+          ownersByClientEdge[k]?.includes(owner) === true
+            ? (vector.demand[key] ?? 0) / meanReply / ownersByClientEdge[k].length
             : 0,
         ),
-        // Its holder has a copy or makes one for all; the clients' own edge may make one for itself.
-        link: (j: number, k: number): number | null =>
-          edges[j] === holder
+        // The owner has a copy or fetches one for all; the clients' own edge may fetch one for itself.
+        leftLinkSeconds: (j: number, k: number): number | null =>
+          edges[j] === owner
             ? 0
             : j === k && rule.servers(edges[j] ?? '')
-              ? (list[j]?.fetchDelay ?? fetchPenaltySeconds)
+              ? (vectorList[j]?.fetchDelay ?? fetchPenaltySeconds)
               : null,
       },
     }));
   });
-  const single = keys.filter(
+  const otherKeys = keys.filter(
     ({ key, rule }) => rule.placementOf === undefined || key !== routeNameOf(key),
   );
-  const delays = list.map((vector, j) =>
+  const delays = vectorList.map((vector, j) =>
     edges.map((edge, k) =>
-      j === k ? 0 : (vector.delays[edge] ?? list[k]?.delays[edges[j] ?? ''] ?? fetchPenaltySeconds),
+      j === k
+        ? 0
+        : (vector.delays[edge] ?? vectorList[k]?.delays[edges[j] ?? ''] ?? fetchPenaltySeconds),
     ),
   );
   const solution = solve({
-    capacities: list.map((vector) => vector.capacity / meanReply),
+    capacities: vectorList.map((vector) => vector.capacity / meanReply),
     delays,
     objects: [
-      ...grouped.map(({ object }) => object),
-      ...single.map(({ key, rule }) => {
-        const allowed = edges.map((edge) => rule.servers(edge));
-        const held = copies.map((set, j) => allowed[j] === true && set.has(key));
-        const anyHeld = held.some(Boolean);
+      ...placements.map(({ object }) => object),
+      ...otherKeys.map(({ key, rule }) => {
+        const isAllowed = edges.map((edge) => rule.servers(edge));
+        const hasCopy = copies.map((set, j) => isAllowed[j] === true && set.has(key));
+        const anyHasCopy = hasCopy.some(Boolean);
         return {
-          demand: list.map((vector) => (vector.demand[key] ?? 0) / meanReply),
-          link: (j: number, k: number): number | null => {
-            if (allowed[j] !== true) return null;
-            if (held[j] === true) return 0;
-            // No replica: the client's own edge may make one; others only where nobody has one.
-            return j === k || !anyHeld || allowed[k] !== true
-              ? (list[j]?.fetchDelay ?? fetchPenaltySeconds)
+          demand: vectorList.map((vector) => (vector.demand[key] ?? 0) / meanReply),
+          leftLinkSeconds: (j: number, k: number): number | null => {
+            if (isAllowed[j] !== true) return null;
+            if (hasCopy[j] === true) return 0;
+            // Without a copy at j, the clients' own edge may fetch one. Another edge may only if no edge
+            // has a copy, or if the clients' own edge must not serve the object.
+            return j === k || !anyHasCopy || isAllowed[k] !== true
+              ? (vectorList[j]?.fetchDelay ?? fetchPenaltySeconds)
               : null;
           },
         };
       }),
     ],
   });
-  const me = edges.indexOf(self);
+  const selfIndex = edges.indexOf(self);
   const split: Record<string, RoutingRow> = {};
-  [...grouped, ...single].forEach(({ key }, i) => {
-    const row = solution.flows[i]?.[me] ?? [];
+  [...placements, ...otherKeys].forEach(({ key }, i) => {
+    const row = solution.flows[i]?.[selfIndex] ?? [];
     const total = row.reduce((sum, flow) => sum + flow, 0);
     if (total > 0)
       split[key] = row.flatMap((flow, j) =>
