--- a/packages/proxy/src/ejection-timing.ts
+++ b/packages/proxy/src/ejection-timing.ts
@@ -1,7 +1,7 @@
-/** How long an origin that failed is ejected. */
+/** How long an origin or peer is ejected after a failure. */
 
 /**
- * ms. An instance that failed an attempt gets no ordinary traffic for this long; twice as long
- * each time that it fails again before a sound answer, up to the longest.
+ * How long an endpoint gets no ordinary traffic after a failed attempt, in milliseconds. The time
+ * doubles with each further failure before a valid response, up to a maximum.
  */
 export const minEjectionMs = 1_000;
--- a/packages/proxy/src/feed-handler.ts
+++ b/packages/proxy/src/feed-handler.ts
@@ -1,6 +1,4 @@
-/**
- * Learns what the agent feeds: the configuration, shares and peers in force, purges, and the lease.
- */
+/** Applies the agent's feed: the policy, quota allocations and peers in force, purges, and the lease. */
 import type { Feed } from '@reedyard/agent';
 import { Cache, purgeRetentionMs } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
@@ -8,7 +6,10 @@
 import { copyExpiresAtMs } from './request-rules.js';
 import { log, update, type Transition } from './state.js';
 
-/** Applies a new feed: lease, policy, endpoints, routing table, purges. */
+/**
+ * Applies a new feed: lease, policy, endpoints, routing table and purges. Ignores it entirely if its
+ * policy is older than the current one.
+ */
 export const applyFeed = (transition: Transition, feed: Feed, askedAt: number): void => {
   const { state } = transition;
   const policy = feed.policy ?? state.policy;
@@ -16,16 +17,16 @@
     log(transition, 'policy.older', { revision: policy.revision });
     return;
   }
-  const gone =
+  const shouldFlush =
     state.life !== '' &&
     (feed.life !== state.life ||
       feed.flushes !== state.cacheFlushCount ||
       askedAt - state.feedRequestedAt > purgeRetentionMs / 2);
-  if (gone)
+  if (shouldFlush)
     log(transition, 'copies.flushed', {
       why: feed.life !== state.life ? 'agent restarted' : 'was away',
     });
-  let cache = gone ? Cache.flush(state.cache) : state.cache;
+  let cache = shouldFlush ? Cache.flush(state.cache) : state.cache;
   for (const { purge } of feed.purges) cache = Cache.purge(cache, purge, state.now);
   const routes =
     policy === state.policy || policy === null
@@ -40,7 +41,7 @@
         state.now >= copyExpiresAtMs(Routes.find(table, ...Cache.splitKey(copy.key)), state, copy),
     );
   }
-  const emptied = feed.emptied.includes(state.self.zone);
+  const isEvacuated = feed.emptied.includes(state.self.zone);
   update(transition, {
     ownersByRoute:
       feed.split === state.feed?.split ? state.ownersByRoute : ownersByRouteOf(feed.split),
@@ -55,11 +56,11 @@
     policy,
     routes,
     hasRemotePeers:
-      state.hasRemotePeers || feed.peers.some((row) => row.region !== state.self.region),
-    evacuatedAt: emptied ? (state.evacuatedAt ?? state.now) : null,
-    // Nobody joins a fetch that was begun before a purge or under an older policy.
+      state.hasRemotePeers || feed.peers.some((peer) => peer.region !== state.self.region),
+    evacuatedAt: isEvacuated ? (state.evacuatedAt ?? state.now) : null,
+    // No request may join a fetch that began before a purge or under an older policy.
     fetches:
-      feed.purges.length > 0 || gone || policy !== state.policy
+      feed.purges.length > 0 || shouldFlush || policy !== state.policy
         ? Object.fromEntries(
             Object.entries(state.fetches).map(([key, fetch]) => [key, { ...fetch, closed: true }]),
           )
--- a/packages/proxy/src/feed-snapshot.ts
+++ b/packages/proxy/src/feed-snapshot.ts
@@ -1,23 +1,23 @@
-/** The feed as the agent sends it: only the parts that changed, merged with those held. */
+/** Merges the feed replies of the agent, which contain only the parts that changed, into a complete feed. */
 import type { Feed, FeedReply, FeedPartsHeld, Revisions } from '@reedyard/agent';
 
-/** The last feed as a proxy's shell holds it. */
+/** The last complete feed of a proxy, with the revisions of its parts. */
 export type FeedSnapshot = { readonly feed: Feed; readonly revisions: Revisions };
 
-/** How feeds are asked for and put together. */
+/** Builds feed requests and merges feed replies. */
 export const Feeds = {
-  /** What the agent is told to be held. @example Feeds.holding(null) // null */
-  heldParts: (held: FeedSnapshot | null): FeedPartsHeld | null =>
-    held === null ? null : { life: held.feed.life, revisions: held.revisions },
+  /** The part of a feed request that says which parts the proxy has. @example Feeds.holding(null) // null */
+  heldParts: (snapshot: FeedSnapshot | null): FeedPartsHeld | null =>
+    snapshot === null ? null : { life: snapshot.feed.life, revisions: snapshot.revisions },
 
   /**
-   * The whole feed from what the agent told and from what its question said was held.
+   * Merges a reply of the agent with the snapshot that the feed request named.
    *
    * @example
-   * Feeds.merge(held, told).feed.origins // those told, or else those held
+   * Feeds.merge(snapshot, reply).feed.origins // from the reply if it has them, else from the snapshot
    */
-  merge: (held: FeedSnapshot | null, told: FeedReply): FeedSnapshot => {
-    const { revisions, ...rest } = told;
-    return { feed: { ...held?.feed, ...rest } as Feed, revisions };
+  merge: (snapshot: FeedSnapshot | null, reply: FeedReply): FeedSnapshot => {
+    const { revisions, ...parts } = reply;
+    return { feed: { ...snapshot?.feed, ...parts } as Feed, revisions };
   },
 } as const;
--- a/packages/proxy/src/feed-timing.ts
+++ b/packages/proxy/src/feed-timing.ts
@@ -1,4 +1,7 @@
-/** How often the proxy asks its agent. */
+/** The interval of the proxy's feed requests. */
 
-/** ms. The proxy asks its agent for news. Adds at most this to the age of a snapshot. */
+/**
+ * How often the proxy requests a feed from its agent, in milliseconds. It adds at most this much to
+ * the age of a snapshot.
+ */
 export const feedIntervalMs = 250;
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -1,42 +1,46 @@
-/** Measures what callers ask for, and reports it to the agent with each question. */
+/** Measures the clients' demand, and reports it to the agent with each feed request. */
 import type { ProxyReport, TrafficMeasurement } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
 import { update, type Transition } from './state.js';
 
-/** ms. Utilisation is measured (the paper: one minute; ours is shorter since 2 s rules bind). */
+/**
+ * The interval over which utilisation is measured, in milliseconds. The paper measures over one
+ * minute; this interval is shorter because requirements set limits of 2 s.
+ */
 export const measurementIntervalMs = 2_000;
 
-/** ms. What a proxy's callers want of each service is counted anew: quotas follow it. */
+/** How often the demand for each service is updated, in milliseconds; quota allocations follow it. */
 export const demandIntervalMs = 500;
 
-/** objects told one by one in a vector; the rest of a route counts as one. */
-const busyObjectCount = 32;
+/** The number of objects that a vector lists individually; the rest of each route counts as one entry. */
+const maxIndividualObjects = 32;
 
 /**
- * Closes a period of measuring: what the own callers asked for, object by object for the busiest.
+ * Ends the measurement interval if it is over, and returns its measurement: the demand of the node's
+ * own clients, individually for the objects with the highest demand.
  */
-const measure = (transition: Transition): TrafficMeasurement | null => {
+const finishMeasurement = (transition: Transition): TrafficMeasurement | null => {
   const { state } = transition;
   const { trafficPeriod: period } = state;
-  const ms = state.now - period.since;
-  if (ms < measurementIntervalMs) return null;
-  const perSecond = 1_000 / ms;
-  const entries = Object.entries(period.bits).sort(([, a], [, b]) => b - a);
+  const elapsedMs = state.now - period.since;
+  if (elapsedMs < measurementIntervalMs) return null;
+  const perSecond = 1_000 / elapsedMs;
+  const bitsByKey = Object.entries(period.bits).sort(([, a], [, b]) => b - a);
   const demand: Record<string, number> = {};
-  entries.forEach(([key, bits], index) => {
-    const to = index < busyObjectCount ? key : (key.split(' ', 1)[0] ?? key);
-    demand[to] = (demand[to] ?? 0) + bits * perSecond;
+  bitsByKey.forEach(([key, bits], index) => {
+    const entry = index < maxIndividualObjects ? key : (key.split(' ', 1)[0] ?? key);
+    demand[entry] = (demand[entry] ?? 0) + bits * perSecond;
   });
   const hosts = new Map(
     (state.policy?.document.routes ?? []).map((route) => [route.name, route.host]),
   );
   const copies = Object.keys(demand).filter((key) => {
-    const cut = key.indexOf(' ');
+    const separator = key.indexOf(' ');
     return (
-      cut > 0 &&
+      separator > 0 &&
       Cache.find(
         state.cache,
-        Cache.key(hosts.get(key.slice(0, cut)) ?? '', key.slice(cut + 1)),
+        Cache.key(hosts.get(key.slice(0, separator)) ?? '', key.slice(separator + 1)),
         {},
         state.now,
       ) !== undefined
@@ -53,37 +57,39 @@
     },
     cache: Cache.evictWhere(state.cache, (copy) => state.now >= copy.freshUntil),
   });
-  const allBits = entries.reduce((sum, [, bits]) => sum + bits, 0);
+  const demandBits = bitsByKey.reduce((sum, [, bits]) => sum + bits, 0);
   return {
     demand,
     copies,
     servedBps: period.servedBits * perSecond,
-    meanReplyBits: period.replies > 0 ? Math.max(allBits, period.servedBits) / period.replies : 0,
+    meanReplyBits:
+      period.replies > 0 ? Math.max(demandBits, period.servedBits) / period.replies : 0,
     fetchSeconds: period.fetched > 0 ? period.attemptMs / period.fetched / 1_000 : 0,
   };
 };
 
-/** What was wanted in the last beat counts half, what was known before the other half. */
-const renewDemand = (transition: Transition): void => {
-  const { demand: wants, demandCounts: wanted, now } = transition.state;
-  const ms = now - wanted.since;
-  if (ms < demandIntervalMs) return;
-  const services = new Set([...Object.keys(wants), ...Object.keys(wanted.counts)]);
+/** Updates the demand: the demand of the last interval and the previous value weigh half each. */
+const updateDemand = (transition: Transition): void => {
+  const { demand, demandCounts, now } = transition.state;
+  const elapsedMs = now - demandCounts.since;
+  if (elapsedMs < demandIntervalMs) return;
+  const services = new Set([...Object.keys(demand), ...Object.keys(demandCounts.counts)]);
   update(transition, {
     demandCounts: { since: now, counts: {} },
     demand: Object.fromEntries(
       [...services].map((service) => [
         service,
-        0.5 * (wants[service] ?? 0) + (0.5 * (wanted.counts[service] ?? 0) * 1_000) / ms,
+        0.5 * (demand[service] ?? 0) +
+          (0.5 * (demandCounts.counts[service] ?? 0) * 1_000) / elapsedMs,
       ]),
     ),
   });
 };
 
-/** Asks the agent for a feed, with a report of what the proxy measured. */
+/** Requests a feed from the agent, with a report of the proxy's measurements. */
 export const requestFeed = (transition: Transition): void => {
-  renewDemand(transition);
-  const measurement = measure(transition);
+  updateDemand(transition);
+  const measurement = finishMeasurement(transition);
   const { state } = transition;
   const report: ProxyReport = {
     policyRevision: state.policy?.revision ?? 0,
--- a/packages/proxy/src/request-limit.ts
+++ b/packages/proxy/src/request-limit.ts
@@ -1,4 +1,4 @@
 /** Load shedding by the number of requests in flight. */
 
-/** requests at work in one proxy; more are turned away at once. */
+/** The maximum number of requests in flight in one proxy; further ones are rejected immediately. */
 export const maxRequestsInFlight = 4_096;
--- a/packages/proxy/src/response-times.ts
+++ b/packages/proxy/src/response-times.ts
@@ -1,4 +1,4 @@
-/** The moving mean of an origin's response time. */
+/** The smoothing of the moving mean of an origin's response time. */
 
-/** share by which a new answer's time moves an origin's usual one. */
+/** The weight of a new response time in the moving mean. */
 export const responseTimeGain = 0.2;
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -1,4 +1,4 @@
-/** The state of a proxy, its events and its effects. */
+/** The state of a proxy, its events and its effects, and the helpers that change the state. */
 import type {
   ClaimReply,
   Feed,
@@ -12,26 +12,24 @@
 import type { Policy, Route, RouteTable } from '@reedyard/schemas';
 import type { Attempt, SendProgress } from '@reedyard/attempts';
 
-/** A caller's request, as far as the moves depend on it. Header names are in small letters. */
+/** The parts of a client's request that the reducer depends on. Header names are in lower case. */
 export type ClientRequest = {
   readonly method: string;
   readonly target: string;
   readonly host: string;
   readonly headers: Headers;
-  /** The peer that handed it on; null from a caller. */
+  /** The peer that forwarded the request; null if a client sent it. */
   readonly via: string | null;
   readonly bodyBytes: number;
-  /** Tells apart requests of one key by method, target and body; null without a key. */
+  /** Distinguishes requests with the same idempotency key by method, target and body; null without a key. */
   readonly digest: string | null;
-  /**
-   * ms that its caller will wait, and origins that it may still be sent to; left out where nobody
-   * says.
-   */
+  /** How long the client waits, in milliseconds; undefined if the request does not say. */
   readonly deadlineMs?: number | null;
+  /** How many attempts at origins are left; undefined if the request does not say. */
   readonly attempts?: number | null;
 };
 
-/** An answer to an attempt, read whole up to maxBufferedBodyBytes, or still streaming. */
+/** A response to an attempt: complete if it has at most maxBufferedBodyBytes, else still streaming. */
 export type AttemptResponse = {
   readonly status: number;
   readonly headers: Headers;
@@ -39,68 +37,67 @@
   readonly size: number;
   readonly isComplete: boolean;
   /**
-   * What an origin's answer proves, in the dialect that it was spoken to in; left out: by its own
-   * fields.
+   * What an origin's response proves under the wire format of the attempt. If undefined, the header
+   * fields of the response decide.
    */
   readonly proof?: Proof;
 };
 
-/** Where an attempt goes. */
+/** The target of an attempt. */
 export type AttemptTarget =
   | { readonly kind: 'origin'; readonly row: OriginEndpoint }
   | { readonly kind: 'peer'; readonly row: PeerEndpoint };
 
-/** A request that is being served. */
+/** A request in flight. */
 export type ProxyRequest = {
   readonly id: number;
   readonly clientRequest: ClientRequest;
-  /**
-   * The route under the policy with this revision; looked up again at each move under a newer one.
-   */
+  /** The route of the request under the policy of `revision`; updated when the policy is newer. */
   readonly route: Route;
   readonly revision: number;
-  /** The service drawn from the route's. */
+  /** The service, drawn from those of the route. */
   readonly service: string;
-  /** Whether it may run more than once. */
+  /** Whether the request may run more than once. */
   readonly isIdempotent: boolean;
   readonly key: string;
   readonly arrivedAt: number;
   readonly deadlineAt: number;
-  /** Random numbers and a token given with its arrival: the reducer draws none itself. */
+  /** Random numbers and a token from the arrival event, since the reducer itself is deterministic. */
   readonly randomNumbers: readonly number[];
   readonly token: string;
-  /** The register that its idempotency key claims. */
+  /** The register that the idempotency key claims; null without a claim. */
   readonly claimKey: string | null;
   readonly attempts: readonly Attempt[];
-  /** `over`: its caller has an answer; attempts beside that one are let end. */
+  /** `over`: the client has its response, and the remaining attempts are allowed to finish. */
   readonly phase: 'claiming' | 'joined' | 'holding' | 'attempt' | 'over';
   readonly queuedAt: number;
   readonly isFetchLeader: boolean;
   readonly hasClientLeft: boolean;
 };
 
-/** One fetch that several requests wait for. */
+/** A fetch by one request, the leader, that other requests wait for. */
 export type SharedFetch = {
   readonly leader: number;
   readonly waiters: readonly number[];
+  /** Whether later requests must not join. */
   readonly isClosed: boolean;
 };
 
-/** What was met at an origin lately. */
+/** The recent behaviour of an origin or a peer. */
 export type OriginHealth = {
-  /** ms that its answers take, the newer ones counting more. */
+  /** The exponentially weighted mean of the response times, in milliseconds. */
   readonly meanResponseMs: number;
   readonly lastResponseAt: number;
-  /** What it last told of itself, and how many of that were ours. */
+  /** The last load report, and how many of the reported requests this node had sent. */
   readonly load: (Load & { readonly at: number; readonly own: number }) | null;
-  /** Failures since it last answered soundly. */
+  /** The number of failures since the last valid response. */
   readonly failures: number;
 };
 
-/** A token bucket; `rate` in tokens a second. */
+/** A token bucket; `rate` is in tokens per second. */
 export type Bucket = { readonly tokens: number; readonly at: number; readonly rate: number };
 
-/** The state of a proxy. All times are ms of its own monotonic clock. */
+/** The state of a proxy. All times are in milliseconds of its own monotonic clock. */
 export type ProxyState = {
   readonly self: {
     readonly id: string;
@@ -118,29 +115,31 @@
   readonly policy: { readonly revision: number; readonly document: Policy } | null;
   readonly routes: RouteTable;
   readonly feed: Feed | null;
-  /** Edges at which a route's objects are placed, by route. */
+  /** The edges at which a route's objects are placed, by route. */
   readonly ownersByRoute: Readonly<Record<string, readonly string[]>>;
   readonly evacuatedAt: number | null;
   readonly cache: CacheState;
-  /** Whether peers in other regions were ever told of. */
+  /** Whether a feed ever listed a peer in another region. */
   readonly hasRemotePeers: boolean;
   readonly requests: Readonly<Record<number, ProxyRequest>>;
   readonly fetches: Readonly<Record<string, SharedFetch>>;
   /**
-   * Objects lately found not to be keepable: their requests are not made to wait for each other.
+   * Until when each object counts as uncacheable after a fetch showed it to be. Its requests don't
+   * wait for each other's fetches meanwhile.
    */
   readonly uncacheableKeys: Readonly<Record<string, number>>;
   readonly buckets: Readonly<Record<string, Bucket>>;
-  /** Repeats saved, by service. */
+  /** Retry tokens, by service. */
   readonly retryTokens: Readonly<Record<string, number>>;
   readonly ejectedUntil: Readonly<Record<string, number>>;
   readonly inFlightCounts: Readonly<Record<string, number>>;
   readonly originHealth: Readonly<Record<string, OriginHealth>>;
-  /** bytes of a reply from an origin lately, by route. */
+  /** The exponentially weighted mean size of origins' responses, in bytes, by route. */
   readonly meanReplyBytes: Readonly<Record<string, number>>;
-  /** When it was warned that it must stop. */
+  /** When the graceful shutdown began; null before it. */
   readonly stoppingAt: number | null;
   readonly counters: Readonly<Record<string, number>>;
+  /** The traffic counted in the current measurement interval. */
   readonly trafficPeriod: {
     readonly since: number;
     readonly bits: Readonly<Record<string, number>>;
@@ -149,15 +148,16 @@
     readonly attemptMs: number;
     readonly fetched: number;
   };
-  /** Attempts a second that were wanted lately, and those counted since. */
+  /** The recent demand for attempts, per second, by service. */
   readonly demand: Readonly<Record<string, number>>;
+  /** The demand counted since the last update of `demand`. */
   readonly demandCounts: {
     readonly since: number;
     readonly counts: Readonly<Record<string, number>>;
   };
 };
 
-/** What happens to a proxy. */
+/** The events of a proxy. */
 export type ProxyEvent =
   | {
       readonly kind: 'request-arrived';
@@ -199,11 +199,11 @@
   | { readonly kind: 'tick'; readonly now: number }
   | { readonly kind: 'stop-requested'; readonly now: number };
 
-/** An answer to a client. */
+/** A response to a client or to the peer that forwarded the request. */
 export type ClientResponse = {
   readonly status: number;
   readonly headers: Headers;
-  /** ms after which to come again; left out where the answer is not the proxy's own. */
+  /** When to retry, in milliseconds; undefined if the response isn't the proxy's own. */
   readonly retryMs?: number;
   readonly body:
     | {
@@ -216,7 +216,7 @@
     | { readonly kind: 'attempt'; readonly answer: AttemptResponse };
 };
 
-/** What the proxy's reducer wants done, in order. */
+/** The effects that the reducer requests, in order. */
 export type ProxyEffect =
   | {
       readonly kind: 'send-attempt';
@@ -228,17 +228,17 @@
       readonly timeoutMs: number;
       readonly isCacheable: boolean;
       readonly isIdempotent: boolean;
-      /** Origins that it may be sent to through this attempt; Infinity without a bound. */
+      /** How many attempts at origins may be made through this one; Infinity without a limit. */
       readonly delegatedAttempts: number;
       /**
-       * Nothing of the request is sent after this moment: what the attempt was decided on is old
-       * then.
+       * The time after which no byte of the request may be sent, because the state that the attempt
+       * was decided on is then outdated.
        */
       readonly sendBy: number;
     }
   | { readonly kind: 'abort-attempt'; readonly requestId: number; readonly attempt: number }
   | { readonly kind: 'send-answer'; readonly requestId: number; readonly answer: ClientResponse }
-  /** A request is over: nothing more will be said of it. */
+  /** The request is over; no further effect concerns its client. */
   | { readonly kind: 'close-request'; readonly requestId: number }
   | { readonly kind: 'query-agent'; readonly requestId: number; readonly query: ProxyQuery }
   | { readonly kind: 'request-feed'; readonly report: ProxyReport }
@@ -248,34 +248,34 @@
       readonly fields: Readonly<Record<string, string | number | boolean>>;
     };
 
-/** What one step of the reducer works with. */
+/** The mutable context of one step of the reducer. */
 export type Transition = { state: ProxyState; readonly effects: ProxyEffect[] };
-/** Replaces some fields of the state. */
+/** Replaces fields of the state. */
 export const update = (transition: Transition, change: Partial<ProxyState>): void => {
   transition.state = { ...transition.state, ...change };
 };
-/** Adds one to each counter named. */
+/** Increments each named counter. */
 export const count = (transition: Transition, ...names: readonly string[]): void => {
   update(transition, {
     counters: names.reduce(
-      (all, name) => ({ ...all, [name]: (all[name] ?? 0) + 1 }),
+      (counters, name) => ({ ...counters, [name]: (counters[name] ?? 0) + 1 }),
       transition.state.counters,
     ),
   });
 };
-/** Replaces some fields of a request; undefined where it is over. */
+/** Replaces fields of a request and returns it; undefined if the request no longer exists. */
 export const updateRequest = (
   transition: Transition,
   id: number,
-  part: Partial<ProxyRequest>,
+  change: Partial<ProxyRequest>,
 ): ProxyRequest | undefined => {
   const old = transition.state.requests[id];
   if (old === undefined) return undefined;
-  const next = { ...old, ...part };
+  const next = { ...old, ...change };
   update(transition, { requests: { ...transition.state.requests, [id]: next } });
   return next;
 };
-/** Writes a line to the log. */
+/** Writes a log entry. */
 export const log = (
   transition: Transition,
   event: string,
--- a/packages/proxy/src/tick-timing.ts
+++ b/packages/proxy/src/tick-timing.ts
@@ -1,10 +1,11 @@
-/** The proxy's ticks. */
+/** The intervals of the proxy's ticks. */
 
-/** ms. Proxy's own beat: limits and holdings are looked at. */
+/** The interval at which the proxy checks timeouts and queued requests, in milliseconds. */
 export const proxyTickIntervalMs = 25;
 
 /**
- * ms. The same while no request is under way: then only copies may have to be dropped, at the
- * latest 1.5 + 0.3 + 0.1 s after what allowed them was known, under the requirements' 2 s.
+ * The tick interval while no request is in flight, in milliseconds. A tick then only drops cached
+ * copies when the lease has expired: at the latest 1.5 + 0.3 + 0.1 s after the state that allowed
+ * them was current, within the 2 s of the requirements.
  */
 export const idleProxyTickIntervalMs = 100;
