--- a/packages/proxy/src/endpoint-selection.ts
+++ b/packages/proxy/src/endpoint-selection.ts
@@ -1,6 +1,6 @@
 /**
- * Whom a request goes to: the server drawn by the routing table, the origin ranked first by its
- * health, and whether a quota token, a retry token and a free slot are left for it.
+ * Selects the target of a request: the server drawn from the routing table, or the origin with the
+ * lowest expected cost. Also manages quota tokens, retry tokens, concurrency limits and ejections.
  */
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import { isIdempotentMethod } from '@reedyard/attempts';
@@ -19,160 +19,178 @@
 } from './state.js';
 
 /**
- * ms. An origin that refused for being full is passed over: some requests end there meanwhile.
+ * How long an origin that rejected a request as full is passed over, so that it can finish some, in
+ * milliseconds.
  */
 const fullOriginRestMs = 150;
 
 /**
- * ms. What an origin told of its load counts for this long, fading: some times a request's own.
+ * The time constant with which an origin's load report decays, in milliseconds: a few times the
+ * duration of a request.
  */
 const loadMemoryMs = 300;
 
-/** ms. A dead instance is then tried by each node at most this seldom, until it is forgotten. */
+/**
+ * The maximum ejection time, in milliseconds. Each node tries a dead instance again at this interval
+ * until the instance is forgotten.
+ */
 const maxEjectionMs = 8_000;
 
 /**
- * ms. How long ago an origin's time to answer was met before it counts as the mean again,
- * fading.
+ * The time constant with which an origin's response time decays towards the mean of all origins, in
+ * milliseconds, while it sends no further responses.
  */
 const responseTimeMemoryMs = 5_000;
 
-/** s of a quota a bucket may save: the requirements allow a tenth over 5 s, which is 0.5 s. */
+/**
+ * How many seconds of its rate a token bucket may save. The requirements allow a tenth over 5 s,
+ * which is 0.5 s.
+ */
 const burstSeconds = 0.2;
 
-/** share of an origin's conns that nodes use together: a restarted node's old ones may linger. */
+/**
+ * The share of an origin's connection limit that all nodes use together; the rest allows for old
+ * connections of restarted nodes.
+ */
 const connectionShare = 0.9;
 
-/** ms that an origin in another region weighs more: it is taken where its own region has none. */
+/**
+ * The extra cost of an origin in another region, in milliseconds. It is selected only if the node's
+ * own region has none.
+ */
 const otherRegionPenaltyMs = 1_000;
 
-/** requests that a node may always have under way at an origin. */
+/** The number of requests that a node may always have in flight at an origin. */
 const minOriginConcurrency = 2;
 
-/** origins that are drawn by chance for each attempt, the best of which is taken. */
-const originsDrawn = 3;
+/** The number of randomly drawn origins for each attempt, of which the one of lowest cost is used. */
+const drawnOriginCount = 3;
 
-/** repeats a node may have saved, and all nodes together: the requirements' slack is 60. */
+/** The maximum number of retry tokens that a node may save for a service. */
 const maxRetryTokens = 3;
 
-/**  */
+/** The maximum number of retry tokens of all nodes together; the requirements allow a slack of 60. */
 const maxRetryTokensOfFleet = 45;
 
-/** repeats earned by one request. Under the requirements' fifth. */
+/** The retry tokens that one request adds; less than the fifth that the requirements allow. */
 const retryTokensPerRequest = 0.15;
 
 /**
- * requests under way for each slot of an origin, over all nodes: what it works on, and as many
- * waiting.
+ * The number of requests in flight for each slot of an origin, over all nodes: one that the origin
+ * processes and one that waits.
  */
 const concurrencyPerSlot = 2;
 
-/** ms that a byte between zones weighs in the choice of an origin: 100 kB weigh as 25 ms. */
+/** The cost of a byte between zones in the selection of an origin, in milliseconds: 25 ms for 100 kB. */
 const otherZoneMsPerByte = 0.000_25;
 
 const isEjected = (state: ProxyState, name: string): boolean =>
   (state.ejectedUntil[name] ?? 0) > state.now;
 
-/** The name of one incarnation of an origin: service/instance/incarnation. */
-export const originIdOf = (row: OriginEndpoint): string =>
-  `${row.service}/${row.instance}/${row.incarnation}`;
+/** The origin id, which names one incarnation of an origin: service/instance/incarnation. */
+export const originIdOf = (origin: OriginEndpoint): string =>
+  `${origin.service}/${origin.instance}/${origin.incarnation}`;
 
-/** Whether a route's reports may be fetched and kept here. */
-export const isHomeRegion = (homes: readonly string[] | undefined, region: string): boolean =>
-  homes === undefined || homes.includes(region);
+/** Whether a region is among a route's home regions, where its objects may be fetched and cached. */
+export const isHomeRegion = (homeRegions: readonly string[] | undefined, region: string): boolean =>
+  homeRegions === undefined || homeRegions.includes(region);
 
 /** Whether a request on a route may run more than once. */
 export const isIdempotentRequest = (route: Route, method: string): boolean =>
   route.repeat === 'safe' || (route.repeat !== 'never' && isIdempotentMethod(method));
 
 /**
- * The service of a request, drawn by the weights of its route; the one drawn before where the route
- * still has it.
+ * Draws the service of a request by the weights of its route. Returns the previously drawn service
+ * if the route still has it.
  */
-export const drawService = (route: Route, draw: number, before?: string): string => {
+export const drawService = (route: Route, randomNumber: number, previous?: string): string => {
   const services = Routes.services(route);
-  if (before !== undefined && services.some(({ service }) => service === before)) return before;
-  let left = draw * services.reduce((sum, { weight }) => sum + weight, 0);
+  if (previous !== undefined && services.some(({ service }) => service === previous))
+    return previous;
+  let remaining = randomNumber * services.reduce((sum, { weight }) => sum + weight, 0);
   for (const { service, weight } of services) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return Routes.mainService(route);
 };
 
-/** Peers that may be given this request, nearest first. */
+/** The peers that this request may be forwarded to, nearest first. */
 export const allowedPeers = (state: ProxyState, request: ProxyRequest): readonly PeerEndpoint[] => {
-  const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
+  const triedIds = new Set(request.attempts.map((attempt) => attempt.to.id));
   return (state.feed?.peers ?? []).filter(
-    (row) =>
-      isHomeRegion(request.route.homes, row.region) &&
-      !tried.has(row.id) &&
-      !isEjected(state, row.id),
+    (peer) =>
+      isHomeRegion(request.route.homes, peer.region) &&
+      !triedIds.has(peer.id) &&
+      !isEjected(state, peer.id),
   );
 };
 
 /**
- * The draw: this edge's row of the routing table for the object, over those that may serve it now.
- * Without a row the edge serves itself where it may, or else hands on to the nearest that may.
+ * Draws the server of a request by the shares of its routing table row, among the nodes that may
+ * serve it now. Without a usable row, the node serves the request itself if it may, or else forwards
+ * it to the nearest peer that may; null if there is none.
  */
 export const drawServer = (
   state: ProxyState,
   request: ProxyRequest,
 ): 'self' | PeerEndpoint | null => {
-  const home = isHomeRegion(request.route.homes, state.self.region);
-  if (request.clientRequest.via !== null) return home ? 'self' : null;
-  const split = state.feed?.split ?? {};
+  const isHome = isHomeRegion(request.route.homes, state.self.region);
+  if (request.clientRequest.via !== null) return isHome ? 'self' : null;
+  const routingTable = state.feed?.split ?? {};
   const { name } = request.route;
-  const holder = rendezvousOwner(request.key, state.ownersByRoute[name] ?? []);
+  const owner = rendezvousOwner(request.key, state.ownersByRoute[name] ?? []);
   const row =
-    (holder === undefined
-      ? (split[objectKey(name, request.clientRequest.target)] ?? split[objectKey(name, null)])
-      : split[placementKey(name, holder)]) ?? [];
-  if (home && row.every(([edge]) => edge === state.self.id)) return 'self';
+    (owner === undefined
+      ? (routingTable[objectKey(name, request.clientRequest.target)] ??
+        routingTable[objectKey(name, null)])
+      : routingTable[placementKey(name, owner)]) ?? [];
+  if (isHome && row.every(([edge]) => edge === state.self.id)) return 'self';
   const peers = allowedPeers(state, request);
-  const open = row.flatMap(
+  const candidates = row.flatMap(
     ([edge, share]): readonly (readonly ['self' | PeerEndpoint, number])[] => {
-      if (edge === state.self.id) return home ? [['self', share]] : [];
-      const peer = peers.find((each) => each.id === edge);
+      if (edge === state.self.id) return isHome ? [['self', share]] : [];
+      const peer = peers.find((candidate) => candidate.id === edge);
       return peer === undefined ? [] : [[peer, share]];
     },
   );
-  let left = (request.randomNumbers[0] ?? 0) * open.reduce((sum, [, share]) => sum + share, 0);
-  for (const [server, share] of open) {
-    left -= share;
-    if (left < 0) return server;
+  let remaining =
+    (request.randomNumbers[0] ?? 0) * candidates.reduce((sum, [, share]) => sum + share, 0);
+  for (const [server, share] of candidates) {
+    remaining -= share;
+    if (remaining < 0) return server;
   }
-  const last = open.at(-1);
+  const last = candidates.at(-1);
   if (last !== undefined) return last[0];
-  return home ? 'self' : (peers[0] ?? null);
+  return isHome ? 'self' : (peers[0] ?? null);
 };
 
 const bucketCapacity = (rate: number): number => Math.max(1, rate * burstSeconds);
-const filled = (bucket: Bucket, now: number): number =>
+const tokensAt = (bucket: Bucket, now: number): number =>
   Math.min(
     bucketCapacity(bucket.rate),
     bucket.tokens + (bucket.rate * Math.max(0, now - bucket.at)) / 1_000,
   );
 
 /**
- * Takes a token; a bucket begins empty, a changed rate counts only from now on, and a lowered one
- * lets go of what it could not have saved.
+ * Takes a quota token if there is one. A bucket starts empty; a changed rate applies only from now
+ * on, and a lowered rate discards tokens beyond the new capacity.
  */
 export const takeToken = (transition: Transition, name: string, rate: number): boolean => {
   if (rate === Infinity) return true;
   const old = transition.state.buckets[name] ?? { tokens: 0, at: transition.state.now, rate };
-  const tokens = Math.min(bucketCapacity(rate), filled(old, transition.state.now));
-  const taken = tokens >= 1;
+  const tokens = Math.min(bucketCapacity(rate), tokensAt(old, transition.state.now));
+  const isTaken = tokens >= 1;
   update(transition, {
     buckets: {
       ...transition.state.buckets,
-      [name]: { tokens: taken ? tokens - 1 : tokens, at: transition.state.now, rate },
+      [name]: { tokens: isTaken ? tokens - 1 : tokens, at: transition.state.now, rate },
     },
   });
-  return taken;
+  return isTaken;
 };
 
-/** Gives a quota token back that was not used. */
+/** Returns an unused quota token. */
 export const returnToken = (transition: Transition, name: string): void => {
   const bucket = transition.state.buckets[name];
   if (bucket !== undefined)
@@ -181,7 +199,7 @@
     });
 };
 
-/** ms until a bucket has its next token; Infinity where it never will. */
+/** How long until a bucket has a token after `ahead` others, in milliseconds; Infinity if never. */
 export const tokenWaitMs = (
   state: ProxyState,
   name: string,
@@ -190,151 +208,164 @@
 ): number => {
   if (rate === Infinity) return 0;
   const bucket = state.buckets[name];
-  const tokens = bucket === undefined ? 0 : filled(bucket, state.now);
+  const tokens = bucket === undefined ? 0 : tokensAt(bucket, state.now);
   return rate <= 0 ? Infinity : Math.max(0, ((1 + ahead - tokens) / rate) * 1_000);
 };
 
-/** Nodes that share the origins with this one. */
-const nodes = (state: ProxyState): number => (state.feed?.peers.length ?? 0) + 1;
+/** The number of nodes that share the origins, including this one. */
+const nodeCountOf = (state: ProxyState): number => (state.feed?.peers.length ?? 0) + 1;
 
 /**
- * Requests that this node may have under way at an origin: its part of what that one works on and
- * lets wait, and of the conns that it accepts.
+ * The maximum number of requests that this node may have in flight at an origin: its part of the
+ * requests that the origin processes and queues, and of the connections that the origin accepts.
  */
-export const maxConcurrencyOf = (state: ProxyState, row: OriginEndpoint): number => {
-  const parts = nodes(state);
+export const maxConcurrencyOf = (state: ProxyState, origin: OriginEndpoint): number => {
+  const nodeCount = nodeCountOf(state);
   const slots =
-    row.slots === null || row.slots === undefined
+    origin.slots === null || origin.slots === undefined
       ? Infinity
-      : Math.max(minOriginConcurrency, Math.ceil((row.slots * concurrencyPerSlot) / parts));
-  const conns =
-    row.conns === null || row.conns === undefined
+      : Math.max(minOriginConcurrency, Math.ceil((origin.slots * concurrencyPerSlot) / nodeCount));
+  const connections =
+    origin.conns === null || origin.conns === undefined
       ? Infinity
-      : Math.max(1, Math.floor((row.conns * connectionShare) / parts));
-  return Math.min(slots, conns);
+      : Math.max(1, Math.floor((origin.conns * connectionShare) / nodeCount));
+  return Math.min(slots, connections);
 };
 
 /**
- * Requests at an origin: our own, and those of others as it last told, which count less the longer
- * ago that was.
+ * The estimated number of requests at an origin: those of this node, and those of others by the
+ * origin's last load report, which decays with its age.
  */
-const busyAt = (state: ProxyState, name: string): number => {
-  const own = state.inFlightCounts[name] ?? 0;
+const estimatedLoadOf = (state: ProxyState, name: string): number => {
+  const ownInFlight = state.inFlightCounts[name] ?? 0;
   const load = state.originHealth[name]?.load;
-  if (!load) return own;
+  if (!load) return ownInFlight;
   return (
-    own +
-    Math.max(0, load.running + load.waiting - load.own) *
+    ownInFlight +
+    Math.max(0, load.running + load.waiting - load.ownInFlight) *
       Math.exp((load.at - state.now) / loadMemoryMs)
   );
 };
 
-/** ms that an origin's answers take; what was met there long ago counts as the mean of all. */
+/**
+ * The expected response time of an origin, in milliseconds: its own mean, which decays towards the
+ * mean of all origins while no responses arrive.
+ */
 export const expectedResponseMs = (
   state: ProxyState,
-  row: OriginEndpoint,
-  mean: number,
+  origin: OriginEndpoint,
+  meanMs: number,
 ): number => {
-  const known = state.originHealth[originIdOf(row)];
-  return known === undefined
-    ? mean
-    : mean +
-        (known.meanResponseMs - mean) *
-          Math.exp((known.lastResponseAt - state.now) / responseTimeMemoryMs);
+  const health = state.originHealth[originIdOf(origin)];
+  return health === undefined
+    ? meanMs
+    : meanMs +
+        (health.meanResponseMs - meanMs) *
+          Math.exp((health.lastResponseAt - state.now) / responseTimeMemoryMs);
 };
 
-/** ms that the answers of a service's origins take on average here; 0 where none was had. */
-export const meanResponseMsOf = (state: ProxyState, rows: readonly OriginEndpoint[]): number => {
-  const known = rows.flatMap((row) => {
-    const standing = state.originHealth[originIdOf(row)];
-    return standing === undefined ? [] : [standing.meanResponseMs];
+/** The mean response time of some origins, in milliseconds; 0 if none has responded yet. */
+export const meanResponseMsOf = (state: ProxyState, origins: readonly OriginEndpoint[]): number => {
+  const responseTimes = origins.flatMap((origin) => {
+    const health = state.originHealth[originIdOf(origin)];
+    return health === undefined ? [] : [health.meanResponseMs];
   });
-  return known.length === 0 ? 0 : known.reduce((sum, ms) => sum + ms, 0) / known.length;
+  return responseTimes.length === 0
+    ? 0
+    : responseTimes.reduce((sum, ms) => sum + ms, 0) / responseTimes.length;
 };
 
 /**
- * ms. What an attempt at an origin is likely to cost: its usual time, more where it is nearly full,
- * and the bytes that pass between zones.
+ * The expected cost of an attempt at an origin, in milliseconds: its expected response time, more
+ * the fuller it is, and the cost of the bytes that pass between zones.
  */
 const costOf = (
   state: ProxyState,
-  row: OriginEndpoint,
-  mean: number,
-  replyBytes: number,
+  origin: OriginEndpoint,
+  meanMs: number,
+  meanReplyBytes: number,
 ): number => {
-  const ms = Math.max(1, expectedResponseMs(state, row, mean));
-  const slots = row.slots ?? Math.max(1, (row.capacity * Math.max(1, mean)) / 1_000);
-  const use = (busyAt(state, originIdOf(row)) + 1) / slots;
-  const far =
-    row.region !== state.self.region
+  const responseMs = Math.max(1, expectedResponseMs(state, origin, meanMs));
+  const slots = origin.slots ?? Math.max(1, (origin.capacity * Math.max(1, meanMs)) / 1_000);
+  const utilisation = (estimatedLoadOf(state, originIdOf(origin)) + 1) / slots;
+  const distanceMs =
+    origin.region !== state.self.region
       ? otherRegionPenaltyMs
-      : row.zone !== state.self.zone
-        ? replyBytes * otherZoneMsPerByte
+      : origin.zone !== state.self.zone
+        ? meanReplyBytes * otherZoneMsPerByte
         : 0;
-  return ms * (use <= 1 ? 1 + 0.5 * use * use : 1.5 * use) + far;
+  return (
+    responseMs * (utilisation <= 1 ? 1 + 0.5 * utilisation * utilisation : 1.5 * utilisation) +
+    distanceMs
+  );
 };
 
 /**
- * Instances for an attempt, best first: the least likely cost of a few drawn by chance, so that
- * nodes which know the same don't all choose the same one; then the others by their cost.
+ * Ranks the instances for an attempt, best first: the one of lowest expected cost among a few drawn
+ * at random, so that nodes with the same knowledge don't all select the same one, and then the
+ * others by their cost.
  */
 export const rankOrigins = (
   state: ProxyState,
   request: ProxyRequest,
-  replyBytes = 0,
+  meanReplyBytes = 0,
 ): readonly OriginEndpoint[] => {
-  const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
-  const rows = (state.feed?.origins ?? []).filter(
-    (row) => row.service === request.service && isHomeRegion(request.route.homes, row.region),
+  const triedIds = new Set(request.attempts.map((attempt) => attempt.to.id));
+  const origins = (state.feed?.origins ?? []).filter(
+    (origin) =>
+      origin.service === request.service && isHomeRegion(request.route.homes, origin.region),
   );
-  const untried = rows.filter((row) => !tried.has(originIdOf(row)));
-  const trusted = untried.filter((row) => !isEjected(state, originIdOf(row)));
-  // Where every one is suspected, a suspected one is still better than none.
-  const pool = trusted.length > 0 ? trusted : untried.length > 0 ? untried : rows;
-  const mean = meanResponseMsOf(state, pool);
-  const costs = pool.map((row) => ({ row, cost: costOf(state, row, mean, replyBytes) }));
-  let left = [...costs];
+  const untried = origins.filter((origin) => !triedIds.has(originIdOf(origin)));
+  const available = untried.filter((origin) => !isEjected(state, originIdOf(origin)));
+  // If all origins are ejected, an ejected one is still better than none.
+  const pool = available.length > 0 ? available : untried.length > 0 ? untried : origins;
+  const meanMs = meanResponseMsOf(state, pool);
+  const costs = pool.map((origin) => ({
+    origin,
+    cost: costOf(state, origin, meanMs, meanReplyBytes),
+  }));
+  let remaining = [...costs];
   let best: (typeof costs)[number] | undefined;
-  for (let drawn = 0; drawn < originsDrawn && left.length > 0; drawn += 1) {
-    const draw =
+  for (let drawn = 0; drawn < drawnOriginCount && remaining.length > 0; drawn += 1) {
+    const randomNumber =
       request.randomNumbers[
         1 +
-          ((request.attempts.length * originsDrawn + drawn) %
+          ((request.attempts.length * drawnOriginCount + drawn) %
             Math.max(1, request.randomNumbers.length - 1))
       ] ?? 0.5;
-    const one = left[Math.min(left.length - 1, Math.floor(draw * left.length))];
-    left = left.filter((each) => each !== one);
-    if (one !== undefined && (best === undefined || one.cost < best.cost)) best = one;
+    const candidate =
+      remaining[Math.min(remaining.length - 1, Math.floor(randomNumber * remaining.length))];
+    remaining = remaining.filter((each) => each !== candidate);
+    if (candidate !== undefined && (best === undefined || candidate.cost < best.cost))
+      best = candidate;
   }
   const rest = costs.filter((each) => each !== best).sort((a, b) => a.cost - b.cost);
-  return [...(best === undefined ? [] : [best]), ...rest].map(({ row }) => row);
+  return [...(best === undefined ? [] : [best]), ...rest].map(({ origin }) => origin);
 };
 
-/** Sets aside who failed: longer each time that it fails again before it answered soundly. */
+/** Ejects an endpoint after a failure, longer with each further failure before a valid response. */
 export const ejectEndpoint = (transition: Transition, name: string): void => {
   const failures = (transition.state.originHealth[name]?.failures ?? 0) + 1;
-  const known = transition.state.originHealth[name];
-  const suspects = Object.fromEntries(
+  const health = transition.state.originHealth[name];
+  const stillEjected = Object.fromEntries(
     Object.entries(transition.state.ejectedUntil).filter(
       ([, until]) => until > transition.state.now,
     ),
   );
   update(transition, {
     ejectedUntil: {
-      ...suspects,
+      ...stillEjected,
       [name]:
         transition.state.now +
         Math.min(maxEjectionMs, minEjectionMs * 2 ** Math.min(10, failures - 1)),
     },
-    ...(known === undefined
+    ...(health === undefined
       ? {}
-      : { originHealth: { ...transition.state.originHealth, [name]: { ...known, failures } } }),
+      : { originHealth: { ...transition.state.originHealth, [name]: { ...health, failures } } }),
   });
 };
 
-/**
- * Sets aside an origin that said that it was too full: only for the time in which that may change.
- */
+/** Ejects an origin that rejected a request as full, only for a short time in which that may change. */
 export const pauseFullOrigin = (transition: Transition, name: string): void =>
   update(transition, {
     ejectedUntil: {
@@ -346,42 +377,51 @@
     },
   });
 
-/** Learns what a sound answer of an origin shows. */
+/** Records the response time and the load report of a valid response. */
 export const recordResponse = (
   transition: Transition,
   name: string,
-  ms: number,
+  responseMs: number,
   proof: Proof | undefined,
 ): void => {
   const old = transition.state.originHealth[name];
-  const told = proof?.load;
+  const reportedLoad = proof?.load;
   const next: OriginHealth = {
     meanResponseMs:
-      old === undefined ? ms : old.meanResponseMs + responseTimeGain * (ms - old.meanResponseMs),
+      old === undefined
+        ? responseMs
+        : old.meanResponseMs + responseTimeGain * (responseMs - old.meanResponseMs),
     lastResponseAt: transition.state.now,
     failures: 0,
-    load: told
-      ? { ...told, at: transition.state.now, own: transition.state.inFlightCounts[name] ?? 0 }
+    load: reportedLoad
+      ? {
+          ...reportedLoad,
+          at: transition.state.now,
+          ownInFlight: transition.state.inFlightCounts[name] ?? 0,
+        }
       : (old?.load ?? null),
   };
   update(transition, { originHealth: { ...transition.state.originHealth, [name]: next } });
 };
 
-/** Adds a request's part of a retry token to its service's budget. */
+/** Adds a request's fraction of a retry token to the retry budget of its service. */
 export const depositRetryToken = (transition: Transition, service: string): void =>
   update(transition, {
     retryTokens: {
       ...transition.state.retryTokens,
       [service]: Math.min(
-        Math.max(1, Math.min(maxRetryTokens, maxRetryTokensOfFleet / nodes(transition.state))),
+        Math.max(
+          1,
+          Math.min(maxRetryTokens, maxRetryTokensOfFleet / nodeCountOf(transition.state)),
+        ),
         (transition.state.retryTokens[service] ?? 0) + retryTokensPerRequest,
       ),
     },
   });
-/** Whether a service's budget holds a whole retry token. */
+/** Whether the retry budget of a service has at least one token. */
 export const hasRetryBudget = (state: ProxyState, service: string): boolean =>
   (state.retryTokens[service] ?? 0) >= 1;
-/** Takes a retry token from a service's budget. */
+/** Takes a retry token from the retry budget of a service. */
 export const spendRetryToken = (transition: Transition, service: string): void =>
   update(transition, {
     retryTokens: {
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -89,7 +89,7 @@
   readonly meanResponseMs: number;
   readonly lastResponseAt: number;
   /** The last load report, and how many of the reported requests this node had sent. */
-  readonly load: (Load & { readonly at: number; readonly own: number }) | null;
+  readonly load: (Load & { readonly at: number; readonly ownInFlight: number }) | null;
   /** The number of failures since the last valid response. */
   readonly failures: number;
 };
@@ -104,10 +104,12 @@
     readonly zone: string;
     readonly region: string;
     readonly capacityBps: number;
+    /** The incarnation of this proxy. */
     readonly life: string;
   };
   readonly now: number;
   readonly leaseUntil: number;
+  /** The incarnation of the agent that sent the last feed; empty before the first one. */
   readonly life: string;
   readonly cacheFlushCount: number;
   readonly feedRequestedAt: number;
--- a/packages/proxy/src/tick-handler.ts
+++ b/packages/proxy/src/tick-handler.ts
@@ -1,6 +1,6 @@
 /**
- * What the clock brings about: attempts past their deadline, hedges beside silent ones, requests
- * that wait for their turn.
+ * Handles the ticks of the proxy: attempts past their timeout, hedges beside unresponsive attempts,
+ * queued requests, and cached copies that outlive the lease.
  */
 import { shouldHedge } from '@reedyard/attempts';
 import { Cache } from '@reedyard/cache';
@@ -30,57 +30,58 @@
 } from './state.js';
 
 /**
- * ms. An attempt is silent after a few times what its origin usually takes, but not before this.
+ * The minimum hedge delay, in milliseconds. An attempt counts as unresponsive after a multiple of its
+ * origin's expected response time, but not earlier.
  */
-const minSilenceMs = 60;
+const minHedgeDelayMs = 60;
 
 /**
- * ms. An origin with an attempt under way this long, and a few times its usual time, and nothing
- * heard since is set aside.
+ * The minimum time before an origin counts as stalled, in milliseconds. An origin is ejected once an
+ * attempt has been in flight for this time and for a multiple of the origin's mean response time,
+ * and no response has arrived since the attempt was opened.
  */
 const minStallMs = 300;
 
 /**
- * ms. In a fleet of several regions, a proxy without a lease this long drops its copies: a
- * policy it can't know of may have moved their homes. With the lease this stays under the
- * brief's 2 s; a shorter loss, which a few lost messages bring, costs no copies.
+ * How long a proxy in a fleet of several regions keeps its cached copies without a lease, in
+ * milliseconds. Then it drops them, since a policy that it does not know of may have changed their
+ * home regions. Lease duration and this time together stay below the required 2 s. A shorter loss of
+ * the lease, which a few lost messages can cause, drops no copies.
  */
 export const cacheWithoutLeaseMs = 300;
 
-/**
- * share of a request's time that is waited before a second attempt beside a silent one, at most.
- */
-const hedgeAfterShare = 0.4;
+/** The hedge delay is at most this share of the time between a request's arrival and its deadline. */
+const maxHedgeDelayShare = 0.4;
 
-/**
- * times an origin's usual time after which an attempt counts as silent, or the origin as
- * stalled.
- */
-const silenceFactor = 3;
+/** An attempt counts as unresponsive after this multiple of its origin's expected response time. */
+const hedgeDelayFactor = 3;
 
-/**  */
+/** An origin counts as stalled after this multiple of its mean response time. */
 const stallFactor = 4;
 
 /**
- * ms after which an attempt counts as silent: a few times what its other end usually takes, and
- * early enough for a second one.
+ * After how long an attempt counts as unresponsive, in milliseconds: a multiple of the expected
+ * response time, but early enough for a second attempt.
  */
-const hedgeDelayMs = (state: ProxyState, request: ProxyRequest): number => {
-  const rows = (state.feed?.origins ?? []).filter((row) => row.service === request.service);
-  const mean = meanResponseMsOf(state, rows);
-  const to = request.attempts.find((attempt) => attempt.result === null)?.to.id;
-  const row = rows.find((each) => originIdOf(each) === to);
-  const met = row === undefined ? mean : expectedResponseMs(state, row, mean);
-  const usual = met > 0 ? met : (request.route.targetMs ?? 0) * hedgeAfterShare;
+const hedgeDelayMsOf = (state: ProxyState, request: ProxyRequest): number => {
+  const origins = (state.feed?.origins ?? []).filter(
+    (origin) => origin.service === request.service,
+  );
+  const meanMs = meanResponseMsOf(state, origins);
+  const targetId = request.attempts.find((attempt) => attempt.result === null)?.to.id;
+  const origin = origins.find((candidate) => originIdOf(candidate) === targetId);
+  const measuredMs = origin === undefined ? meanMs : expectedResponseMs(state, origin, meanMs);
+  const expectedMs =
+    measuredMs > 0 ? measuredMs : (request.route.targetMs ?? 0) * maxHedgeDelayShare;
   return Math.min(
-    Math.max(minSilenceMs, silenceFactor * usual),
-    hedgeAfterShare * (request.deadlineAt - request.arrivedAt),
+    Math.max(minHedgeDelayMs, hedgeDelayFactor * expectedMs),
+    maxHedgeDelayShare * (request.deadlineAt - request.arrivedAt),
   );
 };
 
 /**
- * Looks after one request's attempts that are under way: those over their limit, stalled origins,
- * and a second attempt beside a silent one.
+ * Checks the attempts of one request that are in flight: fails those past their timeout, ejects
+ * stalled origins, and opens a hedge beside an unresponsive attempt.
  */
 const checkAttempts = (transition: Transition, request: ProxyRequest): void => {
   const { now } = transition.state;
@@ -96,11 +97,11 @@
       continue;
     }
     if (now - attempt.openedAt < minStallMs) continue;
-    const standing = transition.state.originHealth[attempt.to.id];
-    const heard = standing !== undefined && standing.lastResponseAt >= attempt.openedAt;
+    const health = transition.state.originHealth[attempt.to.id];
+    const hasResponded = health !== undefined && health.lastResponseAt >= attempt.openedAt;
     if (
-      !heard &&
-      now - attempt.openedAt > stallFactor * (standing?.meanResponseMs ?? 0) &&
+      !hasResponded &&
+      now - attempt.openedAt > stallFactor * (health?.meanResponseMs ?? 0) &&
       (transition.state.ejectedUntil[attempt.to.id] ?? 0) <= now
     ) {
       count(transition, 'stalled');
@@ -115,9 +116,9 @@
     isLeaseExpired(transition)
   )
     return;
-  const may = mayRetry(transition, current);
+  const hasRetryBudget = mayRetry(transition, current);
   if (
-    !may ||
+    !hasRetryBudget ||
     !current.isIdempotent ||
     current.attempts.filter((attempt) => attempt.result === null).length !== 1
   )
@@ -127,61 +128,62 @@
       safe: current.isIdempotent,
       attempts: current.attempts,
       now,
-      limitAt: current.deadlineAt,
-      hasRetryBudget: may,
-      hedgeDelayMs: hedgeDelayMs(transition.state, current),
+      requestDeadlineAt: current.deadlineAt,
+      hasRetryBudget,
+      hedgeDelayMs: hedgeDelayMsOf(transition.state, current),
     })
   )
     return;
-  const given = applyCurrentPolicy(transition, current);
-  if (given === null) return;
-  if (!isHomeRegion(given.route.homes, transition.state.self.region)) {
-    const [peer] = given.clientRequest.via === null ? allowedPeers(transition.state, given) : [];
+  const updated = applyCurrentPolicy(transition, current);
+  if (updated === null) return;
+  if (!isHomeRegion(updated.route.homes, transition.state.self.region)) {
+    const [peer] =
+      updated.clientRequest.via === null ? allowedPeers(transition.state, updated) : [];
     if (peer !== undefined) {
       count(transition, 'hedged');
-      openAttempt(transition, given, { kind: 'peer', row: peer });
+      openAttempt(transition, updated, { kind: 'peer', row: peer });
     }
     return;
   }
   const ranked = rankOrigins(
     transition.state,
-    given,
-    transition.state.meanReplyBytes[given.route.name] ?? 0,
+    updated,
+    transition.state.meanReplyBytes[updated.route.name] ?? 0,
   ).filter(
-    (row) =>
-      !given.attempts.some((attempt) => attempt.to.id === originIdOf(row)) &&
-      (transition.state.inFlightCounts[originIdOf(row)] ?? 0) <
-        maxConcurrencyOf(transition.state, row),
+    (candidate) =>
+      !updated.attempts.some((attempt) => attempt.to.id === originIdOf(candidate)) &&
+      (transition.state.inFlightCounts[originIdOf(candidate)] ?? 0) <
+        maxConcurrencyOf(transition.state, candidate),
   );
-  const [row] = ranked;
+  const [origin] = ranked;
   if (
-    row === undefined ||
+    origin === undefined ||
     !takeToken(
       transition,
-      `service/${given.service}`,
-      transition.state.feed?.slices[given.service] ?? 0,
+      `service/${updated.service}`,
+      transition.state.feed?.slices[updated.service] ?? 0,
     )
   )
     return;
-  if (!takeToken(transition, `instance/${originIdOf(row)}`, row.rate)) {
-    returnToken(transition, `service/${given.service}`);
+  if (!takeToken(transition, `instance/${originIdOf(origin)}`, origin.rate)) {
+    returnToken(transition, `service/${updated.service}`);
     return;
   }
   count(transition, 'hedged');
-  openAttempt(transition, given, { kind: 'origin', row });
+  openAttempt(transition, updated, { kind: 'origin', row: origin });
 };
 
-/** Comes many times a second: time-outs, hedges, queues, copies to be dropped. */
+/** Handles a tick: timeouts, hedges, queued requests, and dropping cached copies without a lease. */
 export const tick = (transition: Transition): void => {
-  const { hasRemotePeers: abroad, now, leaseUntil: lease, cache } = transition.state;
-  if (abroad && now - lease > cacheWithoutLeaseMs && cache.copies.size > 0) {
+  const { hasRemotePeers, now, leaseUntil, cache } = transition.state;
+  if (hasRemotePeers && now - leaseUntil > cacheWithoutLeaseMs && cache.copies.size > 0) {
     update(transition, { cache: Cache.flush(cache) });
     log(transition, 'copies.flushed', { why: 'homes may have moved' });
   }
   for (const request of Object.values(transition.state.requests)) {
     if (transition.state.requests[request.id] === undefined) continue;
     if (request.phase === 'holding') {
-      // Under a newer policy it may be another's to serve, or another service's.
+      // Under a newer policy, another node or another service may have to serve the request.
       if (request.revision !== (transition.state.policy?.revision ?? 0))
         continueRequest(transition, request);
       else attemptToOrigin(transition, request);
