--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -1,6 +1,6 @@
 /**
- * How many attempts at origins a request has left, what a peer is granted of them, and how both
- * tell each other what was used.
+ * How many attempts at origins a request has left, how many of them a peer is granted, and the header
+ * with which a peer reports how many it consumed.
  */
 import { consumedAttempts } from '@reedyard/attempts';
 import { hasRetryBudget } from './endpoint-selection.js';
@@ -8,52 +8,53 @@
 import type { AttemptResponse, ProxyRequest, Transition } from './state.js';
 
 /**
- * attempts that a node keeps of a request that it hands to a peer, where its route allows more
- * than one: a retry beside the caller can pass over a peer that is slow, gone, or turned away by
- * its origin; the peer's own can't.
+ * How many attempts a node reserves for itself when it forwards a request to a peer and the route
+ * allows more than one. A retry on the node that the client reached can avoid a peer that is slow,
+ * crashed, or rejected by its origin; a retry on that peer can't.
  */
-const attemptsKept = 1;
+const reservedAttempts = 1;
 
 /**
- * Whether another attempt adds little to what origins get: those before went to peers alone, which
- * as a rule have a copy.
+ * Whether another attempt needs no retry token: all previous attempts went to peers, which usually
+ * have a cached copy, so that another one adds little load on origins.
  */
 export const isExemptFromRetryBudget = (request: ProxyRequest): boolean =>
   isAlwaysCached(request.route) && request.attempts.every((attempt) => attempt.to.kind === 'peer');
 
-/** Whether the route's attempts and the retry budget leave another attempt. */
+/** Whether the route's maximum number of attempts and the retry budget allow another attempt. */
 export const mayRetry = (transition: Transition, request: ProxyRequest): boolean =>
   (isExemptFromRetryBudget(request) || hasRetryBudget(transition.state, request.service)) &&
   remainingAttempts(request) > 0;
 
-/** Origins that a request may still be sent to, from here or through peers. */
+/** How many attempts at origins a request has left, from this node or through peers. */
 export const remainingAttempts = (request: ProxyRequest): number => {
-  const most = Math.min(
+  const maxAttempts = Math.min(
     request.route.limits.attempts ?? Infinity,
     request.clientRequest.attempts ?? Infinity,
   );
-  return most === Infinity ? Infinity : most - consumedAttempts(request.attempts);
+  return maxAttempts === Infinity ? Infinity : maxAttempts - consumedAttempts(request.attempts);
 };
 
 /**
- * What a peer is granted of the attempts left: all but those kept for a retry beside the caller,
- * which also outlives the peer.
+ * How many of the remaining attempts a peer is granted: all but those reserved for a retry on this
+ * node, which is possible even if the peer crashes.
  */
-export const delegatedAttemptsFor = (left: number): number => Math.max(1, left - attemptsKept);
+export const delegatedAttemptsFor = (remaining: number): number =>
+  Math.max(1, remaining - reservedAttempts);
 
-/** Told to the peer that handed a request on: attempts at origins that were made for it here. */
+/** The response header that reports to the forwarding peer how many attempts at origins were made. */
 const consumedAttemptsHeader = 'reedyard-spent';
 
-/** The field that tells a peer how many attempts its request used here. */
+/** The header that reports to a peer how many attempts its request consumed on this node. */
 export const consumedAttemptsHeaders = (
   request: ProxyRequest | undefined,
 ): Readonly<Record<string, string>> => {
-  const spent = consumedAttempts(request?.attempts ?? []);
-  return Number.isFinite(spent) ? { [consumedAttemptsHeader]: String(spent) } : {};
+  const consumed = consumedAttempts(request?.attempts ?? []);
+  return Number.isFinite(consumed) ? { [consumedAttemptsHeader]: String(consumed) } : {};
 };
 
-/** How many attempts a peer says it used; null where it does not say. */
+/** How many attempts a peer reports to have consumed; null if it does not report a valid number. */
 export const consumedAttemptsOf = (answer: AttemptResponse): number | null => {
-  const told = headerText(answer.headers, consumedAttemptsHeader);
-  return told !== null && /^\d{1,3}$/.test(told) ? Number(told) : null;
+  const value = headerText(answer.headers, consumedAttemptsHeader);
+  return value !== null && /^\d{1,3}$/.test(value) ? Number(value) : null;
 };
--- a/packages/proxy/src/attempt-results.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -1,4 +1,4 @@
-/** Learns how an attempt ended, and derives the next move from the ledger alone. */
+/** Records how an attempt ended, and decides the next step of its request from its attempts alone. */
 import {
   type Attempt,
   type AttemptResult,
@@ -50,70 +50,70 @@
   updateRequest,
 } from './state.js';
 
-/** Notes how an attempt ended. */
+/** Records the result of an attempt; undefined if the attempt had ended before. */
 export const endAttempt = (
   transition: Transition,
   request: ProxyRequest,
   number: number,
-  end: AttemptResult,
+  result: AttemptResult,
 ): ProxyRequest | undefined => {
   const attempt = request.attempts[number];
   if (attempt === undefined || attempt.result !== null) return undefined;
-  const under = (transition.state.inFlightCounts[attempt.to.id] ?? 1) - 1;
-  const { [attempt.to.id]: _gone, ...others } = transition.state.inFlightCounts;
+  const inFlight = (transition.state.inFlightCounts[attempt.to.id] ?? 1) - 1;
+  const { [attempt.to.id]: _removed, ...others } = transition.state.inFlightCounts;
   update(transition, {
-    inFlightCounts: under > 0 ? { ...others, [attempt.to.id]: under } : others,
+    inFlightCounts: inFlight > 0 ? { ...others, [attempt.to.id]: inFlight } : others,
   });
   return updateRequest(transition, request.id, {
-    attempts: request.attempts.map((each) =>
-      each.number === number ? { ...each, result: end } : each,
+    attempts: request.attempts.map((other) =>
+      other.number === number ? { ...other, result } : other,
     ),
   });
 };
 
-const derive = (transition: Transition, request: ProxyRequest): void => {
+const decideNext = (transition: Transition, request: ProxyRequest): void => {
   if (request.phase === 'over') {
     if (request.attempts.every((attempt) => attempt.result !== null))
       removeRequest(transition, request);
     return;
   }
-  const { attempts, isIdempotent: safe, deadlineAt: limitAt } = request;
-  const move = decideNextStep({
-    safe,
+  const { attempts, isIdempotent, deadlineAt } = request;
+  const decision = decideNextStep({
+    safe: isIdempotent,
     attempts,
     now: transition.state.now,
-    requestDeadlineAt: limitAt,
+    requestDeadlineAt: deadlineAt,
     hasRetryBudget: mayRetry(transition, request),
   });
-  if (request.hasClientLeft && move.kind === 'open') {
-    failRequest(transition, request, 503, outcomeOf(request.attempts), 'its caller left');
+  if (request.hasClientLeft && decision.kind === 'open') {
+    failRequest(transition, request, 503, outcomeOf(request.attempts), 'its client left');
     return;
   }
-  if (move.kind === 'open') continueRequest(transition, request);
-  else if (move.kind === 'fail')
-    failRequest(transition, request, move.status, move.outcome, move.why);
+  if (decision.kind === 'open') continueRequest(transition, request);
+  else if (decision.kind === 'fail')
+    failRequest(transition, request, decision.status, decision.outcome, decision.why);
 };
 
-/** An attempt failed: retry, or fail the request. */
+/** Handles a failed attempt: retries or fails the request. */
 export const handleAttemptFailure = (
   transition: Transition,
   id: number,
   number: number,
   sent: SendProgress,
-  why: string,
+  reason: string,
 ): void => {
   const request = transition.state.requests[id];
   if (request === undefined) return;
-  const ended = endAttempt(transition, request, number, { kind: 'failed', sent, why });
+  const ended = endAttempt(transition, request, number, { kind: 'failed', sent, why: reason });
   if (ended === undefined) return;
-  const name = ended.attempts[number]?.to.id ?? '';
-  if (why !== 'purged' && why !== 'lease') ejectEndpoint(transition, name);
-  count(transition, `attempt-failed.${why}`);
-  log(transition, 'attempt.failed', { id, attempt: number, to: name, sent, why });
-  derive(transition, ended);
+  const endpointId = ended.attempts[number]?.to.id ?? '';
+  if (reason !== 'purged' && reason !== 'lease') ejectEndpoint(transition, endpointId);
+  count(transition, `attempt-failed.${reason}`);
+  log(transition, 'attempt.failed', { id, attempt: number, to: endpointId, sent, why: reason });
+  decideNext(transition, ended);
 };
 
-/** An attempt was answered: check the evidence, then answer the client, retry, or fail. */
+/** Handles a response to an attempt: validates it, then responds to the client, retries, or fails. */
 export const handleAttemptAnswer = (
   transition: Transition,
   id: number,
@@ -124,28 +124,29 @@
   const attempt = request?.attempts[number];
   if (request === undefined || attempt === undefined || attempt.result !== null) return;
   const { state } = transition;
-  const bad = rejectionReasonOf(request, number, answer, state.routes);
-  if (bad !== null) {
+  const rejectionReason = rejectionReasonOf(request, number, answer, state.routes);
+  if (rejectionReason !== null) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
-    handleAttemptFailure(transition, id, number, 'maybe', bad);
+    handleAttemptFailure(transition, id, number, 'maybe', rejectionReason);
     return;
   }
-  const { isIdempotent: safe } = request;
+  const { isIdempotent } = request;
   const tags = Cache.tagsOf(answer.headers, request.route.tagsHeader);
   const purgedAt = mayCache(request.route, request.clientRequest.method)
     ? Cache.firstPurgeSince(state.cache, request.key, tags, attempt.openedAt)
     : null;
-  // It may be what a purge was meant to take away, and the time for that is nearly over, or such a
-  // purge can't have been heard of: what only reads is then not passed on.
-  const doubtful =
-    safe && isLeaseExpired(transition)
+  // The response may contain an object that was purged during the attempt, and the time within which
+  // a purge must take effect is nearly over. Without a lease, this node may not even know of such a
+  // purge. A response to a request that is safe to repeat is then not relayed.
+  const staleReason =
+    isIdempotent && isLeaseExpired(transition)
       ? 'lease'
       : purgedAt !== null && state.now - purgedAt > 250
         ? 'purged'
         : null;
-  if (doubtful !== null && request.phase !== 'over') {
+  if (staleReason !== null && request.phase !== 'over') {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
-    handleAttemptFailure(transition, id, number, 'maybe', doubtful);
+    handleAttemptFailure(transition, id, number, 'maybe', staleReason);
     return;
   }
   if (answer.proof?.misdirected === true) {
@@ -153,70 +154,73 @@
     handleAttemptFailure(transition, id, number, 'nothing', 'identity');
     return;
   }
-  const notRun =
+  const isProvablyNotRun =
     answer.proof?.notRun ??
     (headerText(answer.headers, 'reedyard-outcome') === 'not-run' && answer.status === 503);
-  const turnedAway =
-    notRun ||
+  const isRejected =
+    isProvablyNotRun ||
     answer.status === 408 ||
     answer.status === 421 ||
     answer.status === 429 ||
     answer.status === 502 ||
     answer.status === 503 ||
     answer.status === 504;
-  const mayTryAgain =
-    safe &&
+  const mayRetryError =
+    isIdempotent &&
     attempt.to.kind === 'origin' &&
     answer.status >= 500 &&
     hasRetryBudget(state, request.service) &&
     remainingAttempts(request) > 0 &&
     state.now < request.deadlineAt;
-  // A word of being turned away is passed on for an unsafe request only where it is proved.
-  const final =
-    (!turnedAway ||
-      (safe && answer.status === 429 && answer.proof === undefined) ||
+  // For an unsafe request, a rejection is relayed only if evidence shows it to be the origin's own.
+  const isFinal =
+    (!isRejected ||
+      (isIdempotent && answer.status === 429 && answer.proof === undefined) ||
       isOriginGatewayError(answer)) &&
-    !mayTryAgain;
+    !mayRetryError;
   const ended = endAttempt(transition, request, number, {
     kind: 'answered',
     status: answer.status,
-    final,
-    provablyNotExecuted: notRun,
+    final: isFinal,
+    provablyNotExecuted: isProvablyNotRun,
     consumedAttempts: attempt.to.kind === 'peer' ? consumedAttemptsOf(answer) : null,
   });
   if (ended === undefined) return;
-  if (!notRun)
+  if (!isProvablyNotRun)
     recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, answer.proof);
-  if (attempt.to.kind === 'origin' && notRun) pauseFullOrigin(transition, attempt.to.id);
-  // What is read whole leaves its conn ready for the next.
-  const drop = (): void => {
+  if (attempt.to.kind === 'origin' && isProvablyNotRun) pauseFullOrigin(transition, attempt.to.id);
+  // A complete response leaves its connection ready for the next request; others must be aborted.
+  const abortIfIncomplete = (): void => {
     if (!answer.isComplete)
       transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
   };
   if (request.phase === 'over') {
-    drop();
-    derive(transition, ended);
+    abortIfIncomplete();
+    decideNext(transition, ended);
     return;
   }
-  if (!final) {
-    drop();
-    if (attempt.to.kind === 'peer' && notRun) ejectEndpoint(transition, attempt.to.id);
-    derive(transition, ended);
+  if (!isFinal) {
+    abortIfIncomplete();
+    if (attempt.to.kind === 'peer' && isProvablyNotRun) ejectEndpoint(transition, attempt.to.id);
+    decideNext(transition, ended);
     return;
   }
-  const fromOrigin = attempt.to.kind === 'origin';
+  const isFromOrigin = attempt.to.kind === 'origin';
   const attemptMs = state.now - attempt.openedAt;
-  if (fromOrigin) {
+  if (isFromOrigin) {
     const name = request.route.name;
-    const old = state.meanReplyBytes[name];
+    const previousMean = state.meanReplyBytes[name];
     update(transition, {
       meanReplyBytes: {
         ...transition.state.meanReplyBytes,
-        [name]: old === undefined ? answer.size : old + responseTimeGain * (answer.size - old),
+        [name]:
+          previousMean === undefined
+            ? answer.size
+            : previousMean + responseTimeGain * (answer.size - previousMean),
       },
     });
   }
-  if (fromOrigin) {
+  if (isFromOrigin) {
     count(transition, 'fetched');
     const { trafficPeriod: period } = transition.state;
     update(transition, {
@@ -227,7 +231,9 @@
       },
     });
   } else count(transition, 'forwarded');
-  const copy = fromOrigin ? copyOf(transition, request, attempt, answer, tags, purgedAt) : null;
+  const copy = isFromOrigin
+    ? cachedResponseOf(transition, request, attempt, answer, tags, purgedAt)
+    : null;
   if (copy !== null) update(transition, { cache: Cache.keep(transition.state.cache, copy) });
   else if (request.isFetchLeader)
     update(transition, {
@@ -239,7 +245,7 @@
       },
     });
   settleClaim(transition, ended, answer.status < 500 ? 'ran' : 'unknown');
-  recordReply(transition, request, answer.size, fromOrigin);
+  recordReply(transition, request, answer.size, isFromOrigin);
   count(transition, `status.${answer.status}`);
   if (!request.hasClientLeft) {
     transition.effects.push({
@@ -252,27 +258,27 @@
           ...consumedAttemptsHeaders(ended),
           ...(request.clientRequest.via === null
             ? {}
-            : { 'reedyard-service': fromOrigin ? serviceOfAttempt(attempt) : request.service }),
-          'reedyard-served': fromOrigin
+            : { 'reedyard-service': isFromOrigin ? serviceOfAttempt(attempt) : request.service }),
+          'reedyard-served': isFromOrigin
             ? request.clientRequest.via === null
               ? 'origin'
               : 'peer-origin'
             : 'peer',
-          ...(safe ? {} : { 'reedyard-outcome': answer.status < 500 ? 'ran' : 'unknown' }),
+          ...(isIdempotent ? {} : { 'reedyard-outcome': answer.status < 500 ? 'ran' : 'unknown' }),
         },
         body: { kind: 'attempt', answer },
       },
     });
-  } else drop();
+  } else abortIfIncomplete();
   closeRequest(transition, ended);
   finishFetch(transition, ended, copy, null);
 };
 
 /**
- * What is kept of an answer: only as the route in force now has it, and only if its service is
- * still that one.
+ * The cached response to store for a response; null if it must not be cached. Both the cache rules
+ * and the service are checked against the route that is in force now.
  */
-const copyOf = (
+const cachedResponseOf = (
   transition: Transition,
   request: ProxyRequest,
   attempt: Attempt,
@@ -290,7 +296,7 @@
     return null;
   const route = Routes.find(state.routes, request.clientRequest.host, request.clientRequest.target);
   const attemptMs = state.now - attempt.openedAt;
-  const life =
+  const freshnessMs =
     route !== undefined && isAlwaysCached(route)
       ? answer.status === 200
         ? (route.cache.mostSeconds ?? 0) * 1_000
@@ -304,7 +310,7 @@
           answer,
           attemptMs,
         );
-  const { ['reedyard-attempt']: _mark, ...headers } = answer.headers;
+  const { ['reedyard-attempt']: _attemptId, ...headers } = answer.headers;
   const copy: CachedResponse = {
     key: request.key,
     service: serviceOfAttempt(attempt),
@@ -315,11 +321,11 @@
     tags,
     vary: Cache.varyValuesOf(answer.headers, request.clientRequest.headers),
     storedAt: state.now,
-    freshUntil: state.now + life,
+    freshUntil: state.now + freshnessMs,
     initialAgeSeconds:
       route !== undefined && isAlwaysCached(route)
         ? 0
         : Number(headerText(answer.headers, 'age') ?? 0) + attemptMs / 1_000,
   };
-  return life > 0 && state.now < copyExpiresAtMs(route, state, copy) ? copy : null;
+  return freshnessMs > 0 && state.now < copyExpiresAtMs(route, state, copy) ? copy : null;
 };
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -1,6 +1,6 @@
 /**
- * The proxy as a reducer: events of callers, peers, origins, the agent and the clock, and the
- * effects that follow.
+ * The proxy as a reducer: it maps events of clients, peers, origins, the agent and the clock to a new
+ * state and effects.
  */
 import { type ClaimReply, evacuationGraceMs, retryAfterSeconds } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
@@ -13,7 +13,7 @@
 import { requestFeed } from './reporting.js';
 import { maxRequestsInFlight } from './request-limit.js';
 import { headerText, deadlineOf, refusalOf } from './request-rules.js';
-import { start } from './serving.js';
+import { startRequest } from './serving.js';
 import { unreadyServingMs } from './shutdown-timing.js';
 import {
   type ClientRequest,
@@ -31,11 +31,11 @@
 const mayServe = (transition: Transition, id: number, via: string | null): boolean => {
   const { state } = transition;
   if (state.stoppingAt !== null && state.now - state.stoppingAt > unreadyServingMs) {
-    sendProblem(transition, id, 503, 'Leaving', 'This node is leaving.', { connection: 'close' });
+    sendProblem(transition, id, 503, 'Stopping', 'This node is stopping.', { connection: 'close' });
     return false;
   }
   if (state.now >= state.leaseUntil || state.policy === null || state.feed === null) {
-    sendProblem(transition, id, 503, 'Not ready', 'This node is cut off from the control state.');
+    sendProblem(transition, id, 503, 'Not ready', 'This node is isolated from the control state.');
     return false;
   }
   if (
@@ -43,7 +43,7 @@
     state.evacuatedAt !== null &&
     state.now - state.evacuatedAt > evacuationGraceMs
   ) {
-    sendProblem(transition, id, 503, 'Zone emptied', 'This zone is emptied.', {
+    sendProblem(transition, id, 503, 'Zone evacuated', 'This zone is evacuated.', {
       connection: 'close',
     });
     return false;
@@ -54,51 +54,51 @@
 const handleArrival = (
   transition: Transition,
   id: number,
-  asked: ClientRequest,
-  draws: readonly number[],
+  clientRequest: ClientRequest,
+  randomNumbers: readonly number[],
   token: string,
 ): void => {
   const { state } = transition;
-  count(transition, asked.via === null ? 'requests' : 'requests.peer');
-  if (!mayServe(transition, id, asked.via)) return;
-  const route = Routes.find(state.routes, asked.host, asked.target);
-  const refusal = refusalOf(route, asked, state.policy?.document.callers);
+  count(transition, clientRequest.via === null ? 'requests' : 'requests.peer');
+  if (!mayServe(transition, id, clientRequest.via)) return;
+  const route = Routes.find(state.routes, clientRequest.host, clientRequest.target);
+  const refusal = refusalOf(route, clientRequest, state.policy?.document.callers);
   if (route === undefined || refusal !== null) {
     if (refusal !== null)
       sendProblem(transition, id, refusal.status, refusal.title, refusal.detail, refusal.more);
     return;
   }
   if (Object.keys(state.requests).length >= maxRequestsInFlight) {
-    sendProblem(transition, id, 503, 'Too busy', 'Too many requests are under way here.');
+    sendProblem(transition, id, 503, 'Too busy', 'Too many requests are in flight on this node.');
     return;
   }
-  const safe = isIdempotentRequest(route, asked.method);
-  const callerKey =
-    safe || route.repeat === 'never' || asked.via !== null
+  const isIdempotent = isIdempotentRequest(route, clientRequest.method);
+  const idempotencyKey =
+    isIdempotent || route.repeat === 'never' || clientRequest.via !== null
       ? null
-      : headerText(asked.headers, 'idempotency-key');
+      : headerText(clientRequest.headers, 'idempotency-key');
   const request: ProxyRequest = {
     id,
-    clientRequest: asked,
+    clientRequest,
     route,
     revision: state.policy?.revision ?? 0,
-    service: drawService(route, draws.at(-1) ?? 0),
-    isIdempotent: safe,
-    key: Cache.key(asked.host, asked.target),
+    service: drawService(route, randomNumbers.at(-1) ?? 0),
+    isIdempotent,
+    key: Cache.key(clientRequest.host, clientRequest.target),
     arrivedAt: state.now,
-    deadlineAt: deadlineOf(route, asked, state.now),
-    randomNumbers: draws,
+    deadlineAt: deadlineOf(route, clientRequest, state.now),
+    randomNumbers,
     token,
-    claimKey: callerKey === null ? null : Cache.key(asked.host, `/${callerKey}`),
+    claimKey: idempotencyKey === null ? null : Cache.key(clientRequest.host, `/${idempotencyKey}`),
     attempts: [],
-    phase: callerKey === null ? 'attempt' : 'claiming',
+    phase: idempotencyKey === null ? 'attempt' : 'claiming',
     queuedAt: 0,
     isFetchLeader: false,
     hasClientLeft: false,
   };
   update(transition, { requests: { ...state.requests, [id]: request } });
-  // A forwarded request earned its repeat where its caller came to.
-  if (asked.via === null) depositRetryToken(transition, request.service);
+  // A forwarded request has already added to the retry budget of the node that its client reached.
+  if (clientRequest.via === null) depositRetryToken(transition, request.service);
   if (request.claimKey !== null)
     transition.effects.push({
       kind: 'query-agent',
@@ -108,20 +108,20 @@
         key: request.claimKey,
         token,
         life: state.self.life,
-        digest: asked.digest ?? '',
+        digest: clientRequest.digest ?? '',
       },
     });
-  else start(transition, request);
+  else startRequest(transition, request);
 };
 
 const handleClaimReply = (transition: Transition, id: number, reply: ClaimReply): void => {
   const request = transition.state.requests[id];
   if (request === undefined || request.phase !== 'claiming') return;
   if (reply.kind === 'granted') {
-    const held = updateRequest(transition, id, { phase: 'attempt' });
-    if (held === undefined) return;
-    if (held.hasClientLeft) failRequest(transition, held, 503, 'not-run', 'its caller left');
-    else start(transition, held);
+    const claimed = updateRequest(transition, id, { phase: 'attempt' });
+    if (claimed === undefined) return;
+    if (claimed.hasClientLeft) failRequest(transition, claimed, 503, 'not-run', 'its client left');
+    else startRequest(transition, claimed);
     return;
   }
   if (reply.kind === 'unreached') {
@@ -140,7 +140,7 @@
           kind: 'problem',
           title: 'Key of another request',
           detail:
-            'Another request was sent with this key: another method, target or body. This one was not run.',
+            'Another request with a different method, target or body was sent with this key. This one was not run.',
           outcome: 'not-run',
         },
       },
@@ -148,7 +148,7 @@
     closeRequest(transition, request);
     return;
   }
-  const known = reply.state === 'pending' ? 'in-progress' : reply.state;
+  const outcome = reply.state === 'pending' ? 'in-progress' : reply.state;
   count(transition, 'claims.taken', 'status.409');
   transition.effects.push({
     kind: 'send-answer',
@@ -156,25 +156,24 @@
     answer: {
       status: 409,
       headers: {
-        'reedyard-outcome': known,
-        ...(known === 'in-progress' ? { 'retry-after': String(retryAfterSeconds) } : {}),
+        'reedyard-outcome': outcome,
+        ...(outcome === 'in-progress' ? { 'retry-after': String(retryAfterSeconds) } : {}),
       },
       body: {
         kind: 'problem',
         title: 'Key already used',
-        detail: `A request with this key was sent before; its outcome is: ${known}. It is not run again.`,
-        outcome: known,
+        detail: `A request with this key was sent before; its outcome is: ${outcome}. It is not run again.`,
+        outcome,
       },
     },
   });
   closeRequest(transition, request);
 };
 
-/** The client closed its connection: what may be broken off is. */
+/** The client closed its connection: aborts its attempts if they may be aborted. */
 const handleClientLeft = (transition: Transition, id: number): void => {
   const request = updateRequest(transition, id, { hasClientLeft: true });
-  // An attempt that others wait for, or that may have run, is let finish; only safe ones alone are
-  // dropped.
+  // Lets an attempt finish if other requests wait for it or if it may have executed an unsafe request.
   if (
     request === undefined ||
     !request.isIdempotent ||
@@ -182,24 +181,29 @@
     request.phase !== 'attempt'
   )
     return;
-  const live = request.attempts.filter((attempt) => attempt.result === null);
-  if (live.length === 0) return;
-  let ended = request;
-  for (const attempt of live) {
+  const inFlight = request.attempts.filter((attempt) => attempt.result === null);
+  if (inFlight.length === 0) return;
+  let updated = request;
+  for (const attempt of inFlight) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: attempt.number });
-    ended =
-      endAttempt(transition, ended, attempt.number, {
+    updated =
+      endAttempt(transition, updated, attempt.number, {
         kind: 'failed',
         sent: 'maybe',
         why: 'caller',
-      }) ?? ended;
+      }) ?? updated;
   }
-  closeRequest(transition, ended);
+  closeRequest(transition, updated);
 };
 
-/** The proxy's reducer. */
+/** The initial state, the readiness and the reducer of a proxy. */
 export const ProxyCore = {
-  /** @example ProxyCore.open({ id: 'front-1', zone: 'a', region: 'eu', capacityBps: 8e7, life: 'l1' }, 0).lease // 0: nothing is served yet */
+  /**
+   * The initial state. The proxy serves nothing before its first lease.
+   *
+   * @example
+   * ProxyCore.open({ id: 'front-1', zone: 'a', region: 'eu', capacityBps: 8e7, life: 'l1' }, 0).leaseUntil // 0
+   */
   open: (self: ProxyState['self'], now: number): ProxyState => ({
     self,
     now,
@@ -231,7 +235,7 @@
     demandCounts: { since: now, counts: {} },
   }),
 
-  /** Whether the platform may send callers here. @example ProxyCore.ready(state, 5) // false */
+  /** Whether the platform may route clients to this proxy. @example ProxyCore.ready(state, 5) // false */
   ready: (state: ProxyState, now: number): boolean =>
     now < state.leaseUntil &&
     state.policy !== null &&
@@ -239,7 +243,7 @@
     state.evacuatedAt === null &&
     state.feed?.seated === true,
 
-  /** @example ProxyCore.reduce(state, { kind: 'beat', now: 25 }).effects */
+  /** Applies an event. @example ProxyCore.reduce(state, { kind: 'tick', now: 25 }).effects */
   reduce: (state: ProxyState, event: ProxyEvent): Step<ProxyState, ProxyEffect> => {
     const transition: Transition = {
       state: { ...state, now: Math.max(state.now, event.now) },
--- a/packages/proxy/src/request-completion.ts
+++ b/packages/proxy/src/request-completion.ts
@@ -1,6 +1,6 @@
 /**
- * Ends requests: answers of the proxy itself and from copies, and what becomes of those that waited
- * for the same fetch.
+ * Completes requests: with responses of the proxy itself or from the cache, including the requests
+ * that waited for the same fetch.
  */
 import { type ClaimState, retryAfterSeconds } from '@reedyard/agent';
 import { type Outcome, outcomeOf } from '@reedyard/attempts';
@@ -21,18 +21,18 @@
   updateRequest,
 } from './state.js';
 
-/** Answers that ask nothing of any origin: what the proxy itself has to say. */
+/** Responds with a problem document of the proxy itself. */
 export const sendProblem = (
   transition: Transition,
   id: number,
   status: number,
   title: string,
   detail: string,
-  more: Readonly<Record<string, string>> = {},
+  extraHeaders: Readonly<Record<string, string>> = {},
   outcome: Outcome = 'not-run',
   retryMs = 1_000 * retryAfterSeconds,
 ): void => {
-  const waits = status === 502 || status === 503 || status === 504;
+  const isRetryable = status === 502 || status === 503 || status === 504;
   count(transition, `status.${status}`);
   transition.effects.push({
     kind: 'send-answer',
@@ -42,16 +42,16 @@
       headers: {
         'reedyard-outcome': outcome,
         ...consumedAttemptsHeaders(transition.state.requests[id]),
-        ...(waits ? { 'retry-after': String(Math.ceil(retryMs / 1_000)) } : {}),
-        ...more,
+        ...(isRetryable ? { 'retry-after': String(Math.ceil(retryMs / 1_000)) } : {}),
+        ...extraHeaders,
       },
-      ...(waits ? { retryMs } : {}),
+      ...(isRetryable ? { retryMs } : {}),
       body: { kind: 'problem', title, detail, outcome },
     },
   });
 };
 
-/** Records with the agent what became of a claimed request. */
+/** Reports the outcome of a request to the agent if its idempotency key was claimed. */
 export const settleClaim = (
   transition: Transition,
   request: ProxyRequest,
@@ -65,58 +65,59 @@
   });
 };
 
-/** Lets a request go, with what it holds. */
+/** Removes a request from the state. */
 export const removeRequest = (transition: Transition, request: ProxyRequest): void => {
-  const { [request.id]: _gone, ...rest } = transition.state.requests;
+  const { [request.id]: _removed, ...rest } = transition.state.requests;
   update(transition, { requests: rest });
 };
 
 /**
- * Its caller has heard the last of it. An attempt beside the one that served is let end: breaking
- * it off helps nobody.
+ * Closes a request after its final response. Other attempts that are still in flight are allowed to
+ * finish, since aborting them gains nothing.
  */
 export const closeRequest = (transition: Transition, request: ProxyRequest): void => {
-  const known = transition.state.requests[request.id];
-  if (known !== undefined && known.attempts.some((attempt) => attempt.result === null))
+  const current = transition.state.requests[request.id];
+  if (current !== undefined && current.attempts.some((attempt) => attempt.result === null))
     updateRequest(transition, request.id, { phase: 'over' });
   else removeRequest(transition, request);
   transition.effects.push({ kind: 'close-request', requestId: request.id });
 };
 
-/** Counts an answer in the vectors' measurements: demand only for this edge's own callers. */
+/** Adds a response to the traffic measurement; only responses to the node's own clients are demand. */
 export const recordReply = (
   transition: Transition,
   request: ProxyRequest,
-  size: number,
-  here: boolean,
+  sizeBytes: number,
+  isServedLocally: boolean,
 ): void => {
-  const bits = 8 * (size + 300);
+  const bits = 8 * (sizeBytes + 300);
   const { trafficPeriod: period } = transition.state;
-  const own = request.clientRequest.via === null;
-  const busy = objectKey(
+  const isOwnClient = request.clientRequest.via === null;
+  const key = objectKey(
     request.route.name,
     isAlwaysCached(request.route) ? null : request.clientRequest.target,
   );
   update(transition, {
     trafficPeriod: {
       ...period,
-      servedBits: period.servedBits + (here ? bits : 0),
+      servedBits: period.servedBits + (isServedLocally ? bits : 0),
       replies: period.replies + 1,
-      bits: own ? { ...period.bits, [busy]: (period.bits[busy] ?? 0) + bits } : period.bits,
+      bits: isOwnClient ? { ...period.bits, [key]: (period.bits[key] ?? 0) + bits } : period.bits,
     },
   });
 };
 
 /**
- * The lease is looked at where it is used: a thawed process finds it over, whatever waited for it.
+ * Whether the lease has expired. It is checked at each use, so that a process that was frozen notices
+ * before it handles pending requests.
  */
 export const isLeaseExpired = (transition: Transition): boolean =>
   transition.state.now >= transition.state.leaseUntil;
 
-/** Told to a client whose node has no lease. */
-export const isolatedNodeDetail = 'this node is cut off from the control state';
+/** The reason in the response to a client whose node has no lease. */
+export const isolatedNodeDetail = 'this node is isolated from the control state';
 
-/** Answers with a kept object. */
+/** Responds with a cached response. */
 export const respondFromCache = (
   transition: Transition,
   request: ProxyRequest,
@@ -126,12 +127,14 @@
     failRequest(transition, request, 503, 'not-run', isolatedNodeDetail);
     return;
   }
-  const age = Math.floor(copy.initialAgeSeconds + (transition.state.now - copy.storedAt) / 1_000);
-  const answer: ClientResponse = {
+  const ageSeconds = Math.floor(
+    copy.initialAgeSeconds + (transition.state.now - copy.storedAt) / 1_000,
+  );
+  const response: ClientResponse = {
     status: copy.status,
     headers: {
       ...copy.headers,
-      age: String(age),
+      age: String(ageSeconds),
       ...consumedAttemptsHeaders(request),
       ...(request.clientRequest.via === null ? {} : { 'reedyard-service': copy.service }),
       'reedyard-served': request.clientRequest.via === null ? 'copy' : 'peer-copy',
@@ -140,21 +143,21 @@
   };
   count(transition, 'served.copy');
   recordReply(transition, request, copy.sizeBytes, true);
-  transition.effects.push({ kind: 'send-answer', requestId: request.id, answer });
+  transition.effects.push({ kind: 'send-answer', requestId: request.id, answer: response });
   closeRequest(transition, request);
 };
 
-/** Answers with an error of the proxy's own, and ends the request. */
+/** Fails a request with an error response of the proxy itself, along with those that joined its fetch. */
 export const failRequest = (
   transition: Transition,
   request: ProxyRequest,
-  reached: 502 | 503 | 504,
+  requestedStatus: 502 | 503 | 504,
   outcome: Outcome,
-  why: string,
+  reason: string,
   retryMs?: number,
 ): void => {
-  // A 503 says "not run" and nothing else.
-  const status = reached === 503 && outcome === 'unknown' ? 502 : reached;
+  // A 503 always means that the request was not run.
+  const status = requestedStatus === 503 && outcome === 'unknown' ? 502 : requestedStatus;
   settleClaim(transition, request, outcome);
   count(transition, 'given-up');
   if (!request.hasClientLeft) {
@@ -162,8 +165,10 @@
       transition,
       request.id,
       status,
-      status === 503 ? 'Not served' : 'No sound answer',
-      outcome === 'not-run' ? `It was not run: ${why}.` : `It is not known whether it ran: ${why}.`,
+      status === 503 ? 'Not served' : 'No valid response',
+      outcome === 'not-run'
+        ? `It was not run: ${reason}.`
+        : `It is not known whether it ran: ${reason}.`,
       {},
       outcome,
       retryMs,
@@ -174,52 +179,60 @@
     route: request.route.name,
     status,
     outcome,
-    why,
+    why: reason,
     attempts: request.attempts.length,
   });
   closeRequest(transition, request);
-  // Its waiters share its fate, but for a caller who left.
-  finishFetch(transition, request, null, request.hasClientLeft ? null : { status, outcome, why });
+  // The requests that wait for its fetch fail too, unless it failed because its client left.
+  finishFetch(
+    transition,
+    request,
+    null,
+    request.hasClientLeft ? null : { status, outcome, reason },
+  );
 };
 
-/** A leader's fetch is over: its waiters are answered from it, or go on by themselves. */
+/**
+ * Ends a leader's fetch: its waiters fail with it, are served from the stored response, or continue
+ * on their own.
+ */
 export const finishFetch = (
   transition: Transition,
   leader: ProxyRequest,
-  kept: CachedResponse | null,
+  stored: CachedResponse | null,
   failure: {
     readonly status: 502 | 503 | 504;
     readonly outcome: Outcome;
-    readonly why: string;
+    readonly reason: string;
   } | null,
 ): void => {
   if (!leader.isFetchLeader) return;
   const fetch = transition.state.fetches[leader.key];
   if (fetch === undefined || fetch.leader !== leader.id) return;
-  const { [leader.key]: _gone, ...rest } = transition.state.fetches;
+  const { [leader.key]: _removed, ...rest } = transition.state.fetches;
   update(transition, { fetches: rest });
   for (const id of fetch.waiters) {
     const waiter = transition.state.requests[id];
     if (waiter === undefined) continue;
     if (failure !== null) {
-      failRequest(transition, waiter, failure.status, failure.outcome, failure.why);
+      failRequest(transition, waiter, failure.status, failure.outcome, failure.reason);
       continue;
     }
     const current = applyCurrentPolicy(transition, waiter);
     if (current === null) continue;
-    const fits =
-      kept !== null &&
-      Routes.allows(current.route, kept.service) &&
+    const isUsable =
+      stored !== null &&
+      Routes.allows(current.route, stored.service) &&
       mayCache(current.route, 'GET') &&
-      Object.entries(kept.vary).every(
+      Object.entries(stored.vary).every(
         ([name, value]) => (headerText(waiter.clientRequest.headers, name) ?? '') === value,
       );
-    if (fits && kept !== null) respondFromCache(transition, current, kept);
+    if (isUsable && stored !== null) respondFromCache(transition, current, stored);
     else continueRequest(transition, current);
   }
 };
 
-/** Ends a request that provably ran nothing with an answer of the proxy's own. */
+/** Rejects a request of which provably nothing ran, with a problem document of the proxy itself. */
 const endUnexecuted = (
   transition: Transition,
   request: ProxyRequest,
@@ -240,9 +253,9 @@
 };
 
 /**
- * The policy in force rules at each move: the request under the route that it has now. Null
- * once it was ended because that policy lets it go no further: as if it came now where nothing ran,
- * and with an unknown outcome where an attempt may have run.
+ * Updates a request to the policy in force, which applies at every step. Ends the request and returns
+ * null if that policy does not allow it: as if it arrived now if nothing ran, and with an unknown
+ * outcome if an attempt may have run.
  */
 export const applyCurrentPolicy = (
   transition: Transition,
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Rules that hold for one request by its route and its answer alone: what is refused, kept, joined,
- * or taken for sound. Pure functions.
+ * Rules that depend only on a request, its route and a response: which requests are rejected, which
+ * responses are cached or valid, and which requests may join a fetch. All functions are pure.
  */
 import type { Attempt } from '@reedyard/attempts';
 import type { CachedResponse } from '@reedyard/cache';
@@ -10,25 +10,25 @@
 import { maxQueueWaitMs } from './serving.js';
 import type { ClientRequest, AttemptResponse, ProxyRequest, ProxyState } from './state.js';
 
-/** ms. Default limit of a whole request. */
+/** The default timeout of a request, in milliseconds. */
 const defaultRequestTimeoutMs = 10_000;
 
 /**
- * share of a request's target that it may wait for its turn: refused by then, another try can
- * still be in time.
+ * The share of its route's target time that a request may queue. If it is rejected after that, a
+ * retry can still finish in time.
  */
-const queueWaitShare = 0.2;
+const maxQueueWaitShare = 0.2;
 
-/** A field as one text; null where it is missing. */
+/** The value of a header field as one string; null if the field is missing. */
 export const headerText = (headers: ClientRequest['headers'], name: string): string | null => {
   const value = headers[name];
   return value === undefined ? null : typeof value === 'string' ? value : value.join(',');
 };
 
-/** Why a request gets nothing by its route, whatever the origins do; null where it may be made. */
+/** The response that rejects a request by its route alone; null if the request is allowed. */
 export const refusalOf = (
   route: Route | undefined,
-  asked: ClientRequest,
+  clientRequest: ClientRequest,
   callers: Policy['callers'],
 ): {
   readonly status: number;
@@ -39,65 +39,66 @@
   if (route === undefined)
     return {
       status: 404,
-      title: 'No such place',
-      detail: 'No policy has a route for this host and path.',
+      title: 'No such route',
+      detail: 'No route matches this host and path.',
     };
-  if (!(route.methods as readonly string[]).includes(asked.method))
+  if (!(route.methods as readonly string[]).includes(clientRequest.method))
     return {
       status: 405,
       title: 'Method not allowed',
-      detail: `This route takes ${route.methods.join(', ')}.`,
+      detail: `This route allows ${route.methods.join(', ')}.`,
       more: { allow: route.methods.join(', ') },
     };
-  const most = route.limits.bodyBytes ?? CallerBounds.of(callers).bodyBytes;
-  if (asked.bodyBytes > most)
+  const maxBodyBytes = route.limits.bodyBytes ?? CallerBounds.of(callers).bodyBytes;
+  if (clientRequest.bodyBytes > maxBodyBytes)
     return {
       status: 413,
       title: 'Body too large',
-      detail: `This route takes bodies of up to ${most} bytes.`,
+      detail: `This route allows bodies of up to ${maxBodyBytes} bytes.`,
     };
   if (
     route.key === 'required' &&
-    !isIdempotentRequest(route, asked.method) &&
-    headerText(asked.headers, 'idempotency-key') === null
+    !isIdempotentRequest(route, clientRequest.method) &&
+    headerText(clientRequest.headers, 'idempotency-key') === null
   )
     return {
       status: 400,
-      title: 'Key wanted',
-      detail: 'This route takes such a request only with an Idempotency-Key.',
+      title: 'Key required',
+      detail: 'This route allows such a request only with an Idempotency-Key.',
     };
   return null;
 };
 
-/** Whether a route keeps answers to a method. */
+/** Whether a route allows responses to a method to be cached. */
 export const mayCache = (route: Route, method: string): boolean =>
   route.cache.keep !== 'never' && (method === 'GET' || method === 'HEAD');
 
-/** Whether a route keeps whatever its origin answers. */
+/** Whether a route caches every response, whatever its origin's cache headers say. */
 export const isAlwaysCached = (route: Route): boolean => route.cache.keep === 'always';
 
-/** Whether a request may wait for another one's fetch of the same object. */
+/** Whether a request may wait for another request's fetch of the same object. */
 export const mayJoinFetch = (request: ProxyRequest): boolean =>
   request.clientRequest.method === 'GET' &&
   mayCache(request.route, 'GET') &&
   (isAlwaysCached(request.route) ||
     headerText(request.clientRequest.headers, 'authorization') === null);
 
-/**
- * Until when a request is worth serving: its route's limit, or less where its caller waits less.
- */
-export const deadlineOf = (route: Route, asked: ClientRequest, arrivedAt: number): number =>
+/** The deadline of a request: its route's timeout, or earlier if its client waits less. */
+export const deadlineOf = (route: Route, clientRequest: ClientRequest, arrivedAt: number): number =>
   arrivedAt +
-  Math.min(route.limits.requestMs ?? defaultRequestTimeoutMs, asked.deadlineMs ?? Infinity);
+  Math.min(route.limits.requestMs ?? defaultRequestTimeoutMs, clientRequest.deadlineMs ?? Infinity);
 
 /**
- * ms that a request may wait for its turn: a refusal must leave time for another try within its
- * target.
+ * How long a request may queue, in milliseconds. A rejection must leave time for a retry within the
+ * route's target time.
  */
 export const maxQueueWaitMsOf = (request: ProxyRequest): number =>
-  Math.min(maxQueueWaitMs, (request.route.targetMs ?? Infinity) * queueWaitShare);
+  Math.min(maxQueueWaitMs, (request.route.targetMs ?? Infinity) * maxQueueWaitShare);
 
-/** ms. Until when a route lets a copy live here, whatever its origin allows. */
+/**
+ * Until when a route allows a cached copy on this node, whatever its origin allows, in milliseconds of
+ * the monotonic clock: 0 if not at all.
+ */
 export const copyExpiresAtMs = (
   route: Route | undefined,
   state: ProxyState,
@@ -113,13 +114,13 @@
       : copy.storedAt + (route.cache.mostSeconds - copy.initialAgeSeconds) * 1_000;
 
 /**
- * The service that an attempt went to: the request's own may have been drawn anew since, under a
- * newer policy.
+ * The service that an attempt went to. It may differ from the service of the request, which a newer
+ * policy may have changed since.
  */
 export const serviceOfAttempt = (attempt: Attempt): string =>
   attempt.to.id.slice(0, attempt.to.id.indexOf('/'));
 
-/** Why an answer can't be passed on, or null if it is sound. */
+/** The reason why a response is invalid and must not be relayed; null if it is valid. */
 export const rejectionReasonOf = (
   request: ProxyRequest,
   number: number,
@@ -133,23 +134,30 @@
     return 'foreign';
   const stamp = headerText(answer.headers, 'reedyard-stamp');
   if (attempt.to.kind === 'origin') return stamp === attempt.to.id ? null : 'stamp';
-  const notServed = answer.status >= 400 && headerText(answer.headers, 'reedyard-outcome') !== null;
-  const madeBy = headerText(answer.headers, 'reedyard-service');
-  // The peer may have served under a newer policy than the one that the attempt was made under.
-  const newer = Routes.find(routes, request.clientRequest.host, request.clientRequest.target);
+  const isUnservedByPeer =
+    answer.status >= 400 && headerText(answer.headers, 'reedyard-outcome') !== null;
+  const servingService = headerText(answer.headers, 'reedyard-service');
+  // The peer may have served the request under a newer policy than that of the attempt.
+  const currentRoute = Routes.find(
+    routes,
+    request.clientRequest.host,
+    request.clientRequest.target,
+  );
   const services = [
     ...Routes.services(request.route),
-    ...(newer === undefined ? [] : Routes.services(newer)),
+    ...(currentRoute === undefined ? [] : Routes.services(currentRoute)),
   ];
-  return notServed ||
-    services.some(({ service }) => madeBy === service || stamp?.startsWith(`${service}/`) === true)
+  return isUnservedByPeer ||
+    services.some(
+      ({ service }) => servingService === service || stamp?.startsWith(`${service}/`) === true,
+    )
     ? null
     : 'stamp';
 };
 
 /**
- * An origin's own word, under a dialect that tells what did not run by a field: its 502 or 504 is
- * its answer and is passed on.
+ * Whether a 502 or 504 is the origin's own response and may be relayed: under a wire format with
+ * evidence, a header field marks the requests that were not run.
  */
 export const isOriginGatewayError = (answer: AttemptResponse): boolean =>
   answer.proof !== undefined &&
--- a/packages/proxy/src/serving.ts
+++ b/packages/proxy/src/serving.ts
@@ -1,6 +1,6 @@
 /**
- * Moves a request on: who serves it, a copy, a fetch that it joins, or an attempt of its own. Never
- * opens an attempt without a lease or beyond its budget.
+ * Serves a request: from the cache, by joining a fetch in flight, or by an attempt at an origin or a
+ * peer. Never opens an attempt without a lease or beyond the attempts that the request has left.
  */
 import { outcomeOf } from '@reedyard/attempts';
 import { Cache } from '@reedyard/cache';
@@ -44,13 +44,19 @@
   updateRequest,
 } from './state.js';
 
-/** ms. Default limit of one attempt to an origin. */
+/** The default timeout of one attempt at an origin, in milliseconds. */
 export const defaultAttemptTimeoutMs = 4_000;
 
-/** ms. Longest wait in the holding for a quota's next token; past it the answer is 503 at once. */
+/**
+ * The maximum time that a request queues for a quota token, in milliseconds. A request that would
+ * queue longer immediately gets a 503.
+ */
 export const maxQueueWaitMs = 400;
 
-/** ms. Told to callers where another node, or the next instant, may well serve them. */
+/**
+ * The retry time sent to clients when another node may serve the request, or this node soon, in
+ * milliseconds.
+ */
 const retrySoonMs = 100;
 
 /** Opens an attempt at an origin or a peer. */
@@ -63,21 +69,21 @@
     failRequest(transition, request, 503, outcomeOf(request.attempts), isolatedNodeDetail);
     return;
   }
-  const left = remainingAttempts(request);
-  if (left <= 0) {
-    failRequest(transition, request, 503, outcomeOf(request.attempts), 'its attempts are used up');
+  const remaining = remainingAttempts(request);
+  if (remaining <= 0) {
+    failRequest(transition, request, 503, outcomeOf(request.attempts), 'it has no attempts left');
     return;
   }
-  const granted = to.kind === 'origin' ? 1 : delegatedAttemptsFor(left);
+  const granted = to.kind === 'origin' ? 1 : delegatedAttemptsFor(remaining);
   const number = request.attempts.length;
   const id = to.kind === 'origin' ? originIdOf(to.row) : to.row.id;
-  const attemptLimit = Math.min(
+  const timeoutAt = Math.min(
     request.deadlineAt,
     transition.state.now +
       (request.route.limits.attemptMs ?? defaultAttemptTimeoutMs) +
       (to.kind === 'peer' ? maxQueueWaitMs : 0),
   );
-  const next = updateRequest(transition, request.id, {
+  const updated = updateRequest(transition, request.id, {
     phase: 'attempt',
     attempts: [
       ...request.attempts,
@@ -85,13 +91,13 @@
         number,
         to: { kind: to.kind, id },
         openedAt: transition.state.now,
-        timeoutAt: attemptLimit,
+        timeoutAt,
         result: null,
         delegatedAttempts: granted,
       },
     ],
   });
-  if (next === undefined) return;
+  if (updated === undefined) return;
   if (number > 0) {
     if (!isExemptFromRetryBudget(request)) spendRetryToken(transition, request.service);
     count(transition, 'repeats');
@@ -110,7 +116,7 @@
     to,
     clientRequest: request.clientRequest,
     attemptId: `${request.token}-${number}`,
-    timeoutMs: attemptLimit - transition.state.now,
+    timeoutMs: timeoutAt - transition.state.now,
     isCacheable: mayJoinFetch(request) && to.kind === 'origin',
     isIdempotent: request.isIdempotent,
     delegatedAttempts: granted,
@@ -119,8 +125,8 @@
 };
 
 /**
- * An attempt at an origin, if the quota has a token now and an instance room; else a short holding,
- * or the final answer at once.
+ * Opens an attempt at an origin if the quota has a token and an instance has spare capacity. Otherwise
+ * queues the request for a short time, or fails it if it would wait too long.
  */
 export const attemptToOrigin = (transition: Transition, request: ProxyRequest): void => {
   const { service } = request;
@@ -135,42 +141,42 @@
       request,
       503,
       outcomeOf(request.attempts),
-      `no instance of ${service} can be reached`,
+      `no instance of ${service} is available`,
       retrySoonMs,
     );
     return;
   }
   const rate = transition.state.feed?.slices[service] ?? 0;
   const bucket = `service/${service}`;
-  const withRoom = ranked.filter(
-    (row) =>
-      (transition.state.inFlightCounts[originIdOf(row)] ?? 0) <
-      maxConcurrencyOf(transition.state, row),
+  const withCapacity = ranked.filter(
+    (origin) =>
+      (transition.state.inFlightCounts[originIdOf(origin)] ?? 0) <
+      maxConcurrencyOf(transition.state, origin),
   );
-  if (withRoom.length > 0 && takeToken(transition, bucket, rate)) {
-    const chosenRow = withRoom.find((row) =>
-      takeToken(transition, `instance/${originIdOf(row)}`, row.rate),
+  if (withCapacity.length > 0 && takeToken(transition, bucket, rate)) {
+    const selected = withCapacity.find((origin) =>
+      takeToken(transition, `instance/${originIdOf(origin)}`, origin.rate),
     );
-    if (chosenRow !== undefined) {
-      openAttempt(transition, request, { kind: 'origin', row: chosenRow });
+    if (selected !== undefined) {
+      openAttempt(transition, request, { kind: 'origin', row: selected });
       return;
     }
     returnToken(transition, bucket);
   }
-  const ahead = Object.values(transition.state.requests).filter(
-    (each) => each.phase === 'holding' && each.service === service && each.id !== request.id,
+  const queuedAhead = Object.values(transition.state.requests).filter(
+    (other) => other.phase === 'holding' && other.service === service && other.id !== request.id,
   ).length;
-  const wait = Math.max(
-    tokenWaitMs(transition.state, bucket, rate, ahead),
+  const waitMs = Math.max(
+    tokenWaitMs(transition.state, bucket, rate, queuedAhead),
     Math.min(
-      ...ranked.map((row) =>
-        tokenWaitMs(transition.state, `instance/${originIdOf(row)}`, row.rate, 0),
+      ...ranked.map((origin) =>
+        tokenWaitMs(transition.state, `instance/${originIdOf(origin)}`, origin.rate, 0),
       ),
     ),
   );
-  const heldAt = request.phase === 'holding' ? request.queuedAt : transition.state.now;
+  const queuedAt = request.phase === 'holding' ? request.queuedAt : transition.state.now;
   if (
-    transition.state.now + (request.phase === 'holding' ? 0 : wait) - heldAt >
+    transition.state.now + (request.phase === 'holding' ? 0 : waitMs) - queuedAt >
       maxQueueWaitMsOf(request) ||
     transition.state.now >= request.deadlineAt
   ) {
@@ -179,19 +185,19 @@
       request,
       503,
       outcomeOf(request.attempts),
-      `the share of ${service} is used up`,
-      Number.isFinite(wait) ? Math.max(retrySoonMs, wait) : undefined,
+      `the quota allocation of ${service} is used up`,
+      Number.isFinite(waitMs) ? Math.max(retrySoonMs, waitMs) : undefined,
     );
     return;
   }
   if (request.phase !== 'holding') {
     count(transition, 'held');
-    updateRequest(transition, request.id, { phase: 'holding', queuedAt: heldAt });
+    updateRequest(transition, request.id, { phase: 'holding', queuedAt });
   }
 };
 
-/** This edge serves: from a copy, by joining a fetch under way, or by an attempt of its own. */
-const serveHere = (transition: Transition, request: ProxyRequest): void => {
+/** Serves a request on this node: from the cache, by joining a fetch in flight, or from an origin. */
+const serveLocally = (transition: Transition, request: ProxyRequest): void => {
   if (mayCache(request.route, request.clientRequest.method)) {
     const copy = Cache.find(
       transition.state.cache,
@@ -233,34 +239,34 @@
           [request.key]: { leader: request.id, waiters: [], isClosed: false },
         },
       });
-      if (leader !== undefined) fetchHere(transition, leader);
+      if (leader !== undefined) fetchFromOrigin(transition, leader);
       return;
     }
   }
-  fetchHere(transition, request);
+  fetchFromOrigin(transition, request);
 };
 
-const want = (transition: Transition, service: string): void => {
-  const { demandCounts: wanted } = transition.state;
+const countDemand = (transition: Transition, service: string): void => {
+  const { demandCounts } = transition.state;
   update(transition, {
     demandCounts: {
-      ...wanted,
-      counts: { ...wanted.counts, [service]: (wanted.counts[service] ?? 0) + 1 },
+      ...demandCounts,
+      counts: { ...demandCounts.counts, [service]: (demandCounts.counts[service] ?? 0) + 1 },
     },
   });
 };
 
-const fetchHere = (transition: Transition, request: ProxyRequest): void => {
-  want(transition, request.service);
+const fetchFromOrigin = (transition: Transition, request: ProxyRequest): void => {
+  countDemand(transition, request.service);
   attemptToOrigin(transition, request);
 };
 
-/** First attempt: the policy's draw says who serves. */
-export const start = (transition: Transition, given: ProxyRequest): void => {
-  const request = applyCurrentPolicy(transition, given);
+/** Starts serving a request: from the cache, on the server drawn from the routing table, or not at all. */
+export const startRequest = (transition: Transition, pending: ProxyRequest): void => {
+  const request = applyCurrentPolicy(transition, pending);
   if (request === null) return;
-  // A copy that lies here costs nothing to reach.
-  const here =
+  // A copy in this node's own cache costs nothing to reach.
+  const hasCopy =
     isAlwaysCached(request.route) &&
     Cache.find(
       transition.state.cache,
@@ -269,26 +275,29 @@
       transition.state.now,
     ) !== undefined;
   const server =
-    here && isHomeRegion(request.route.homes, transition.state.self.region)
+    hasCopy && isHomeRegion(request.route.homes, transition.state.self.region)
       ? 'self'
       : drawServer(transition.state, request);
   if (server === null) {
-    failRequest(transition, request, 503, 'not-run', 'no node that may serve it can be reached');
+    failRequest(transition, request, 503, 'not-run', 'no node that may serve it is available');
     return;
   }
   if (server === 'self') {
-    serveHere(transition, request);
+    serveLocally(transition, request);
     return;
   }
   openAttempt(transition, request, { kind: 'peer', row: server });
 };
 
-/** A later move: itself where it may, else another peer. */
-export const continueRequest = (transition: Transition, given: ProxyRequest): void => {
-  const request = applyCurrentPolicy(transition, given);
+/**
+ * Continues a request after a failed attempt, a joined fetch or a queue: on this node if it is in a
+ * home region of the route, or else at another peer.
+ */
+export const continueRequest = (transition: Transition, pending: ProxyRequest): void => {
+  const request = applyCurrentPolicy(transition, pending);
   if (request === null) return;
   if (isHomeRegion(request.route.homes, transition.state.self.region)) {
-    serveHere(transition, request);
+    serveLocally(transition, request);
     return;
   }
   const peer =
@@ -299,7 +308,7 @@
       request,
       503,
       outcomeOf(request.attempts),
-      'no other node that may serve it can be reached',
+      'no other node that may serve it is available',
     );
   else openAttempt(transition, request, { kind: 'peer', row: peer });
 };
--- a/packages/proxy/src/warm.test.ts
+++ b/packages/proxy/src/warm.test.ts
@@ -17,13 +17,13 @@
   },
   'test',
 ) as ProxySettings;
-/** A dialect in which an answer is sound once it carries the request's own number. */
-const numbered: WireFormat = {
+/** A wire format in which a response is valid if it carries the number of its request. */
+const numberedWireFormat: WireFormat = {
   ...ownWireFormat,
   identity: 'named',
   toOrigin: () => ({}),
-  fromOrigin: (_status, headers, { headers: asked }) => ({
-    unsound: headers.number === asked.number ? null : 'foreign',
+  fromOrigin: (_status, headers, { headers: requestHeaders }) => ({
+    unsound: headers.number === requestHeaders.number ? null : 'foreign',
     notRun: false,
     misdirected: false,
     load: null,
@@ -31,19 +31,19 @@
   }),
   sample: {
     asked: (number) => ({ number: String(number) }),
-    answered: (asked) => ({ number: String(asked.number) }),
+    answered: (requestHeaders) => ({ number: String(requestHeaders.number) }),
   },
 };
 
-test('warming up serves what it plays, ends once callers come, and is not done where the dialect has no sample', async (t) => {
-  const whole = await warmUp(numbered, settings, () => false);
-  t.true(whole.played > 0 && whole.played <= warmUpRequests + warmUpConcurrency);
-  t.is(whole.served, whole.played);
-  let asked = 0;
-  const cut = await warmUp(numbered, settings, () => {
-    asked += 1;
-    return asked > 10;
+test('the warm-up serves all requests that it sends, ends early on demand, and is skipped without a sample in the wire format', async (t) => {
+  const complete = await warmUp(numberedWireFormat, settings, () => false);
+  t.true(complete.played > 0 && complete.played <= warmUpRequests + warmUpConcurrency);
+  t.is(complete.served, complete.played);
+  let calls = 0;
+  const interrupted = await warmUp(numberedWireFormat, settings, () => {
+    calls += 1;
+    return calls > 10;
   });
-  t.true(cut.played <= 10 && cut.served === cut.played);
+  t.true(interrupted.played <= 10 && interrupted.served === interrupted.played);
   t.deepEqual(await warmUp(ownWireFormat, settings, () => false), { played: 0, served: 0 });
 });
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -1,4 +1,4 @@
-/** Warms a proxy up: it plays requests to itself until the code of each step is compiled. */
+/** Warms up a proxy: it sends requests to itself until the code that serves them is compiled. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
@@ -12,27 +12,24 @@
 import type { WireFormat } from './dialect.js';
 import { openProxy, type ProxySettings } from './proxy-host.js';
 
-/** ms. Warming up ends after this at the latest: a share of a core takes some seconds for it. */
+/** The maximum duration of the warm-up, in milliseconds; with a share of a core it takes some seconds. */
 const maxWarmUpMs = 4_000;
 
-/**  */
+/** The number of concurrent warm-up requests. */
 export const warmUpConcurrency = 4;
 
-/**  */
+/** The size of the warm-up responses, in bytes. */
 const warmUpBodyBytes = 6_000;
 
-/**
- * requests that a proxy warms itself up with, at once, and bytes of an answer: after some
- * hundred the code of each step is compiled.
- */
+/** The number of warm-up requests; after some hundred, the code of each step is compiled. */
 export const warmUpRequests = 600;
 
 const host = '127.0.0.1';
 const name = 'warm';
-const quiet = { info: () => undefined, warn: () => undefined, error: () => undefined };
-const places = ['/kept/', '/read/', '/order/'] as const;
+const silentLogger = { info: () => undefined, warn: () => undefined, error: () => undefined };
+const paths = ['/kept/', '/read/', '/order/'] as const;
 
-const route = (path: string, more: object): Policy['routes'][number] => ({
+const routeFor = (path: string, options: object): Policy['routes'][number] => ({
   name: path,
   host: name,
   path,
@@ -41,18 +38,18 @@
   cache: { keep: 'never' },
   limits: {},
   tagsHeader: 'tags',
-  ...more,
+  ...options,
 });
 const policy: Policy = {
   services: { [name]: {} },
   routes: [
-    route('/kept/', { repeat: 'safe', cache: { keep: 'always', mostSeconds: 1 } }),
-    route('/read/', { repeat: 'safe' }),
-    route('/order/', { repeat: 'never' }),
+    routeFor('/kept/', { repeat: 'safe', cache: { keep: 'always', mostSeconds: 1 } }),
+    routeFor('/read/', { repeat: 'safe' }),
+    routeFor('/order/', { repeat: 'never' }),
   ],
 };
 
-const feedOf = (origin: number, peers: number): Feed => ({
+const feedOf = (originPort: number, peerPort: number): Feed => ({
   leaseMs: leaseDurationMs,
   life: name,
   flushes: 0,
@@ -63,11 +60,11 @@
   seated: true,
   purges: [],
   purgeSeq: 0,
-  origins: [0, 1].map((which) => ({
+  origins: [0, 1].map((number) => ({
     service: name,
-    instance: `${name}-${which}`,
+    instance: `${name}-${number}`,
     incarnation: 0,
-    address: `${host}:${origin}`,
+    address: `${host}:${originPort}`,
     zone: name,
     region: name,
     capacity: 64,
@@ -76,27 +73,27 @@
     cold: false,
     rate: Infinity,
   })),
-  peers: [{ id: 'peer', zone: name, region: name, address: `${host}:${peers}`, delay: 0.001 }],
+  peers: [{ id: 'peer', zone: name, region: name, address: `${host}:${peerPort}`, delay: 0.001 }],
   split: { '/kept/ @peer': [['peer', 1]], [`/kept/ @${name}`]: [[name, 1]] },
 });
 
 const portOf = (server: http.Server): number => (server.address() as AddressInfo).port;
 
 /**
- * Plays some hundred requests through a second proxy in this process, with an origin and a peer on
- * the loopback, so that the code which serves callers is compiled before they come: the first
- * seconds after a start are otherwise several times as dear as later ones. Ends early once `until`
- * says so. Gives how many requests it played, and how many of them were served.
+ * Sends some hundred requests through a second proxy in this process, with an origin and a peer on
+ * the loopback interface, so that the code that serves clients is compiled before they connect.
+ * Otherwise requests cost several times as much CPU in the first seconds after a start as later.
+ * Ends early once `until` returns true. Returns how many requests it sent, and how many were served.
  *
  * @example
- * await warmUp(dialect, settings, () => callersCame);
+ * await warmUp(wireFormat, settings, () => hasClients);
  */
 export const warmUp = async (
-  dialect: WireFormat,
+  wireFormat: WireFormat,
   settings: ProxySettings,
   until: () => boolean,
 ): Promise<{ readonly played: number; readonly served: number }> => {
-  const { sample } = dialect;
+  const { sample } = wireFormat;
   if (sample === undefined) return { played: 0, served: 0 };
   const body = Buffer.alloc(warmUpBodyBytes, 'x');
   const origin = http.createServer((request, response) => {
@@ -114,7 +111,7 @@
     origin.listen(0, host, resolve);
   });
   const originPort = portOf(origin);
-  let peers = 0;
+  let peerPort = 0;
   const proxy = openProxy(
     {
       ...settings,
@@ -124,14 +121,14 @@
       region: name,
       proxy: { port: 0, peerPort: 0, capacityBps: settings.proxy.capacityBps, readyPort: 0 },
     },
-    dialect,
+    wireFormat,
     {
-      logger: quiet,
-      askAgent: (asked: ProxyQuery) =>
+      logger: silentLogger,
+      askAgent: (query: ProxyQuery) =>
         Promise.resolve(
-          asked.kind === 'feed'
+          query.kind === 'feed'
             ? {
-                ...feedOf(originPort, peers),
+                ...feedOf(originPort, peerPort),
                 revisions: { origins: 1, peers: 1, emptied: 1, split: 1, slices: 1 },
               }
             : { kind: 'granted' },
@@ -139,25 +136,25 @@
     },
   );
   const servers = [await proxy.serve(false, 0), await proxy.serve(true, 0)] as const;
-  peers = portOf(servers[1]);
+  peerPort = portOf(servers[1]);
   const agent = new http.Agent({ keepAlive: true, maxSockets: warmUpConcurrency });
   let played = 0;
   let served = 0;
-  const one = (number: number): Promise<void> =>
+  const sendRequest = (number: number): Promise<void> =>
     new Promise((resolve) => {
-      const place = places[number % places.length] ?? places[0];
-      const order = place === '/order/';
+      const path = paths[number % paths.length] ?? paths[0];
+      const isOrder = path === '/order/';
       const request = http.request(
         {
           agent,
           host,
           port: portOf(servers[0]),
-          method: order ? 'POST' : 'GET',
-          path: `${place}${number % 50}`,
+          method: isOrder ? 'POST' : 'GET',
+          path: `${path}${number % 50}`,
           headers: {
             ...sample.asked(number),
             host: name,
-            ...(order ? { 'content-length': '4' } : {}),
+            ...(isOrder ? { 'content-length': '4' } : {}),
           },
         },
         (response) => {
@@ -168,19 +165,19 @@
         },
       );
       request.on('error', () => resolve());
-      request.end(order ? 'warm' : undefined);
+      request.end(isOrder ? 'warm' : undefined);
     });
-  const begunAt = performance.now();
-  const over = (): boolean =>
-    until() || played >= warmUpRequests || performance.now() - begunAt > maxWarmUpMs;
+  const startedAt = performance.now();
+  const isOver = (): boolean =>
+    until() || played >= warmUpRequests || performance.now() - startedAt > maxWarmUpMs;
   await new Promise((resolve) => {
     setTimeout(resolve, 2 * noLeasePollIntervalMs);
   });
   await Promise.all(
     Array.from({ length: warmUpConcurrency }, async () => {
-      while (!over()) {
+      while (!isOver()) {
         played += 1;
-        await one(played);
+        await sendRequest(played);
       }
     }),
   );
