--- a/packages/proxy/src/feed-handler.ts
+++ b/packages/proxy/src/feed-handler.ts
@@ -24,7 +24,7 @@
       askedAt - state.feedRequestedAt > purgeRetentionMs / 2);
   if (shouldFlush)
     log(transition, 'copies.flushed', {
-      why: feed.life !== state.life ? 'agent restarted' : 'was away',
+      why: feed.life !== state.life ? 'agent restarted' : 'purges may have been missed',
     });
   let cache = shouldFlush ? Cache.flush(state.cache) : state.cache;
   for (const { purge } of feed.purges) cache = Cache.purge(cache, purge, state.now);
--- a/packages/proxy/src/proxy.test.ts
+++ b/packages/proxy/src/proxy.test.ts
@@ -56,7 +56,7 @@
   purgeSeq: 0,
   ...part,
 });
-const asked = (method: string, target = '/sheets/1'): ClientRequest => ({
+const clientRequestOf = (method: string, target = '/sheets/1'): ClientRequest => ({
   method,
   target,
   host: 'a.example',
@@ -65,46 +65,46 @@
   bodyBytes: 0,
   digest: null,
 });
-const arrive = (id: number, method: string, now: number, target?: string): ProxyEvent => ({
+const arrivalOf = (id: number, method: string, now: number, target?: string): ProxyEvent => ({
   kind: 'request-arrived',
   requestId: id,
-  clientRequest: asked(method, target),
+  clientRequest: clientRequestOf(method, target),
   randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
   token: `t${id}`,
   now,
 });
-const answer = (mark: string, part: Partial<AttemptResponse> = {}): AttemptResponse => ({
+const responseOf = (attemptId: string, part: Partial<AttemptResponse> = {}): AttemptResponse => ({
   status: 200,
   size: 3,
   isComplete: true,
   body: 'abc',
   headers: {
     'reedyard-stamp': 'store/o1/1',
-    'reedyard-attempt': mark,
+    'reedyard-attempt': attemptId,
     'cache-control': 'max-age=60',
   },
   ...part,
 });
-const play = (
+const applyEvents = (
   events: readonly ProxyEvent[],
-  from: ProxyState,
+  initial: ProxyState,
 ): { state: ProxyState; effects: readonly ProxyEffect[] } =>
   events.reduce<{ state: ProxyState; effects: readonly ProxyEffect[] }>(
-    (all, event) => {
-      const step = ProxyCore.reduce(all.state, event);
-      return { state: step.state, effects: [...all.effects, ...step.effects] };
+    (result, event) => {
+      const step = ProxyCore.reduce(result.state, event);
+      return { state: step.state, effects: [...result.effects, ...step.effects] };
     },
-    { state: from, effects: [] },
+    { state: initial, effects: [] },
   );
-/** A proxy that has had its feed for a second, so that its buckets are filled. */
-const begun = (feed = feedOf()): ProxyState =>
-  play(
+/** A proxy that received its feed a second ago, so that its token buckets are full. */
+const startedProxy = (feed = feedOf()): ProxyState =>
+  applyEvents(
     [
       { kind: 'feed-received', feed, askedAt: 0, now: 0 },
       {
         kind: 'request-arrived',
         requestId: 90,
-        clientRequest: { ...asked('POST'), via: 'z' },
+        clientRequest: { ...clientRequestOf('POST'), via: 'z' },
         randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
         token: 't90',
         now: 1,
@@ -115,7 +115,7 @@
     ],
     ProxyCore.open({ id: 'a', zone: 'w', region: 'near', capacityBps: 1e7, life: 'x' }, 0),
   ).state;
-const only = <K extends ProxyEffect['kind']>(
+const effectsOf = <K extends ProxyEffect['kind']>(
   effects: readonly ProxyEffect[],
   kind: K,
   id: number,
@@ -125,22 +125,25 @@
       effect.kind === kind && 'requestId' in effect && effect.requestId === id,
   );
 
-const orders = <T>(list: readonly T[]): readonly (readonly T[])[] =>
+const permutationsOf = <T>(list: readonly T[]): readonly (readonly T[])[] =>
   list.length < 2
     ? [list]
-    : list.flatMap((each, index) =>
-        orders([...list.slice(0, index), ...list.slice(index + 1)]).map((rest) => [each, ...rest]),
+    : list.flatMap((first, index) =>
+        permutationsOf([...list.slice(0, index), ...list.slice(index + 1)]).map((rest) => [
+          first,
+          ...rest,
+        ]),
       );
 
-test('one request, all orders of what can befall it: one answer at most, one end, and no second attempt that may run twice', (t) => {
-  let played = 0;
+test('in every order of the events of one request, it gets at most one response, is closed once, and never runs twice if it is unsafe', (t) => {
+  let permutationCount = 0;
   for (const method of ['GET', 'POST']) {
-    const happenings: readonly ((now: number) => ProxyEvent)[] = [
+    const eventMakers: readonly ((now: number) => ProxyEvent)[] = [
       (now) => ({
         kind: 'attempt-answered',
         requestId: 1,
         attempt: 0,
-        answer: answer('t1-0'),
+        answer: responseOf('t1-0'),
         now,
       }),
       (now) => ({
@@ -167,80 +170,97 @@
         kind: 'attempt-answered',
         requestId: 1,
         attempt: 1,
-        answer: answer('t1-1'),
+        answer: responseOf('t1-1'),
         now,
       }),
     ];
-    for (const order of orders(happenings)) {
-      const { state, effects } = play(
+    for (const order of permutationsOf(eventMakers)) {
+      const { state, effects } = applyEvents(
         [
-          arrive(1, method, 1_000),
+          arrivalOf(1, method, 1_000),
           ...order.map((make, index) => make(1_010 + index)),
           { kind: 'tick', now: 60_000 },
           { kind: 'tick', now: 60_025 },
         ],
-        begun(),
+        startedProxy(),
       );
-      const opens = only(effects, 'send-attempt', 1);
-      const gone = order.findIndex((make) => make(0).kind === 'client-left');
-      played += 1;
-      t.true(only(effects, 'send-answer', 1).length <= 1);
+      const attempts = effectsOf(effects, 'send-attempt', 1);
+      const clientLeftIndex = order.findIndex((make) => make(0).kind === 'client-left');
+      permutationCount += 1;
+      t.true(effectsOf(effects, 'send-answer', 1).length <= 1);
       t.is(
-        only(effects, 'close-request', 1).length,
+        effectsOf(effects, 'close-request', 1).length,
         1,
         `${method} ${order.map((make) => make(0).kind).join(' ')}`,
       );
-      t.true(gone >= 0 && opens.length >= 1);
+      t.true(clientLeftIndex >= 0 && attempts.length >= 1);
       t.is(Object.keys(state.requests).length, 0);
-      if (method === 'POST') t.is(opens.length, 1);
+      if (method === 'POST') t.is(attempts.length, 1);
     }
   }
-  t.is(played, 1_440);
+  t.is(permutationCount, 1_440);
 });
 
-test('an answer of another mark, stamp or attempt is never passed on', (t) => {
-  for (const bad of [
-    answer('t9-0'),
-    answer('t1-0', { headers: { 'reedyard-attempt': 't1-0' } }),
-    answer('t1-0', { headers: { 'reedyard-stamp': 'store/o1/2', 'reedyard-attempt': 't1-0' } }),
+test('a response with another attempt id or origin id, or without an origin id, is never relayed', (t) => {
+  for (const invalid of [
+    responseOf('t9-0'),
+    responseOf('t1-0', { headers: { 'reedyard-attempt': 't1-0' } }),
+    responseOf('t1-0', { headers: { 'reedyard-stamp': 'store/o1/2', 'reedyard-attempt': 't1-0' } }),
   ]) {
-    const { effects } = play(
+    const { effects } = applyEvents(
       [
-        arrive(1, 'POST', 1_000),
-        { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: bad, now: 1_010 },
+        arrivalOf(1, 'POST', 1_000),
+        { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: invalid, now: 1_010 },
       ],
-      begun(),
+      startedProxy(),
     );
-    const [given] = only(effects, 'send-answer', 1);
-    t.is(given?.answer.status, 502);
-    t.is(given?.answer.headers['reedyard-outcome'], 'unknown');
-    t.is(only(effects, 'abort-attempt', 1).length, 1);
+    const [response] = effectsOf(effects, 'send-answer', 1);
+    t.is(response?.answer.status, 502);
+    t.is(response?.answer.headers['reedyard-outcome'], 'unknown');
+    t.is(effectsOf(effects, 'abort-attempt', 1).length, 1);
   }
 });
 
-test('once the lease is over: no copy, no attempt, no read passed on; what ran is still told', (t) => {
-  const kept = play(
+test('after the lease expires, the proxy serves no cached copy, opens no attempt and relays no response to a safe request, but relays one to an unsafe request', (t) => {
+  const cached = applyEvents(
     [
-      arrive(1, 'GET', 1_000),
-      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
+      arrivalOf(1, 'GET', 1_000),
+      {
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 0,
+        answer: responseOf('t1-0'),
+        now: 1_010,
+      },
     ],
-    begun(),
+    startedProxy(),
   ).state;
-  t.is(kept.cache.copies.size, 1);
+  t.is(cached.cache.copies.size, 1);
   t.is(
-    only(play([arrive(2, 'GET', 1_100)], kept).effects, 'send-answer', 2)[0]?.answer.status,
+    effectsOf(applyEvents([arrivalOf(2, 'GET', 1_100)], cached).effects, 'send-answer', 2)[0]
+      ?.answer.status,
     200,
   );
-  const late = 900 + leaseDurationMs;
-  t.is(only(play([arrive(2, 'GET', late)], kept).effects, 'send-answer', 2)[0]?.answer.status, 503);
+  const expiredAt = 900 + leaseDurationMs;
+  t.is(
+    effectsOf(applyEvents([arrivalOf(2, 'GET', expiredAt)], cached).effects, 'send-answer', 2)[0]
+      ?.answer.status,
+    503,
+  );
   t.is(
-    only(
-      play(
+    effectsOf(
+      applyEvents(
         [
-          arrive(2, 'GET', 1_100, '/sheets/2'),
-          { kind: 'attempt-answered', requestId: 2, attempt: 0, answer: answer('t2-0'), now: late },
+          arrivalOf(2, 'GET', 1_100, '/sheets/2'),
+          {
+            kind: 'attempt-answered',
+            requestId: 2,
+            attempt: 0,
+            answer: responseOf('t2-0'),
+            now: expiredAt,
+          },
         ],
-        kept,
+        cached,
       ).effects,
       'send-answer',
       2,
@@ -248,13 +268,19 @@
     502,
   );
   t.is(
-    only(
-      play(
+    effectsOf(
+      applyEvents(
         [
-          arrive(2, 'POST', 1_100),
-          { kind: 'attempt-answered', requestId: 2, attempt: 0, answer: answer('t2-0'), now: late },
+          arrivalOf(2, 'POST', 1_100),
+          {
+            kind: 'attempt-answered',
+            requestId: 2,
+            attempt: 0,
+            answer: responseOf('t2-0'),
+            now: expiredAt,
+          },
         ],
-        kept,
+        cached,
       ).effects,
       'send-answer',
       2,
@@ -263,81 +289,98 @@
   );
 });
 
-test('outside its homes a route is relayed to a peer inside, unkept; without one it is not served', (t) => {
-  const { state, effects } = play(
+test('outside its home regions, a route is forwarded to a peer inside and not cached; without such a peer it is not served', (t) => {
+  const { state, effects } = applyEvents(
     [
-      arrive(1, 'GET', 1_000, '/homed/1'),
-      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
+      arrivalOf(1, 'GET', 1_000, '/homed/1'),
+      {
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 0,
+        answer: responseOf('t1-0'),
+        now: 1_010,
+      },
     ],
-    begun(),
+    startedProxy(),
   );
-  t.is(only(effects, 'send-attempt', 1)[0]?.to.kind, 'peer');
-  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 200);
+  t.is(effectsOf(effects, 'send-attempt', 1)[0]?.to.kind, 'peer');
+  t.is(effectsOf(effects, 'send-answer', 1)[0]?.answer.status, 200);
   t.is(state.cache.copies.size, 0);
-  const alone = play([arrive(1, 'GET', 1_000, '/homed/1')], begun(feedOf({ peers: [] }))).effects;
-  t.is(only(alone, 'send-answer', 1)[0]?.answer.status, 503);
-  t.is(only(alone, 'send-attempt', 1).length, 0);
+  const withoutPeers = applyEvents(
+    [arrivalOf(1, 'GET', 1_000, '/homed/1')],
+    startedProxy(feedOf({ peers: [] })),
+  ).effects;
+  t.is(effectsOf(withoutPeers, 'send-answer', 1)[0]?.answer.status, 503);
+  t.is(effectsOf(withoutPeers, 'send-attempt', 1).length, 0);
 });
 
-test('what arrives from a peer is served here, never handed on', (t) => {
+test('a request from a peer is served on this node, never forwarded', (t) => {
   const split = { sheets: [['b', 1] as const] };
   const from = (via: string | null): ProxyEvent => ({
     kind: 'request-arrived',
     requestId: 1,
-    clientRequest: { ...asked('GET'), via },
+    clientRequest: { ...clientRequestOf('GET'), via },
     randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
     token: 't1',
     now: 1_000,
   });
   t.is(
-    only(play([from(null)], begun(feedOf({ split }))).effects, 'send-attempt', 1)[0]?.to.kind,
+    effectsOf(
+      applyEvents([from(null)], startedProxy(feedOf({ split }))).effects,
+      'send-attempt',
+      1,
+    )[0]?.to.kind,
     'peer',
   );
   t.is(
-    only(play([from('b')], begun(feedOf({ split }))).effects, 'send-attempt', 1)[0]?.to.kind,
+    effectsOf(
+      applyEvents([from('b')], startedProxy(feedOf({ split }))).effects,
+      'send-attempt',
+      1,
+    )[0]?.to.kind,
     'origin',
   );
 });
 
-test('the draw follows the row', (t) => {
+test('servers are drawn by the shares in the routing table row', (t) => {
   const split = { sheets: [['a', 0.3] as const, ['b', 0.7] as const] };
-  let away = 0;
-  for (let each = 0; each < 100; each += 1) {
+  let forwardedCount = 0;
+  for (let number = 0; number < 100; number += 1) {
     const event: ProxyEvent = {
       kind: 'request-arrived',
       requestId: 1,
-      clientRequest: asked('GET'),
-      randomNumbers: [(each + 0.5) / 100, 0.5, 0.5, 0.5, 0.5],
+      clientRequest: clientRequestOf('GET'),
+      randomNumbers: [(number + 0.5) / 100, 0.5, 0.5, 0.5, 0.5],
       token: 't1',
       now: 1_000,
     };
     if (
-      only(play([event], begun(feedOf({ split }))).effects, 'send-attempt', 1)[0]?.to.kind ===
-      'peer'
+      effectsOf(applyEvents([event], startedProxy(feedOf({ split }))).effects, 'send-attempt', 1)[0]
+        ?.to.kind === 'peer'
     )
-      away += 1;
+      forwardedCount += 1;
   }
-  t.is(away, 70);
+  t.is(forwardedCount, 70);
 });
 
-test('the policy in force rules at each move: in all orders of a claim, a policy, a failed attempt and a beat, no attempt is made that the newest policy bars', (t) => {
+test('in every order of a claim, a policy, a failed attempt and a tick, no attempt is opened that the newest policy forbids', (t) => {
   const [sheets, homed] = policy.routes;
   if (sheets === undefined || homed === undefined) {
     t.fail();
     return;
   }
   const services = { ...policy.services, other: { ceiling: 1_000, coldRate: 10 } };
-  const next: Readonly<Record<string, typeof policy>> = {
+  const newPolicies: Readonly<Record<string, typeof policy>> = {
     removed: { ...policy, routes: [homed] },
     moved: { services, routes: [{ ...sheets, service: 'other' }, homed] },
     away: { ...policy, routes: [{ ...sheets, homes: ['far'] }, homed] },
     methods: { ...policy, routes: [{ ...sheets, methods: ['OPTIONS'] }, homed] },
     sooner: { ...policy, routes: [{ ...sheets, limits: { requestMs: 5 } }, homed] },
   };
-  for (const [name, document] of Object.entries(next))
-    for (const key of [true, false])
+  for (const [name, document] of Object.entries(newPolicies))
+    for (const hasKey of [true, false])
       for (const method of ['GET', 'POST']) {
-        const happenings: readonly ((now: number) => ProxyEvent)[] = [
+        const eventMakers: readonly ((now: number) => ProxyEvent)[] = [
           (now) => ({ kind: 'claim-answered', requestId: 1, reply: { kind: 'granted' }, now }),
           (now) => ({
             kind: 'feed-received',
@@ -359,67 +402,77 @@
           }),
           (now) => ({ kind: 'tick', now }),
         ];
-        const first: ProxyEvent = {
-          ...(arrive(1, method, 1_000) as Extract<ProxyEvent, { kind: 'request-arrived' }>),
+        const arrival: ProxyEvent = {
+          ...(arrivalOf(1, method, 1_000) as Extract<ProxyEvent, { kind: 'request-arrived' }>),
           clientRequest: {
-            ...asked(method),
-            headers: key ? { 'idempotency-key': 'k' } : {},
-            digest: key ? 'd' : null,
+            ...clientRequestOf(method),
+            headers: hasKey ? { 'idempotency-key': 'k' } : {},
+            digest: hasKey ? 'd' : null,
           },
         };
-        for (const order of orders(happenings)) {
-          let state = begun();
+        for (const order of permutationsOf(eventMakers)) {
+          let state = startedProxy();
           const effects: ProxyEffect[] = [];
-          let answers = 0;
+          let responseCount = 0;
           for (const [index, event] of [
-            first,
-            ...order.map((make, place) => make(1_010 + place)),
+            arrival,
+            ...order.map((make, position) => make(1_010 + position)),
             { kind: 'tick', now: 9_000 } as const,
             { kind: 'tick', now: 20_000 } as const,
           ].entries()) {
             const step = ProxyCore.reduce(state, event);
             state = step.state;
             effects.push(...step.effects);
-            answers += only(step.effects, 'send-answer', 1).length;
-            const opens = only(step.effects, 'send-attempt', 1);
-            const label = `${name} ${method} ${key ? 'key' : 'no key'} at ${index}`;
+            responseCount += effectsOf(step.effects, 'send-answer', 1).length;
+            const attempts = effectsOf(step.effects, 'send-attempt', 1);
+            const label = `${name} ${method} ${hasKey ? 'key' : 'no key'} at event ${index}`;
             if (state.policy?.revision === 2)
               t.false(
-                opens.some(({ to }) => to.kind === 'origin' && name !== 'sooner'),
+                attempts.some(({ to }) => to.kind === 'origin' && name !== 'sooner'),
                 label,
               );
             if (state.policy?.revision === 2 && (name === 'removed' || name === 'methods'))
-              t.is(opens.length, 0, label);
+              t.is(attempts.length, 0, label);
           }
-          t.true(answers <= 1);
+          t.true(responseCount <= 1);
           t.is(Object.keys(state.requests).length, 0);
-          // A key whose request provably ran nothing may be used again.
-          const [given] = only(effects, 'send-answer', 1);
-          if (key && method === 'POST' && given?.answer.headers['reedyard-outcome'] === 'not-run')
+          // If provably nothing ran, the claim is settled so that the key may be used again.
+          const [response] = effectsOf(effects, 'send-answer', 1);
+          if (
+            hasKey &&
+            method === 'POST' &&
+            response?.answer.headers['reedyard-outcome'] === 'not-run'
+          )
             t.true(
-              only(effects, 'query-agent', 1).some(
-                ({ query: call }) => call.kind === 'settle' && call.state === 'not-run',
+              effectsOf(effects, 'query-agent', 1).some(
+                ({ query }) => query.kind === 'settle' && query.state === 'not-run',
               ),
             );
         }
       }
 });
 
-test('copies end with what let them be kept: a route gone, moved, homed elsewhere, or kept for less', (t) => {
-  const kept = play(
+test('cached copies are dropped when their route is removed, moves to another service or region, or may be cached for a shorter time', (t) => {
+  const cached = applyEvents(
     [
-      arrive(1, 'GET', 1_000),
-      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_010 },
+      arrivalOf(1, 'GET', 1_000),
+      {
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 0,
+        answer: responseOf('t1-0'),
+        now: 1_010,
+      },
     ],
-    begun(),
+    startedProxy(),
   ).state;
   const [sheets, homed] = policy.routes;
   if (sheets === undefined || homed === undefined) {
     t.fail();
     return;
   }
-  const under = (routes: typeof policy.routes, now = 1_020): ProxyState =>
-    play(
+  const stateUnder = (routes: typeof policy.routes, now = 1_020): ProxyState =>
+    applyEvents(
       [
         {
           kind: 'feed-received',
@@ -437,40 +490,42 @@
           now,
         },
       ],
-      kept,
+      cached,
     ).state;
-  t.is(under([sheets, homed]).cache.copies.size, 1);
-  t.is(under([homed]).cache.copies.size, 0);
-  t.is(under([{ ...sheets, service: 'other' }, homed]).cache.copies.size, 0);
+  t.is(stateUnder([sheets, homed]).cache.copies.size, 1);
+  t.is(stateUnder([homed]).cache.copies.size, 0);
+  t.is(stateUnder([{ ...sheets, service: 'other' }, homed]).cache.copies.size, 0);
   t.is(
-    under([sheets, homed, { ...sheets, name: 'deeper', path: '/sheets/1', service: 'other' }]).cache
-      .copies.size,
+    stateUnder([sheets, homed, { ...sheets, name: 'deeper', path: '/sheets/1', service: 'other' }])
+      .cache.copies.size,
     0,
   );
-  t.is(under([{ ...sheets, homes: ['far'] }, homed]).cache.copies.size, 0);
-  t.is(under([{ ...sheets, cache: { keep: 'never' } }, homed]).cache.copies.size, 0);
-  const shorter = under([{ ...sheets, cache: { keep: 'origin', mostSeconds: 1 } }, homed]);
+  t.is(stateUnder([{ ...sheets, homes: ['far'] }, homed]).cache.copies.size, 0);
+  t.is(stateUnder([{ ...sheets, cache: { keep: 'never' } }, homed]).cache.copies.size, 0);
+  const shorter = stateUnder([{ ...sheets, cache: { keep: 'origin', mostSeconds: 1 } }, homed]);
   t.is(
-    only(play([arrive(2, 'GET', 1_900)], shorter).effects, 'send-answer', 2)[0]?.answer.headers[
-      'reedyard-served'
-    ],
+    effectsOf(applyEvents([arrivalOf(2, 'GET', 1_900)], shorter).effects, 'send-answer', 2)[0]
+      ?.answer.headers['reedyard-served'],
     'copy',
   );
-  t.is(only(play([arrive(2, 'GET', 2_015)], shorter).effects, 'send-attempt', 2).length, 1);
-  // Where there are other regions, a proxy that has long been without a lease keeps none.
   t.is(
-    play([{ kind: 'tick', now: kept.leaseUntil + cacheWithoutLeaseMs - 1 }], kept).state.cache
-      .copies.size,
+    effectsOf(applyEvents([arrivalOf(2, 'GET', 2_015)], shorter).effects, 'send-attempt', 2).length,
+    1,
+  );
+  // In a fleet of several regions, a proxy drops its copies when it has had no lease for some time.
+  t.is(
+    applyEvents([{ kind: 'tick', now: cached.leaseUntil + cacheWithoutLeaseMs - 1 }], cached).state
+      .cache.copies.size,
     1,
   );
   t.is(
-    play([{ kind: 'tick', now: kept.leaseUntil + cacheWithoutLeaseMs + 1 }], kept).state.cache
-      .copies.size,
+    applyEvents([{ kind: 'tick', now: cached.leaseUntil + cacheWithoutLeaseMs + 1 }], cached).state
+      .cache.copies.size,
     0,
   );
 });
 
-test('a waiter of a fetch begun under an older policy is served as the newer one has it', (t) => {
+test('a request that waits for a fetch from under an older policy is served under the newer one', (t) => {
   const [sheets, homed] = policy.routes;
   if (sheets === undefined || homed === undefined) {
     t.fail();
@@ -486,68 +541,79 @@
     origins: [origin, { ...origin, service: 'other', instance: 'o2' }],
     slices: { other: 1_000 },
   });
-  const { effects, state } = play(
+  const { effects, state } = applyEvents(
     [
-      arrive(1, 'GET', 1_000),
-      arrive(2, 'GET', 1_001),
+      arrivalOf(1, 'GET', 1_000),
+      arrivalOf(2, 'GET', 1_001),
       { kind: 'feed-received', feed, askedAt: 1_002, now: 1_002 },
-      arrive(3, 'GET', 1_003),
+      arrivalOf(3, 'GET', 1_003),
       { kind: 'tick', now: 1_400 },
-      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 1_410 },
+      {
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 0,
+        answer: responseOf('t1-0'),
+        now: 1_410,
+      },
       { kind: 'tick', now: 1_600 },
     ],
-    begun(),
+    startedProxy(),
   );
-  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 200);
+  t.is(effectsOf(effects, 'send-answer', 1)[0]?.answer.status, 200);
   t.is(state.cache.copies.size, 0);
   for (const id of [2, 3])
     t.deepEqual(
-      only(effects, 'send-attempt', id).map(({ to }) => to.kind === 'origin' && to.row.service),
+      effectsOf(effects, 'send-attempt', id).map(
+        ({ to }) => to.kind === 'origin' && to.row.service,
+      ),
       ['other'],
       String(id),
     );
 });
 
-test('keys: wanted by a route, and of another request', (t) => {
-  const wanted = {
+test('a request without a required idempotency key gets a 400, one with the key of another request a 422', (t) => {
+  const requiringKeys = {
     ...policy,
     routes: policy.routes.map((route) => ({ ...route, key: 'required' as const })),
   };
-  const state = play(
+  const state = applyEvents(
     [
       {
         kind: 'feed-received',
-        feed: feedOf({ policy: { revision: 2, document: wanted }, policyRevision: 2 }),
+        feed: feedOf({ policy: { revision: 2, document: requiringKeys }, policyRevision: 2 }),
         askedAt: 950,
         now: 950,
       },
     ],
-    begun(),
+    startedProxy(),
   ).state;
-  const without = play([arrive(1, 'POST', 1_000)], state).effects;
-  t.is(only(without, 'send-answer', 1)[0]?.answer.status, 400);
-  t.is(only(without, 'send-attempt', 1).length, 0);
-  t.is(only(play([arrive(1, 'GET', 1_000)], state).effects, 'send-attempt', 1).length, 1);
+  const withoutKey = applyEvents([arrivalOf(1, 'POST', 1_000)], state).effects;
+  t.is(effectsOf(withoutKey, 'send-answer', 1)[0]?.answer.status, 400);
+  t.is(effectsOf(withoutKey, 'send-attempt', 1).length, 0);
+  t.is(
+    effectsOf(applyEvents([arrivalOf(1, 'GET', 1_000)], state).effects, 'send-attempt', 1).length,
+    1,
+  );
   const withKey: ProxyEvent = {
-    ...(arrive(1, 'POST', 1_000) as Extract<ProxyEvent, { kind: 'request-arrived' }>),
-    clientRequest: { ...asked('POST'), headers: { 'idempotency-key': 'k' }, digest: 'd' },
+    ...(arrivalOf(1, 'POST', 1_000) as Extract<ProxyEvent, { kind: 'request-arrived' }>),
+    clientRequest: { ...clientRequestOf('POST'), headers: { 'idempotency-key': 'k' }, digest: 'd' },
   };
-  const other = play(
+  const conflicting = applyEvents(
     [withKey, { kind: 'claim-answered', requestId: 1, reply: { kind: 'other' }, now: 1_010 }],
     state,
   ).effects;
-  t.is(only(other, 'send-answer', 1)[0]?.answer.status, 422);
-  t.is(only(other, 'send-attempt', 1).length, 0);
+  t.is(effectsOf(conflicting, 'send-answer', 1)[0]?.answer.status, 422);
+  t.is(effectsOf(conflicting, 'send-attempt', 1).length, 0);
 });
 
-test('without a token the answer is given at once, or within the holding', (t) => {
-  const none = begun(feedOf({ slices: { store: 0 } }));
-  const { effects } = play([arrive(1, 'GET', 1_000)], none);
-  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 503);
-  t.is(only(effects, 'send-answer', 1)[0]?.answer.headers['retry-after'], '1');
+test('a request for a service without quota immediately gets a 503', (t) => {
+  const withoutQuota = startedProxy(feedOf({ slices: { store: 0 } }));
+  const { effects } = applyEvents([arrivalOf(1, 'GET', 1_000)], withoutQuota);
+  t.is(effectsOf(effects, 'send-answer', 1)[0]?.answer.status, 503);
+  t.is(effectsOf(effects, 'send-answer', 1)[0]?.answer.headers['retry-after'], '1');
 });
 
-test('shown whole, as a part, or as not changed', (t) => {
+test('a response is presented as complete, as a range, or as not modified', (t) => {
   t.is(present('GET', { 'if-none-match': '"a"' }, 200, { etag: '"a"' }, 10).status, 304);
   t.deepEqual(
     [present('GET', { range: 'bytes=2-3' }, 200, {}, 10)].map(({ status, from, to }) => [
@@ -565,7 +631,7 @@
   t.is(present('POST', { range: 'bytes=0-1' }, 200, {}, 10).status, 200);
 });
 
-test('a copy is of the service that its attempt went to, also where a hedge has found a newer policy since', (t) => {
+test('a response is cached under the service of its own attempt, even if a later hedge went to another service under a newer policy', (t) => {
   const [sheets, homed] = policy.routes;
   if (sheets === undefined || homed === undefined) {
     t.fail();
@@ -581,32 +647,38 @@
     origins: [origin, { ...origin, service: 'other', instance: 'o2' }],
     slices: { store: 1_000, other: 1_000 },
   });
-  const saved: ProxyState = { ...begun(), retryTokens: { store: 3, other: 3 } };
-  const { effects, state } = play(
+  const withRetryTokens: ProxyState = { ...startedProxy(), retryTokens: { store: 3, other: 3 } };
+  const { effects, state } = applyEvents(
     [
-      arrive(1, 'GET', 1_000),
+      arrivalOf(1, 'GET', 1_000),
       { kind: 'feed-received', feed, askedAt: 1_002, now: 1_002 },
       { kind: 'tick', now: 1_700 },
       { kind: 'tick', now: 2_300 },
       { kind: 'tick', now: 2_900 },
-      { kind: 'attempt-answered', requestId: 1, attempt: 0, answer: answer('t1-0'), now: 2_910 },
+      {
+        kind: 'attempt-answered',
+        requestId: 1,
+        attempt: 0,
+        answer: responseOf('t1-0'),
+        now: 2_910,
+      },
     ],
-    { ...saved, leaseUntil: 9_000 },
+    { ...withRetryTokens, leaseUntil: 9_000 },
   );
   t.deepEqual(
-    only(effects, 'send-attempt', 1).map(({ to }) => to.kind === 'origin' && to.row.service),
+    effectsOf(effects, 'send-attempt', 1).map(({ to }) => to.kind === 'origin' && to.row.service),
     ['store', 'other'],
   );
-  t.is(only(effects, 'send-answer', 1)[0]?.answer.status, 200);
-  // What is from the store is nothing to keep for a route that is another service's by now.
+  t.is(effectsOf(effects, 'send-answer', 1)[0]?.answer.status, 200);
+  // A response of the store must not be cached for a route that now belongs to another service.
   t.is(state.cache.copies.size, 0);
-  const late = play(
+  const afterSecond = applyEvents(
     [
       {
         kind: 'attempt-answered',
         requestId: 1,
         attempt: 1,
-        answer: answer('t1-1', {
+        answer: responseOf('t1-1', {
           headers: {
             'reedyard-stamp': 'other/o2/1',
             'reedyard-attempt': 't1-1',
@@ -618,42 +690,48 @@
     ],
     state,
   );
-  t.is(only(late.effects, 'send-answer', 1).length, 0);
-  t.is(Object.keys(late.state.requests).length, 0);
-  t.deepEqual(late.state.inFlightCounts, {});
+  t.is(effectsOf(afterSecond.effects, 'send-answer', 1).length, 0);
+  t.is(Object.keys(afterSecond.state.requests).length, 0);
+  t.deepEqual(afterSecond.state.inFlightCounts, {});
 });
 
-test('beside a silent attempt a safe request gets a second one elsewhere; the first to answer serves, an unsafe one waits', (t) => {
-  const two = feedOf({ origins: [origin, { ...origin, instance: 'o2', address: '10.0.0.3:1' }] });
+test('a safe request is hedged at another origin and served by the first response; an unsafe one is not hedged', (t) => {
+  const twoOrigins = feedOf({
+    origins: [origin, { ...origin, instance: 'o2', address: '10.0.0.3:1' }],
+  });
   for (const method of ['GET', 'POST'])
     for (const first of [0, 1]) {
-      const state: ProxyState = { ...begun(two), retryTokens: { store: 3 }, leaseUntil: 60_000 };
-      const opening = play(
+      const state: ProxyState = {
+        ...startedProxy(twoOrigins),
+        retryTokens: { store: 3 },
+        leaseUntil: 60_000,
+      };
+      const hedged = applyEvents(
         [
-          arrive(1, method, 1_000),
+          arrivalOf(1, method, 1_000),
           { kind: 'tick', now: 2_000 },
           { kind: 'tick', now: 2_600 },
           { kind: 'tick', now: 3_200 },
         ],
         state,
       );
-      const opens = only(opening.effects, 'send-attempt', 1);
+      const attempts = effectsOf(hedged.effects, 'send-attempt', 1);
       if (method === 'POST') {
-        t.is(opens.length, 1);
+        t.is(attempts.length, 1);
         continue;
       }
-      t.deepEqual(opens.map(({ to }) => to.kind).sort(), ['origin', 'origin']);
-      t.not(opens[0]?.to.row, opens[1]?.to.row);
+      t.deepEqual(attempts.map(({ to }) => to.kind).sort(), ['origin', 'origin']);
+      t.not(attempts[0]?.to.row, attempts[1]?.to.row);
       const reply = (attempt: number): AttemptResponse => {
-        const to = opens[attempt]?.to;
-        return answer(`t1-${attempt}`, {
+        const to = attempts[attempt]?.to;
+        return responseOf(`t1-${attempt}`, {
           headers: {
             'reedyard-stamp': to?.kind === 'origin' ? `store/${to.row.instance}/1` : '',
             'reedyard-attempt': `t1-${attempt}`,
           },
         });
       };
-      const served = play(
+      const served = applyEvents(
         [
           {
             kind: 'attempt-answered',
@@ -663,12 +741,12 @@
             now: 3_210,
           },
         ],
-        opening.state,
+        hedged.state,
       );
-      t.is(only(served.effects, 'send-answer', 1)[0]?.answer.status, 200);
-      t.is(only(served.effects, 'close-request', 1).length, 1);
-      // The other one is let end, and is answered to nobody.
-      const ended = play(
+      t.is(effectsOf(served.effects, 'send-answer', 1)[0]?.answer.status, 200);
+      t.is(effectsOf(served.effects, 'close-request', 1).length, 1);
+      // The other attempt is allowed to finish, and its response is relayed to nobody.
+      const ended = applyEvents(
         [
           {
             kind: 'attempt-answered',
@@ -681,8 +759,8 @@
         served.state,
       );
       t.is(
-        only(ended.effects, 'send-answer', 1).length +
-          only(ended.effects, 'close-request', 1).length,
+        effectsOf(ended.effects, 'send-answer', 1).length +
+          effectsOf(ended.effects, 'close-request', 1).length,
         0,
       );
       t.is(Object.keys(ended.state.requests).length, 0);
@@ -690,8 +768,8 @@
     }
 });
 
-/** A proxy whose route allows so many attempts, and which hands each request to its peer. */
-const forwarding = (attempts: number): ProxyState => {
+/** A proxy whose routes allow the stated number of attempts, and which forwards each request to its peer. */
+const forwardingProxy = (attempts: number): ProxyState => {
   const limited = {
     ...policy,
     routes: policy.routes.map((route) => ({ ...route, limits: { attempts } })),
@@ -701,22 +779,22 @@
     split: { sheets: [['b', 1] as const] },
     origins: [origin, { ...origin, instance: 'o2', address: '10.0.0.3:1' }],
   });
-  return { ...begun(feed), retryTokens: { store: 3 }, leaseUntil: 60_000 };
+  return { ...startedProxy(feed), retryTokens: { store: 3 }, leaseUntil: 60_000 };
 };
 
-test('attempts granted to a peer are counted until it says what it used: the sum over both nodes stays within the route', (t) => {
-  const turnedAway = (spent: string | null): ProxyEvent => ({
+test('attempts granted to a peer count as consumed until it reports fewer, so that both nodes together stay within the limit of the route', (t) => {
+  const rejected = (consumed: string | null): ProxyEvent => ({
     kind: 'attempt-answered',
     requestId: 1,
     attempt: 0,
     now: 1_050,
     answer: {
-      ...answer('t1-0'),
+      ...responseOf('t1-0'),
       status: 503,
       headers: {
         'reedyard-attempt': 't1-0',
         'reedyard-outcome': 'not-run',
-        ...(spent === null ? {} : { 'reedyard-spent': spent }),
+        ...(consumed === null ? {} : { 'reedyard-spent': consumed }),
       },
     },
   });
@@ -728,67 +806,68 @@
     why: 'cut',
     now: 1_050,
   });
-  const silent: ProxyEvent = { kind: 'tick', now: 2_000 };
+  const unresponsive: ProxyEvent = { kind: 'tick', now: 2_000 };
   const cases: readonly (readonly [
     attempts: number,
     granted: number,
     event: ProxyEvent,
-    opens: number,
+    attemptCount: number,
   ])[] = [
-    [2, 1, silent, 2],
+    [2, 1, unresponsive, 2],
     [2, 1, failed('maybe'), 2],
-    [2, 1, turnedAway('1'), 2],
-    [2, 1, turnedAway(null), 2],
-    [1, 1, silent, 1],
+    [2, 1, rejected('1'), 2],
+    [2, 1, rejected(null), 2],
+    [1, 1, unresponsive, 1],
     [1, 1, failed('maybe'), 1],
-    [1, 1, turnedAway('1'), 1],
-    [1, 1, turnedAway(null), 1],
+    [1, 1, rejected('1'), 1],
+    [1, 1, rejected(null), 1],
     [1, 1, failed('nothing'), 2],
-    [1, 1, turnedAway('0'), 2],
-    [3, 2, silent, 2],
+    [1, 1, rejected('0'), 2],
+    [3, 2, unresponsive, 2],
     [3, 2, failed('maybe'), 2],
   ];
-  for (const [attempts, granted, event, opens] of cases) {
+  for (const [attempts, granted, event, attemptCount] of cases) {
     const label = `${attempts} ${JSON.stringify(event)}`;
-    const { effects } = play(
-      [arrive(1, 'GET', 1_000), event, { kind: 'tick', now: 2_100 }],
-      forwarding(attempts),
+    const { effects } = applyEvents(
+      [arrivalOf(1, 'GET', 1_000), event, { kind: 'tick', now: 2_100 }],
+      forwardingProxy(attempts),
     );
-    const opened = only(effects, 'send-attempt', 1);
+    const opened = effectsOf(effects, 'send-attempt', 1);
     t.is(opened[0]?.to.kind, 'peer', label);
     t.is(opened[0]?.delegatedAttempts, granted, label);
-    t.is(opened.length, opens, label);
+    t.is(opened.length, attemptCount, label);
     t.true(
-      opened.reduce((sum, each) => sum + each.delegatedAttempts, 0) <= attempts || opens === 2,
+      opened.reduce((sum, effect) => sum + effect.delegatedAttempts, 0) <= attempts ||
+        attemptCount === 2,
       label,
     );
   }
 });
 
-test('a request handed on is spent within its grant, and its answer tells what was used', (t) => {
-  const handed: ProxyEvent = {
+test('a forwarded request stays within its granted attempts, and its response reports how many it consumed', (t) => {
+  const forwarded: ProxyEvent = {
     kind: 'request-arrived',
     requestId: 1,
-    clientRequest: { ...asked('GET'), via: 'z', attempts: 1 },
+    clientRequest: { ...clientRequestOf('GET'), via: 'z', attempts: 1 },
     randomNumbers: [0.5, 0.5, 0.5, 0.5, 0.5],
     token: 't1',
     now: 1_000,
   };
-  const state = forwarding(3);
-  const silent = play(
-    [handed, { kind: 'tick', now: 2_000 }, { kind: 'tick', now: 2_600 }],
+  const state = forwardingProxy(3);
+  const hedged = applyEvents(
+    [forwarded, { kind: 'tick', now: 2_000 }, { kind: 'tick', now: 2_600 }],
     state,
   ).effects;
-  t.is(only(silent, 'send-attempt', 1).length, 1);
-  const cut = play(
+  t.is(effectsOf(hedged, 'send-attempt', 1).length, 1);
+  const failed = applyEvents(
     [
-      handed,
+      forwarded,
       { kind: 'attempt-failed', requestId: 1, attempt: 0, sent: 'maybe', why: 'cut', now: 1_050 },
     ],
     state,
   ).effects;
-  t.is(only(cut, 'send-attempt', 1).length, 1);
-  t.is(only(cut, 'send-answer', 1)[0]?.answer.headers['reedyard-spent'], '1');
-  const refused = play([{ ...handed, now: 61_000 }], state).effects;
-  t.is(only(refused, 'send-answer', 1)[0]?.answer.headers['reedyard-spent'], '0');
+  t.is(effectsOf(failed, 'send-attempt', 1).length, 1);
+  t.is(effectsOf(failed, 'send-answer', 1)[0]?.answer.headers['reedyard-spent'], '1');
+  const rejected = applyEvents([{ ...forwarded, now: 61_000 }], state).effects;
+  t.is(effectsOf(rejected, 'send-answer', 1)[0]?.answer.headers['reedyard-spent'], '0');
 });
--- a/packages/proxy/src/tick-handler.ts
+++ b/packages/proxy/src/tick-handler.ts
@@ -178,7 +178,7 @@
   const { hasRemotePeers, now, leaseUntil, cache } = transition.state;
   if (hasRemotePeers && now - leaseUntil > cacheWithoutLeaseMs && cache.copies.size > 0) {
     update(transition, { cache: Cache.flush(cache) });
-    log(transition, 'copies.flushed', { why: 'homes may have moved' });
+    log(transition, 'copies.flushed', { why: 'home regions may have changed' });
   }
   for (const request of Object.values(transition.state.requests)) {
     if (transition.state.requests[request.id] === undefined) continue;
