--- a/packages/proxy/src/feed-snapshot.ts
+++ b/packages/proxy/src/feed-snapshot.ts
@@ -1,13 +1,13 @@
 /** Merges the feed replies of the agent, which contain only the parts that changed, into a complete feed. */
-import type { Feed, FeedReply, FeedPartsHeld, Revisions } from '@reedyard/agent';
+import type { Feed, FeedReply, HeldFeedParts, FeedRevisions } from '@reedyard/agent';
 
 /** The last complete feed of a proxy, with the revisions of its parts. */
-export type FeedSnapshot = { readonly feed: Feed; readonly revisions: Revisions };
+export type FeedSnapshot = { readonly feed: Feed; readonly revisions: FeedRevisions };
 
 /** Builds feed requests and merges feed replies. */
 export const Feeds = {
   /** The part of a feed request that says which parts the proxy has. @example Feeds.holding(null) // null */
-  heldParts: (snapshot: FeedSnapshot | null): FeedPartsHeld | null =>
+  heldParts: (snapshot: FeedSnapshot | null): HeldFeedParts | null =>
     snapshot === null ? null : { life: snapshot.feed.life, revisions: snapshot.revisions },
 
   /**
