--- a/packages/attempts/src/attempts.ts
+++ b/packages/attempts/src/attempts.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts of a request: whether it gets another one, and whether it gets a hedge, which is a
- * second attempt beside one that is still in flight.
+ * The attempts of a request: whether a retry follows, and whether a hedge is opened, which is a second
+ * attempt beside an unanswered one.
  */
 
 /** How much of a failed attempt may have reached its target. */
@@ -35,7 +35,7 @@
   readonly delegatedAttempts?: number;
 };
 
-/** What a client is told about the execution of a request that failed. */
+/** Whether a request that failed may have run, as reported to the client. */
 export type Outcome = 'not-run' | 'unknown';
 
 /**
--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -54,7 +54,7 @@
 };
 
 /** How many attempts a peer reports to have consumed; null if it does not report a valid number. */
-export const consumedAttemptsOf = (answer: AttemptResponse): number | null => {
-  const value = headerText(answer.headers, consumedAttemptsHeader);
+export const consumedAttemptsOf = (response: AttemptResponse): number | null => {
+  const value = headerText(response.headers, consumedAttemptsHeader);
   return value !== null && /^\d{1,3}$/.test(value) ? Number(value) : null;
 };
--- a/packages/proxy/src/attempt-results.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -114,24 +114,24 @@
 };
 
 /** Handles a response to an attempt: validates it, then responds to the client, retries, or fails. */
-export const handleAttemptAnswer = (
+export const handleAttemptResponse = (
   transition: Transition,
   id: number,
   number: number,
-  answer: AttemptResponse,
+  response: AttemptResponse,
 ): void => {
   const request = transition.state.requests[id];
   const attempt = request?.attempts[number];
   if (request === undefined || attempt === undefined || attempt.result !== null) return;
   const { state } = transition;
-  const rejectionReason = rejectionReasonOf(request, number, answer, state.routes);
+  const rejectionReason = rejectionReasonOf(request, number, response, state.routes);
   if (rejectionReason !== null) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
     handleAttemptFailure(transition, id, number, 'maybe', rejectionReason);
     return;
   }
   const { isIdempotent } = request;
-  const tags = Cache.tagsOf(answer.headers, request.route.tagsHeader);
+  const tags = Cache.tagsOf(response.headers, request.route.tagsHeader);
   const purgedAt = mayCache(request.route, request.clientRequest.method)
     ? Cache.firstPurgeSince(state.cache, request.key, tags, attempt.openedAt)
     : null;
@@ -149,49 +149,49 @@
     handleAttemptFailure(transition, id, number, 'maybe', staleReason);
     return;
   }
-  if (answer.proof?.misdirected === true) {
+  if (response.proof?.misdirected === true) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
     handleAttemptFailure(transition, id, number, 'nothing', 'identity');
     return;
   }
   const isProvablyNotRun =
-    answer.proof?.notRun ??
-    (headerText(answer.headers, 'reedyard-outcome') === 'not-run' && answer.status === 503);
+    response.proof?.notRun ??
+    (headerText(response.headers, 'reedyard-outcome') === 'not-run' && response.status === 503);
   const isRejected =
     isProvablyNotRun ||
-    answer.status === 408 ||
-    answer.status === 421 ||
-    answer.status === 429 ||
-    answer.status === 502 ||
-    answer.status === 503 ||
-    answer.status === 504;
+    response.status === 408 ||
+    response.status === 421 ||
+    response.status === 429 ||
+    response.status === 502 ||
+    response.status === 503 ||
+    response.status === 504;
   const mayRetryError =
     isIdempotent &&
     attempt.to.kind === 'origin' &&
-    answer.status >= 500 &&
+    response.status >= 500 &&
     hasRetryBudget(state, request.service) &&
     remainingAttempts(request) > 0 &&
     state.now < request.deadlineAt;
   // For an unsafe request, a rejection is relayed only if evidence shows it to be the origin's own.
   const isFinal =
     (!isRejected ||
-      (isIdempotent && answer.status === 429 && answer.proof === undefined) ||
-      isOriginGatewayError(answer)) &&
+      (isIdempotent && response.status === 429 && response.proof === undefined) ||
+      isOriginGatewayError(response)) &&
     !mayRetryError;
   const ended = endAttempt(transition, request, number, {
     kind: 'answered',
-    status: answer.status,
+    status: response.status,
     final: isFinal,
     provablyNotExecuted: isProvablyNotRun,
-    consumedAttempts: attempt.to.kind === 'peer' ? consumedAttemptsOf(answer) : null,
+    consumedAttempts: attempt.to.kind === 'peer' ? consumedAttemptsOf(response) : null,
   });
   if (ended === undefined) return;
   if (!isProvablyNotRun)
-    recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, answer.proof);
+    recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, response.proof);
   if (attempt.to.kind === 'origin' && isProvablyNotRun) pauseFullOrigin(transition, attempt.to.id);
   // A complete response leaves its connection ready for the next request; others must be aborted.
   const abortIfIncomplete = (): void => {
-    if (!answer.isComplete)
+    if (!response.isComplete)
       transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
   };
   if (request.phase === 'over') {
@@ -215,8 +215,8 @@
         ...transition.state.meanReplyBytes,
         [name]:
           previousMean === undefined
-            ? answer.size
-            : previousMean + responseTimeGain * (answer.size - previousMean),
+            ? response.size
+            : previousMean + responseTimeGain * (response.size - previousMean),
       },
     });
   }
@@ -232,7 +232,7 @@
     });
   } else count(transition, 'forwarded');
   const copy = isFromOrigin
-    ? cachedResponseOf(transition, request, attempt, answer, tags, purgedAt)
+    ? cachedResponseOf(transition, request, attempt, response, tags, purgedAt)
     : null;
   if (copy !== null) update(transition, { cache: Cache.keep(transition.state.cache, copy) });
   else if (request.isFetchLeader)
@@ -244,17 +244,17 @@
         [request.key]: state.now + 5_000,
       },
     });
-  settleClaim(transition, ended, answer.status < 500 ? 'ran' : 'unknown');
-  recordReply(transition, request, answer.size, isFromOrigin);
-  count(transition, `status.${answer.status}`);
+  settleClaim(transition, ended, response.status < 500 ? 'ran' : 'unknown');
+  recordReply(transition, request, response.size, isFromOrigin);
+  count(transition, `status.${response.status}`);
   if (!request.hasClientLeft) {
     transition.effects.push({
       kind: 'send-answer',
       requestId: id,
       answer: {
-        status: answer.status,
+        status: response.status,
         headers: {
-          ...answer.headers,
+          ...response.headers,
           ...consumedAttemptsHeaders(ended),
           ...(request.clientRequest.via === null
             ? {}
@@ -264,9 +264,11 @@
               ? 'origin'
               : 'peer-origin'
             : 'peer',
-          ...(isIdempotent ? {} : { 'reedyard-outcome': answer.status < 500 ? 'ran' : 'unknown' }),
+          ...(isIdempotent
+            ? {}
+            : { 'reedyard-outcome': response.status < 500 ? 'ran' : 'unknown' }),
         },
-        body: { kind: 'attempt', answer },
+        body: { kind: 'attempt', answer: response },
       },
     });
   } else abortIfIncomplete();
@@ -282,15 +284,15 @@
   transition: Transition,
   request: ProxyRequest,
   attempt: Attempt,
-  answer: AttemptResponse,
+  response: AttemptResponse,
   tags: readonly string[],
   purgedAt: number | null,
 ): CachedResponse | null => {
   const { state } = transition;
   if (
     request.clientRequest.method !== 'GET' ||
-    !answer.isComplete ||
-    answer.status === 206 ||
+    !response.isComplete ||
+    response.status === 206 ||
     purgedAt !== null
   )
     return null;
@@ -298,7 +300,7 @@
   const attemptMs = state.now - attempt.openedAt;
   const freshnessMs =
     route !== undefined && isAlwaysCached(route)
-      ? answer.status === 200
+      ? response.status === 200
         ? (route.cache.mostSeconds ?? 0) * 1_000
         : 0
       : Cache.freshnessLifetimeMs(
@@ -307,25 +309,25 @@
             url: request.clientRequest.target,
             headers: request.clientRequest.headers,
           },
-          answer,
+          response,
           attemptMs,
         );
-  const { ['reedyard-attempt']: _attemptId, ...headers } = answer.headers;
+  const { ['reedyard-attempt']: _attemptId, ...headers } = response.headers;
   const copy: CachedResponse = {
     key: request.key,
     service: serviceOfAttempt(attempt),
-    status: answer.status,
+    status: response.status,
     headers,
-    body: answer.body,
-    sizeBytes: answer.size,
+    body: response.body,
+    sizeBytes: response.size,
     tags,
-    vary: Cache.varyValuesOf(answer.headers, request.clientRequest.headers),
+    vary: Cache.varyValuesOf(response.headers, request.clientRequest.headers),
     storedAt: state.now,
     freshUntil: state.now + freshnessMs,
     initialAgeSeconds:
       route !== undefined && isAlwaysCached(route)
         ? 0
-        : Number(headerText(answer.headers, 'age') ?? 0) + attemptMs / 1_000,
+        : Number(headerText(response.headers, 'age') ?? 0) + attemptMs / 1_000,
   };
   return freshnessMs > 0 && state.now < copyExpiresAtMs(route, state, copy) ? copy : null;
 };
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -6,7 +6,7 @@
 import { Cache } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import type { Step } from '@reedyard/task-loop';
-import { handleAttemptAnswer, endAttempt, handleAttemptFailure } from './attempt-results.js';
+import { handleAttemptResponse, endAttempt, handleAttemptFailure } from './attempt-results.js';
 import { drawService, depositRetryToken, isIdempotentRequest } from './endpoint-selection.js';
 import { closeRequest, failRequest, sendProblem } from './request-completion.js';
 import { applyFeed } from './feed-handler.js';
@@ -260,7 +260,7 @@
         );
         break;
       case 'attempt-answered':
-        handleAttemptAnswer(transition, event.requestId, event.attempt, event.answer);
+        handleAttemptResponse(transition, event.requestId, event.attempt, event.answer);
         break;
       case 'attempt-failed':
         handleAttemptFailure(transition, event.requestId, event.attempt, event.sent, event.why);
--- a/packages/proxy/src/endpoint-selection.ts
+++ b/packages/proxy/src/endpoint-selection.ts
@@ -22,13 +22,13 @@
  * How long an origin that rejected a request as full is passed over, so that it can finish some, in
  * milliseconds.
  */
-const fullOriginRestMs = 150;
+const fullOriginPauseMs = 150;
 
 /**
  * The time constant with which an origin's load report decays, in milliseconds: a few times the
  * duration of a request.
  */
-const loadMemoryMs = 300;
+const loadDecayMs = 300;
 
 /**
  * The maximum ejection time, in milliseconds. Each node tries a dead instance again at this interval
@@ -40,7 +40,7 @@
  * The time constant with which an origin's response time decays towards the mean of all origins, in
  * milliseconds, while it sends no further responses.
  */
-const responseTimeMemoryMs = 5_000;
+const responseTimeDecayMs = 5_000;
 
 /**
  * How many seconds of its rate a token bucket may save. The requirements allow a tenth over 5 s,
@@ -243,7 +243,7 @@
   return (
     ownInFlight +
     Math.max(0, load.running + load.waiting - load.ownInFlight) *
-      Math.exp((load.at - state.now) / loadMemoryMs)
+      Math.exp((load.at - state.now) / loadDecayMs)
   );
 };
 
@@ -261,7 +261,7 @@
     ? meanMs
     : meanMs +
         (health.meanResponseMs - meanMs) *
-          Math.exp((health.lastResponseAt - state.now) / responseTimeMemoryMs);
+          Math.exp((health.lastResponseAt - state.now) / responseTimeDecayMs);
 };
 
 /** The mean response time of some origins, in milliseconds; 0 if none has responded yet. */
@@ -372,7 +372,7 @@
       ...transition.state.ejectedUntil,
       [name]: Math.max(
         transition.state.ejectedUntil[name] ?? 0,
-        transition.state.now + fullOriginRestMs,
+        transition.state.now + fullOriginPauseMs,
       ),
     },
   });
--- a/packages/proxy/src/feed-handler.ts
+++ b/packages/proxy/src/feed-handler.ts
@@ -62,7 +62,10 @@
     fetches:
       feed.purges.length > 0 || shouldFlush || policy !== state.policy
         ? Object.fromEntries(
-            Object.entries(state.fetches).map(([key, fetch]) => [key, { ...fetch, closed: true }]),
+            Object.entries(state.fetches).map(([key, fetch]) => [
+              key,
+              { ...fetch, isClosed: true },
+            ]),
           )
         : state.fetches,
   });
--- a/packages/proxy/src/feed-snapshot.ts
+++ b/packages/proxy/src/feed-snapshot.ts
@@ -6,7 +6,7 @@
 
 /** Builds feed requests and merges feed replies. */
 export const Feeds = {
-  /** The part of a feed request that says which parts the proxy has. @example Feeds.holding(null) // null */
+  /** The part of a feed request that says which parts the proxy has. @example Feeds.heldParts(null) // null */
   heldParts: (snapshot: FeedSnapshot | null): HeldFeedParts | null =>
     snapshot === null ? null : { life: snapshot.feed.life, revisions: snapshot.revisions },
 
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -73,7 +73,7 @@
 export const mayCache = (route: Route, method: string): boolean =>
   route.cache.keep !== 'never' && (method === 'GET' || method === 'HEAD');
 
-/** Whether a route caches every response, whatever its origin's cache headers say. */
+/** Whether a route caches responses whatever their cache headers say. */
 export const isAlwaysCached = (route: Route): boolean => route.cache.keep === 'always';
 
 /** Whether a request may wait for another request's fetch of the same object. */
@@ -124,19 +124,19 @@
 export const rejectionReasonOf = (
   request: ProxyRequest,
   number: number,
-  answer: AttemptResponse,
+  response: AttemptResponse,
   routes: RouteTable,
 ): string | null => {
   const attempt = request.attempts[number];
   if (attempt === undefined) return 'unknown attempt';
-  if (answer.proof !== undefined) return answer.proof.unsound;
-  if (headerText(answer.headers, 'reedyard-attempt') !== `${request.token}-${number}`)
+  if (response.proof !== undefined) return response.proof.unsound;
+  if (headerText(response.headers, 'reedyard-attempt') !== `${request.token}-${number}`)
     return 'foreign';
-  const stamp = headerText(answer.headers, 'reedyard-stamp');
+  const stamp = headerText(response.headers, 'reedyard-stamp');
   if (attempt.to.kind === 'origin') return stamp === attempt.to.id ? null : 'stamp';
   const isUnservedByPeer =
-    answer.status >= 400 && headerText(answer.headers, 'reedyard-outcome') !== null;
-  const servingService = headerText(answer.headers, 'reedyard-service');
+    response.status >= 400 && headerText(response.headers, 'reedyard-outcome') !== null;
+  const servingService = headerText(response.headers, 'reedyard-service');
   // The peer may have served the request under a newer policy than that of the attempt.
   const currentRoute = Routes.find(
     routes,
@@ -159,7 +159,7 @@
  * Whether a 502 or 504 is the origin's own response and may be relayed: under a wire format with
  * evidence, a header field marks the requests that were not run.
  */
-export const isOriginGatewayError = (answer: AttemptResponse): boolean =>
-  answer.proof !== undefined &&
-  !answer.proof.notRun &&
-  (answer.status === 502 || answer.status === 504);
+export const isOriginGatewayError = (response: AttemptResponse): boolean =>
+  response.proof !== undefined &&
+  !response.proof.notRun &&
+  (response.status === 502 || response.status === 504);
--- a/packages/proxy/src/serving.ts
+++ b/packages/proxy/src/serving.ts
@@ -261,7 +261,10 @@
   attemptToOrigin(transition, request);
 };
 
-/** Starts serving a request: from the cache, on the server drawn from the routing table, or not at all. */
+/**
+ * Starts serving a request: on this node if its cache has a copy, or else on the server drawn from
+ * the routing table.
+ */
 export const startRequest = (transition: Transition, pending: ProxyRequest): void => {
   const request = applyCurrentPolicy(transition, pending);
   if (request === null) return;
@@ -290,8 +293,9 @@
 };
 
 /**
- * Continues a request after a failed attempt, a joined fetch or a queue: on this node if it is in a
- * home region of the route, or else at another peer.
+ * Continues a request after a failed attempt, after the fetch that it joined, or when the policy
+ * changed while it was queued: on this node if it is in a home region of the route, or else at a
+ * peer.
  */
 export const continueRequest = (transition: Transition, pending: ProxyRequest): void => {
   const request = applyCurrentPolicy(transition, pending);
