--- a/packages/proxy/src/proxy.test.ts
+++ b/packages/proxy/src/proxy.test.ts
@@ -854,11 +854,11 @@
     now: 1_000,
   };
   const state = forwardingProxy(3);
-  const hedged = applyEvents(
+  const unanswered = applyEvents(
     [forwarded, { kind: 'tick', now: 2_000 }, { kind: 'tick', now: 2_600 }],
     state,
   ).effects;
-  t.is(effectsOf(hedged, 'send-attempt', 1).length, 1);
+  t.is(effectsOf(unanswered, 'send-attempt', 1).length, 1);
   const failed = applyEvents(
     [
       forwarded,
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -23,9 +23,9 @@
   readonly bodyBytes: number;
   /** Distinguishes requests with the same idempotency key by method, target and body; null without a key. */
   readonly digest: string | null;
-  /** How long the client waits, in milliseconds; undefined if the request does not say. */
+  /** How long the client waits, in milliseconds; undefined or null if the request does not say. */
   readonly deadlineMs?: number | null;
-  /** How many attempts at origins are left; undefined if the request does not say. */
+  /** How many attempts at origins are left; undefined or null if the request does not say. */
   readonly attempts?: number | null;
 };
 
@@ -68,7 +68,10 @@
   /** The register that the idempotency key claims; null without a claim. */
   readonly claimKey: string | null;
   readonly attempts: readonly Attempt[];
-  /** `over`: the client has its response, and the remaining attempts are allowed to finish. */
+  /**
+   * `joined`: the request waits for another request's fetch. `holding`: it queues for a quota token.
+   * `over`: the client has its response, and the remaining attempts are allowed to finish.
+   */
   readonly phase: 'claiming' | 'joined' | 'holding' | 'attempt' | 'over';
   readonly queuedAt: number;
   readonly isFetchLeader: boolean;
@@ -88,7 +91,7 @@
   /** The exponentially weighted mean of the response times, in milliseconds. */
   readonly meanResponseMs: number;
   readonly lastResponseAt: number;
-  /** The last load report, and how many of the reported requests this node had sent. */
+  /** The last load report, with the number of this node's requests in flight when it arrived. */
   readonly load: (Load & { readonly at: number; readonly ownInFlight: number }) | null;
   /** The number of failures since the last valid response. */
   readonly failures: number;
