--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -31,7 +31,7 @@
 const mayServe = (transition: Transition, id: number, via: string | null): boolean => {
   const { state } = transition;
   if (state.stoppingAt !== null && state.now - state.stoppingAt > unreadyServingMs) {
-    sendProblem(transition, id, 503, 'Stopping', 'This node is stopping.', { connection: 'close' });
+    sendProblem(transition, id, 503, 'Leaving', 'This node is stopping.', { connection: 'close' });
     return false;
   }
   if (state.now >= state.leaseUntil || state.policy === null || state.feed === null) {
@@ -43,7 +43,7 @@
     state.evacuatedAt !== null &&
     state.now - state.evacuatedAt > evacuationGraceMs
   ) {
-    sendProblem(transition, id, 503, 'Zone evacuated', 'This zone is evacuated.', {
+    sendProblem(transition, id, 503, 'Zone emptied', 'This zone is evacuated.', {
       connection: 'close',
     });
     return false;
--- a/packages/proxy/src/request-completion.ts
+++ b/packages/proxy/src/request-completion.ts
@@ -165,7 +165,7 @@
       transition,
       request.id,
       status,
-      status === 503 ? 'Not served' : 'No valid response',
+      status === 503 ? 'Not served' : 'No sound answer',
       outcome === 'not-run'
         ? `It was not run: ${reason}.`
         : `It is not known whether it ran: ${reason}.`,
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -39,7 +39,7 @@
   if (route === undefined)
     return {
       status: 404,
-      title: 'No such route',
+      title: 'No such place',
       detail: 'No route matches this host and path.',
     };
   if (!(route.methods as readonly string[]).includes(clientRequest.method))
@@ -63,7 +63,7 @@
   )
     return {
       status: 400,
-      title: 'Key required',
+      title: 'Key wanted',
       detail: 'This route allows such a request only with an Idempotency-Key.',
     };
   return null;
