--- a/packages/proxy/src/attempt-results.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -149,13 +149,13 @@
     handleAttemptFailure(transition, id, number, 'maybe', staleReason);
     return;
   }
-  if (response.proof?.misdirected === true) {
+  if (response.originEvidence?.isMisdirected === true) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
     handleAttemptFailure(transition, id, number, 'nothing', 'identity');
     return;
   }
   const isProvablyNotRun =
-    response.proof?.notRun ??
+    response.originEvidence?.notRun ??
     (headerText(response.headers, 'reedyard-outcome') === 'not-run' && response.status === 503);
   const isRejected =
     isProvablyNotRun ||
@@ -175,7 +175,7 @@
   // For an unsafe request, a rejection is relayed only if evidence shows it to be the origin's own.
   const isFinal =
     (!isRejected ||
-      (isIdempotent && response.status === 429 && response.proof === undefined) ||
+      (isIdempotent && response.status === 429 && response.originEvidence === undefined) ||
       isOriginGatewayError(response)) &&
     !mayRetryError;
   const ended = endAttempt(transition, request, number, {
@@ -187,7 +187,12 @@
   });
   if (ended === undefined) return;
   if (!isProvablyNotRun)
-    recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, response.proof);
+    recordResponse(
+      transition,
+      attempt.to.id,
+      state.now - attempt.openedAt,
+      response.originEvidence,
+    );
   if (attempt.to.kind === 'origin' && isProvablyNotRun) pauseFullOrigin(transition, attempt.to.id);
   // A complete response leaves its connection ready for the next request; others must be aborted.
   const abortIfIncomplete = (): void => {
--- a/packages/proxy/src/endpoint-selection.ts
+++ b/packages/proxy/src/endpoint-selection.ts
@@ -6,7 +6,7 @@
 import { isIdempotentMethod } from '@reedyard/attempts';
 import { type Route, Routes } from '@reedyard/schemas';
 import { placementKey, objectKey, rendezvousOwner } from '@reedyard/server-selection';
-import type { Proof } from './dialect.js';
+import type { OriginEvidence } from './wire-format.js';
 import { minEjectionMs } from './ejection-timing.js';
 import { responseTimeGain } from './response-times.js';
 import {
@@ -382,7 +382,7 @@
   transition: Transition,
   name: string,
   responseMs: number,
-  proof: Proof | undefined,
+  proof: OriginEvidence | undefined,
 ): void => {
   const old = transition.state.originHealth[name];
   const reportedLoad = proof?.load;
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -5,7 +5,7 @@
 import type { Attempt } from '@reedyard/attempts';
 import type { CachedResponse } from '@reedyard/cache';
 import { type Policy, type Route, Routes, type RouteTable } from '@reedyard/schemas';
-import { CallerBounds } from './caller-bounds.js';
+import { ClientLimits } from './client-limits.js';
 import { isHomeRegion, isIdempotentRequest } from './endpoint-selection.js';
 import { maxQueueWaitMs } from './serving.js';
 import type { ClientRequest, AttemptResponse, ProxyRequest, ProxyState } from './state.js';
@@ -49,7 +49,7 @@
       detail: `This route allows ${route.methods.join(', ')}.`,
       more: { allow: route.methods.join(', ') },
     };
-  const maxBodyBytes = route.limits.bodyBytes ?? CallerBounds.of(callers).bodyBytes;
+  const maxBodyBytes = route.limits.bodyBytes ?? ClientLimits.of(callers).bodyBytes;
   if (clientRequest.bodyBytes > maxBodyBytes)
     return {
       status: 413,
@@ -129,7 +129,7 @@
 ): string | null => {
   const attempt = request.attempts[number];
   if (attempt === undefined) return 'unknown attempt';
-  if (response.proof !== undefined) return response.proof.unsound;
+  if (response.originEvidence !== undefined) return response.originEvidence.mismatch;
   if (headerText(response.headers, 'reedyard-attempt') !== `${request.token}-${number}`)
     return 'foreign';
   const stamp = headerText(response.headers, 'reedyard-stamp');
@@ -160,6 +160,6 @@
  * evidence, a header field marks the requests that were not run.
  */
 export const isOriginGatewayError = (response: AttemptResponse): boolean =>
-  response.proof !== undefined &&
-  !response.proof.notRun &&
+  response.originEvidence !== undefined &&
+  !response.originEvidence.notRun &&
   (response.status === 502 || response.status === 504);
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -8,7 +8,7 @@
   ProxyReport,
 } from '@reedyard/agent';
 import type { CachedResponse, Headers, CacheState } from '@reedyard/cache';
-import type { Load, Proof } from './dialect.js';
+import type { OriginLoad, OriginEvidence } from './wire-format.js';
 import type { Policy, Route, RouteTable } from '@reedyard/schemas';
 import type { Attempt, SendProgress } from '@reedyard/attempts';
 
@@ -40,7 +40,7 @@
    * What an origin's response proves under the wire format of the attempt. If undefined, the header
    * fields of the response decide.
    */
-  readonly proof?: Proof;
+  readonly originEvidence?: OriginEvidence;
 };
 
 /** The target of an attempt. */
@@ -92,7 +92,7 @@
   readonly meanResponseMs: number;
   readonly lastResponseAt: number;
   /** The last load report, with the number of this node's requests in flight when it arrived. */
-  readonly load: (Load & { readonly at: number; readonly ownInFlight: number }) | null;
+  readonly load: (OriginLoad & { readonly at: number; readonly ownInFlight: number }) | null;
   /** The number of failures since the last valid response. */
   readonly failures: number;
 };
--- a/packages/proxy/src/warm.test.ts
+++ b/packages/proxy/src/warm.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { SettingsReader } from '@reedyard/settings';
-import { type WireFormat, ownWireFormat } from './dialect.js';
+import { type WireFormat, reedyardWireFormat } from './wire-format.js';
 import type { ProxySettings } from './proxy-host.js';
 import { warmUp, warmUpConcurrency, warmUpRequests } from './warm.js';
 
@@ -19,13 +19,13 @@
 ) as ProxySettings;
 /** A wire format in which a response is valid if it carries the number of its request. */
 const numberedWireFormat: WireFormat = {
-  ...ownWireFormat,
+  ...reedyardWireFormat,
   identity: 'named',
-  toOrigin: () => ({}),
-  fromOrigin: (_status, headers, { headers: requestHeaders }) => ({
-    unsound: headers.number === requestHeaders.number ? null : 'foreign',
+  originRequestFields: () => ({}),
+  readOriginResponse: (_status, headers, { headers: requestHeaders }) => ({
+    mismatch: headers.number === requestHeaders.number ? null : 'foreign',
     notRun: false,
-    misdirected: false,
+    isMisdirected: false,
     load: null,
     coldMs: null,
   }),
@@ -45,5 +45,5 @@
     return calls > 10;
   });
   t.true(interrupted.played <= 10 && interrupted.served === interrupted.played);
-  t.deepEqual(await warmUp(ownWireFormat, settings, () => false), { played: 0, served: 0 });
+  t.deepEqual(await warmUp(reedyardWireFormat, settings, () => false), { played: 0, served: 0 });
 });
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -9,7 +9,7 @@
   type ProxyQuery,
 } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
-import type { WireFormat } from './dialect.js';
+import type { WireFormat } from './wire-format.js';
 import { openProxy, type ProxySettings } from './proxy-host.js';
 
 /** The maximum duration of the warm-up, in milliseconds; with a share of a core it takes some seconds. */
@@ -124,7 +124,7 @@
     wireFormat,
     {
       logger: silentLogger,
-      askAgent: (query: ProxyQuery) =>
+      queryAgent: (query: ProxyQuery) =>
         Promise.resolve(
           query.kind === 'feed'
             ? {
