--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { parse, stringify } from 'devalue';
 import { recordValue } from '@reedyard/gossip';
-import { type Description, Schemas } from '@reedyard/schemas';
+import { type OriginDescription, Schemas } from '@reedyard/schemas';
 import { originRefreshIntervalMs } from './api/api-actions.js';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
@@ -59,7 +59,7 @@
   document: Schemas.policy({ services, routes: [], ...otherFields }),
   changes: [],
 });
-const descriptionWith = (changes: Partial<Description> = {}): Description => ({
+const descriptionWith = (changes: Partial<OriginDescription> = {}): OriginDescription => ({
   service: 's',
   instance: 'i',
   incarnation: 0,
@@ -218,8 +218,8 @@
 
 test('an older description has no effect, whether the origin or another node sends it', (t) => {
   const key = 'origin/s/i';
-  const knownDescription = (state: AgentState): Description =>
-    recordValue(state.gossip, key) as Description;
+  const knownDescription = (state: AgentState): OriginDescription =>
+    recordValue(state.gossip, key) as OriginDescription;
   let state = performAction(
     newAgent(),
     { kind: 'describe', description: descriptionWith({ sequence: 5, state: 'cold' }) },
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -5,7 +5,7 @@
 import { publishRecord, recordValue, replaceValueLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
 import { leaseDurationMs } from '@reedyard/replica';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import { servingAllowanceMs, isUnreachable, unreachableResponse } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
 import { hasReadyQuotas } from '../feed/feed.js';
@@ -47,7 +47,7 @@
  * Whether a description was already published recently enough, with equal fields except its sequence
  * number.
  */
-const isAnnounced = (state: AgentState, key: string, description: Description): boolean => {
+const isAnnounced = (state: AgentState, key: string, description: OriginDescription): boolean => {
   const record = state.gossip.records[key];
   if (record === undefined || record.isExpired) return false;
   if (
@@ -55,11 +55,11 @@
     mayPredateZoneRestore(state, description.zone, record.seenAt)
   )
     return false;
-  const published = record.value as Description;
+  const published = record.value as OriginDescription;
   const fields = new Set([
     ...Object.keys(description),
     ...Object.keys(published),
-  ] as (keyof Description)[]);
+  ] as (keyof OriginDescription)[]);
   return [...fields].every(
     (field) => field === 'sequence' || description[field] === published[field],
   );
@@ -71,7 +71,7 @@
   else appendToJournal(transition, [{ key, value: true }], id, body);
 };
 
-const olderIncarnation = (known: Description): ActionReply => ({
+const olderIncarnation = (known: OriginDescription): ActionReply => ({
   status: 409,
   body: {
     type: 'about:blank',
@@ -86,20 +86,20 @@
  * keeps draining for the rest of its incarnation.
  */
 const descriptionToAnnounce = (
-  known: Description | null,
-  received: Description,
+  known: OriginDescription | null,
+  received: OriginDescription,
   isLate: boolean,
-): Description => {
+): OriginDescription => {
   if (known !== null && isLate) return known;
   const keepsDraining =
     known !== null && known.incarnation === received.incarnation && known.draining;
   return { ...received, draining: received.draining || keepsDraining };
 };
 
-const describe = (transition: Transition, id: number, description: Description): void => {
+const describe = (transition: Transition, id: number, description: OriginDescription): void => {
   const key = originKey(description);
   const known =
-    (recordValue(transition.state.gossip, key) as Description | null | undefined) ?? null;
+    (recordValue(transition.state.gossip, key) as OriginDescription | null | undefined) ?? null;
   if (known !== null && known.incarnation > description.incarnation) {
     sendAnswer(transition, id, olderIncarnation(known));
     return;
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -9,7 +9,7 @@
   publishRecord,
   sampleView,
 } from '@reedyard/gossip';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import { eagerPollingDurationMs } from '../control/lease.js';
 import { updateMovedReplicas } from '../membership/known-replicas.js';
 import { isOutdated } from '../origins/origins.js';
@@ -134,7 +134,7 @@
   updatedKeys: readonly string[],
 ): void => {
   for (const key of updatedKeys.filter((updatedKey) => updatedKey.startsWith('origin/'))) {
-    const received = updates[key]?.value as Description | null | undefined;
+    const received = updates[key]?.value as OriginDescription | null | undefined;
     const ownRecord = stateBefore.gossip.records[key];
     if (!received || ownRecord === undefined || !isOutdated(stateBefore, received)) continue;
     const { gossip } = transition.state;
--- a/packages/agent/src/origins/origins.ts
+++ b/packages/agent/src/origins/origins.ts
@@ -1,7 +1,7 @@
 /** The origins that are known from gossip, and which of them get traffic. */
 
 import { liveRecords, recordValue } from '@reedyard/gossip';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import { policyOf, zonesOf, zonesWithClosedOrigins } from '../control/registers.js';
 import type { AgentState } from '../state.js';
 
@@ -13,7 +13,10 @@
 export const restoreSettleMs = 500;
 
 /** Why an origin gets no traffic; null if it gets traffic. */
-export const exclusionReason = (state: AgentState, description: Description): string | null => {
+export const exclusionReason = (
+  state: AgentState,
+  description: OriginDescription,
+): string | null => {
   const service = policyOf(state)?.document.services[description.service];
   if (service === undefined) return 'no policy allows this service';
   if (service.instances !== undefined && !service.instances.includes(description.instance))
@@ -29,7 +32,7 @@
 };
 
 /** The key of the journal entry that an incarnation of an origin is draining. */
-export const drainKey = (description: Description): string =>
+export const drainKey = (description: OriginDescription): string =>
   `drain/${description.service}/${description.instance}/${description.incarnation}`;
 
 /** The key of the journal entry that excludes every incarnation of an instance while the entry is kept. */
@@ -45,7 +48,7 @@
   receivedAt: number,
 ): boolean => receivedAt < (state.zonesRestoredAt[zone] ?? -Infinity) + restoreSettleMs;
 
-const isOlder = (description: Description, known: Description): boolean =>
+const isOlder = (description: OriginDescription, known: OriginDescription): boolean =>
   description.incarnation < known.incarnation ||
   (description.incarnation === known.incarnation &&
     description.sequence !== undefined &&
@@ -53,13 +56,14 @@
     description.sequence < known.sequence);
 
 /** Whether a description is older than the known description of the same origin. */
-export const isOutdated = (state: AgentState, description: Description): boolean => {
-  const known = recordValue(state.gossip, originKey(description)) as Description | null | undefined;
+export const isOutdated = (state: AgentState, description: OriginDescription): boolean => {
+  const known = recordValue(state.gossip, originKey(description)) as
+    OriginDescription | null | undefined;
   return known !== undefined && known !== null && isOlder(description, known);
 };
 
 /** The key of an origin's record in gossip. */
-export const originKey = (description: Description): string =>
+export const originKey = (description: OriginDescription): string =>
   `origin/${description.service}/${description.instance}`;
 
 /**
@@ -69,12 +73,12 @@
 export const originsOf = (
   state: AgentState,
 ): readonly {
-  readonly description: Description;
+  readonly description: OriginDescription;
   readonly receivedAt: number;
   readonly exclusionReason: string | null;
 }[] => {
   const origins = liveRecords(state.gossip, 'origin/').map(([, value, seenAt]) => ({
-    description: value as Description,
+    description: value as OriginDescription,
     seenAt,
   }));
   return origins.map(({ description, seenAt }) => ({
