--- a/packages/agent/src/membership/membership-handover.test.ts
+++ b/packages/agent/src/membership/membership-handover.test.ts
@@ -113,7 +113,7 @@
   // d takes over from c: it reads a, then c, and votes.
   replace(cluster, { gone: 'c', address: 'd', disk: 'disk-4' }, ['a', 'b']);
   tellReplica(cluster, 'd', ['a', 'c']);
-  t.true(cluster.replicas.d?.state.isVoting);
+  t.true(cluster.replicas.d?.state.hasBegunVoting);
   // p tries again with a and d, then q with b and d.
   for (const [name, address] of [
     ['p', 'a'],
@@ -138,7 +138,7 @@
   tellReplica(cluster, 'd', ['c']);
   replace(cluster, { gone: 'd', address: 'e', disk: 'disk-5' }, ['a', 'b']);
   tellReplica(cluster, 'e', ['a', 'b']);
-  t.true(cluster.replicas.e?.state.isVoting);
+  t.true(cluster.replicas.e?.state.hasBegunVoting);
   // b and e choose a value; nothing of it comes to a.
   tellClient(cluster, 'p', 'b');
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['b', 'e']);
--- a/packages/agent/src/membership/membership-reoffer.test.ts
+++ b/packages/agent/src/membership/membership-reoffer.test.ts
@@ -78,7 +78,7 @@
   replace(cluster, 'd', ['e', 'disk-5'], ['d']);
   tell(cluster, 'e', ['d']);
   settle(cluster, ['d']);
-  t.true(cluster.replicas.e?.state.isVoting);
+  t.true(cluster.replicas.e?.state.hasBegunVoting);
   // b and e choose a value; nothing of it comes to a.
   propose(cluster, 'p', { kind: 'append', id: 'p1' }, ['a', 'd']);
   t.deepEqual(
--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -235,19 +235,20 @@
     if (early) told.forEach((each) => this.#answer(replica, each));
     after.effects.forEach((effect) => this.#call(replica, effect));
     if (this.syncing === 'at-once') this.sync(replica.address);
-    const hasChanged = appended.length > 0 || after.state.isVoting !== replica.state.isVoting;
+    const hasChanged =
+      appended.length > 0 || after.state.hasBegunVoting !== replica.state.hasBegunVoting;
     this.#noteBegun(replica.state, after.state);
     if (hasChanged) this.checkQuorums();
   }
 
   #noteBegun(
     before: ReplicaState,
-    { isVoting: voting, votingEpoch, diskId: disk, committedMembership: told }: ReplicaState,
+    { hasBegunVoting: voting, votingEpoch, diskId: disk, committedMembership: told }: ReplicaState,
   ): void {
     if (told !== null && told !== before.committedMembership) {
       this.history = noteTold(this.history, disk, told.value);
     }
-    const hasBegun = voting && (!before.isVoting || votingEpoch !== before.votingEpoch);
+    const hasBegun = voting && (!before.hasBegunVoting || votingEpoch !== before.votingEpoch);
     if (!hasBegun || told === null) return;
     this.history = noteBegun(this.history, disk, told.value);
   }
--- a/packages/agent/src/testing/membership-founding.ts
+++ b/packages/agent/src/testing/membership-founding.ts
@@ -72,7 +72,7 @@
         now: 0,
       };
       const { state } = openReplica(parts);
-      if (!state.isVoting) throw new Error(`${address} does not vote`);
+      if (!state.hasBegunVoting) throw new Error(`${address} does not vote`);
       const life = index + 1;
       return [address, { ...blankReplica, address, life, state, durable }];
     }),
--- a/packages/agent/src/testing/membership-history.ts
+++ b/packages/agent/src/testing/membership-history.ts
@@ -317,7 +317,8 @@
 ): readonly ReplicaState[] => {
   const named = Object.values(members.disks);
   const found = disks.filter(
-    (state) => state.isVoting && named.includes(state.diskId) && answersAsMember(state, members),
+    (state) =>
+      state.hasBegunVoting && named.includes(state.diskId) && answersAsMember(state, members),
   );
   return found.length >= majorityOf(named.length) ? found : [];
 };
--- a/packages/agent/src/testing/membership-mutations.ts
+++ b/packages/agent/src/testing/membership-mutations.ts
@@ -40,7 +40,7 @@
   const { committedMembership: told } = state;
   const isStale =
     told !== null && ask.membership !== null && isNewerMembership(told, ask.membership);
-  return isStale && state.isVoting ? { ...ask, membership: told } : ask;
+  return isStale && state.hasBegunVoting ? { ...ask, membership: told } : ask;
 };
 
 const isMembershipCall = ({ operation: call }: ReplicaRequest): boolean =>
@@ -54,7 +54,7 @@
   (enough: (members: number) => number) =>
   (_before: ReplicaState, step: Step): Step => {
     const { state } = step;
-    if (state.isVoting || state.committedMembership === null || !isNamed(state)) return step;
+    if (state.hasBegunVoting || state.committedMembership === null || !isNamed(state)) return step;
     const { epoch, disks } = state.committedMembership.value;
     const read = Object.values(state.peerReads).filter(
       (reading) => reading.state === 'done' && reading.epoch >= epoch,
@@ -63,13 +63,13 @@
     const append = { kind: 'append-records', records: [{ kind: 'voting-begun' }] } as const;
     const votingEpoch = state.committedMembership.value.epoch;
     return {
-      state: { ...state, isVoting: true, votingEpoch, peerReads: {} },
+      state: { ...state, hasBegunVoting: true, votingEpoch, peerReads: {} },
       effects: [...step.effects, append],
     };
   };
 
 const withoutBlanking = (before: ReplicaState, step: Step): Step => {
-  if (!before.isVoting || step.state.isVoting) return step;
+  if (!before.hasBegunVoting || step.state.hasBegunVoting) return step;
   const records: readonly ReplicaRecord[] = [{ kind: 'disk-erased', diskId: before.diskId }];
   const renamed = step.effects.map((effect) =>
     effect.kind === 'append-records' &&
@@ -91,11 +91,11 @@
   return !isMember && Object.values(predecessors).some((each) => each.address === address);
 };
 
-const isRetired = (state: ReplicaState): boolean => state.isVoting && !isNamed(state);
+const isRetired = (state: ReplicaState): boolean => state.hasBegunVoting && !isNamed(state);
 
 /** A replica that is told of members without it tells so to its reader, and goes on as before. */
 const votesOn = (before: ReplicaState, step: Step): Step => {
-  if (!before.isVoting || !isNamed(before) || isNamed(step.state)) return step;
+  if (!before.hasBegunVoting || !isNamed(before) || isNamed(step.state)) return step;
   const effects = step.effects.filter(({ kind }) => kind === 'send-reply');
   return { state: before, effects };
 };
@@ -191,7 +191,9 @@
   votesInAnyPlace: {
     name: 'a disk votes in every place once it has voted in one',
     after: (_before, step) =>
-      step.state.isVoting ? { ...step, state: { ...step.state, votingEpoch: Infinity } } : step,
+      step.state.hasBegunVoting
+        ? { ...step, state: { ...step.state, votingEpoch: Infinity } }
+        : step,
   },
   takesNoPromises: {
     name: 'a successor takes over what was accepted, not what was promised',
--- a/packages/agent/src/testing/membership-random.ts
+++ b/packages/agent/src/testing/membership-random.ts
@@ -137,7 +137,7 @@
   /** Disks without a slot, as gossip tells of them. */
   blanks(draw: Draw): readonly OriginStandIn[] {
     const now = Object.values(this.cluster.replicas)
-      .filter(({ running, state }) => running && !state.isVoting)
+      .filter(({ running, state }) => running && !state.hasBegunVoting)
       .map(({ address, state }) => ({ address, disk: state.diskId }));
     if (this.#options.offers === 'never-named') return now.filter((each) => !this.#named(each));
     if (this.#options.offers === 'blank-now') return now;
@@ -173,7 +173,9 @@
     const { state } = openReplica(parts);
     const place = Object.keys(members.disks).find((each) => members.disks[each] === state.diskId);
     return (
-      state.isVoting && place !== undefined && (members.joinedIn?.[place] ?? 0) <= state.votingEpoch
+      state.hasBegunVoting &&
+      place !== undefined &&
+      (members.joinedIn?.[place] ?? 0) <= state.votingEpoch
     );
   }
 
@@ -214,7 +216,7 @@
 const beat = (run: Run, draw: Draw): void => {
   const { cluster } = run;
   const running = Object.values(cluster.replicas).filter((each) => each.running);
-  const waiting = running.filter(({ state }) => !state.isVoting);
+  const waiting = running.filter(({ state }) => !state.hasBegunVoting);
   const replica = draw.pick(waiting.length > 0 && draw.next() < 0.8 ? waiting : running);
   if (replica === undefined) return;
   cluster.tellReplica(replica.address, { kind: 'tick', now: cluster.now });
@@ -231,7 +233,7 @@
   if (!replica.running) {
     cluster.start(replica.address);
     const isMember = Object.values(run.newestMembers().disks).includes(replica.state.diskId);
-    if (replica.state.isVoting && !isMember) run.returns += 1;
+    if (replica.state.hasBegunVoting && !isMember) run.returns += 1;
   } else if (draw.next() < crashShare) {
     cluster.stop(replica.address, draw.index(replica.unsynced.length + 1));
     run.crashes += 1;
--- a/packages/agent/src/testing/membership-search.ts
+++ b/packages/agent/src/testing/membership-search.ts
@@ -202,7 +202,7 @@
     .sort();
   return JSON.stringify([
     state.diskId,
-    state.isVoting,
+    state.hasBegunVoting,
     state.votingEpoch,
     textOfTold(state.committedMembership),
     cells,
--- a/packages/replica/src/committed-membership.ts
+++ b/packages/replica/src/committed-membership.ts
@@ -76,7 +76,7 @@
   const diskId = idAfterErasing(state.diskId, epoch);
   update(transition, {
     diskId,
-    isVoting: false,
+    hasBegunVoting: false,
     votingEpoch: 0,
     registers: Table(),
     claimMinuteByKey: Table(),
--- a/packages/replica/src/index.ts
+++ b/packages/replica/src/index.ts
@@ -15,7 +15,7 @@
   ReplicaReply,
   ReplicaRequest,
 } from './messages.js';
-export { openReplica, snapshotRecords, type ReplicaParts } from './open.js';
+export { openReplica, snapshotRecords, type ReplicaParts } from './open-replica.js';
 export {
   decodeReplicaReply,
   decodeReplicaRequest,
--- a/packages/replica/src/journal.ts
+++ b/packages/replica/src/journal.ts
@@ -71,7 +71,7 @@
   );
 
 /** The reply to a poll: the entries that follow the cursor, and what some registers hold. */
-export const pollReply = (
+export const buildPollReply = (
   state: ReplicaState,
   cursor: JournalCursor | null,
   keys: readonly string[],
--- a/packages/replica/src/history.test.ts
+++ b/packages/replica/src/log-growth.test.ts
@@ -15,7 +15,7 @@
   type ReplicaReply,
   type ReplicaRequest,
 } from './index.js';
-import { openReplica } from './open.js';
+import { openReplica } from './open-replica.js';
 import { ReplicaHost } from './replica-host.js';
 import { snapshotAfterBytes } from './snapshot-threshold.js';
 
@@ -86,7 +86,7 @@
     const host = new ReplicaHost(opened, log, {
       now: () => this.now,
       call: (address, body) => this.#track(this.#deliver(address, body)),
-      end: () => undefined,
+      exitProcess: () => undefined,
       log: () => undefined,
     });
     this.running.set(name, { log, host, recordsRead: records.length });
@@ -122,7 +122,7 @@
   ask(name: Name, call: ReplicaOperation): Promise<ReplicaReply> {
     const running = this.running.get(name);
     if (running === undefined) return Promise.reject(new Error(`${name} is down`));
-    return running.host.ask({ membership: this.members, operation: call });
+    return running.host.handleRequest({ membership: this.members, operation: call });
   }
 
   /** Writes a register by a majority; tells whether one was reached. */
@@ -174,7 +174,7 @@
   async #deliver(address: string, body: ReplicaRequest): Promise<ReplicaReply> {
     const running = this.running.get(address);
     if (running === undefined) throw new Error(`${address} is down`);
-    const reply = await running.host.ask(body);
+    const reply = await running.host.handleRequest(body);
     if (reply.kind === 'page-read') {
       this.pages += 1;
       this.pageBytes += stringify(reply).length;
--- a/packages/replica/src/members.test.ts
+++ b/packages/replica/src/membership.test.ts
@@ -16,7 +16,7 @@
   membershipKey,
 } from './membership.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
-import { openReplica } from './open.js';
+import { openReplica } from './open-replica.js';
 import { reduceReplica } from './reducer.js';
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
@@ -135,7 +135,7 @@
     const state = this.states.get(address);
     return (
       state !== undefined &&
-      state.isVoting &&
+      state.hasBegunVoting &&
       Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId)
     );
   }
@@ -198,7 +198,7 @@
   const founded = new Set<string>();
   const note = (states: ReadonlyMap<string, ReplicaState>): void => {
     for (const state of states.values())
-      if (state.isVoting)
+      if (state.hasBegunVoting)
         founded.add(
           JSON.stringify([
             state.committedMembership?.proposalNumber,
@@ -215,7 +215,7 @@
         .map(([name, state]) => [
           name,
           state.committedMembership,
-          state.isVoting,
+          state.hasBegunVoting,
           state.peerReads,
           state.nextRequestId,
         ]),
@@ -437,7 +437,7 @@
       ask.operation.kind === 'read-page' ? { ...ask, membership: null } : ask;
   if (deaf === 'members')
     bench.hears = (state, ask) =>
-      state.committedMembership !== null && state.isVoting && ask.membership !== null
+      state.committedMembership !== null && state.hasBegunVoting && ask.membership !== null
         ? { ...ask, membership: state.committedMembership }
         : ask;
   const askers: Asker[] = ['p', 'q', 'r'].map((name) => ({
@@ -560,7 +560,7 @@
     const state = bench.states.get(into);
     const goal = chance() < 0.5 ? 'count' : 'members';
     // Like an agent: only a disk that waits for a place is given one.
-    if (goal === 'members' && (state === undefined || state.isVoting)) return;
+    if (goal === 'members' && (state === undefined || state.hasBegunVoting)) return;
     asker.goal = goal;
     asker.since += 1;
     const by = `${asker.name}/${asker.since}`;
@@ -628,7 +628,9 @@
       const places = Object.entries(newest?.value.disks ?? {});
       const sound = places.filter(([place, disk]) => {
         const state = bench.states.get(place);
-        return place !== address && state !== undefined && state.diskId === disk && state.isVoting;
+        return (
+          place !== address && state !== undefined && state.diskId === disk && state.hasBegunVoting
+        );
       }).length;
       bench.close(address, sound >= Math.floor(places.length / 2) + 1);
       bench.open(address, { seeds: [], isFirstStart: false });
--- a/packages/replica/src/open.ts
+++ b/packages/replica/src/open-replica.ts
@@ -133,7 +133,7 @@
     bootstrap: parts.bootstrap ?? null,
     committedMembership,
     diskId: replay.diskId ?? parts.newDiskId,
-    isVoting: replay.isVoting,
+    hasBegunVoting: replay.isVoting,
     votingEpoch: replay.votingEpoch,
     registers: Table(replay.registers),
     ...claimTables(replay, parts.now),
@@ -174,7 +174,7 @@
  */
 export function* snapshotRecords(state: ReplicaState): Iterable<ReplicaRecord> {
   yield { kind: 'disk-named', diskId: state.diskId };
-  if (state.isVoting) yield { kind: 'voting-begun', epoch: state.votingEpoch };
+  if (state.hasBegunVoting) yield { kind: 'voting-begun', epoch: state.votingEpoch };
   if (state.committedMembership !== null)
     yield { kind: 'membership-committed', membership: state.committedMembership };
   yield { kind: 'sequence-reached', sequence: state.lastSequence };
--- a/packages/replica/src/page-reads.ts
+++ b/packages/replica/src/page-read-handler.ts
@@ -10,10 +10,10 @@
 const maxOpenPageReads = 8;
 
 /** The reply of a replica that may not vote. */
-export const notAMember = (state: ReplicaState): ReplicaReply => ({
+export const buildNotAMemberReply = (state: ReplicaState): ReplicaReply => ({
   kind: 'not-a-member',
   diskId: state.diskId,
-  isBlank: !state.isVoting,
+  isBlank: !state.hasBegunVoting,
   knowsMembership: state.committedMembership !== null,
 });
 
@@ -52,7 +52,7 @@
  */
 export const readPage = (transition: Transition, after: string | null): ReplicaReply => {
   const { state } = transition;
-  if (!mayBeRead(state)) return notAMember(state);
+  if (!mayBeRead(state)) return buildNotAMemberReply(state);
   const given = parsePagePosition(after);
   const openKeys = state.openPageReads[given.reading];
   const reading = openKeys === undefined ? String(state.nextRequestId) : given.reading;
--- a/packages/replica/src/peers.ts
+++ b/packages/replica/src/peers.ts
@@ -9,15 +9,15 @@
  * Whether this replica may take part in founding the state: only at the very first start, at a
  * seed's address, blank, and without knowing of any members.
  */
-export const mayFound = (state: ReplicaState): boolean =>
+export const mayFoundCluster = (state: ReplicaState): boolean =>
   state.bootstrap !== null &&
   state.bootstrap.isFirstStart &&
   state.bootstrap.seeds.includes(state.bootstrap.address) &&
   state.committedMembership === null &&
-  !state.isVoting;
+  !state.hasBegunVoting;
 
 /** This replica's slot in the membership that it knows, and that membership. */
-export const ownSlot = (
+export const slotAssignmentOf = (
   state: ReplicaState,
 ): { readonly slot: string; readonly membership: Membership } | null => {
   const membership = state.committedMembership?.value;
@@ -30,12 +30,12 @@
 export const peersOf = (state: ReplicaState): PeerAddresses => {
   if (state.bootstrap === null) return state.otherFounders;
   const { address, seeds } = state.bootstrap;
-  const own = ownSlot(state);
+  const own = slotAssignmentOf(state);
   if (own !== null)
     return Object.fromEntries(
       Object.entries(own.membership.addresses ?? {}).filter(([slot]) => slot !== own.slot),
     );
-  if (!mayFound(state)) return {};
+  if (!mayFoundCluster(state)) return {};
   return Object.fromEntries(seeds.filter((seed) => seed !== address).map((seed) => [seed, seed]));
 };
 
@@ -48,7 +48,7 @@
  * must not count twice.
  */
 export const predecessorOf = (state: ReplicaState): PredecessorRead | null => {
-  const own = state.bootstrap === null ? null : ownSlot(state);
+  const own = state.bootstrap === null ? null : slotAssignmentOf(state);
   if (own === null) return null;
   const predecessor = own.membership.predecessors?.[own.slot];
   if (predecessor === undefined) return null;
--- a/packages/replica/src/reducer.ts
+++ b/packages/replica/src/reducer.ts
@@ -13,7 +13,7 @@
 import type { ReplicaReply } from './messages.js';
 import { handlePeerReply, readPeers } from './peer-reads.js';
 import { handleRequest } from './request-handler.js';
-import { handlePollReply, isPollOfMember, pollMembers, tendRetirement } from './retirement.js';
+import { handlePollReply, isMemberPoll, pollMembers, updateRetirement } from './retirement.js';
 import { exitIfDone } from './shutdown.js';
 import { isVotingMember, type ReplicaState, type Transition, update } from './state.js';
 
@@ -27,8 +27,7 @@
   reply: ReplicaReply | null,
   now: number,
 ): void => {
-  if (isPollOfMember(transition.state, requestId))
-    handlePollReply(transition, requestId, reply, now);
+  if (isMemberPoll(transition.state, requestId)) handlePollReply(transition, requestId, reply, now);
   else handlePeerReply(transition, requestId, reply, now);
 };
 
@@ -40,7 +39,7 @@
 };
 
 const handleTick = (transition: Transition, now: number): void => {
-  tendRetirement(transition, now);
+  updateRetirement(transition, now);
   pollMembers(transition);
   if (!isVotingMember(transition.state)) readPeers(transition, now);
   expire(transition, now);
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -7,7 +7,7 @@
   ModelDisk,
 } from '@reedyard/write-ahead-log/model-disk';
 import type { CommittedMembership, ReplicaOperation, ReplicaReply } from './index.js';
-import { openReplica } from './open.js';
+import { openReplica } from './open-replica.js';
 import { proposalPhaseTimeoutMs } from './protocol/timing.js';
 import { ReplicaHost } from './replica-host.js';
 import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
@@ -60,7 +60,7 @@
     this.host = new ReplicaHost(opened, log, {
       now: () => this.now,
       call: () => Promise.reject(new Error('nobody is there')),
-      end: () => undefined,
+      exitProcess: () => undefined,
       log: (_level, event) => this.events.push(event),
     });
   }
@@ -72,7 +72,7 @@
   }
 
   ask(call: ReplicaOperation): Promise<ReplicaReply> {
-    return this.host.ask({ membership: members, operation: call });
+    return this.host.handleRequest({ membership: members, operation: call });
   }
 
   async tick(ms: number): Promise<void> {
@@ -160,7 +160,7 @@
   }
   t.deepEqual(bed.events, ['disk.unavailable']);
   bed.disk.hook = () => null;
-  for (let each = 0; each < 25 && !bed.host.available; each += 1) await bed.tick(200);
+  for (let each = 0; each < 25 && !bed.host.isAvailable; each += 1) await bed.tick(200);
   t.deepEqual(bed.events, ['disk.unavailable', 'disk.available']);
   t.is((await bed.accept(2, 'second')).kind, 'vote');
   t.is(await acceptedOnDisk(bed.disk), 'second');
@@ -178,7 +178,7 @@
   await bed.accept(2, 'second');
   t.true(await isReadOnly());
   bed.disk.hook = () => null;
-  for (let each = 0; each < 25 && !bed.host.available; each += 1) await bed.tick(200);
+  for (let each = 0; each < 25 && !bed.host.isAvailable; each += 1) await bed.tick(200);
   t.false(await isReadOnly());
 });
 
@@ -194,7 +194,7 @@
   t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   bed.disk.hook = () => null;
   await bed.tick(callTimeoutMs);
-  t.true(bed.host.available);
+  t.true(bed.host.isAvailable);
   t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
   // The promise of proposal 9 was never given, so a lower one may be.
   const vote = await bed.prepare(2, 'zone');
@@ -266,7 +266,7 @@
     await bed.tick(300);
   }
   disk.hook = () => null;
-  for (let each = 0; each < 25 && !bed.host.available; each += 1) await bed.tick(300);
+  for (let each = 0; each < 25 && !bed.host.isAvailable; each += 1) await bed.tick(300);
   t.is((await bed.accept(20, 'value 20')).kind, 'vote');
   return seen > first;
 };
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -15,7 +15,7 @@
 import type { Step } from '@reedyard/task-loop';
 import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
-import { snapshotRecords } from './open.js';
+import { snapshotRecords } from './open-replica.js';
 import { proposalPhaseTimeoutMs } from './protocol/timing.js';
 import { reduceReplica } from './reducer.js';
 import { snapshotAfterBytes } from './snapshot-threshold.js';
@@ -28,7 +28,7 @@
   readonly now: () => number;
   readonly call: (address: string, body: ReplicaRequest) => Promise<ReplicaReply>;
   /** Ends the process: it was asked to stop, and nothing waits for it any more. */
-  readonly end: () => void;
+  readonly exitProcess: () => void;
   readonly log: (
     level: 'info' | 'warn' | 'error',
     event: string,
@@ -123,12 +123,12 @@
   }
 
   /** Whether it takes part: everything that it is asked may be answered. */
-  get available(): boolean {
+  get isAvailable(): boolean {
     return this.#opened && !this.#failed && !this.#stalled();
   }
 
   /** Answers a call, perhaps with a refusal; late answers are given to nobody. */
-  ask(body: ReplicaRequest): Promise<ReplicaReply> {
+  handleRequest(body: ReplicaRequest): Promise<ReplicaReply> {
     if (!this.#opened) return Promise.resolve(this.#refusal());
     const id = this.#nextAsk;
     this.#nextAsk += 1;
@@ -151,7 +151,7 @@
   /** The process was asked to stop: it ends once nothing waits for this replica. */
   stop(): void {
     const isTaken = this.#opened && this.#apply({ kind: 'stop-requested', now: this.#shell.now() });
-    if (!isTaken) this.#shell.end();
+    if (!isTaken) this.#shell.exitProcess();
   }
 
   /** What falls due: to be called a few times a second. */
@@ -174,7 +174,7 @@
     const { effects } = reduceReplica(this.#durable, event);
     if (recordsIn(effects).length > 0) return null;
     const reply = replyIn(effects)?.reply ?? null;
-    return reply?.kind === 'polled' && !this.available ? { ...reply, isReadOnly: true } : reply;
+    return reply?.kind === 'polled' && !this.isAvailable ? { ...reply, isReadOnly: true } : reply;
   }
 
   /**
@@ -192,7 +192,7 @@
   #apply(event: ReplicaEvent, resolve?: (reply: ReplicaReply) => void): boolean {
     const step = reduceReplica(this.#state, event);
     const records = recordsIn(step.effects);
-    if (records.length > 0 && !this.available) return false;
+    if (records.length > 0 && !this.isAvailable) return false;
     if (resolve !== undefined && this.#heldAnswers >= maxPendingReplies) return false;
     this.#state = step.state;
     if (records.length > 0) this.#append(records);
@@ -218,7 +218,7 @@
         this.#call(effect.requestId, effect.to, effect.request);
         return;
       case 'exit':
-        this.#shell.end();
+        this.#shell.exitProcess();
         return;
       case 'log':
         this.#shell.log('info', effect.event, effect.fields);
@@ -363,7 +363,7 @@
 
   /** Snapshots cost as much as they are large: the larger the last one, the later the next. */
   #compactIfDue(): void {
-    if (this.#compacting || !this.available || this.#shell.now() < this.#compactAt) return;
+    if (this.#compacting || !this.isAvailable || this.#shell.now() < this.#compactAt) return;
     const most = Math.max(snapshotAfterBytes, this.#log.snapshotBytes() / 2);
     if (this.#log.segmentBytes() <= most && !this.#log.fragmented()) return;
     this.#compacting = true;
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -3,8 +3,8 @@
 import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import { type Membership, membershipKey } from './membership.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
-import { openReplica, snapshotRecords } from './open.js';
-import { registersPerPage } from './page-reads.js';
+import { openReplica, snapshotRecords } from './open-replica.js';
+import { registersPerPage } from './page-read-handler.js';
 import { reduceReplica } from './reducer.js';
 import { maxClaims } from './registers.js';
 import type { ReplicaState } from './state.js';
@@ -139,7 +139,7 @@
     for (let each = 0; each < 900; each += 1) bench.tick(seed % 4 < 2 ? 0 : 0.15);
     const members = bench.members();
     t.true(
-      [...bench.states.values()].every((state) => state.isVoting),
+      [...bench.states.values()].every((state) => state.hasBegunVoting),
       `seed ${seed}`,
     );
     t.is(
@@ -160,7 +160,7 @@
   const before = bench.members()[0];
   bench.wipe('c');
   for (let each = 0; each < 600; each += 1) bench.tick(0.1);
-  t.false(bench.states.get('c')?.isVoting);
+  t.false(bench.states.get('c')?.hasBegunVoting);
   const told = {
     proposalNumber: { counter: 9, proposerId: 'agent' } as const,
     value: {
@@ -175,7 +175,7 @@
     now: bench.now,
   });
   for (let each = 0; each < 600; each += 1) bench.tick(0.1);
-  t.true(bench.states.get('c')?.isVoting);
+  t.true(bench.states.get('c')?.hasBegunVoting);
   // Whom it read was told first: nobody of them goes on in the old epoch.
   t.true(bench.members().every((each) => each?.epoch === told.value.epoch));
 });
--- a/packages/replica/src/request-handler.ts
+++ b/packages/replica/src/request-handler.ts
@@ -4,14 +4,14 @@
  */
 import { accept, emptyRegister, prepare, type RegisterState } from '@reedyard/consensus';
 import { adoptMembership } from './committed-membership.js';
-import { appendEntries, pollReply } from './journal.js';
+import { appendEntries, buildPollReply } from './journal.js';
 import { membershipKey } from './membership.js';
 import type { ReplicaOperation, ReplicaReply, ReplicaRequest } from './messages.js';
-import { notAMember, readPage } from './page-reads.js';
+import { buildNotAMemberReply, readPage } from './page-read-handler.js';
 import { readPeers } from './peer-reads.js';
 import { claimPrefix, maxClaims, replyWithVote } from './registers.js';
 import { restore } from './restore.js';
-import { tendRetirement } from './retirement.js';
+import { updateRetirement } from './retirement.js';
 import {
   isInMembership,
   isVotingMember,
@@ -35,7 +35,7 @@
   const { state } = transition;
   if (!wasInMembership && isInMembership(state) && !isVotingMember(state))
     readPeers(transition, now);
-  tendRetirement(transition, now);
+  updateRetirement(transition, now);
 };
 
 /**
@@ -72,14 +72,16 @@
   const { diskId } = state;
   // A blank disk that members find from seeds tells a sender of older members which are in force.
   const isOlder = isFromOlderMembership(state, request);
-  if (!state.isVoting && (state.bootstrap === null || !isOlder)) return notAMember(state);
+  if (!state.hasBegunVoting && (state.bootstrap === null || !isOlder))
+    return buildNotAMemberReply(state);
   if (isOlder) return { kind: 'newer-membership', diskId, membership: state.committedMembership };
   if (operation.kind === 'restore') return null;
   if (!isForMembership(operation) && now < state.recoveringUntil)
     return { kind: 'recovering', diskId, epoch: knownEpoch(state) };
   if (isNewClaimTooMany(state, operation)) return { kind: 'too-many-claims', diskId };
-  if (!isVotingMember(state)) return notAMember(state);
-  if (operation.kind === 'accept' && operation.diskId !== diskId) return notAMember(state);
+  if (!isVotingMember(state)) return buildNotAMemberReply(state);
+  if (operation.kind === 'accept' && operation.diskId !== diskId)
+    return buildNotAMemberReply(state);
   return null;
 };
 
@@ -109,7 +111,7 @@
       reply(transition, requestId, { kind: 'entries-appended', diskId });
       return;
     case 'poll':
-      reply(transition, requestId, pollReply(state, operation.cursor, operation.keys));
+      reply(transition, requestId, buildPollReply(state, operation.cursor, operation.keys));
       return;
     case 'read-register': {
       const { accepted } = registerOf(state, operation.key);
--- a/packages/replica/src/retirement.test.ts
+++ b/packages/replica/src/retirement.test.ts
@@ -3,9 +3,9 @@
 import type { ReplicaEffect, ReplicaEvent } from './events.js';
 import { type CommittedMembership, membershipKey } from './membership.js';
 import type { ReplicaOperation, ReplicaReply, ReplicaRequest } from './messages.js';
-import { openReplica, snapshotRecords } from './open.js';
+import { openReplica, snapshotRecords } from './open-replica.js';
 import { reduceReplica } from './reducer.js';
-import { retiredDataRetentionMs, votingProofMaxAgeMs } from './retirement.js';
+import { retiredDataRetentionMs, votingEvidenceMaxAgeMs } from './retirement.js';
 import { handoverTimeoutMs } from './shutdown.js';
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
@@ -161,11 +161,11 @@
     for (const records of [holder.records, [...snapshotRecords(holder.state)]]) {
       const { state } = new ReplicaUnderTest('a', records);
       t.deepEqual(
-        [state.diskId, state.isVoting, state.registers.size, state.entries.length],
+        [state.diskId, state.hasBegunVoting, state.registers.size, state.entries.length],
         ['A/2', false, 0, 0],
       );
       t.is(state.committedMembership?.value.epoch, 2);
-      t.false(reduceReplica(state, { kind: 'tick', now: 5_000 }).state.isVoting);
+      t.false(reduceReplica(state, { kind: 'tick', now: 5_000 }).state.hasBegunVoting);
     }
   }
 });
@@ -185,7 +185,7 @@
   replica.interval(retiredDataRetentionMs + 200);
   replica.answer('b', fetched('B'));
   t.is(replica.state.diskId, 'A', 'one of three');
-  replica.interval(votingProofMaxAgeMs + 200);
+  replica.interval(votingEvidenceMaxAgeMs + 200);
   replica.answer('c', fetched('C'));
   t.is(replica.state.diskId, 'A', 'two of three, but not at one time');
   replica.answer('b', fetched('B'));
@@ -223,17 +223,17 @@
   };
   const fromPredecessor = joining();
   fromPredecessor.answer('a', dumped('A', second));
-  t.true(fromPredecessor.state.isVoting);
+  t.true(fromPredecessor.state.hasBegunVoting);
 
   const fromOthers = joining();
   fromOthers.answer('b', dumped('B', second));
-  t.false(fromOthers.state.isVoting, 'one of two others');
+  t.false(fromOthers.state.hasBegunVoting, 'one of two others');
   fromOthers.answer('c', dumped('C', second));
-  t.true(fromOthers.state.isVoting);
+  t.true(fromOthers.state.hasBegunVoting);
 
   const fromAnother = joining();
   fromAnother.answer('a', dumped('X', second));
-  t.false(fromAnother.state.isVoting, 'another disk at the address of its predecessor');
+  t.false(fromAnother.state.hasBegunVoting, 'another disk at the address of its predecessor');
 });
 
 test('told to stop, a member without a spare ends at once; with one it says so and waits a while', (t) => {
--- a/packages/replica/src/retirement.ts
+++ b/packages/replica/src/retirement.ts
@@ -18,7 +18,7 @@
 export const retiredDataRetentionMs = 3_000;
 
 /** ms. How long ago members must have answered to count as that majority. */
-export const votingProofMaxAgeMs = 1_000;
+export const votingEvidenceMaxAgeMs = 1_000;
 
 const beginRetirement = (now: number): Retirement => ({
   startedAt: now,
@@ -40,7 +40,7 @@
 ): boolean => {
   const diskIds = Object.values(membership.disks);
   const voting = diskIds.filter(
-    (diskId) => now - (lastVotingAt[diskId] ?? -Infinity) < votingProofMaxAgeMs,
+    (diskId) => now - (lastVotingAt[diskId] ?? -Infinity) < votingEvidenceMaxAgeMs,
   );
   return voting.length >= majorityOf(diskIds.length);
 };
@@ -103,7 +103,7 @@
 };
 
 /** Begins or ends retirement, by the membership in force; called after whatever may change it. */
-export const tendRetirement = (transition: Transition, now: number): void => {
+export const updateRetirement = (transition: Transition, now: number): void => {
   const { state } = transition;
   if (!isRetired(state)) {
     if (state.retirement !== null) update(transition, { retirement: null });
@@ -114,7 +114,7 @@
 };
 
 /** Whether a request was one of those that ask members whether they vote. */
-export const isPollOfMember = (state: ReplicaState, requestId: number): boolean =>
+export const isMemberPoll = (state: ReplicaState, requestId: number): boolean =>
   state.retirement?.pendingPolls[requestId] !== undefined;
 
 /** Notes a member's reply to a poll; null where none came. */
@@ -135,5 +135,5 @@
     : retirement.lastVotingAt;
   update(transition, { retirement: { ...retirement, pendingPolls, lastVotingAt } });
   if (reply?.kind === 'newer-membership') adoptMembership(transition, reply.membership, now);
-  tendRetirement(transition, now);
+  updateRetirement(transition, now);
 };
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -7,7 +7,7 @@
 import { type Settings, shutdownTimeoutMs } from '@reedyard/settings';
 import type { Step } from '@reedyard/task-loop';
 import type { ReplicaEffect } from './events.js';
-import { openReplica } from './open.js';
+import { openReplica } from './open-replica.js';
 import { replicaTickIntervalMs } from './peer-reads.js';
 import {
   decodeReplicaReply,
@@ -49,7 +49,7 @@
 
 const shellOf = (logger: Logger, end: () => void): ReplicaEnvironment => ({
   now,
-  end,
+  exitProcess: end,
   call: async (address, body) =>
     decodeReplicaReply(await call(address, callPath, encodeReplicaRequest(body))),
   log: (level, event, fields) => logger[level](event, fields),
@@ -107,11 +107,12 @@
   listening = await serveCalls(
     { host: settings.listen ?? settings.host, port: settings.replica.port },
     {
-      [callPath]: async (body) => encodeReplicaReply(await replica.ask(decodeReplicaRequest(body))),
+      [callPath]: async (body) =>
+        encodeReplicaReply(await replica.handleRequest(decodeReplicaRequest(body))),
     },
   );
   setInterval(() => replica.tick(), replicaTickIntervalMs);
-  const { diskId: disk, isVoting: voting } = opened.state;
+  const { diskId: disk, hasBegunVoting: voting } = opened.state;
   logger.info('started', { port: listening.port, disk, voting });
   stopOnSignals(replica, leave);
 };
--- a/packages/replica/src/safeguards.test.ts
+++ b/packages/replica/src/safeguards.test.ts
@@ -10,7 +10,7 @@
   type ReplicaReply,
   type ReplicaState,
 } from './index.js';
-import { openReplica } from './open.js';
+import { openReplica } from './open-replica.js';
 import { reduceReplica } from './reducer.js';
 
 const membership: CommittedMembership = {
--- a/packages/replica/src/state.ts
+++ b/packages/replica/src/state.ts
@@ -52,7 +52,7 @@
   /** Changes when the disk is wiped or erased, so that votes of two incarnations never mix. */
   readonly diskId: string;
   /** Whether this disk has ever voted; it does so now if the membership names it. */
-  readonly isVoting: boolean;
+  readonly hasBegunVoting: boolean;
   /** The epoch that it last began to vote in: what it read reaches up to there. */
   readonly votingEpoch: number;
   readonly registers: Table<string, RegisterState>;
@@ -110,7 +110,7 @@
 /** Whether its slot was given away while it still holds what it voted for. */
 export const isRetired = (state: ReplicaState): boolean =>
   state.bootstrap !== null &&
-  state.isVoting &&
+  state.hasBegunVoting &&
   state.committedMembership !== null &&
   !isInMembership(state);
 
@@ -122,6 +122,6 @@
 export const isVotingMember = (state: ReplicaState): boolean => {
   const membership = state.committedMembership?.value;
   const slot = membership === undefined ? undefined : slotOf(state, membership);
-  if (!state.isVoting || slot === undefined) return false;
+  if (!state.hasBegunVoting || slot === undefined) return false;
   return (membership?.joinedIn?.[slot] ?? 0) <= state.votingEpoch;
 };
--- a/packages/replica/src/stored-data.test.ts
+++ b/packages/replica/src/stored-data.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import { encodeRecord } from '@reedyard/write-ahead-log';
 import type { BootstrapSettings } from './membership.js';
-import { openReplica, snapshotRecords } from './open.js';
+import { openReplica, snapshotRecords } from './open-replica.js';
 import type { ReplicaState } from './state.js';
 import { encodeReplicaRecord } from './storage/record-codec.js';
 import { openReplicaLog } from './storage/replica-log.js';
@@ -24,7 +24,7 @@
 
 const summaryOf = (state: ReplicaState): Expected['summary'] => ({
   disk: state.diskId,
-  voting: state.isVoting,
+  voting: state.hasBegunVoting,
   votingEpoch: state.votingEpoch,
   epoch: state.committedMembership?.value.epoch ?? null,
   seq: state.lastSequence,
--- a/packages/replica/src/voting-decision.ts
+++ b/packages/replica/src/voting-decision.ts
@@ -7,7 +7,7 @@
 export type PeerReadResult = Pick<PeerRead, 'state' | 'diskId' | 'epoch'>;
 
 /** What the decision rests on. */
-export type VotingQuestion = {
+export type VotingDecisionInput = {
   /** This replica's slot. */
   readonly name: string;
   readonly diskId: string;
@@ -52,7 +52,7 @@
   diskId,
   membership,
   peers,
-}: VotingQuestion): VotingDecision => {
+}: VotingDecisionInput): VotingDecision => {
   const others = Object.entries(peers);
   const isNamed = membership !== null && membership.disks[name] === diskId;
   if (isNamed && hasReadEnough(membership, others)) return 'vote';
--- a/packages/replica/src/voting.ts
+++ b/packages/replica/src/voting.ts
@@ -8,7 +8,7 @@
   membershipKey,
 } from './membership.js';
 import { peerReadOf } from './peer-read-table.js';
-import { mayFound, ownSlot, peersOf, predecessorOf } from './peers.js';
+import { mayFoundCluster, slotAssignmentOf, peersOf, predecessorOf } from './peers.js';
 import { writeRegister } from './registers.js';
 import {
   isVotingMember,
@@ -55,9 +55,9 @@
 };
 
 const beginVoting = (transition: Transition, startedAs: VotingStart, now: number): void => {
-  if (transition.state.isVoting) disownVotes(transition, now);
+  if (transition.state.hasBegunVoting) disownVotes(transition, now);
   const epoch = transition.state.committedMembership?.value.epoch ?? 0;
-  update(transition, { isVoting: true, votingEpoch: epoch, peerReads: {} });
+  update(transition, { hasBegunVoting: true, votingEpoch: epoch, peerReads: {} });
   const { diskId, registers } = transition.state;
   transition.effects.push(
     { kind: 'append-records', records: [{ kind: 'voting-begun', epoch }] },
@@ -122,7 +122,8 @@
   now: number,
 ): void => {
   const { state } = transition;
-  if (!mayFound(state) || Object.values(peers).some((peer) => peer.state !== 'blank')) return;
+  if (!mayFoundCluster(state) || Object.values(peers).some((peer) => peer.state !== 'blank'))
+    return;
   const disks = { ...diskIdsOf(peers), [address]: state.diskId };
   const addresses = Object.fromEntries(seeds.map((seed) => [seed, seed]));
   const founded = { proposalNumber: foundingNumber(1), value: { epoch: 1, disks, addresses } };
@@ -141,7 +142,7 @@
   now: number,
 ): void => {
   const { state } = transition;
-  const own = ownSlot(state);
+  const own = slotAssignmentOf(state);
   if (own === null) {
     foundFromSeeds(transition, bootstrap, peers, now);
     return;
--- a/packages/simulator/src/members.test.ts
+++ b/packages/simulator/src/members.test.ts
@@ -42,7 +42,7 @@
   const state = fleet.machines.get(machine(index))?.replica?.state;
   return (
     state !== undefined &&
-    state.isVoting &&
+    state.hasBegunVoting &&
     Object.values(state.committedMembership?.value.disks ?? {}).includes(state.diskId)
   );
 };
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -90,7 +90,7 @@
   votingDisk(machine: string): string | null {
     const replica = this.fleet.machines.get(machine)?.replica ?? null;
     if (replica === null || !replica.alive || replica.frozen) return null;
-    const { committedMembership: told, isVoting: voting, diskId: disk } = replica.state;
+    const { committedMembership: told, hasBegunVoting: voting, diskId: disk } = replica.state;
     return voting && told !== null && Object.values(told.value.disks).includes(disk) ? disk : null;
   }
 
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -365,7 +365,7 @@
     const { state } = process;
     const disk = `${state.diskId}/forgotten`;
     if (state.retirement !== null)
-      process.state = { ...state, isVoting: false, diskId: disk, retirement: null };
+      process.state = { ...state, hasBegunVoting: false, diskId: disk, retirement: null };
   }
 
   #tookStep(process: Process<'agent'>): void {
@@ -739,7 +739,7 @@
       const { committedMembership: told } = target.state;
       const heard =
         this.tuning.plant === 'deaf-members' &&
-        target.state.isVoting &&
+        target.state.hasBegunVoting &&
         told !== null &&
         body.membership !== null
           ? { ...body, membership: told }
