--- a/packages/consensus/src/acceptor.ts
+++ b/packages/consensus/src/acceptor.ts
@@ -1,15 +1,18 @@
-/** The acceptor of single-decree Paxos: how a register answers the two phases of a proposal. */
+/** The acceptor of single-decree Paxos: how a register responds to both phases of a proposal. */
 import { compareProposalNumbers, type ProposalNumber } from './proposal-number.js';
 import type { AcceptedValue, RegisterState } from './register.js';
 
 /** An acceptor's response to either phase. */
 export type Vote =
-  /** It takes part. In the first phase it tells the value that it has accepted, if any. */
+  /**
+   * The acceptor takes part. `accepted` is the value that it had accepted before the first phase, if
+   * any, or the value that it accepted in the second phase.
+   */
   | { readonly kind: 'yes'; readonly accepted: AcceptedValue | null }
-  /** It has promised a higher number. */
+  /** The acceptor has promised a higher proposal number. */
   | { readonly kind: 'no'; readonly promised: ProposalNumber };
 
-/** A register after a phase, and the response. A register that voted `no` is unchanged. */
+/** The register after a phase, and its vote. A `no` vote leaves the register unchanged. */
 export type VoteOutcome = { readonly register: RegisterState; readonly vote: Vote };
 
 const rejectBelowPromise = (register: RegisterState): VoteOutcome => ({
@@ -18,8 +21,8 @@
 });
 
 /**
- * First phase: promise to take part in no proposal below this number. A prepare that is sent again
- * gets the same promise, since a number belongs to one proposal.
+ * First phase: promises to take part in no proposal below this number. A repeated prepare gets the
+ * same promise, since a proposal number belongs to a single proposal.
  *
  * @example
  * prepare(emptyRegister, { counter: 1, proposerId: 'agent' }).vote // { kind: 'yes', accepted: null }
@@ -34,7 +37,7 @@
 };
 
 /**
- * Second phase: accept the value unless a higher number was promised.
+ * Second phase: accepts the value unless a higher number was promised.
  *
  * @example
  * accept(emptyRegister, { counter: 1, proposerId: 'agent' }, 'v').register.accepted?.value // 'v'
--- a/packages/consensus/src/codec.ts
+++ b/packages/consensus/src/codec.ts
@@ -1,62 +1,65 @@
 /**
- * The stored and sent form of proposal numbers, accepted values and registers.
+ * The form in which proposal numbers, accepted values and registers are stored and sent.
  *
- * Replicas keep registers on disk and exchange them with agents and with each other in this form,
- * which stays as it is: data of earlier versions must stay readable, and versions run side by side.
- * All other code works with the types of `acceptor.ts`.
+ * Replicas store registers on disk and exchange them with agents and with each other in this form.
+ * It must not change: data of earlier versions must stay readable, and versions run side by side.
+ * All other code works with the types of `acceptor.ts`, `proposal-number.ts` and `register.ts`.
  */
 import type { Vote } from './acceptor.js';
 import type { ProposalNumber } from './proposal-number.js';
 import type { AcceptedValue, RegisterState } from './register.js';
 
-/** A proposal number: its counter and its proposer. */
+/** A stored or sent proposal number: its counter and its proposer. */
 export type WireProposalNumber = readonly [counter: number, proposerId: string];
 
-/** An accepted value. */
+/** A stored or sent accepted value. */
 export type WireAcceptedValue = {
   readonly ballot: WireProposalNumber;
   readonly value: unknown;
   readonly copied?: true;
 };
 
-/** An acceptor's state of one register. */
+/** The stored or sent state of one register. */
 export type WireRegister = {
   readonly promised: WireProposalNumber;
   readonly accepted: WireAcceptedValue | null;
 };
 
-/** An acceptor's response to either phase. */
+/** An acceptor's response to either phase, as it is sent. */
 export type WireVote =
   | { readonly kind: 'yes'; readonly accepted: WireAcceptedValue | null }
   | { readonly kind: 'no'; readonly promised: WireProposalNumber };
 
-/** A proposal number as it is stored and sent. */
+/** Encodes a proposal number for disk and wire. */
 export const encodeProposalNumber = ({
   counter,
   proposerId,
 }: ProposalNumber): WireProposalNumber => [counter, proposerId];
 
-/** A proposal number from its stored or sent form. */
+/** Decodes a proposal number from disk or wire. */
 export const decodeProposalNumber = ([
   counter,
   proposerId,
 ]: WireProposalNumber): ProposalNumber => ({ counter, proposerId });
 
-/** An accepted value as it is stored and sent. */
+/** Encodes an accepted value for disk and wire. */
 export const encodeAcceptedValue = (accepted: AcceptedValue): WireAcceptedValue => ({
   ballot: encodeProposalNumber(accepted.proposalNumber),
   value: accepted.value,
   ...(accepted.copied === true ? { copied: true } : {}),
 });
 
-/** An accepted value from its stored or sent form. */
+/** Decodes an accepted value from disk or wire. */
 export const decodeAcceptedValue = (accepted: WireAcceptedValue): AcceptedValue => ({
   proposalNumber: decodeProposalNumber(accepted.ballot),
   value: accepted.value,
   ...(accepted.copied === true ? { copied: true } : {}),
 });
 
-/** A number that stands in both places is written once: the serializer keeps references. */
+/**
+ * Encodes a register. If the promise and the accepted value share one number object, the encoded
+ * forms share one too: the serializer preserves references, so the number is written once.
+ */
 export const encodeRegister = ({ promised, accepted }: RegisterState): WireRegister => {
   const encoded = accepted === null ? null : encodeAcceptedValue(accepted);
   const isSameNumber = accepted !== null && accepted.proposalNumber === promised;
@@ -66,7 +69,10 @@
   };
 };
 
-/** Keeps a number that stands in both places one object, so that it is written once again. */
+/**
+ * Decodes a register. A number that the promise and the accepted value share stays one object, so
+ * that it is written once again.
+ */
 export const decodeRegister = ({ promised, accepted }: WireRegister): RegisterState => {
   const decoded = accepted === null ? null : decodeAcceptedValue(accepted);
   const isSameNumber = accepted !== null && accepted.ballot === promised;
@@ -77,7 +83,7 @@
   };
 };
 
-/** A vote as it is sent. */
+/** Encodes a vote for the wire. */
 export const encodeVote = (vote: Vote): WireVote =>
   vote.kind === 'yes'
     ? {
@@ -86,7 +92,7 @@
       }
     : { kind: 'no', promised: encodeProposalNumber(vote.promised) };
 
-/** A vote from its sent form. */
+/** Decodes a vote from the wire. */
 export const decodeVote = (vote: WireVote): Vote =>
   vote.kind === 'yes'
     ? {
--- a/packages/consensus/src/consensus.test.ts
+++ b/packages/consensus/src/consensus.test.ts
@@ -13,11 +13,14 @@
 import { handleVote, startProposal } from './proposer.js';
 
 const members = ['a', 'b', 'c'];
-type Message = { readonly which: 0 | 1; readonly move: ProposerAction };
+/** A message in flight, from the proposer with this index. */
+type Message = { readonly proposerIndex: 0 | 1; readonly action: ProposerAction };
+
+/** Two proposers, three acceptors and the messages in flight between them. */
 type World = {
-  readonly cells: Readonly<Record<string, RegisterState>>;
+  readonly registers: Readonly<Record<string, RegisterState>>;
   readonly proposals: readonly [Proposal, Proposal];
-  readonly flying: readonly Message[];
+  readonly inFlight: readonly Message[];
   readonly chosen: readonly {
     readonly proposalNumber: ProposalNumber;
     readonly value: readonly string[];
@@ -27,71 +30,76 @@
 const append =
   (name: string): Change =>
   (current) => {
-    const old = (current ?? []) as readonly string[];
-    return old.includes(name) ? { kind: 'keep' } : { kind: 'write', value: [...old, name] };
+    const names = (current ?? []) as readonly string[];
+    return names.includes(name) ? { kind: 'keep' } : { kind: 'write', value: [...names, name] };
   };
 
-const opened = (): World => {
+const initialWorld = (): World => {
   const first = startProposal('r', append('x'), members, zeroProposalNumber, 'p');
   const second = startProposal('r', append('y'), members, zeroProposalNumber, 'q');
   return {
-    cells: { a: emptyRegister, b: emptyRegister, c: emptyRegister },
+    registers: { a: emptyRegister, b: emptyRegister, c: emptyRegister },
     proposals: [first.proposal, second.proposal],
     chosen: [],
-    flying: [
-      ...first.actions.map((move) => ({ which: 0, move }) as const),
-      ...second.actions.map((move) => ({ which: 1, move }) as const),
+    inFlight: [
+      ...first.actions.map((action) => ({ proposerIndex: 0, action }) as const),
+      ...second.actions.map((action) => ({ proposerIndex: 1, action }) as const),
     ],
   };
 };
 
-/** Delivers one message and its vote; an outvoted proposer tries again once. */
+/** Delivers one message and its vote. A preempted proposer starts one more proposal. */
 const deliver = (world: World, index: number): World => {
-  const message = world.flying[index];
-  const rest = world.flying.filter((_, each) => each !== index);
-  if (message === undefined || (message.move.kind !== 'prepare' && message.move.kind !== 'accept'))
-    return { ...world, flying: rest };
-  const { move, which } = message;
-  const register = world.cells[move.to] ?? emptyRegister;
+  const message = world.inFlight[index];
+  const rest = world.inFlight.filter((_, other) => other !== index);
+  if (
+    message === undefined ||
+    (message.action.kind !== 'prepare' && message.action.kind !== 'accept')
+  )
+    return { ...world, inFlight: rest };
+  const { action, proposerIndex } = message;
+  const register = world.registers[action.to] ?? emptyRegister;
   const outcome =
-    move.kind === 'prepare'
-      ? prepare(register, move.proposalNumber)
-      : accept(register, move.proposalNumber, move.value);
-  let turn = handleVote(world.proposals[which], {
-    member: move.to,
-    diskId: `disk-${move.to}`,
-    phase: move.kind,
-    proposalNumber: move.proposalNumber,
+    action.kind === 'prepare'
+      ? prepare(register, action.proposalNumber)
+      : accept(register, action.proposalNumber, action.value);
+  let transition = handleVote(world.proposals[proposerIndex], {
+    member: action.to,
+    diskId: `disk-${action.to}`,
+    phase: action.kind,
+    proposalNumber: action.proposalNumber,
     vote: outcome.vote,
   });
-  if (turn.actions.some((each) => each.kind === 'preempted')) {
-    turn =
-      turn.proposal.proposalNumber.counter > 1
-        ? { proposal: { ...turn.proposal, phase: 'done' }, actions: [] }
+  if (transition.actions.some((action) => action.kind === 'preempted')) {
+    transition =
+      transition.proposal.proposalNumber.counter > 1
+        ? { proposal: { ...transition.proposal, phase: 'done' }, actions: [] }
         : startProposal(
             'r',
-            turn.proposal.change,
+            transition.proposal.change,
             members,
-            turn.proposal.highestSeen,
-            which === 0 ? 'p' : 'q',
+            transition.proposal.highestSeen,
+            proposerIndex === 0 ? 'p' : 'q',
           );
   }
   const proposals: [Proposal, Proposal] =
-    which === 0 ? [turn.proposal, world.proposals[1]] : [world.proposals[0], turn.proposal];
+    proposerIndex === 0
+      ? [transition.proposal, world.proposals[1]]
+      : [world.proposals[0], transition.proposal];
   return {
-    cells: { ...world.cells, [move.to]: outcome.register },
+    registers: { ...world.registers, [action.to]: outcome.register },
     proposals,
-    flying: [
+    inFlight: [
       ...rest,
-      ...turn.actions.flatMap((each) =>
-        each.kind === 'prepare' || each.kind === 'accept' ? [{ which, move: each }] : [],
+      ...transition.actions.flatMap((next) =>
+        next.kind === 'prepare' || next.kind === 'accept' ? [{ proposerIndex, action: next }] : [],
       ),
     ],
     chosen: [
       ...world.chosen,
-      ...turn.actions.flatMap((each) =>
-        each.kind === 'chosen' && each.proposalNumber !== null
-          ? [{ proposalNumber: each.proposalNumber, value: each.value as readonly string[] }]
+      ...transition.actions.flatMap((action) =>
+        action.kind === 'chosen' && action.proposalNumber !== null
+          ? [{ proposalNumber: action.proposalNumber, value: action.value as readonly string[] }]
           : [],
       ),
     ],
@@ -99,105 +107,115 @@
 };
 
 /**
- * What was chosen under a lower proposal is the beginning of what was chosen under a higher one. (A
- * proposer may learn late that its lower proposal was chosen; that loses nothing.)
+ * Whether each chosen value is a prefix of every value chosen under a higher proposal number. (A
+ * proposer may learn late that its lower proposal was chosen; this loses nothing.)
  */
-const sound = (chosen: World['chosen']): boolean => {
+const isConsistent = (chosen: World['chosen']): boolean => {
   const ordered = [...chosen].sort((left, right) =>
     compareProposalNumbers(left.proposalNumber, right.proposalNumber),
   );
   return ordered.every(({ value }, index) =>
-    ordered.slice(index + 1).every((later) => value.every((name, at) => later.value[at] === name)),
+    ordered
+      .slice(index + 1)
+      .every((later) => value.every((name, position) => later.value[position] === name)),
   );
 };
 
 const keyOf = (world: World): string =>
   JSON.stringify([
-    world.cells,
+    world.registers,
     world.proposals.map(({ change: _change, ...rest }) => rest),
-    world.flying,
+    world.inFlight,
     world.chosen,
   ]);
 
-test('two proposers over three acceptors: no order of any prefix of messages loses what was chosen', (t) => {
-  const seen = new Set<string>();
-  let ended = 0;
-  const walk = (world: World): void => {
+test('with two proposers and three acceptors no order of any prefix of the messages loses a chosen value', (t) => {
+  const visited = new Set<string>();
+  let completedOrders = 0;
+  const explore = (world: World): void => {
     const key = keyOf(world);
-    if (seen.has(key) || seen.size > 60_000) return;
-    seen.add(key);
-    if (!sound(world.chosen)) t.fail(`lost: ${JSON.stringify(world.chosen)}`);
-    if (world.flying.length === 0) ended += 1;
-    world.flying.forEach((_, index) => walk(deliver(world, index)));
+    if (visited.has(key) || visited.size > 60_000) return;
+    visited.add(key);
+    if (!isConsistent(world.chosen)) t.fail(`lost a chosen value: ${JSON.stringify(world.chosen)}`);
+    if (world.inFlight.length === 0) completedOrders += 1;
+    world.inFlight.forEach((_, index) => explore(deliver(world, index)));
   };
-  walk(opened());
-  t.true(seen.size > 20_000);
-  t.true(ended > 0);
+  explore(initialWorld());
+  t.true(visited.size > 20_000);
+  t.true(completedOrders > 0);
 });
 
-test('with acceptors that forget their promise, an order is found that loses what was chosen', (t) => {
-  // The same walk must be able to fail: acceptors here take every proposal.
-  const forgetful = (world: World): World => ({
+test('with acceptors that forget their promises, the search finds an order that loses a chosen value', (t) => {
+  // Proves that the search can fail: these acceptors accept every proposal.
+  const withoutPromises = (world: World): World => ({
     ...world,
-    cells: Object.fromEntries(Object.entries(world.cells).map(([name]) => [name, emptyRegister])),
+    registers: Object.fromEntries(
+      Object.entries(world.registers).map(([name]) => [name, emptyRegister]),
+    ),
   });
-  let found = false;
-  const walk = (world: World, depth: number): void => {
-    if (found || depth > 12) return;
-    if (!sound(world.chosen)) {
-      found = true;
+  let hasFoundLoss = false;
+  const explore = (world: World, depth: number): void => {
+    if (hasFoundLoss || depth > 12) return;
+    if (!isConsistent(world.chosen)) {
+      hasFoundLoss = true;
       return;
     }
-    world.flying
+    world.inFlight
       .slice(0, 2)
-      .forEach((_, index) => walk(forgetful(deliver(world, index)), depth + 1));
+      .forEach((_, index) => explore(withoutPromises(deliver(world, index)), depth + 1));
   };
-  walk(opened(), 0);
-  t.true(found);
+  explore(initialWorld(), 0);
+  t.true(hasFoundLoss);
 });
 
-/** Draws orders of all messages from a seed; tells whether one of them lost what was chosen. */
+/** Delivers all messages in random orders from a fixed seed; whether any run lost a chosen value. */
 const findsLoss = (first: World, runs: number): boolean => {
   let seed = 1;
-  const draw = (count: number): number => {
+  const randomBelow = (count: number): number => {
     seed = (Math.imul(seed, 1_103_515_245) + 12_345) & 0x7fffffff;
     return Math.floor((seed / 0x80000000) * count);
   };
   return Array.from({ length: runs }).some(() => {
     let world = first;
-    while (world.flying.length > 0 && sound(world.chosen))
-      world = deliver(world, draw(world.flying.length));
-    return !sound(world.chosen);
+    while (world.inFlight.length > 0 && isConsistent(world.chosen))
+      world = deliver(world, randomBelow(world.inFlight.length));
+    return !isConsistent(world.chosen);
   });
 };
 
-/** A world in which every first message is sent twice. */
-const sentTwice = (second: string): World => {
-  const world = opened();
+/** The initial world with every message in flight twice. */
+const worldWithDuplicates = (second: string): World => {
+  const world = initialWorld();
   const other = startProposal('r', append('y'), members, zeroProposalNumber, second);
-  const moves: readonly Message[] = other.actions.map((move) => ({ which: 1, move }));
-  const flying = [...world.flying.filter(({ which }) => which === 0), ...moves];
+  const messages: readonly Message[] = other.actions.map((action) => ({
+    proposerIndex: 1,
+    action,
+  }));
+  const inFlight = [
+    ...world.inFlight.filter(({ proposerIndex }) => proposerIndex === 0),
+    ...messages,
+  ];
   return {
     ...world,
     proposals: [world.proposals[0], other.proposal],
-    flying: [...flying, ...flying],
+    inFlight: [...inFlight, ...inFlight],
   };
 };
 
-test('prepares that arrive twice are promised twice, and lose nothing that was chosen', (t) => {
-  t.false(findsLoss(sentTwice('q'), 20_000));
+test('prepares that arrive twice are promised twice, and no chosen value is lost', (t) => {
+  t.false(findsLoss(worldWithDuplicates('q'), 20_000));
 });
 
-test('two proposals that open one and the same ballot are found to lose what was chosen', (t) => {
-  t.true(findsLoss(sentTwice('p'), 20_000));
+test('if two proposals share one proposal number, the search finds an order that loses a chosen value', (t) => {
+  t.true(findsLoss(worldWithDuplicates('p'), 20_000));
 });
 
-test('a vote of another life of a disk is told apart by the accept that names it', (t) => {
+test('an accept names the disk that promised, so that a vote of another incarnation is recognized', (t) => {
   const first = startProposal('r', append('x'), members, zeroProposalNumber, 'p');
   let proposal = first.proposal;
-  let moves: readonly ProposerAction[] = [];
+  let lastActions: readonly ProposerAction[] = [];
   for (const member of ['a', 'b'])
-    ({ proposal, actions: moves } = handleVote(proposal, {
+    ({ proposal, actions: lastActions } = handleVote(proposal, {
       member,
       diskId: `life-1-${member}`,
       phase: 'prepare',
@@ -205,31 +223,31 @@
       vote: { kind: 'yes', accepted: null },
     }));
   t.deepEqual(
-    moves.map((move) => (move.kind === 'accept' ? move.diskId : move.kind)),
+    lastActions.map((action) => (action.kind === 'accept' ? action.diskId : action.kind)),
     ['life-1-a', 'life-1-b'],
   );
 });
 
-test('a value that hangs on a minority is written again before a read tells it', (t) => {
-  const held: RegisterState = {
+test('a value accepted by only a minority is written again before a read returns it', (t) => {
+  const minorityRegister: RegisterState = {
     promised: { counter: 1, proposerId: 'p' },
     accepted: { proposalNumber: { counter: 1, proposerId: 'p' }, value: ['x'] },
   };
-  const opened = startProposal(
+  const started = startProposal(
     'r',
     () => ({ kind: 'keep' }),
     members,
     { counter: 1, proposerId: 'p' },
     'q',
   );
-  const first = handleVote(opened.proposal, {
+  const first = handleVote(started.proposal, {
     member: 'a',
     diskId: 'd',
     phase: 'prepare',
-    proposalNumber: opened.proposal.proposalNumber,
+    proposalNumber: started.proposal.proposalNumber,
     vote: {
       kind: 'yes',
-      accepted: held.accepted,
+      accepted: minorityRegister.accepted,
     },
   });
   const second = handleVote(first.proposal, {
@@ -243,26 +261,26 @@
     },
   });
   t.deepEqual(
-    second.actions.map((move) => move.kind),
+    second.actions.map((action) => action.kind),
     ['accept', 'accept'],
   );
   t.is(majorityOf(3), 2);
 });
 
-test('a promise that comes late is used: one refusal among a bare majority does not leave a ballot hanging', (t) => {
+test('a late promise is used, so that one rejection by a bare majority does not leave a proposal hanging', (t) => {
   const first = startProposal('r', append('x'), members, zeroProposalNumber, 'p');
   let { proposal } = first;
-  let moves: readonly ProposerAction[] = [];
-  const vote = (member: string, phase: 'prepare' | 'accept', isTaken: boolean): void => {
-    const cast = isTaken
+  let lastActions: readonly ProposerAction[] = [];
+  const vote = (member: string, phase: 'prepare' | 'accept', isGranted: boolean): void => {
+    const response = isGranted
       ? ({ kind: 'yes', accepted: null } as const)
       : ({ kind: 'no', promised: { counter: 9, proposerId: 'q' } } as const);
-    ({ proposal, actions: moves } = handleVote(proposal, {
+    ({ proposal, actions: lastActions } = handleVote(proposal, {
       member,
       diskId: `disk-${member}`,
       phase,
       proposalNumber: proposal.proposalNumber,
-      vote: cast,
+      vote: response,
     }));
   };
   vote('a', 'prepare', true);
@@ -270,40 +288,40 @@
   vote('a', 'accept', false);
   vote('c', 'prepare', true);
   t.deepEqual(
-    moves.map((move) => (move.kind === 'accept' ? move.to : move.kind)),
+    lastActions.map((action) => (action.kind === 'accept' ? action.to : action.kind)),
     ['c'],
   );
   vote('b', 'accept', true);
   vote('c', 'accept', true);
   t.deepEqual(
-    moves.map((move) => move.kind),
+    lastActions.map((action) => action.kind),
     ['chosen'],
   );
 });
 
-test('a member that refused either phase counts once; a majority of them ends the ballot', (t) => {
+test('a member that rejects in either phase counts once, and a majority of rejections preempts the proposal', (t) => {
   const first = startProposal('r', append('x'), ['a', 'b', 'c', 'd', 'e'], zeroProposalNumber, 'p');
   let { proposal } = first;
-  let moves: readonly ProposerAction[] = [];
-  const vote = (member: string, phase: 'prepare' | 'accept', isTaken: boolean): void => {
-    const cast = isTaken
+  let lastActions: readonly ProposerAction[] = [];
+  const vote = (member: string, phase: 'prepare' | 'accept', isGranted: boolean): void => {
+    const response = isGranted
       ? ({ kind: 'yes', accepted: null } as const)
       : ({ kind: 'no', promised: { counter: 9, proposerId: 'q' } } as const);
-    ({ proposal, actions: moves } = handleVote(proposal, {
+    ({ proposal, actions: lastActions } = handleVote(proposal, {
       member,
       diskId: `disk-${member}`,
       phase,
       proposalNumber: proposal.proposalNumber,
-      vote: cast,
+      vote: response,
     }));
   };
   vote('d', 'prepare', false);
   for (const member of ['a', 'b', 'c']) vote(member, 'prepare', true);
   vote('a', 'accept', false);
-  t.deepEqual(moves, []);
+  t.deepEqual(lastActions, []);
   vote('b', 'accept', false);
   t.deepEqual(
-    moves.map((move) => move.kind),
+    lastActions.map((action) => action.kind),
     ['preempted'],
   );
 });
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,4 +1,4 @@
-/** Single-decree registers over a majority of acceptors: the reducers, without I/O. */
+/** Single-decree registers on a majority of acceptors, as pure state machines without I/O. */
 export { accept, prepare, type Vote, type VoteOutcome } from './acceptor.js';
 export {
   decodeAcceptedValue,
@@ -31,7 +31,7 @@
   type Proposal,
   type ProposalTransition,
   type ProposerAction,
-  type VoteReceived,
+  type ReceivedVote,
 } from './proposer.js';
 export { majorityOf } from './quorum.js';
 export {
--- a/packages/consensus/src/proposal-number.ts
+++ b/packages/consensus/src/proposal-number.ts
@@ -1,25 +1,25 @@
 /**
- * Proposal numbers: what orders the proposals of single-decree Paxos.
+ * Proposal numbers, which order the proposals of single-decree Paxos.
  *
- * A number belongs to one proposal of one incarnation of a proposer and is never used twice, so any
- * two proposals are ordered, and a number that is seen again stands for the same proposal.
+ * A number belongs to one proposal of one incarnation of a proposer and is never used twice. So any
+ * two proposals are ordered, and equal numbers always mean the same proposal.
  */
 
-/** The number of a proposal. */
+/** Identifies a proposal and orders it among all others. */
 export type ProposalNumber = {
-  /** Grows with each proposal; compared first. */
+  /** Grows with each proposal and is compared first. */
   readonly counter: number;
-  /** The proposer and its incarnation; breaks ties. */
+  /** The proposer and its incarnation, which break ties between equal counters. */
   readonly proposerId: string;
 };
 
-/** Below the number of every proposal. */
+/** A number below that of every proposal. */
 export const zeroProposalNumber: ProposalNumber = { counter: 0, proposerId: '' };
 
 /**
  * Orders two proposal numbers.
  *
- * @returns -1, 0 or 1, as the left one is lower, equal or higher
+ * @returns -1, 0 or 1 if the left number is lower than, equal to or higher than the right number
  * @example
  * compareProposalNumbers({ counter: 2, proposerId: 'a' }, { counter: 1, proposerId: 'b' }) // 1
  */
@@ -29,25 +29,28 @@
   return left.proposerId < right.proposerId ? -1 : 1;
 };
 
-/** The higher of two proposal numbers. */
+/** Returns the higher of two proposal numbers. */
 export const higherProposalNumber = (
   left: ProposalNumber,
   right: ProposalNumber,
 ): ProposalNumber => (compareProposalNumbers(right, left) > 0 ? right : left);
 
 /**
- * A number for a proposer's next proposal, above one that it has seen.
+ * Returns the number of a proposer's next proposal, above the highest number that it has seen.
  *
  * @example
  * nextProposalNumber({ counter: 3, proposerId: 'a' }, 'b') // { counter: 4, proposerId: 'b' }
  */
-export const nextProposalNumber = (above: ProposalNumber, proposerId: string): ProposalNumber => ({
-  counter: above.counter + 1,
+export const nextProposalNumber = (
+  highestSeen: ProposalNumber,
+  proposerId: string,
+): ProposalNumber => ({
+  counter: highestSeen.counter + 1,
   proposerId,
 });
 
 /**
- * A proposal number as text, for logs and reports.
+ * Formats a proposal number for logs and reports.
  *
  * @example
  * formatProposalNumber({ counter: 4, proposerId: 'b' }) // '4/b'
--- a/packages/consensus/src/proposer.ts
+++ b/packages/consensus/src/proposer.ts
@@ -4,8 +4,8 @@
  * result to a majority.
  *
  * It is a state machine without I/O: `startProposal` and `handleVote` return the next state and the
- * actions to carry out. It trusts acceptors to keep their promises, and its caller to use each
- * proposal number once and to count only votes of the members' own disks.
+ * actions to carry out. It relies on acceptors to keep their promises, and on its caller to use each
+ * proposal number once and to pass on only votes of the disks that the membership names.
  */
 import {
   compareProposalNumbers,
@@ -17,26 +17,26 @@
 import { majorityOf } from './quorum.js';
 import type { AcceptedValue } from './register.js';
 
-/** What a change makes of the value it is applied to. */
+/** The result of applying a change to a register's value. */
 export type ChangeResult =
   | { readonly kind: 'write'; readonly value: unknown }
-  /** The value stays, and is known to be committed once the proposal ends. */
+  /** The value stays the same, and is known to be committed once the proposal ends. */
   | { readonly kind: 'keep' }
   | { readonly kind: 'refuse'; readonly reason: string };
 
 /**
- * A change of a register. It is applied again in each proposal that is made for it, so it must know
- * its own earlier work by an id in the value.
+ * A change of a register. It is applied again in each proposal that is started for it, so it must
+ * recognize by an id in the value that it has already been applied.
  */
 export type Change = (current: unknown) => ChangeResult;
 
-/** A member by its slot in the membership. */
+/** A member, named by its slot in the membership. */
 export type MemberName = string;
 
-/** A member's promise, with the disk that made it: the second phase goes to that disk alone. */
+/** A member's vote in the first phase, with its disk: the second phase is sent to that disk only. */
 type PrepareResponse = { readonly diskId: string; readonly vote: Vote };
 
-/** One proposal under way, under one proposal number. */
+/** The state of a proposal under one proposal number. */
 export type Proposal = {
   /** The register's key. */
   readonly key: string;
@@ -49,14 +49,14 @@
   readonly prepareResponses: Readonly<Record<MemberName, PrepareResponse>>;
   /** Members that promised a higher number, in either phase. */
   readonly rejectedBy: readonly MemberName[];
-  /** What the change was applied to; known once a majority has promised. */
+  /** The value to which the change was applied; known once a majority has promised. */
   readonly valueRead: unknown;
   readonly proposedValue: unknown;
   readonly changeResult: ChangeResult | null;
   readonly acceptedBy: readonly MemberName[];
 };
 
-/** What the caller is to send, or how the proposal ended. */
+/** A message for the caller to send, or the outcome of the proposal. */
 export type ProposerAction =
   | {
       readonly kind: 'prepare';
@@ -72,26 +72,26 @@
     }
   | {
       readonly kind: 'chosen';
-      /** The number that the value was chosen under; null for an empty register. */
+      /** The number under which the value was chosen; null for an empty register. */
       readonly proposalNumber: ProposalNumber | null;
       readonly value: unknown;
-      /** Whether this proposal wrote it; else it was found. */
+      /** Whether this proposal wrote the value; if not, it had been chosen before. */
       readonly isWrite: boolean;
-      /** What the change was applied to. */
+      /** The value to which the change was applied. */
       readonly valueRead: unknown;
     }
   | { readonly kind: 'refused'; readonly reason: string; readonly value: unknown }
-  /** Higher numbers leave no majority for this proposal; the caller may start another one. */
+  /** Members with higher promises leave no majority; the caller may start another proposal. */
   | { readonly kind: 'preempted' };
 
-/** A proposal after an event, and what follows from it. */
+/** The proposal after an event, and the resulting actions. */
 export type ProposalTransition = {
   readonly proposal: Proposal;
   readonly actions: readonly ProposerAction[];
 };
 
 /** A member that promised, and the value that it had accepted before. */
-type PrepareGranted = {
+type GrantedPromise = {
   readonly member: MemberName;
   readonly diskId: string;
   readonly accepted: AcceptedValue | null;
@@ -99,17 +99,17 @@
 
 const withoutActions = (proposal: Proposal): ProposalTransition => ({ proposal, actions: [] });
 
-const endWith = (proposal: Proposal, action: ProposerAction): ProposalTransition => ({
+const endProposal = (proposal: Proposal, action: ProposerAction): ProposalTransition => ({
   proposal: { ...proposal, phase: 'done' },
   actions: [action],
 });
 
-const promisesOf = (proposal: Proposal): readonly PrepareGranted[] =>
+const promisesOf = (proposal: Proposal): readonly GrantedPromise[] =>
   Object.entries(proposal.prepareResponses).flatMap(([member, { diskId, vote }]) =>
     vote.kind === 'yes' ? [{ member, diskId, accepted: vote.accepted }] : [],
   );
 
-const newestAccepted = (promises: readonly PrepareGranted[]): AcceptedValue | null =>
+const newestAccepted = (promises: readonly GrantedPromise[]): AcceptedValue | null =>
   promises.reduce<AcceptedValue | null>((newest, { accepted }) => {
     if (accepted === null) return newest;
     const isNewer =
@@ -117,10 +117,10 @@
     return isNewer ? accepted : newest;
   }, null);
 
-/** Whether a majority is seen to have voted for the newest value, so that it is chosen already. */
-const isSeenChosen = (
+/** Whether the promises show that a majority voted for the newest value, so that it is chosen. */
+const isKnownChosen = (
   proposal: Proposal,
-  promises: readonly PrepareGranted[],
+  promises: readonly GrantedPromise[],
   newest: AcceptedValue | null,
 ): boolean => {
   const votes =
@@ -135,8 +135,8 @@
   return votes.length >= majorityOf(proposal.members.length);
 };
 
-/** Ends a proposal that writes nothing, since the value that it read is seen to be chosen. */
-const endWithValueRead = (
+/** Ends a proposal without a write, since the value that it read is known to be chosen. */
+const endWithoutWrite = (
   proposal: Proposal,
   newest: AcceptedValue | null,
   result: Exclude<ChangeResult, { readonly kind: 'write' }>,
@@ -144,8 +144,8 @@
   const value = newest === null ? null : newest.value;
   const ended = { ...proposal, valueRead: value };
   if (result.kind === 'refuse')
-    return endWith(ended, { kind: 'refused', reason: result.reason, value });
-  return endWith(ended, {
+    return endProposal(ended, { kind: 'refused', reason: result.reason, value });
+  return endProposal(ended, {
     kind: 'chosen',
     proposalNumber: newest?.proposalNumber ?? null,
     value,
@@ -154,16 +154,16 @@
   });
 };
 
-/** Begins the second phase once a majority has promised, or ends where there is nothing to write. */
+/** Begins the second phase once a majority has promised, or ends if there is nothing to write. */
 const acceptIfPromised = (proposal: Proposal): ProposalTransition => {
   const promises = promisesOf(proposal);
   if (promises.length < majorityOf(proposal.members.length)) return withoutActions(proposal);
   const newest = newestAccepted(promises);
   const current = newest === null ? null : newest.value;
   const result = proposal.change(current);
-  if (result.kind !== 'write' && isSeenChosen(proposal, promises, newest))
-    return endWithValueRead(proposal, newest, result);
-  // A value that is kept, or that a refusal rests on, may have reached a minority alone: it counts
+  if (result.kind !== 'write' && isKnownChosen(proposal, promises, newest))
+    return endWithoutWrite(proposal, newest, result);
+  // A value that is kept, or that caused a refusal, may have reached only a minority. It is chosen
   // only once a majority has accepted it, so it is written again.
   const proposedValue = result.kind === 'write' ? result.value : current;
   return {
@@ -184,7 +184,7 @@
   };
 };
 
-/** A member promised a higher number: without it, and others like it, no majority may be left. */
+/** Records that a member promised a higher number, and reports if that leaves no majority. */
 const handleRejection = (
   proposal: Proposal,
   member: MemberName,
@@ -201,8 +201,8 @@
 };
 
 /**
- * A promise that comes after the second phase has begun: the member may accept the value as well.
- * Without it the rejection by one of a bare majority would leave the proposal hanging.
+ * Handles a promise that arrives after the second phase has begun: the member may accept the value
+ * too. Otherwise the rejection by one member of a bare majority would leave the proposal hanging.
  */
 const handleLatePromise = (
   proposal: Proposal,
@@ -232,8 +232,8 @@
   if (next.acceptedBy.length < majorityOf(next.members.length)) return withoutActions(next);
   const value = next.proposedValue;
   if (next.changeResult?.kind === 'refuse')
-    return endWith(next, { kind: 'refused', reason: next.changeResult.reason, value });
-  return endWith(next, {
+    return endProposal(next, { kind: 'refused', reason: next.changeResult.reason, value });
+  return endProposal(next, {
     kind: 'chosen',
     proposalNumber: next.proposalNumber,
     value,
@@ -243,9 +243,9 @@
 };
 
 /**
- * Starts a proposal over a register, under a number above any that was seen.
+ * Starts a proposal for a register, under a number above any that the proposer has seen.
  *
- * @param above the highest number that the proposer has seen
+ * @param highestSeen the highest number that the proposer has seen
  * @param proposerId the proposer and its incarnation
  * @example
  * startProposal('config', () => ({ kind: 'write', value: 1 }), ['a', 'b', 'c'], zeroProposalNumber, 'agent').actions.length // 3
@@ -254,10 +254,10 @@
   key: string,
   change: Change,
   members: readonly MemberName[],
-  above: ProposalNumber,
+  highestSeen: ProposalNumber,
   proposerId: string,
 ): ProposalTransition => {
-  const proposalNumber = nextProposalNumber(above, proposerId);
+  const proposalNumber = nextProposalNumber(highestSeen, proposerId);
   const proposal: Proposal = {
     key,
     change,
@@ -278,8 +278,8 @@
   };
 };
 
-/** A member's vote, as it came back to the proposer. */
-export type VoteReceived = {
+/** A member's vote, as the proposer receives it. */
+export type ReceivedVote = {
   readonly member: MemberName;
   /** The disk that voted. */
   readonly diskId: string;
@@ -296,7 +296,7 @@
  */
 export const handleVote = (
   proposal: Proposal,
-  { member, diskId, phase, proposalNumber, vote }: VoteReceived,
+  { member, diskId, phase, proposalNumber, vote }: ReceivedVote,
 ): ProposalTransition => {
   if (proposal.phase === 'done') return withoutActions(proposal);
   if (compareProposalNumbers(proposalNumber, proposal.proposalNumber) !== 0)
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -1,7 +1,7 @@
-/** How many members make a quorum. */
+/** The size of a quorum. */
 
 /**
- * Members that make a majority.
+ * Returns the number of members that make a majority of `count` members.
  *
  * @example
  * majorityOf(5) // 3
--- a/packages/consensus/src/register.ts
+++ b/packages/consensus/src/register.ts
@@ -1,4 +1,4 @@
-/** What an acceptor keeps of one register. */
+/** An acceptor's state of one register, and how the states of two acceptors are merged. */
 import {
   compareProposalNumbers,
   higherProposalNumber,
@@ -11,23 +11,23 @@
   readonly proposalNumber: ProposalNumber;
   readonly value: unknown;
   /**
-   * Set where the value was copied from another acceptor: it counts as read, but not as a vote of
-   * this acceptor.
+   * Set if the value was copied from another acceptor. A read takes it into account, but it is not a
+   * vote of this acceptor.
    */
   readonly copied?: true;
 };
 
 /** An acceptor's state of one register. */
 export type RegisterState = {
-  /** It takes part in no proposal below this number. */
+  /** The acceptor takes part in no proposal below this number. */
   readonly promised: ProposalNumber;
   readonly accepted: AcceptedValue | null;
 };
 
-/** A register that no proposal has reached. */
+/** A register before its first proposal. */
 export const emptyRegister: RegisterState = { promised: zeroProposalNumber, accepted: null };
 
-/** The newer of two accepted values; of one proposal, a vote rather than a copy. */
+/** Returns the newer of two accepted values. Of the same proposal, a vote precedes a copy. */
 const newerAcceptedValue = (
   left: AcceptedValue | null,
   right: AcceptedValue | null,
@@ -39,7 +39,7 @@
 };
 
 /**
- * Merges what two acceptors keep of one register: the higher promise and the newer value.
+ * Merges two acceptors' states of one register into the higher promise and the newer value.
  *
  * @example
  * mergeRegisters(emptyRegister, { promised: { counter: 2, proposerId: 'a' }, accepted: null }).promised.counter // 2
@@ -50,9 +50,9 @@
 });
 
 /**
- * A register as another acceptor takes it over. Its value must be read, but is no vote of that
- * acceptor: an acceptor that promised a number may hold a copy of a value of a lower one, which it
- * could not have voted for any more.
+ * Returns a register for another acceptor to adopt. The value must be taken into account by reads,
+ * but it is marked as a copy, since it is no vote of that acceptor: an acceptor that promised a
+ * number may store a copy of a value with a lower number, for which it could no longer have voted.
  *
  * @example
  * copyRegister(register).accepted?.copied // true
