--- a/packages/replica/src/claim-expiry.ts
+++ b/packages/replica/src/claim-expiry.ts
@@ -1,12 +1,12 @@
-/** Claims are let go an hour after they were last written, a few at a time. */
+/** Removes claims an hour after they were last written, in batches. */
 import { minuteOf, withoutClaim } from './registers.js';
 import { type Transition, update } from './state.js';
 
-/** ms. A claim is kept this long of the replica's own running time. */
+/** How long a claim is kept after its last write, in milliseconds of the replica's own running time. */
 export const claimRetentionMs = 3_600_000;
 
-/** lapsed claims let go in one sweep a second: some milliseconds. */
-const claimsExpiredAtOnce = 2_000;
+/** Claims removed in one sweep, which runs once a second: so many take a few milliseconds. */
+const maxClaimsExpiredPerSweep = 2_000;
 
 type ClaimMinute = { readonly minute: number; readonly key: string };
 
@@ -17,11 +17,14 @@
   [...claimKeysByMinute]
     .filter(([minute]) => minute < minuteOf(now - claimRetentionMs))
     .flatMap(([minute, keys]) =>
-      [...keys.take(claimsExpiredAtOnce)].map((key) => ({ minute, key })),
+      [...keys.take(maxClaimsExpiredPerSweep)].map((key) => ({ minute, key })),
     )
-    .slice(0, claimsExpiredAtOnce);
+    .slice(0, maxClaimsExpiredPerSweep);
 
-/** Lets expired claims go. Their registers are not recorded: a restart reads them as new again. */
+/**
+ * Removes expired claims. The removal is not written to disk: after a restart claims that are still
+ * on disk count as new again.
+ */
 export const expireClaims = (transition: Transition, now: number): void => {
   const { state } = transition;
   const expired = expiredClaims(state, now);
--- a/packages/replica/src/committed-membership.ts
+++ b/packages/replica/src/committed-membership.ts
@@ -1,5 +1,5 @@
-/** The membership as one replica knows it to be committed, and what follows for its disk. */
-import { Map as Table } from 'immutable';
+/** Adopts memberships that are known to be committed, and erases the disk that lost its slot. */
+import { Map as ImmutableMap } from 'immutable';
 import { emptyRegister, higherProposalNumber } from '@reedyard/consensus';
 import {
   type CommittedMembership,
@@ -11,14 +11,14 @@
 import { awaitRestore } from './restore.js';
 import { isInMembership, isRetired, type ReplicaState, type Transition, update } from './state.js';
 
-/** The membership that this replica has accepted, whether or not it is known to be chosen. */
+/** Returns the membership that this replica has accepted, whether or not it is known to be chosen. */
 const acceptedMembership = (state: ReplicaState): CommittedMembership | null => {
   const accepted = state.registers.get(membershipKey)?.accepted ?? null;
   if (accepted === null) return null;
   return { proposalNumber: accepted.proposalNumber, value: accepted.value as Membership };
 };
 
-/** The register must show no older membership than the one that is known to be committed. */
+/** Raises the membership's register, which must not be older than the committed membership. */
 const raiseMembershipRegister = (
   transition: Transition,
   committed: CommittedMembership,
@@ -42,7 +42,7 @@
   const before = transition.state.committedMembership;
   if (committed === null || !isNewerMembership(committed, before)) return;
   update(transition, { committedMembership: committed });
-  // The register first: after the record of the membership it must show no older one.
+  // The register is written first, so that it is never older than a membership recorded on disk.
   raiseMembershipRegister(transition, committed, now);
   transition.effects.push({
     kind: 'append-records',
@@ -58,32 +58,32 @@
   });
 };
 
-/** A disk that is erased gets a new id: its first one, and the epoch that it was erased in. */
-const idAfterErasing = (diskId: string, epoch: number): string => {
+/** Returns the new id of an erased disk: its first id, and the epoch in which it was erased. */
+const erasedDiskIdOf = (diskId: string, epoch: number): string => {
   const [firstId = ''] = diskId.split('/', 1);
   return `${firstId}/${epoch}`;
 };
 
 /**
- * Erases all that this disk voted for, since its successor has it. The replica waits for a slot as
- * a blank one, under a new disk id.
+ * Erases everything that this disk voted for, since its successor has a copy. The replica then waits
+ * for a slot as a blank disk, under a new disk id.
  */
 export const eraseDisk = (transition: Transition): void => {
   const { state } = transition;
   const { committedMembership: membership, lastSequence: sequence } = state;
   if (membership === null || !isRetired(state)) return;
   const { epoch } = membership.value;
-  const diskId = idAfterErasing(state.diskId, epoch);
+  const diskId = erasedDiskIdOf(state.diskId, epoch);
   update(transition, {
     diskId,
     hasBegunVoting: false,
     votingEpoch: 0,
-    registers: Table(),
-    claimMinuteByKey: Table(),
-    claimKeysByMinute: Table(),
+    registers: ImmutableMap(),
+    claimMinuteByKey: ImmutableMap(),
+    claimKeysByMinute: ImmutableMap(),
     openPageReads: {},
     entries: [],
-    sequenceByEntryKey: Table(),
+    sequenceByEntryKey: ImmutableMap(),
     truncatedUpTo: sequence,
     peerReads: {},
     retirement: null,
--- a/packages/replica/src/events.ts
+++ b/packages/replica/src/events.ts
@@ -1,12 +1,12 @@
-/** What happens to a replica, and what its reducer wants done outside. */
+/** The events that a replica's reducer handles, and the effects that it requests. */
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
 import type { ReplicaRecord } from './storage/records.js';
 
-/** An event, with the ms of the replica's clock at which it came. */
+/** An event. `now` is the time on the replica's clock when it arrived, in milliseconds. */
 export type ReplicaEvent =
   | {
       readonly kind: 'request-received';
-      /** Names the request in the effect that replies to it. */
+      /** Identifies the request in the effect that replies to it. */
       readonly requestId: number;
       readonly request: ReplicaRequest;
       readonly now: number;
@@ -18,26 +18,26 @@
       readonly reply: ReplicaReply;
       readonly now: number;
     }
-  /** One of the replica's own requests got no reply. */
+  /** One of the replica's own requests failed without a reply. */
   | { readonly kind: 'request-failed'; readonly requestId: number; readonly now: number }
-  /** Comes a few times a second. */
+  /** Arrives a few times a second. */
   | { readonly kind: 'tick'; readonly now: number }
-  /** The process was told to stop. */
+  /** The process has received a request to stop. */
   | { readonly kind: 'stop-requested'; readonly now: number };
 
-/** An effect; effects are carried out in order. */
+/** An effect of the reducer. Effects are carried out in order. */
 export type ReplicaEffect =
   | { readonly kind: 'append-records'; readonly records: readonly ReplicaRecord[] }
-  /** Reply to a request, only after all that was appended before is synced. */
+  /** Replies to a request, once all records appended before are synced. */
   | { readonly kind: 'send-reply'; readonly requestId: number; readonly reply: ReplicaReply }
   | {
       readonly kind: 'send-request';
       readonly requestId: number;
-      /** An address. */
+      /** The receiver's address. */
       readonly to: string;
       readonly request: ReplicaRequest;
     }
-  /** The process was told to stop, and nothing waits for it any more. */
+  /** Ends the process: it was requested to stop, and no other replica still needs it. */
   | { readonly kind: 'exit' }
   | {
       readonly kind: 'log';
--- a/packages/replica/src/index.ts
+++ b/packages/replica/src/index.ts
@@ -1,4 +1,4 @@
-/** The replica: registers and a journal on a majority of disks, and who votes. */
+/** The replica: registers and a journal on a majority of disks, and the membership that votes. */
 export type { ReplicaEffect, ReplicaEvent } from './events.js';
 export {
   isNewerMembership,
@@ -15,7 +15,7 @@
   ReplicaReply,
   ReplicaRequest,
 } from './messages.js';
-export { openReplica, snapshotRecords, type ReplicaParts } from './open-replica.js';
+export { openReplica, snapshotRecords, type OpenReplicaOptions } from './open-replica.js';
 export {
   decodeReplicaReply,
   decodeReplicaRequest,
--- a/packages/replica/src/journal.ts
+++ b/packages/replica/src/journal.ts
@@ -1,15 +1,16 @@
 /**
- * The journal: entries that are written once under their key, and read by each agent from its
- * cursor on. Entries are kept for a minute; a reader that was away longer starts anew.
+ * The journal: entries that are written once under their key, and that each agent reads from its
+ * cursor onwards. Entries are kept for a minute; a reader that was absent for longer starts again
+ * from the oldest entry.
  */
 import type { JournalCursor, JournalEntry, ReplicaReply } from './messages.js';
 import { journalRetentionMs } from './protocol/timing.js';
 import { type ReplicaState, type RetainedEntry, type Transition, update } from './state.js';
 
-/** purge journal entries in one call. */
+/** Journal entries, such as purges, in one reply to a poll. */
 const maxEntriesPerReply = 4_096;
 
-/** Appends the entries whose keys the journal does not hold yet. */
+/** Appends the entries whose keys are not in the journal yet. */
 export const appendEntries = (
   transition: Transition,
   entries: readonly JournalEntry[],
@@ -39,7 +40,7 @@
   });
 };
 
-/** Lets entries go that are older than any cursor needs. */
+/** Removes entries that are older than the journal's retention. */
 export const expireEntries = (transition: Transition, now: number): void => {
   const { state } = transition;
   const expired = state.entries.filter(({ appendedAt }) => now - appendedAt > journalRetentionMs);
@@ -51,14 +52,14 @@
   });
 };
 
-/** A cursor's position, if it was given by this disk and what follows it is still kept. */
+/** Returns a cursor's sequence if this disk issued it and still keeps all entries after it. */
 const positionOf = (state: ReplicaState, cursor: JournalCursor | null): number | null => {
   if (cursor === null || cursor.diskId !== state.diskId) return null;
   const isKept = cursor.sequence >= state.truncatedUpTo && cursor.sequence <= state.lastSequence;
   return isKept ? cursor.sequence : null;
 };
 
-/** The proposal numbers under which the values of some registers were accepted. */
+/** Returns the proposal numbers under which the values of the given registers were accepted. */
 const acceptedNumbersOf = (
   state: ReplicaState,
   keys: readonly string[],
@@ -70,7 +71,7 @@
     }),
   );
 
-/** The reply to a poll: the entries that follow the cursor, and what some registers hold. */
+/** Builds the reply to a poll: the entries after the cursor, and the accepted numbers of `keys`. */
 export const buildPollReply = (
   state: ReplicaState,
   cursor: JournalCursor | null,
--- a/packages/replica/src/membership.ts
+++ b/packages/replica/src/membership.ts
@@ -1,61 +1,59 @@
 /**
- * The membership: whose disks vote. It is the value of a register, changed one slot at a time by
- * the members just before. Its fields are stored and sent as they are named here.
+ * The membership: the disks that vote. It is the value of a register, and each change of a single
+ * slot is chosen by the previous members. Its fields are stored and sent under these names.
  */
 import { compareProposalNumbers, type ProposalNumber } from '@reedyard/consensus';
 
 /** The key of the register that holds the membership. */
 export const membershipKey = 'members';
 
-/** Who votes: for each slot, the disk that holds it. */
+/** The disks that vote, by slot. */
 export type Membership = {
   /** Grows by one with each change. */
   readonly epoch: number;
   /** Ids of the members' disks, by slot. */
   readonly disks: Readonly<Record<string, string>>;
-  /**
-   * The epoch in which each slot was given to its disk; left out for the disks of the founding.
-   */
+  /** The epoch in which each slot was assigned to its disk; absent for the founders' disks. */
   readonly joinedIn?: Readonly<Record<string, number>>;
-  /** The newest epoch that was founded after a loss of most disks; left out where none was. */
+  /** The latest epoch that was founded anew after a loss of most disks; absent if there is none. */
   readonly refounded?: number;
-  /** Addresses of the members' replicas, by slot; left out where the settings name every founder. */
+  /** Addresses of the members' replicas, by slot; absent if the settings name every founder. */
   readonly addresses?: Readonly<Record<string, string>>;
-  /** For a member that took over from another machine: whom it took its slot over from. */
+  /** For each member that replaced a disk on another machine, by slot: the replaced disk. */
   readonly predecessors?: Readonly<Record<string, Predecessor>>;
 };
 
 /**
- * The disk that gave up its slot to a member. Once it knows of that its state is frozen, and a copy
- * of it is enough to vote.
+ * A disk that a member replaced. Once it knows of its replacement its state no longer changes, so that
+ * a copy of this state is enough for the member to vote.
  */
 export type Predecessor = {
   readonly disk: string;
   readonly address: string;
-  /** The epoch in which its slot had been given to it; left out for the disks of the founding. */
+  /** The epoch in which its slot had been assigned to it; absent for the founders' disks. */
   readonly joinedIn?: number;
 };
 
-/** A membership that is known to be chosen, with the number of the proposal that chose it. */
+/** A membership that is known to be chosen, and the number of the proposal that chose it. */
 export type CommittedMembership = {
   readonly proposalNumber: ProposalNumber;
   readonly value: Membership;
 };
 
-/** What the settings tell a replica where members find themselves from seeds. */
+/** Settings of a replica whose cluster is founded from seeds. */
 export type BootstrapSettings = {
   /** This replica's own address. */
   readonly address: string;
-  /** Addresses of the replicas that found the state among themselves. */
+  /** Addresses of the replicas that found the cluster together. */
   readonly seeds: readonly string[];
-  /** True only when the whole system starts for the very first time. */
+  /** True only when the entire system starts for the very first time. */
   readonly isFirstStart: boolean;
 };
 
 /**
- * Whether a committed membership is newer than another one. Epochs are chosen one after the other,
- * so the epoch counts first. The same epoch may have been written again under a higher number, even
- * after the next was chosen.
+ * Whether a committed membership is newer than the known one. Epochs are chosen one after the other,
+ * so the epoch is compared first. The same epoch may have been written again under a higher proposal
+ * number, even after the next epoch was chosen.
  *
  * @example
  * isNewerMembership({ proposalNumber: { counter: 3, proposerId: 'x' }, value: { epoch: 2, disks: {} } }, null) // true
--- a/packages/replica/src/messages.ts
+++ b/packages/replica/src/messages.ts
@@ -1,26 +1,26 @@
-/** Requests to replicas and their replies. `protocol/codec.ts` maps them to their wire format. */
+/** Requests to replicas, and their replies. `protocol/codec.ts` maps them to their wire format. */
 import type { AcceptedValue, ProposalNumber, RegisterState, Vote } from '@reedyard/consensus';
 import type { CommittedMembership } from './membership.js';
 
-/** An entry of the journal: written once under its key, never changed. */
+/** An entry of the journal, which is written once under its key and never changes. */
 export type JournalEntry = { readonly key: string; readonly value: unknown };
 
 /** A position in one replica's journal, in one incarnation of its disk. */
 export type JournalCursor = { readonly diskId: string; readonly sequence: number };
 
-/** A request, with the membership that its sender counts by. */
+/** A request, with the membership by which its sender counts votes. */
 export type ReplicaRequest = {
   readonly membership: CommittedMembership | null;
   readonly operation: ReplicaOperation;
-  /** The sender knows of a live blank replica that could take a member's slot. */
+  /** Set if the sender knows of a live blank replica that could take over a member's slot. */
   readonly hasLiveSpare?: true;
 };
 
-/** What a request asks for. Only a voting member carries it out, except for `read-page`. */
+/** The operation of a request. Only a voting member carries it out, except for `read-page`. */
 export type ReplicaOperation =
   /** First phase of a proposal. */
   | { readonly kind: 'prepare'; readonly key: string; readonly proposalNumber: ProposalNumber }
-  /** Second phase of a proposal, to the disk that answered the first one. */
+  /** Second phase of a proposal, for the disk that promised in the first phase. */
   | {
       readonly kind: 'accept';
       readonly key: string;
@@ -29,66 +29,66 @@
       readonly diskId: string;
     }
   | { readonly kind: 'append-entries'; readonly entries: readonly JournalEntry[] }
-  /** What the journal holds after the cursor, and what was accepted under some keys. */
+  /** Reads the journal after the cursor, and the accepted proposal numbers of some registers. */
   | {
       readonly kind: 'poll';
       readonly cursor: JournalCursor | null;
       readonly keys: readonly string[];
     }
   | { readonly kind: 'read-register'; readonly key: string }
-  /** One page of all that a replica holds; `after` is null for the first page. */
+  /** Reads one page of a replica's registers and journal; `after` is null for the first page. */
   | { readonly kind: 'read-page'; readonly after: string | null }
-  /** What an agent knows to have been chosen, told again after most disks were lost. */
+  /** Restores the values that an agent knows to be chosen, after most disks were lost. */
   | {
       readonly kind: 'restore';
       readonly registers: readonly (readonly [string, AcceptedValue])[];
       readonly entries: readonly JournalEntry[];
     };
 
-/** A replica's reply, with the disk that it speaks for. */
+/** A replica's reply, with the id of its disk. */
 export type ReplicaReply =
-  /** It may not vote. A blank disk, which never did, may be given a slot. */
+  /** The replica may not vote. A blank disk, which has never voted, may be assigned a slot. */
   | {
       readonly kind: 'not-a-member';
       readonly diskId: string;
       readonly isBlank: boolean;
       readonly knowsMembership: boolean;
     }
-  /** The sender counts by a membership that is no longer in force. */
+  /** The sender's membership is no longer in force; the reply carries the newer one. */
   | {
       readonly kind: 'newer-membership';
       readonly diskId: string;
       readonly membership: CommittedMembership | null;
     }
   | { readonly kind: 'vote'; readonly diskId: string; readonly vote: Vote }
-  /** Its disk takes no writes, or none in time: it counts as lost until it does. */
+  /** The disk accepts no writes, or not in time; until it does the replica counts as lost. */
   | { readonly kind: 'unavailable'; readonly diskId: string }
-  /** It keeps as many claims as it may. */
+  /** The replica already stores the maximum number of claims. */
   | { readonly kind: 'too-many-claims'; readonly diskId: string }
   | { readonly kind: 'entries-appended'; readonly diskId: string }
   /**
-   * It founded the state anew after a loss, and takes part in nothing until agents have restored
-   * what they know.
+   * The replica's state was founded anew after a loss. It takes part in nothing until agents have
+   * restored the values that they know.
    */
   | { readonly kind: 'recovering'; readonly diskId: string; readonly epoch: number }
   | { readonly kind: 'restored'; readonly diskId: string }
   | {
       readonly kind: 'polled';
       readonly diskId: string;
-      /** The cursor's next position. */
+      /** The sequence for the client's next cursor. */
       readonly sequence: number;
-      /** The cursor was not of this disk, or too old: the journal begins anew. */
+      /** The cursor was of another disk, or too old: the entries start from the oldest. */
       readonly isReset: boolean;
-      /** There are further entries: poll again at once. */
+      /** Whether there are further entries, so that the client should poll again immediately. */
       readonly hasMore: boolean;
       readonly entries: readonly JournalEntry[];
-      /** The numbers under which the values of the keys were accepted. */
+      /** The proposal numbers under which the registers' values were accepted, by key. */
       readonly acceptedNumbers: Readonly<Record<string, ProposalNumber>>;
-      /** Keys whose value was copied from another replica: learn from them, count no vote. */
+      /** Keys whose value was copied from another replica, and is not a vote of this one. */
       readonly copiedKeys?: readonly string[];
-      /** Its disk takes no writes: what it shows is sound, but it votes for nothing. */
+      /** The disk accepts no writes: the reply is correct, but the replica does not vote. */
       readonly isReadOnly?: true;
-      /** It was asked to stop, and would rather give its slot away first. */
+      /** The process was requested to stop, and prefers to hand its slot over first. */
       readonly isStopping?: true;
     }
   | {
@@ -99,11 +99,11 @@
   | {
       readonly kind: 'page-read';
       readonly diskId: string;
-      /** The membership that it knows to be committed. */
+      /** The membership that the replica knows to be committed. */
       readonly membership: CommittedMembership | null;
       readonly registers: readonly (readonly [string, RegisterState])[];
-      /** The journal, with the last page. */
+      /** The complete journal on the last page; empty on all others. */
       readonly entries: readonly JournalEntry[];
-      /** Null with the last page. */
+      /** The position of the next page; null on the last page. */
       readonly nextPage: string | null;
     };
--- a/packages/replica/src/open-replica.ts
+++ b/packages/replica/src/open-replica.ts
@@ -1,5 +1,5 @@
-/** A replica's state from the records on its disk, and the records of a snapshot of its state. */
-import { Set as Group, Map as Table } from 'immutable';
+/** Restores a replica's state from the records on its disk, and writes the state as a snapshot. */
+import { Set as ImmutableSet, Map as ImmutableMap } from 'immutable';
 import type { RegisterState } from '@reedyard/consensus';
 import type { Step } from '@reedyard/task-loop';
 import type { ReplicaEffect } from './events.js';
@@ -14,25 +14,25 @@
 import type { ReplicaState, RetainedEntry } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
 
-/** What a replica is opened with. */
-export type ReplicaParts = {
+/** Options for opening a replica. */
+export type OpenReplicaOptions = {
   readonly name: string;
-  /** The other founders, by name, with their addresses; empty with `bootstrap`. */
+  /** Addresses of the other founders, by name; empty if `bootstrap` is set. */
   readonly otherFounders: Readonly<Record<string, string>>;
-  /** What the log held, oldest first. */
+  /** The records in the log, oldest first. */
   readonly records: readonly ReplicaRecord[];
-  /** The id that a disk gets which has none yet. */
+  /** The id for a disk that has none yet. */
   readonly newDiskId: string;
-  /** ms of the replica's clock. */
+  /** The time on the replica's clock, in milliseconds. */
   readonly now: number;
-  /** Set where members find themselves from seeds. */
+  /** Set if the cluster is founded from seeds. */
   readonly bootstrap?: BootstrapSettings | null;
 };
 
-/** What the records come to, one after the other. */
+/** The state accumulated while the records are replayed in order. */
 type Replay = {
   diskId: string | null;
-  isVoting: boolean;
+  hasBegunVoting: boolean;
   votingEpoch: number;
   committedMembership: CommittedMembership | null;
   lastSequence: number;
@@ -40,9 +40,9 @@
   readonly entries: Map<string, RetainedEntry>;
 };
 
-const beginReplay = (): Replay => ({
+const emptyReplay = (): Replay => ({
   diskId: null,
-  isVoting: false,
+  hasBegunVoting: false,
   votingEpoch: 0,
   committedMembership: null,
   lastSequence: 0,
@@ -50,26 +50,26 @@
   entries: new Map(),
 });
 
-const eraseReplayed = (replay: Replay, diskId: string): void => {
+const replayErasure = (replay: Replay, diskId: string): void => {
   replay.diskId = diskId;
-  replay.isVoting = false;
+  replay.hasBegunVoting = false;
   replay.votingEpoch = 0;
   replay.registers.clear();
   replay.entries.clear();
 };
 
-/** Replaying a record twice changes nothing. */
+/** Applies a record to the state. Replaying a record twice changes nothing. */
 const replayRecord = (replay: Replay, record: ReplicaRecord, now: number): void => {
   switch (record.kind) {
     case 'disk-named':
       replay.diskId = record.diskId;
       return;
     case 'voting-begun':
-      replay.isVoting = true;
+      replay.hasBegunVoting = true;
       replay.votingEpoch = Math.max(replay.votingEpoch, record.epoch ?? 0);
       return;
     case 'disk-erased':
-      eraseReplayed(replay, record.diskId);
+      replayErasure(replay, record.diskId);
       return;
     case 'membership-committed':
       if (isNewerMembership(record.membership, replay.committedMembership))
@@ -90,14 +90,14 @@
   }
 };
 
-/** The membership of a disk that was written before committed ones had a record of their own. */
+/** Returns the membership of a disk written before committed memberships had their own record. */
 const acceptedMembership = (replay: Replay): CommittedMembership | null => {
   const accepted = replay.registers.get(membershipKey)?.accepted ?? null;
   if (accepted === null) return null;
   return { proposalNumber: accepted.proposalNumber, value: accepted.value as Membership };
 };
 
-/** The age of a claim is not stored: it counts from the start of the process. */
+/** Builds the claim tables. A claim's age is not stored, so it counts from the process start. */
 const claimTables = (
   replay: Replay,
   now: number,
@@ -105,8 +105,9 @@
   const minute = minuteOf(now);
   const claims = [...replay.registers.keys()].filter((key) => key.startsWith(claimPrefix));
   return {
-    claimMinuteByKey: Table(claims.map((key) => [key, minute])),
-    claimKeysByMinute: claims.length === 0 ? Table() : Table([[minute, Group(claims)]]),
+    claimMinuteByKey: ImmutableMap(claims.map((key) => [key, minute])),
+    claimKeysByMinute:
+      claims.length === 0 ? ImmutableMap() : ImmutableMap([[minute, ImmutableSet(claims)]]),
   };
 };
 
@@ -119,29 +120,29 @@
   const { lastSequence } = replay;
   return {
     entries,
-    sequenceByEntryKey: Table(entries.map(({ key, sequence }) => [key, sequence])),
+    sequenceByEntryKey: ImmutableMap(entries.map(({ key, sequence }) => [key, sequence])),
     lastSequence,
     truncatedUpTo: (entries[0]?.sequence ?? lastSequence + 1) - 1,
   };
 };
 
-const stateAfter = (replay: Replay, parts: ReplicaParts): ReplicaState => {
+const stateAfter = (replay: Replay, options: OpenReplicaOptions): ReplicaState => {
   const committedMembership = replay.committedMembership ?? acceptedMembership(replay);
   return {
-    name: parts.name,
-    otherFounders: parts.otherFounders,
-    bootstrap: parts.bootstrap ?? null,
+    name: options.name,
+    otherFounders: options.otherFounders,
+    bootstrap: options.bootstrap ?? null,
     committedMembership,
-    diskId: replay.diskId ?? parts.newDiskId,
-    hasBegunVoting: replay.isVoting,
+    diskId: replay.diskId ?? options.newDiskId,
+    hasBegunVoting: replay.hasBegunVoting,
     votingEpoch: replay.votingEpoch,
-    registers: Table(replay.registers),
-    ...claimTables(replay, parts.now),
+    registers: ImmutableMap(replay.registers),
+    ...claimTables(replay, options.now),
     openPageReads: {},
     ...journalState(replay),
     peerReads: {},
     nextRequestId: 1,
-    lastExpiryAt: parts.now,
+    lastExpiryAt: options.now,
     recoveringUntil: -Infinity,
     lastRefoundedEpoch: committedMembership?.value.refounded ?? 0,
     retirement: null,
@@ -151,26 +152,26 @@
 };
 
 /**
- * The state from what was on disk. A disk without an id gets the new one, and the effects append
- * the record that names it.
+ * Restores the state from the records on disk. A disk without an id gets `newDiskId`, and the effects
+ * append the record of it.
  *
  * @example
- * openReplica({ name: 'core-1', otherFounders: {}, records: [], newDiskId: 'd1', now: 0 }).state.isVoting // false
+ * openReplica({ name: 'core-1', otherFounders: {}, records: [], newDiskId: 'd1', now: 0 }).state.hasBegunVoting // false
  */
-export const openReplica = (parts: ReplicaParts): Step<ReplicaState, ReplicaEffect> => {
-  const replay = beginReplay();
-  for (const record of parts.records) replayRecord(replay, record, parts.now);
-  const state = stateAfter(replay, parts);
+export const openReplica = (options: OpenReplicaOptions): Step<ReplicaState, ReplicaEffect> => {
+  const replay = emptyReplay();
+  for (const record of options.records) replayRecord(replay, record, options.now);
+  const state = stateAfter(replay, options);
   if (replay.diskId !== null) return { state, effects: [] };
-  const records: readonly ReplicaRecord[] = [{ kind: 'disk-named', diskId: parts.newDiskId }];
+  const records: readonly ReplicaRecord[] = [{ kind: 'disk-named', diskId: options.newDiskId }];
   return { state, effects: [{ kind: 'append-records', records }] };
 };
 
 /**
- * The whole state as records, for a snapshot.
+ * Yields the complete state as records, for a snapshot.
  *
  * @example
- * [...snapshotRecords(state)].length // 2 for a new disk: its id, and the journal's position
+ * [...snapshotRecords(state)].length // 2 for a new disk: its id, and the journal's last sequence
  */
 export function* snapshotRecords(state: ReplicaState): Iterable<ReplicaRecord> {
   yield { kind: 'disk-named', diskId: state.diskId };
--- a/packages/replica/src/peer-read-table.ts
+++ b/packages/replica/src/peer-read-table.ts
@@ -1,7 +1,7 @@
-/** The readings of other replicas that are under way or done, by the name of the reading. */
+/** Reads of other replicas that are in progress or done, by the name of the read. */
 import { update, type PeerRead, type ReplicaState, type Transition } from './state.js';
 
-const notYetRead: PeerRead = {
+const initialPeerRead: PeerRead = {
   nextPage: null,
   state: 'reading',
   requestId: null,
@@ -12,11 +12,11 @@
   earlierRequestIds: [],
 };
 
-/** What was read of a peer so far. */
+/** Returns the progress of the read with this name. */
 export const peerReadOf = (state: ReplicaState, name: string): PeerRead =>
-  state.peerReads[name] ?? notYetRead;
+  state.peerReads[name] ?? initialPeerRead;
 
-/** The reading that a request belongs to, and its name. */
+/** Finds the read to which a request belongs, and its name. */
 export const findPeerRead = (
   state: ReplicaState,
   requestId: number,
@@ -25,7 +25,7 @@
     ([, read]) => read.requestId === requestId || read.earlierRequestIds.includes(requestId),
   );
 
-/** Notes how far a peer was read. */
+/** Records the progress of a read. */
 export const setPeerRead = (transition: Transition, name: string, read: PeerRead): void => {
   update(transition, { peerReads: { ...transition.state.peerReads, [name]: read } });
 };
--- a/packages/replica/src/peer-reads.ts
+++ b/packages/replica/src/peer-reads.ts
@@ -1,7 +1,7 @@
 /**
- * How a replica that may not vote yet reads the others: their registers and journal, page by page,
- * each under an epoch that the peer is told with the request. Once it has read enough it begins to
- * vote.
+ * Reads the other replicas for a replica that may not vote yet: their registers and journal, page by
+ * page. Each request carries the reader's membership, so that the peer knows its epoch. Once the
+ * replica has read enough it begins to vote.
  */
 import {
   compareProposalNumbers,
@@ -28,12 +28,15 @@
 } from './state.js';
 import { voteIfReady } from './voting.js';
 
-/** ms. A replica that may not vote yet asks the others again. */
+/**
+ * Interval between ticks in milliseconds. A replica that may not vote yet reads the others again after
+ * this time.
+ */
 export const replicaTickIntervalMs = 200;
 
 /**
- * ms. A page that a recovering replica asked for is asked for again, then after twice as long,
- * and so on: far over what one takes on a busy machine.
+ * A member that catches up requests a page again after this time in milliseconds, and waits this much
+ * longer before each further retry. It is far longer than a page takes on a busy machine.
  */
 const pageTimeoutStepMs = 250;
 
@@ -41,7 +44,7 @@
 
 const epochOf = (state: ReplicaState): number => state.committedMembership?.value.epoch ?? 0;
 
-/** All replicas to read: the peers, and the predecessor under a name of its own. */
+/** Returns the replicas to read: the peers, and the predecessor under a separate name. */
 const readTargets = (state: ReplicaState): PeerAddresses => {
   const predecessor = predecessorOf(state);
   const peers = peersOf(state);
@@ -49,16 +52,16 @@
 };
 
 /**
- * ms that a page is waited for before it is requested again. While a member catches up one loss
- * less is borne, so it retries soon, and gives a busy machine more time at each retry; who only
- * waits to be named is in no haste.
+ * How long to wait for a page before it is requested again, in milliseconds. While a member catches
+ * up the cluster tolerates one loss less, so the member retries soon, and gives a busy machine more
+ * time with each retry. A replica that only waits for a slot need not hurry.
  */
 const pageTimeoutMs = (state: ReplicaState, read: PeerRead): number =>
   isInMembership(state)
     ? Math.min(callTimeoutMs, pageTimeoutStepMs * (1 + read.earlierRequestIds.length))
     : callTimeoutMs;
 
-/** Whether the next page of a peer, or its first one again, is to be requested now. */
+/** Whether the next page of a peer, or its first page again, is to be requested now. */
 const isRequestDue = (state: ReplicaState, read: PeerRead, now: number): boolean => {
   const waitedMs = now - read.sentAt;
   if (read.requestId !== null && waitedMs < pageTimeoutMs(state, read)) return false;
@@ -66,13 +69,13 @@
   return read.nextPage !== null || waitedMs >= replicaTickIntervalMs;
 };
 
-/** A reading that is done, but under an older epoch, begins again. */
+/** Restarts a read that was done, but under an older epoch. */
 const restartIfDone = (read: PeerRead): PeerRead =>
   read.state === 'done' ? { ...read, nextPage: null } : read;
 
 /**
- * Requests a page. A reply counts by the epoch that its request told, so only requests under one
- * epoch stand for each other.
+ * Requests a page. A reply counts for the epoch that its request carried, so only a reply to an
+ * earlier request with the same epoch may be used instead of the reply to the latest one.
  */
 const requestPage = (
   transition: Transition,
@@ -102,7 +105,7 @@
   });
 };
 
-/** Reads on wherever a page is due, and begins to vote if enough was read. */
+/** Requests every page that is due, and begins to vote if enough was read. */
 export const readPeers = (transition: Transition, now: number): void => {
   for (const [name, address] of Object.entries(readTargets(transition.state))) {
     const read = peerReadOf(transition.state, name);
@@ -112,7 +115,7 @@
   voteIfReady(transition, now);
 };
 
-/** A request failed: another one for the same page may still be answered. */
+/** Handles a failed request. Another request for the same page may still get a reply. */
 const handleFailure = (
   transition: Transition,
   name: string,
@@ -122,7 +125,7 @@
   setPeerRead(transition, name, {
     ...read,
     requestId: read.requestId === requestId ? null : read.requestId,
-    earlierRequestIds: read.earlierRequestIds.filter((each) => each !== requestId),
+    earlierRequestIds: read.earlierRequestIds.filter((id) => id !== requestId),
   });
 };
 
@@ -144,33 +147,34 @@
 };
 
 /**
- * A register with what a peer showed of it. Only the predecessor's votes were cast in this slot. Of
- * the membership only what was promised is taken over: one that a peer accepted need not be chosen.
+ * Merges a register with a peer's state of it. Only the predecessor's votes were cast in this slot.
+ * Of the membership's register only the promise is adopted: a membership that a peer accepted need
+ * not be chosen.
  */
-const mergeShown = (
+const mergePeerRegister = (
   key: string,
-  own: RegisterState,
-  shown: RegisterState,
+  current: RegisterState,
+  peerRegister: RegisterState,
   isPredecessor: boolean,
 ): RegisterState => {
-  const merged = mergeRegisters(own, isPredecessor ? shown : copyRegister(shown));
-  return key === membershipKey ? { ...own, promised: merged.promised } : merged;
+  const merged = mergeRegisters(current, isPredecessor ? peerRegister : copyRegister(peerRegister));
+  return key === membershipKey ? { ...current, promised: merged.promised } : merged;
 };
 
 const isChanged = (before: RegisterState, after: RegisterState): boolean =>
   compareProposalNumbers(after.promised, before.promised) !== 0 ||
   after.accepted !== before.accepted;
 
-const takeRegisters = (
+const mergePeerRegisters = (
   transition: Transition,
   registers: PageReply['registers'],
   isPredecessor: boolean,
   now: number,
 ): void => {
-  for (const [key, shown] of registers) {
-    const own = transition.state.registers.get(key) ?? emptyRegister;
-    const merged = mergeShown(key, own, shown, isPredecessor);
-    if (isChanged(own, merged)) writeRegister(transition, key, merged, now);
+  for (const [key, peerRegister] of registers) {
+    const current = transition.state.registers.get(key) ?? emptyRegister;
+    const merged = mergePeerRegister(key, current, peerRegister, isPredecessor);
+    if (isChanged(current, merged)) writeRegister(transition, key, merged, now);
   }
 };
 
@@ -185,7 +189,7 @@
   if (transition.state.peerReads[name] === undefined) return;
   const predecessor = predecessorOf(transition.state);
   const isPredecessor = name === predecessor?.readName && reply.diskId === predecessor.disk;
-  takeRegisters(transition, reply.registers, isPredecessor, now);
+  mergePeerRegisters(transition, reply.registers, isPredecessor, now);
   appendEntries(transition, reply.entries, now);
   if (reply.nextPage === null) {
     const { diskId } = reply;
@@ -198,29 +202,29 @@
   }
 };
 
-/** A reply to a request for a page; null where none came. */
+/** Handles the reply to a page request; the reply is null if the request failed. */
 export const handlePeerReply = (
   transition: Transition,
   requestId: number,
   reply: ReplicaReply | null,
   now: number,
 ): void => {
-  const found = findPeerRead(transition.state, requestId);
-  if (found === undefined || isVotingMember(transition.state)) return;
-  const [name, read] = found;
+  const match = findPeerRead(transition.state, requestId);
+  if (match === undefined || isVotingMember(transition.state)) return;
+  const [name, read] = match;
   if (reply === null) {
     handleFailure(transition, name, read, requestId);
     return;
   }
-  const answered = { ...read, requestId: null, earlierRequestIds: [] };
+  const readAfterReply = { ...read, requestId: null, earlierRequestIds: [] };
   switch (reply.kind) {
     case 'not-a-member':
-      handleNotAMember(transition, name, answered, reply, now);
+      handleNotAMember(transition, name, readAfterReply, reply, now);
       return;
     case 'page-read':
-      handlePage(transition, name, answered, reply, now);
+      handlePage(transition, name, readAfterReply, reply, now);
       return;
     default:
-      setPeerRead(transition, name, answered);
+      setPeerRead(transition, name, readAfterReply);
   }
 };
--- a/packages/replica/src/protocol/codec.ts
+++ b/packages/replica/src/protocol/codec.ts
@@ -1,4 +1,4 @@
-/** Maps requests and replies between their types in this project and their form on the wire. */
+/** Maps requests and replies between their types in `messages.ts` and their wire format. */
 import {
   decodeAcceptedValue,
   decodeProposalNumber,
@@ -47,85 +47,100 @@
 ): Readonly<Record<string, To>> =>
   Object.fromEntries(Object.entries(table).map(([key, value]) => [key, map(value)]));
 
-const encodeOperation = (call: ReplicaOperation): WireOperation => {
-  switch (call.kind) {
+const encodeOperation = (operation: ReplicaOperation): WireOperation => {
+  switch (operation.kind) {
     case 'prepare':
-      return { kind: 'prepare', key: call.key, ballot: encodeProposalNumber(call.proposalNumber) };
+      return {
+        kind: 'prepare',
+        key: operation.key,
+        ballot: encodeProposalNumber(operation.proposalNumber),
+      };
     case 'accept':
       return {
         kind: 'accept',
-        key: call.key,
-        ballot: encodeProposalNumber(call.proposalNumber),
-        value: call.value,
-        disk: call.diskId,
+        key: operation.key,
+        ballot: encodeProposalNumber(operation.proposalNumber),
+        value: operation.value,
+        disk: operation.diskId,
       };
     case 'append-entries':
-      return { kind: 'post', facts: call.entries.map(encodeEntry) };
+      return { kind: 'post', facts: operation.entries.map(encodeEntry) };
     case 'poll':
       return {
         kind: 'pull',
-        cursor: call.cursor === null ? null : encodeCursor(call.cursor),
-        keys: call.keys,
+        cursor: operation.cursor === null ? null : encodeCursor(operation.cursor),
+        keys: operation.keys,
       };
     case 'read-register':
-      return { kind: 'fetch', key: call.key };
+      return { kind: 'fetch', key: operation.key };
     case 'read-page':
-      return { kind: 'dump', after: call.after };
+      return { kind: 'dump', after: operation.after };
     case 'restore':
       return {
         kind: 'restore',
-        cells: call.registers.map(([key, accepted]) => [key, encodeAcceptedValue(accepted)]),
-        facts: call.entries.map(encodeEntry),
+        cells: operation.registers.map(([key, accepted]) => [key, encodeAcceptedValue(accepted)]),
+        facts: operation.entries.map(encodeEntry),
       };
   }
 };
 
-const decodeOperation = (call: WireOperation): ReplicaOperation => {
-  switch (call.kind) {
+const decodeOperation = (operation: WireOperation): ReplicaOperation => {
+  switch (operation.kind) {
     case 'prepare':
-      return { kind: 'prepare', key: call.key, proposalNumber: decodeProposalNumber(call.ballot) };
+      return {
+        kind: 'prepare',
+        key: operation.key,
+        proposalNumber: decodeProposalNumber(operation.ballot),
+      };
     case 'accept':
       return {
         kind: 'accept',
-        key: call.key,
-        proposalNumber: decodeProposalNumber(call.ballot),
-        value: call.value,
-        diskId: call.disk,
+        key: operation.key,
+        proposalNumber: decodeProposalNumber(operation.ballot),
+        value: operation.value,
+        diskId: operation.disk,
       };
     case 'post':
-      return { kind: 'append-entries', entries: call.facts.map(decodeEntry) };
+      return { kind: 'append-entries', entries: operation.facts.map(decodeEntry) };
     case 'pull':
       return {
         kind: 'poll',
-        cursor: call.cursor === null ? null : decodeCursor(call.cursor),
-        keys: call.keys,
+        cursor: operation.cursor === null ? null : decodeCursor(operation.cursor),
+        keys: operation.keys,
       };
     case 'fetch':
-      return { kind: 'read-register', key: call.key };
+      return { kind: 'read-register', key: operation.key };
     case 'dump':
-      return { kind: 'read-page', after: call.after };
+      return { kind: 'read-page', after: operation.after };
     case 'restore':
       return {
         kind: 'restore',
-        registers: call.cells.map(([key, accepted]) => [key, decodeAcceptedValue(accepted)]),
-        entries: call.facts.map(decodeEntry),
+        registers: operation.cells.map(([key, accepted]) => [key, decodeAcceptedValue(accepted)]),
+        entries: operation.facts.map(decodeEntry),
       };
     default:
-      throw unknownMessage('request', call satisfies never);
+      throw unknownMessage('request', operation satisfies never);
   }
 };
 
-const unknownMessage = (what: string, message: { readonly kind?: unknown }): ReplicaProtocolError =>
-  new ReplicaProtocolError('unknown-message', `unknown ${what}: ${String(message.kind)}`);
+const unknownMessage = (
+  messageType: string,
+  message: { readonly kind?: unknown },
+): ReplicaProtocolError =>
+  new ReplicaProtocolError('unknown-message', `unknown ${messageType}: ${String(message.kind)}`);
 
-/** A request as it is sent. */
+/** Encodes a request for the wire. */
 export const encodeReplicaRequest = (request: ReplicaRequest): WireRequest => ({
   members: request.membership === null ? null : encodeMembership(request.membership),
   call: encodeOperation(request.operation),
   ...(request.hasLiveSpare === true ? { spare: true } : {}),
 });
 
-/** @throws ReplicaProtocolError `unknown-message` where this version does not know the operation */
+/**
+ * Decodes a request.
+ *
+ * @throws ReplicaProtocolError `unknown-message` if this version does not know the operation
+ */
 export const decodeReplicaRequest = (body: unknown): ReplicaRequest => {
   const request = body as WireRequest;
   return {
@@ -166,7 +181,7 @@
   ...(reply.readOnly === true ? { isReadOnly: true } : {}),
 });
 
-/** A reply as it is sent. */
+/** Encodes a reply for the wire. */
 export const encodeReplicaReply = (reply: ReplicaReply): WireReply => {
   const { diskId: disk } = reply;
   switch (reply.kind) {
@@ -210,7 +225,11 @@
   }
 };
 
-/** @throws ReplicaProtocolError `unknown-message` where this version does not know the reply */
+/**
+ * Decodes a reply.
+ *
+ * @throws ReplicaProtocolError `unknown-message` if this version does not know the reply
+ */
 export const decodeReplicaReply = (body: unknown): ReplicaReply => {
   const reply = body as WireReply;
   const { disk } = reply;
--- a/packages/replica/src/protocol/errors.ts
+++ b/packages/replica/src/protocol/errors.ts
@@ -2,7 +2,7 @@
 import { CodedError } from '@reedyard/logging';
 
 /**
- * A message or record that this version does not know. Its `code` is `unknown-message` or
- * `unknown-record`.
+ * Thrown for a message or record of a kind that this version does not know. Its `code` is
+ * `unknown-message` or `unknown-record`.
  */
 export class ReplicaProtocolError extends CodedError {}
--- a/packages/replica/src/protocol/wire-format.ts
+++ b/packages/replica/src/protocol/wire-format.ts
@@ -1,7 +1,7 @@
 /**
- * The form of requests to replicas and of their replies between processes. It stays as it is, since
- * agents and replicas of different versions run side by side; `codec.ts` maps it to the types of
- * `messages.ts`, and nothing else in the project knows it.
+ * The wire format of requests to replicas and of their replies. It must not change, since agents and
+ * replicas of different versions run side by side. `codec.ts` maps it to the types of `messages.ts`,
+ * and no other code in the project depends on it.
  */
 import type {
   WireAcceptedValue,
@@ -11,20 +11,20 @@
 } from '@reedyard/consensus';
 import type { WireCommittedMembership } from './wire-membership.js';
 
-/** A journal entry. */
+/** A journal entry, as it is sent and stored. */
 export type WireEntry = { readonly key: string; readonly value: unknown };
 
-/** A position in one replica's journal. */
+/** A position in one replica's journal, as it is sent. */
 export type WireCursor = { readonly disk: string; readonly seq: number };
 
-/** A request, with the membership that its sender counts by. */
+/** A request, with the membership by which its sender counts votes. */
 export type WireRequest = {
   readonly members: WireCommittedMembership | null;
   readonly call: WireOperation;
   readonly spare?: true;
 };
 
-/** What a request asks for. */
+/** The operation of a request. */
 export type WireOperation =
   | { readonly kind: 'prepare'; readonly key: string; readonly ballot: WireProposalNumber }
   | {
@@ -44,7 +44,7 @@
       readonly facts: readonly WireEntry[];
     };
 
-/** A replica's reply. */
+/** A replica's reply, with the id of its disk. */
 export type WireReply =
   | {
       readonly kind: 'away';
--- a/packages/replica/src/protocol/wire-membership.ts
+++ b/packages/replica/src/protocol/wire-membership.ts
@@ -1,4 +1,4 @@
-/** The stored and sent form of a committed membership. The membership itself is stored as it is. */
+/** The form in which a committed membership is stored and sent; its value is encoded unchanged. */
 import {
   decodeProposalNumber,
   encodeProposalNumber,
@@ -6,19 +6,19 @@
 } from '@reedyard/consensus';
 import type { CommittedMembership, Membership } from '../membership.js';
 
-/** A committed membership, with the proposal number that it was committed under. */
+/** A committed membership, with the proposal number under which it was chosen. */
 export type WireCommittedMembership = {
   readonly ballot: WireProposalNumber;
   readonly value: Membership;
 };
 
-/** A committed membership as it is stored and sent. */
+/** Encodes a committed membership for disk and wire. */
 export const encodeMembership = (membership: CommittedMembership): WireCommittedMembership => ({
   ballot: encodeProposalNumber(membership.proposalNumber),
   value: membership.value,
 });
 
-/** A committed membership from its stored or sent form. */
+/** Decodes a committed membership from disk or wire. */
 export const decodeMembership = (membership: WireCommittedMembership): CommittedMembership => ({
   proposalNumber: decodeProposalNumber(membership.ballot),
   value: membership.value,
--- a/packages/replica/src/reducer.ts
+++ b/packages/replica/src/reducer.ts
@@ -2,9 +2,9 @@
  * The replica's reducer: every decision of a replica, as a pure function of its state and an event.
  *
  * A replica is an acceptor of the fleet's registers, keeps a journal of entries that are written
- * once, and takes part in who may vote. Time comes in with the events; effects are carried out by
- * `ReplicaHost`, which replies only once the records appended before a reply are on disk. The
- * simulator runs this same reducer.
+ * once, and follows the membership, which decides whether it may vote. Events carry the time. Effects
+ * are carried out by `ReplicaHost`, which replies only once the records appended before a reply are
+ * on disk. The simulator runs the same reducer.
  */
 import type { Step } from '@reedyard/task-loop';
 import { expireClaims } from './claim-expiry.js';
@@ -17,10 +17,10 @@
 import { exitIfDone } from './shutdown.js';
 import { isVotingMember, type ReplicaState, type Transition, update } from './state.js';
 
-/** ms between two looks for claims and journal entries that have expired. */
+/** Interval between two removals of expired claims and journal entries, in milliseconds. */
 const expiryIntervalMs = 1_000;
 
-/** A reply to one of this replica's own requests; null where none came. */
+/** Handles the reply to one of this replica's own requests; null if the request failed. */
 const handleReply = (
   transition: Transition,
   requestId: number,
@@ -68,7 +68,7 @@
 };
 
 /**
- * The state after an event, and what is to be done outside, in order.
+ * Returns the state after an event, and the effects to carry out in order.
  *
  * @example
  * reduceReplica(state, { kind: 'tick', now: 200 })
--- a/packages/replica/src/registers.ts
+++ b/packages/replica/src/registers.ts
@@ -1,45 +1,52 @@
-/** Registers: what was promised and accepted under each key, and when each claim was last written. */
-import { Set as Group } from 'immutable';
+/** Writes registers, and records when each claim was last written. */
+import { Set as ImmutableSet } from 'immutable';
 import type { RegisterState, VoteOutcome } from '@reedyard/consensus';
 import { update, type ReplicaState, type Transition } from './state.js';
 
 /**
- * claims that a replica keeps: an hour of 139 a second, some 600 MB. A new one past that is
- * refused.
+ * The most claims that a replica keeps: an hour of 139 claims a second, some 600 MB. Beyond this, new
+ * claims are refused.
  */
 export const maxClaims = 500_000;
 
-/** Keys of claims begin with this; claims expire, other registers stay. */
+/** The prefix of claims' keys. Claims expire; all other registers are kept. */
 export const claimPrefix = 'claim/';
 
 const millisecondsPerMinute = 60_000;
 
-/** The minute of the replica's clock, which claims are expired by. */
+/** Returns the minute of the replica's clock, the unit in which the age of claims is tracked. */
 export const minuteOf = (now: number): number => Math.floor(now / millisecondsPerMinute);
 
-/** The keys of each minute without one claim. */
+/** Removes a claim from the keys of its minute. */
 export const withoutClaim = (
   keysByMinute: ReplicaState['claimKeysByMinute'],
   minute: number,
   key: string,
 ): ReplicaState['claimKeysByMinute'] => {
-  const remaining = (keysByMinute.get(minute) ?? Group<string>()).delete(key);
-  return remaining.isEmpty() ? keysByMinute.delete(minute) : keysByMinute.set(minute, remaining);
+  const remainingKeys = (keysByMinute.get(minute) ?? ImmutableSet<string>()).delete(key);
+  return remainingKeys.isEmpty()
+    ? keysByMinute.delete(minute)
+    : keysByMinute.set(minute, remainingKeys);
 };
 
-const noteClaimWritten = (transition: Transition, key: string, minute: number): void => {
+const recordClaimWrite = (transition: Transition, key: string, minute: number): void => {
   const { claimMinuteByKey, claimKeysByMinute } = transition.state;
-  const before = claimMinuteByKey.get(key);
-  if (before === minute) return;
-  const others =
-    before === undefined ? claimKeysByMinute : withoutClaim(claimKeysByMinute, before, key);
+  const previousMinute = claimMinuteByKey.get(key);
+  if (previousMinute === minute) return;
+  const otherClaims =
+    previousMinute === undefined
+      ? claimKeysByMinute
+      : withoutClaim(claimKeysByMinute, previousMinute, key);
   update(transition, {
     claimMinuteByKey: claimMinuteByKey.set(key, minute),
-    claimKeysByMinute: others.set(minute, (others.get(minute) ?? Group<string>()).add(key)),
+    claimKeysByMinute: otherClaims.set(
+      minute,
+      (otherClaims.get(minute) ?? ImmutableSet<string>()).add(key),
+    ),
   });
 };
 
-/** Writes a register, in the state and to disk. */
+/** Writes a register to the state and to disk. */
 export const writeRegister = (
   transition: Transition,
   key: string,
@@ -47,14 +54,14 @@
   now: number,
 ): void => {
   update(transition, { registers: transition.state.registers.set(key, register) });
-  if (key.startsWith(claimPrefix)) noteClaimWritten(transition, key, minuteOf(now));
+  if (key.startsWith(claimPrefix)) recordClaimWrite(transition, key, minuteOf(now));
   transition.effects.push({
     kind: 'append-records',
     records: [{ kind: 'register-written', key, register }],
   });
 };
 
-/** Replies with a vote; a register that changed by it is written first. */
+/** Replies with a vote. A register that it changes is written first. */
 export const replyWithVote = (
   transition: Transition,
   requestId: number,
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -1,15 +1,16 @@
 /**
- * Runs the replica's reducer on a log. It owns the state and its order, and guarantees that no
- * answer tells of anything that is not on disk:
+ * Runs the replica's reducer on a log. The host owns the state and the order of events, and
+ * guarantees that no reply reveals anything that is not on disk:
  *
- * - an answer that follows from unsynced records is held until they are synced,
- * - polls and fetches are answered at once, from the state that is on disk,
- * - after a write or sync that failed, the state goes back to what is on disk; until the log has
- *   recovered, only calls that change nothing are answered, and all others are refused at once,
- * - while a sync hangs, calls that need one are refused as well, so that nobody waits for this
- *   disk.
+ * - a reply that depends on unsynced records is delayed until they are synced,
+ * - polls and register reads get an immediate reply, from the state that is on disk,
+ * - after a failed write or sync, the state is rolled back to what is on disk; until the log has
+ *   recovered, only requests that change nothing are carried out, and all others are refused
+ *   immediately,
+ * - while a sync hangs, requests that need a sync are refused as well, so that no client waits for
+ *   this disk.
  *
- * Time, calls and logging are handed in.
+ * Time, calls and logging are injected.
  */
 import { callTimeoutMs } from '@reedyard/rpc';
 import type { Step } from '@reedyard/task-loop';
@@ -23,11 +24,11 @@
 import type { ReplicaRecord } from './storage/records.js';
 import type { ReplicaLog } from './storage/replica-log.js';
 
-/** What the host does outside. */
+/** The clock, calls, process and log that the host works with. */
 export type ReplicaEnvironment = {
   readonly now: () => number;
-  readonly call: (address: string, body: ReplicaRequest) => Promise<ReplicaReply>;
-  /** Ends the process: it was asked to stop, and nothing waits for it any more. */
+  readonly call: (address: string, request: ReplicaRequest) => Promise<ReplicaReply>;
+  /** Ends the process, which was requested to stop, once no other replica still needs it. */
   readonly exitProcess: () => void;
   readonly log: (
     level: 'info' | 'warn' | 'error',
@@ -36,33 +37,34 @@
   ) => void;
 };
 
-/** Answers that wait for a sync at once; more are refused. */
+/** Replies that may wait for a sync concurrently; further requests are refused. */
 const maxPendingReplies = 4_096;
 /**
- * ms. A sync that takes this long is of no use to who waits for it: as long as a phase of a
- * proposal.
+ * Time in milliseconds after which a sync counts as stalled. It equals the time for a phase of a
+ * proposal, after which no client waits for the reply any longer.
  */
-const stallMs = proposalPhaseTimeoutMs;
-/** ms. First and longest pause between two tries to recover a disk that refuses. */
-const firstRecoveryPause = 250;
-const longestRecoveryPause = 1_000;
-/** ms. A disk that was well for this long is tried again soon after its next failure. */
-const calmAfterRecovery = 10_000;
-/** ms. After a snapshot that could not be written. */
-const snapshotPause = 2_000;
-
+const stallTimeoutMs = proposalPhaseTimeoutMs;
+/** First and longest delay between two attempts to recover a failed disk, in milliseconds. */
+const minRecoveryDelayMs = 250;
+const maxRecoveryDelayMs = 1_000;
+/** After this time without a failure, in milliseconds, the recovery delay starts again at its minimum. */
+const recoveryDelayResetMs = 10_000;
+/** Delay before the next snapshot after one that could not be written, in milliseconds. */
+const snapshotRetryDelayMs = 2_000;
+
+/** A reply that waits for a sync. */
 type PendingReply = {
   readonly requestedAt: number;
   readonly reply: ReplicaReply;
   readonly resolve: (reply: ReplicaReply) => void;
 };
 
-/** Records on their way to the disk, and what follows once they are there. */
+/** An append in flight, and the replies and the state that depend on it. */
 type PendingAppend = {
   readonly startedAt: number;
-  /** The state that is on disk once these records are. */
+  /** The state that is on disk once these records are synced. */
   state: ReplicaState;
-  readonly answers: PendingReply[];
+  readonly replies: PendingReply[];
 };
 
 type RequestReceived = Extract<ReplicaEvent, { kind: 'request-received' }>;
@@ -74,136 +76,139 @@
 const replyIn = (effects: readonly ReplicaEffect[]): SendReply | undefined =>
   effects.find((effect): effect is SendReply => effect.kind === 'send-reply');
 
-/** One replica: its state, its order of events, and its log. */
+/** A replica with its state, its sequence of events and its log. */
 export class ReplicaHost {
   readonly #log: ReplicaLog;
-  readonly #shell: ReplicaEnvironment;
+  readonly #environment: ReplicaEnvironment;
   readonly #openingRecords: readonly ReplicaRecord[];
-  /** With all that was decided, also what is not on disk yet. */
+  /** The state after all events, including changes that are not on disk yet. */
   #state: ReplicaState;
-  /** As it is on disk. */
-  #durable: ReplicaState;
-  /** Whether what the disk held at the start, and the opening records, are durable. */
-  #opened = false;
-  #pending: PendingAppend[] = [];
-  #heldAnswers = 0;
-  #failed = false;
-  #recovering = false;
-  #recoverAt = 0;
-  #recoveryPause = firstRecoveryPause;
+  /** The state that is on disk. */
+  #durableState: ReplicaState;
+  /** Whether the log is usable and the opening records are durable. */
+  #isOpen = false;
+  #pendingAppends: PendingAppend[] = [];
+  #pendingReplyCount = 0;
+  #hasFailed = false;
+  #isRecovering = false;
+  #nextRecoveryAt = 0;
+  #recoveryDelayMs = minRecoveryDelayMs;
   #recoveredAt = -Infinity;
-  #stallLogged = false;
-  #compacting = false;
-  #compactAt = -Infinity;
-  #snapshotFailureLogged = false;
-  #nextAsk = 1;
+  #isStallLogged = false;
+  #isCompacting = false;
+  #nextCompactionAt = -Infinity;
+  #isSnapshotFailureLogged = false;
+  #nextRequestId = 1;
 
   constructor(
     opened: Step<ReplicaState, ReplicaEffect>,
     log: ReplicaLog,
-    shell: ReplicaEnvironment,
+    environment: ReplicaEnvironment,
   ) {
     this.#log = log;
-    this.#shell = shell;
+    this.#environment = environment;
     this.#state = opened.state;
-    this.#durable = opened.state;
+    this.#durableState = opened.state;
     this.#openingRecords = recordsIn(opened.effects);
     if (log.available()) this.#appendOpeningRecords();
-    else this.#fail();
+    else this.#handleDiskFailure();
   }
 
-  /** The state with all that was decided. */
+  /** The state after all events, including changes that are not on disk yet. */
   get state(): ReplicaState {
     return this.#state;
   }
 
   /** The state that is on disk. */
   get durableState(): ReplicaState {
-    return this.#durable;
+    return this.#durableState;
   }
 
-  /** Whether it takes part: everything that it is asked may be answered. */
+  /** Whether requests of every kind can be carried out. */
   get isAvailable(): boolean {
-    return this.#opened && !this.#failed && !this.#stalled();
+    return this.#isOpen && !this.#hasFailed && !this.#isStalled();
   }
 
-  /** Answers a call, perhaps with a refusal; late answers are given to nobody. */
-  handleRequest(body: ReplicaRequest): Promise<ReplicaReply> {
-    if (!this.#opened) return Promise.resolve(this.#refusal());
-    const id = this.#nextAsk;
-    this.#nextAsk += 1;
+  /** Handles a request. The reply is a refusal if the disk is not available or not in time. */
+  handleRequest(request: ReplicaRequest): Promise<ReplicaReply> {
+    if (!this.#isOpen) return Promise.resolve(this.#refusal());
+    const requestId = this.#nextRequestId;
+    this.#nextRequestId += 1;
     const event: RequestReceived = {
       kind: 'request-received',
-      requestId: id,
-      request: body,
-      now: this.#shell.now(),
+      requestId,
+      request,
+      now: this.#environment.now(),
     };
-    const read = this.#readDurable(event);
-    if (read !== null) {
-      this.#noteSpare(event);
-      return Promise.resolve(read);
+    const durableReply = this.#replyFromDurableState(event);
+    if (durableReply !== null) {
+      this.#recordSpare(event);
+      return Promise.resolve(durableReply);
     }
     return new Promise((resolve) => {
       if (!this.#apply(event, resolve)) resolve(this.#refusal());
     });
   }
 
-  /** The process was asked to stop: it ends once nothing waits for this replica. */
+  /** Requests the replica to stop. The process ends once no other replica still needs this one. */
   stop(): void {
-    const isTaken = this.#opened && this.#apply({ kind: 'stop-requested', now: this.#shell.now() });
-    if (!isTaken) this.#shell.exitProcess();
+    const isAccepted =
+      this.#isOpen && this.#apply({ kind: 'stop-requested', now: this.#environment.now() });
+    if (!isAccepted) this.#environment.exitProcess();
   }
 
-  /** What falls due: to be called a few times a second. */
+  /** Does periodic work; to be called a few times a second. */
   tick(): void {
-    this.#reportStall();
-    this.#dropLateAnswers();
+    this.#logStallChange();
+    this.#refuseExpiredRequests();
     this.#recoverIfDue();
-    if (!this.#opened) return;
-    this.#apply({ kind: 'tick', now: this.#shell.now() });
+    if (!this.#isOpen) return;
+    this.#apply({ kind: 'tick', now: this.#environment.now() });
     this.#compactIfDue();
   }
 
   /**
-   * A poll or fetch that changes nothing, answered as if it had come before what is not on disk
-   * yet.
+   * Returns the reply to a poll or register read that changes nothing, as if the request had arrived
+   * before the changes that are not on disk yet; null for other requests.
    */
-  #readDurable(event: RequestReceived): ReplicaReply | null {
+  #replyFromDurableState(event: RequestReceived): ReplicaReply | null {
     const { kind } = event.request.operation;
     if (kind !== 'poll' && kind !== 'read-register') return null;
-    const { effects } = reduceReplica(this.#durable, event);
+    const { effects } = reduceReplica(this.#durableState, event);
     if (recordsIn(effects).length > 0) return null;
     const reply = replyIn(effects)?.reply ?? null;
     return reply?.kind === 'polled' && !this.isAvailable ? { ...reply, isReadOnly: true } : reply;
   }
 
   /**
-   * What a caller told of blank replicas counts also where it was answered from the disk's state.
+   * Records that a request reported a blank replica, also if its reply was made from the state on
+   * disk.
    */
-  #noteSpare({ request: body, now }: RequestReceived): void {
-    if (body.hasLiveSpare !== true) return;
+  #recordSpare({ request, now }: RequestReceived): void {
+    if (request.hasLiveSpare !== true) return;
     this.#state = { ...this.#state, spareSeenAt: now };
-    this.#followPending();
+    this.#updateLastPendingState();
   }
 
   /**
-   * Takes an event, or refuses it as if it had never come: if it needs a disk that takes nothing.
+   * Handles an event. Returns false, as if the event had never arrived, if it needs a write but the
+   * disk is not available, or if too many replies are waiting.
    */
   #apply(event: ReplicaEvent, resolve?: (reply: ReplicaReply) => void): boolean {
-    const step = reduceReplica(this.#state, event);
-    const records = recordsIn(step.effects);
+    const outcome = reduceReplica(this.#state, event);
+    const records = recordsIn(outcome.effects);
     if (records.length > 0 && !this.isAvailable) return false;
-    if (resolve !== undefined && this.#heldAnswers >= maxPendingReplies) return false;
-    this.#state = step.state;
+    if (resolve !== undefined && this.#pendingReplyCount >= maxPendingReplies) return false;
+    this.#state = outcome.state;
     if (records.length > 0) this.#append(records);
-    else this.#followPending();
-    for (const effect of step.effects) this.#perform(effect, resolve);
+    else this.#updateLastPendingState();
+    for (const effect of outcome.effects) this.#perform(effect, resolve);
     return true;
   }
 
-  #followPending(): void {
-    const last = this.#pending.at(-1);
-    if (last === undefined) this.#durable = this.#state;
+  #updateLastPendingState(): void {
+    const last = this.#pendingAppends.at(-1);
+    if (last === undefined) this.#durableState = this.#state;
     else last.state = this.#state;
   }
 
@@ -212,186 +217,196 @@
       case 'append-records':
         return;
       case 'send-reply':
-        if (resolve !== undefined) this.#answerOnceSynced(effect.reply, resolve);
+        if (resolve !== undefined) this.#replyOnceSynced(effect.reply, resolve);
         return;
       case 'send-request':
         this.#call(effect.requestId, effect.to, effect.request);
         return;
       case 'exit':
-        this.#shell.exitProcess();
+        this.#environment.exitProcess();
         return;
       case 'log':
-        this.#shell.log('info', effect.event, effect.fields);
+        this.#environment.log('info', effect.event, effect.fields);
         return;
     }
   }
 
-  #call(id: number, to: string, body: ReplicaRequest): void {
-    this.#shell.call(to, body).then(
+  #call(requestId: number, address: string, request: ReplicaRequest): void {
+    this.#environment.call(address, request).then(
       (reply) =>
         this.#apply({
           kind: 'reply-received',
-          requestId: id,
-          reply: reply,
-          now: this.#shell.now(),
+          requestId,
+          reply,
+          now: this.#environment.now(),
         }),
-      () => this.#apply({ kind: 'request-failed', requestId: id, now: this.#shell.now() }),
+      () => this.#apply({ kind: 'request-failed', requestId, now: this.#environment.now() }),
     );
   }
 
-  #answerOnceSynced(reply: ReplicaReply, resolve: (reply: ReplicaReply) => void): void {
-    const last = this.#pending.at(-1);
+  #replyOnceSynced(reply: ReplicaReply, resolve: (reply: ReplicaReply) => void): void {
+    const last = this.#pendingAppends.at(-1);
     if (last === undefined) {
       resolve(reply);
       return;
     }
-    this.#heldAnswers += 1;
-    last.answers.push({ requestedAt: this.#shell.now(), reply, resolve });
+    this.#pendingReplyCount += 1;
+    last.replies.push({ requestedAt: this.#environment.now(), reply, resolve });
   }
 
   #append(records: readonly ReplicaRecord[]): void {
-    const pending: PendingAppend = {
-      startedAt: this.#shell.now(),
+    const pendingAppend: PendingAppend = {
+      startedAt: this.#environment.now(),
       state: this.#state,
-      answers: [],
+      replies: [],
     };
-    this.#pending.push(pending);
+    this.#pendingAppends.push(pendingAppend);
     this.#log.append(records).then(
-      () => this.#synced(pending),
-      () => this.#fail(),
+      () => this.#handleSynced(pendingAppend),
+      () => this.#handleDiskFailure(),
     );
     this.#compactIfDue();
   }
 
-  /** Appends are acknowledged in order, so this is the oldest. */
-  #synced(pending: PendingAppend): void {
-    if (this.#pending[0] !== pending) return;
-    this.#pending.shift();
-    this.#durable = pending.state;
-    this.#heldAnswers -= pending.answers.length;
-    for (const answer of pending.answers) answer.resolve(this.#unlessLate(answer));
-    this.#reportStall();
+  /** Delivers the replies that waited for this append. Appends are acknowledged in order. */
+  #handleSynced(pendingAppend: PendingAppend): void {
+    if (this.#pendingAppends[0] !== pendingAppend) return;
+    this.#pendingAppends.shift();
+    this.#durableState = pendingAppend.state;
+    this.#pendingReplyCount -= pendingAppend.replies.length;
+    for (const pendingReply of pendingAppend.replies)
+      pendingReply.resolve(this.#refuseIfExpired(pendingReply));
+    this.#logStallChange();
   }
 
-  #unlessLate({ requestedAt, reply }: PendingReply): ReplicaReply {
-    return this.#shell.now() - requestedAt > callTimeoutMs ? this.#refusal() : reply;
+  #refuseIfExpired({ requestedAt, reply }: PendingReply): ReplicaReply {
+    return this.#environment.now() - requestedAt > callTimeoutMs ? this.#refusal() : reply;
   }
 
-  /** Whoever asked so long ago waits no more. */
-  #dropLateAnswers(): void {
-    const since = this.#shell.now() - callTimeoutMs;
-    for (const { answers } of this.#pending) {
-      const late = answers.filter((answer) => answer.requestedAt < since);
-      if (late.length === 0) continue;
-      this.#heldAnswers -= late.length;
-      for (const answer of late) answer.resolve(this.#refusal());
-      const stillPending = answers.filter((answer) => answer.requestedAt >= since);
-      answers.splice(0, answers.length, ...stillPending);
+  /** Refuses requests that are so old that their clients no longer wait. */
+  #refuseExpiredRequests(): void {
+    const earliestRequestedAt = this.#environment.now() - callTimeoutMs;
+    for (const { replies } of this.#pendingAppends) {
+      const expired = replies.filter(
+        (pendingReply) => pendingReply.requestedAt < earliestRequestedAt,
+      );
+      if (expired.length === 0) continue;
+      this.#pendingReplyCount -= expired.length;
+      for (const pendingReply of expired) pendingReply.resolve(this.#refusal());
+      const stillPending = replies.filter(
+        (pendingReply) => pendingReply.requestedAt >= earliestRequestedAt,
+      );
+      replies.splice(0, replies.length, ...stillPending);
     }
   }
 
-  /** Ids of calls are not used twice, also where the state goes back. */
+  /** Returns to the state on disk. Request ids are not reused, although the state is rolled back. */
   #rollBack(): void {
-    this.#state = { ...this.#durable, nextRequestId: this.#state.nextRequestId };
-    this.#durable = this.#state;
+    this.#state = { ...this.#durableState, nextRequestId: this.#state.nextRequestId };
+    this.#durableState = this.#state;
     const refusal = this.#refusal();
-    const answers = this.#pending.flatMap((pending) => pending.answers);
-    this.#pending = [];
-    this.#heldAnswers = 0;
-    for (const { resolve } of answers) resolve(refusal);
+    const pendingReplies = this.#pendingAppends.flatMap((pendingAppend) => pendingAppend.replies);
+    this.#pendingAppends = [];
+    this.#pendingReplyCount = 0;
+    for (const { resolve } of pendingReplies) resolve(refusal);
   }
 
-  #fail(): void {
-    if (this.#failed) return;
-    this.#failed = true;
+  #handleDiskFailure(): void {
+    if (this.#hasFailed) return;
+    this.#hasFailed = true;
     this.#rollBack();
-    const now = this.#shell.now();
-    if (now - this.#recoveredAt > calmAfterRecovery) this.#recoveryPause = firstRecoveryPause;
-    this.#recoverAt = now + this.#recoveryPause;
-    this.#shell.log('error', 'disk.unavailable', { text: this.#log.failure()?.message ?? '' });
+    const now = this.#environment.now();
+    if (now - this.#recoveredAt > recoveryDelayResetMs) this.#recoveryDelayMs = minRecoveryDelayMs;
+    this.#nextRecoveryAt = now + this.#recoveryDelayMs;
+    this.#environment.log('error', 'disk.unavailable', {
+      text: this.#log.failure()?.message ?? '',
+    });
   }
 
   #recoverIfDue(): void {
-    if (!this.#failed || this.#recovering || this.#shell.now() < this.#recoverAt) return;
-    this.#recovering = true;
+    if (!this.#hasFailed || this.#isRecovering || this.#environment.now() < this.#nextRecoveryAt)
+      return;
+    this.#isRecovering = true;
     this.#log.recover().then(
-      () => this.#recovered(),
-      () => this.#recoverLater(),
+      () => this.#handleRecovered(),
+      () => this.#scheduleRecovery(),
     );
   }
 
-  #recoverLater(): void {
-    this.#recovering = false;
-    this.#recoveryPause = Math.min(this.#recoveryPause * 2, longestRecoveryPause);
-    this.#recoverAt = this.#shell.now() + this.#recoveryPause;
+  #scheduleRecovery(): void {
+    this.#isRecovering = false;
+    this.#recoveryDelayMs = Math.min(this.#recoveryDelayMs * 2, maxRecoveryDelayMs);
+    this.#nextRecoveryAt = this.#environment.now() + this.#recoveryDelayMs;
   }
 
-  #recovered(): void {
-    this.#recovering = false;
-    this.#failed = false;
-    this.#recoveredAt = this.#shell.now();
-    this.#recoveryPause = Math.min(this.#recoveryPause * 2, longestRecoveryPause);
-    this.#shell.log('info', 'disk.available');
-    if (!this.#opened) this.#appendOpeningRecords();
+  #handleRecovered(): void {
+    this.#isRecovering = false;
+    this.#hasFailed = false;
+    this.#recoveredAt = this.#environment.now();
+    this.#recoveryDelayMs = Math.min(this.#recoveryDelayMs * 2, maxRecoveryDelayMs);
+    this.#environment.log('info', 'disk.available');
+    if (!this.#isOpen) this.#appendOpeningRecords();
   }
 
   #appendOpeningRecords(): void {
     if (this.#openingRecords.length === 0) {
-      this.#opened = true;
+      this.#isOpen = true;
       return;
     }
     this.#log.append(this.#openingRecords).then(
       () => {
-        this.#opened = true;
+        this.#isOpen = true;
       },
-      () => this.#fail(),
+      () => this.#handleDiskFailure(),
     );
   }
 
-  #stalled(): boolean {
-    const oldest = this.#pending[0];
-    return oldest !== undefined && this.#shell.now() - oldest.startedAt > stallMs;
+  #isStalled(): boolean {
+    const oldest = this.#pendingAppends[0];
+    return oldest !== undefined && this.#environment.now() - oldest.startedAt > stallTimeoutMs;
   }
 
-  #reportStall(): void {
-    const stalled = this.#stalled();
-    if (stalled === this.#stallLogged) return;
-    this.#stallLogged = stalled;
-    if (stalled) this.#shell.log('warn', 'disk.stalled', { pending: this.#pending.length });
-    else this.#shell.log('info', 'disk.resumed');
+  #logStallChange(): void {
+    const hasStalled = this.#isStalled();
+    if (hasStalled === this.#isStallLogged) return;
+    this.#isStallLogged = hasStalled;
+    if (hasStalled)
+      this.#environment.log('warn', 'disk.stalled', { pending: this.#pendingAppends.length });
+    else this.#environment.log('info', 'disk.resumed');
   }
 
-  /** Snapshots cost as much as they are large: the larger the last one, the later the next. */
+  /** Starts a snapshot if one is due. The larger the last snapshot, the later the next one is due. */
   #compactIfDue(): void {
-    if (this.#compacting || !this.isAvailable || this.#shell.now() < this.#compactAt) return;
-    const most = Math.max(snapshotAfterBytes, this.#log.snapshotBytes() / 2);
-    if (this.#log.segmentBytes() <= most && !this.#log.fragmented()) return;
-    this.#compacting = true;
+    if (this.#isCompacting || !this.isAvailable || this.#environment.now() < this.#nextCompactionAt)
+      return;
+    const thresholdBytes = Math.max(snapshotAfterBytes, this.#log.snapshotBytes() / 2);
+    if (this.#log.segmentBytes() <= thresholdBytes && !this.#log.fragmented()) return;
+    this.#isCompacting = true;
     this.#log
-      .compact(() => snapshotRecords(this.#durable))
+      .compact(() => snapshotRecords(this.#durableState))
       .then(
-        () => this.#compacted(),
-        (thrown: unknown) => this.#compactionFailed(thrown),
+        () => this.#handleCompacted(),
+        (error: unknown) => this.#handleCompactionFailure(error),
       );
   }
 
-  #compacted(): void {
-    this.#compacting = false;
-    this.#snapshotFailureLogged = false;
-    this.#shell.log('info', 'disk.compacted', { bytes: this.#log.snapshotBytes() });
+  #handleCompacted(): void {
+    this.#isCompacting = false;
+    this.#isSnapshotFailureLogged = false;
+    this.#environment.log('info', 'disk.compacted', { bytes: this.#log.snapshotBytes() });
   }
 
-  #compactionFailed(thrown: unknown): void {
-    this.#compacting = false;
-    this.#compactAt = this.#shell.now() + snapshotPause;
-    if (!this.#log.available()) this.#fail();
-    if (this.#snapshotFailureLogged) return;
-    this.#snapshotFailureLogged = true;
-    const text = thrown instanceof Error ? thrown.message : String(thrown);
-    this.#shell.log('warn', 'snapshot.failed', { text });
+  #handleCompactionFailure(error: unknown): void {
+    this.#isCompacting = false;
+    this.#nextCompactionAt = this.#environment.now() + snapshotRetryDelayMs;
+    if (!this.#log.available()) this.#handleDiskFailure();
+    if (this.#isSnapshotFailureLogged) return;
+    this.#isSnapshotFailureLogged = true;
+    const text = error instanceof Error ? error.message : String(error);
+    this.#environment.log('warn', 'snapshot.failed', { text });
   }
 
   #refusal(): ReplicaReply {
-    return { kind: 'unavailable', diskId: this.#durable.diskId };
+    return { kind: 'unavailable', diskId: this.#durableState.diskId };
   }
 }
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -196,7 +196,7 @@
     others: Parameters<typeof decideVoting>[0]['peers'],
     epoch = 2,
   ): ReturnType<typeof decideVoting> =>
-    decideVoting({ name: 'a', diskId: name, membership: { epoch, disks }, peers: others });
+    decideVoting({ slot: 'a', diskId: name, membership: { epoch, disks }, peers: others });
   t.is(
     me('1', {
       b: other('done', '2'),
--- a/packages/replica/src/request-handler.ts
+++ b/packages/replica/src/request-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Requests to a replica. A request counts only if its sender counts by the membership in force, and
- * only a voting member takes part in registers and the journal.
+ * Handles requests to a replica. A request is carried out only if its sender counts votes by the
+ * membership in force, and only a voting member takes part in registers and the journal.
  */
 import { accept, emptyRegister, prepare, type RegisterState } from '@reedyard/consensus';
 import { adoptMembership } from './committed-membership.js';
@@ -20,15 +20,15 @@
   update,
 } from './state.js';
 
-const reply = (transition: Transition, requestId: number, body: ReplicaReply): void => {
-  transition.effects.push({ kind: 'send-reply', requestId, reply: body });
+const sendReply = (transition: Transition, requestId: number, reply: ReplicaReply): void => {
+  transition.effects.push({ kind: 'send-reply', requestId, reply });
 };
 
 const registerOf = (state: ReplicaState, key: string): RegisterState =>
   state.registers.get(key) ?? emptyRegister;
 
-/** Learns what the request tells of the membership, and of spares. */
-const learnFrom = (transition: Transition, request: ReplicaRequest, now: number): void => {
+/** Adopts a newer membership from the request, and records whether a spare is known. */
+const learnFromRequest = (transition: Transition, request: ReplicaRequest, now: number): void => {
   if (request.hasLiveSpare === true) update(transition, { spareSeenAt: now });
   const wasInMembership = isInMembership(transition.state);
   adoptMembership(transition, request.membership, now);
@@ -39,12 +39,12 @@
 };
 
 /**
- * Whether the sender counts by an older membership than this replica knows. Only the newest one
- * that is known to be chosen counts, and only by the disks that it names. What this replica
- * accepted but does not know to be chosen changes nothing: the earlier membership, which decides on
- * it, goes on.
+ * Whether the sender counts votes by an older membership than this replica knows. Only the newest
+ * membership that is known to be chosen is in force, and only the disks that it names vote. A
+ * membership that this replica accepted but does not know to be chosen has no effect: the previous
+ * membership, which decides on it, stays in force.
  */
-const isFromOlderMembership = (state: ReplicaState, request: ReplicaRequest): boolean =>
+const isFromOutdatedMembership = (state: ReplicaState, request: ReplicaRequest): boolean =>
   senderEpoch(request) < knownEpoch(state);
 
 const senderEpoch = ({ membership }: ReplicaRequest): number => membership?.value.epoch ?? 0;
@@ -52,17 +52,17 @@
 const knownEpoch = ({ committedMembership }: ReplicaState): number =>
   committedMembership?.value.epoch ?? 0;
 
-/** Proposals for the membership go on while the other registers wait to be restored. */
+/** Whether this is a proposal for the membership, allowed while other registers await a restore. */
 const isForMembership = (operation: ReplicaOperation): boolean =>
   (operation.kind === 'prepare' || operation.kind === 'accept') && operation.key === membershipKey;
 
-const isNewClaimTooMany = (state: ReplicaState, operation: ReplicaOperation): boolean =>
+const wouldExceedClaimLimit = (state: ReplicaState, operation: ReplicaOperation): boolean =>
   operation.kind === 'prepare' &&
   operation.key.startsWith(claimPrefix) &&
   state.claimMinuteByKey.size >= maxClaims &&
   !state.registers.has(operation.key);
 
-/** Why an operation is not carried out, as a reply; null if it is. */
+/** Returns the reply that rejects a request; null if the request may be carried out. */
 const rejectionOf = (
   state: ReplicaState,
   request: ReplicaRequest,
@@ -70,22 +70,24 @@
 ): ReplicaReply | null => {
   const { operation } = request;
   const { diskId } = state;
-  // A blank disk that members find from seeds tells a sender of older members which are in force.
-  const isOlder = isFromOlderMembership(state, request);
-  if (!state.hasBegunVoting && (state.bootstrap === null || !isOlder))
+  // In a cluster founded from seeds, a blank disk too replies to an outdated sender with the newer
+  // membership.
+  const isOutdated = isFromOutdatedMembership(state, request);
+  if (!state.hasBegunVoting && (state.bootstrap === null || !isOutdated))
     return buildNotAMemberReply(state);
-  if (isOlder) return { kind: 'newer-membership', diskId, membership: state.committedMembership };
+  if (isOutdated)
+    return { kind: 'newer-membership', diskId, membership: state.committedMembership };
   if (operation.kind === 'restore') return null;
   if (!isForMembership(operation) && now < state.recoveringUntil)
     return { kind: 'recovering', diskId, epoch: knownEpoch(state) };
-  if (isNewClaimTooMany(state, operation)) return { kind: 'too-many-claims', diskId };
+  if (wouldExceedClaimLimit(state, operation)) return { kind: 'too-many-claims', diskId };
   if (!isVotingMember(state)) return buildNotAMemberReply(state);
   if (operation.kind === 'accept' && operation.diskId !== diskId)
     return buildNotAMemberReply(state);
   return null;
 };
 
-const carryOut = (
+const executeOperation = (
   transition: Transition,
   requestId: number,
   operation: Exclude<ReplicaOperation, { kind: 'read-page' }>,
@@ -108,37 +110,37 @@
     }
     case 'append-entries':
       appendEntries(transition, operation.entries, now);
-      reply(transition, requestId, { kind: 'entries-appended', diskId });
+      sendReply(transition, requestId, { kind: 'entries-appended', diskId });
       return;
     case 'poll':
-      reply(transition, requestId, buildPollReply(state, operation.cursor, operation.keys));
+      sendReply(transition, requestId, buildPollReply(state, operation.cursor, operation.keys));
       return;
     case 'read-register': {
       const { accepted } = registerOf(state, operation.key);
-      reply(transition, requestId, { kind: 'register-read', diskId, accepted });
+      sendReply(transition, requestId, { kind: 'register-read', diskId, accepted });
       return;
     }
     case 'restore':
       restore(transition, operation, now);
-      reply(transition, requestId, { kind: 'restored', diskId });
+      sendReply(transition, requestId, { kind: 'restored', diskId });
       return;
   }
 };
 
-/** Handles a request: learns from it, then carries it out or says why not. */
+/** Handles a request: adopts the membership that it carries, then carries it out or rejects it. */
 export const handleRequest = (
   transition: Transition,
   requestId: number,
   request: ReplicaRequest,
   now: number,
 ): void => {
-  learnFrom(transition, request, now);
+  learnFromRequest(transition, request, now);
   const { operation } = request;
   if (operation.kind === 'read-page') {
-    reply(transition, requestId, readPage(transition, operation.after));
+    sendReply(transition, requestId, readPage(transition, operation.after));
     return;
   }
   const rejection = rejectionOf(transition.state, request, now);
-  if (rejection === null) carryOut(transition, requestId, operation, now);
-  else reply(transition, requestId, rejection);
+  if (rejection === null) executeOperation(transition, requestId, operation, now);
+  else sendReply(transition, requestId, rejection);
 };
--- a/packages/replica/src/restore.ts
+++ b/packages/replica/src/restore.ts
@@ -1,6 +1,6 @@
 /**
- * Restoring after most disks were lost: members that founded the state anew take part in nothing
- * until agents have told them again what they know to have been chosen.
+ * Restores values after most disks were lost: members of a cluster that was founded anew take part in
+ * nothing until agents have sent them the values that they know to be chosen.
  */
 import { compareProposalNumbers, emptyRegister, mergeRegisters } from '@reedyard/consensus';
 import { appendEntries } from './journal.js';
@@ -10,14 +10,14 @@
 import { type Transition, update } from './state.js';
 
 /**
- * ms. Replicas that founded the state anew, after most disks were lost, take part in nothing until
- * they have heard no news this long from agents that tell again what they knew: six of their polls.
+ * After the cluster was founded anew, replicas take part in nothing until restores by agents have
+ * brought nothing new for this time, in milliseconds: six poll intervals of an agent.
  */
 const restoreQuietMs = 1_500;
 
 type RestoreOperation = Extract<ReplicaOperation, { kind: 'restore' }>;
 
-/** Takes over values that are newer here, under the numbers they were chosen with. */
+/** Adopts values that are newer than the replica's current, with their proposal numbers. */
 const restoreRegisters = (
   transition: Transition,
   registers: RestoreOperation['registers'],
@@ -26,19 +26,19 @@
   let isChanged = false;
   for (const [key, accepted] of registers) {
     if (key === membershipKey) continue;
-    const own = transition.state.registers.get(key) ?? emptyRegister;
+    const current = transition.state.registers.get(key) ?? emptyRegister;
     const isKnown =
-      own.accepted !== null &&
-      compareProposalNumbers(accepted.proposalNumber, own.accepted.proposalNumber) <= 0;
+      current.accepted !== null &&
+      compareProposalNumbers(accepted.proposalNumber, current.accepted.proposalNumber) <= 0;
     if (isKnown) continue;
     const restored = { promised: accepted.proposalNumber, accepted };
-    writeRegister(transition, key, mergeRegisters(own, restored), now);
+    writeRegister(transition, key, mergeRegisters(current, restored), now);
     isChanged = true;
   }
   return isChanged;
 };
 
-/** Takes over what was chosen before. Anything new makes the replica wait for more. */
+/** Adopts values and entries from before the loss. Anything new extends the wait for more. */
 export const restore = (
   transition: Transition,
   { registers, entries }: RestoreOperation,
@@ -47,16 +47,17 @@
   const { lastSequence } = transition.state;
   const hasNewRegisters = restoreRegisters(transition, registers, now);
   appendEntries(transition, entries, now);
-  const hasNews = hasNewRegisters || transition.state.lastSequence > lastSequence;
-  if (hasNews && now < transition.state.recoveringUntil)
+  const isAnythingNew = hasNewRegisters || transition.state.lastSequence > lastSequence;
+  if (isAnythingNew && now < transition.state.recoveringUntil)
     update(transition, { recoveringUntil: now + restoreQuietMs });
 };
 
 /**
- * Every member waits for what agents tell again: also one that kept its disk, since it may lack
- * what the others had, and one that read the others before they were told.
+ * Starts the wait for restores by agents. Every member waits: also a member that kept its disk, since
+ * it may lack values that the lost disks had, and a member that read the others before they were
+ * restored.
  *
- * @param refoundedEpoch the epoch of the newest founding after a loss; 0 where there was none
+ * @param refoundedEpoch the epoch of the latest founding after a loss; 0 if there was none
  */
 export const awaitRestore = (transition: Transition, refoundedEpoch: number, now: number): void => {
   if (refoundedEpoch <= transition.state.lastRefoundedEpoch) return;
--- a/packages/replica/src/retirement.ts
+++ b/packages/replica/src/retirement.ts
@@ -1,9 +1,9 @@
 /**
- * Retirement: what a replica does once its slot was given to another disk.
+ * Retirement of a replica whose slot was assigned to another disk.
  *
- * It votes no more but keeps its data, and lets its successor read it, until that one votes. So a
- * wrong suspicion or a planned shutdown never removes a copy before there is another in its stead.
- * Only then it erases its data and waits for a slot as a blank replica.
+ * The replica no longer votes, but keeps its data readable for its successor until the successor
+ * votes. So a wrong suspicion or a planned shutdown never removes a copy before another copy replaces
+ * it. Only then the replica erases its data and waits for a slot as a blank replica.
  */
 import { majorityOf } from '@reedyard/consensus';
 import { adoptMembership, eraseDisk } from './committed-membership.js';
@@ -12,24 +12,26 @@
 import { isRetired, type ReplicaState, type Retirement, type Transition, update } from './state.js';
 
 /**
- * ms. A replaced replica keeps its data this long for a successor that does not come to vote;
- * then it waits for a majority that votes without it.
+ * How long a retired replica keeps its data for a successor that does not begin to vote, in
+ * milliseconds. After that it waits until a majority votes without it.
  */
 export const retiredDataRetentionMs = 3_000;
 
-/** ms. How long ago members must have answered to count as that majority. */
+/** Maximum age of a member's reply that counts as evidence that it votes, in milliseconds. */
 export const votingEvidenceMaxAgeMs = 1_000;
 
-const beginRetirement = (now: number): Retirement => ({
+const initialRetirement = (now: number): Retirement => ({
   startedAt: now,
   pendingPolls: {},
   lastVotingAt: {},
 });
 
-/** The disk that took this one's slot, while it is still a member. */
+/** Returns the disk that replaced this disk, if it is still a member. */
 const successorOf = (membership: Membership, diskId: string): string | undefined => {
   const [slot] =
-    Object.entries(membership.predecessors ?? {}).find(([, each]) => each.disk === diskId) ?? [];
+    Object.entries(membership.predecessors ?? {}).find(
+      ([, predecessor]) => predecessor.disk === diskId,
+    ) ?? [];
   return slot === undefined ? undefined : membership.disks[slot];
 };
 
@@ -39,16 +41,15 @@
   now: number,
 ): boolean => {
   const diskIds = Object.values(membership.disks);
-  const voting = diskIds.filter(
+  const recentlyVoting = diskIds.filter(
     (diskId) => now - (lastVotingAt[diskId] ?? -Infinity) < votingEvidenceMaxAgeMs,
   );
-  return voting.length >= majorityOf(diskIds.length);
+  return recentlyVoting.length >= majorityOf(diskIds.length);
 };
 
 /**
- * Whether nothing is lost if this replica erases its data: its successor votes; or, where that one
- * was replaced in its turn or has not begun to vote for long, a majority of the members votes
- * without it.
+ * Whether this replica may erase its data without a loss: its successor votes; or, if the successor
+ * was itself replaced or has not begun to vote in time, a majority of the members votes.
  */
 const mayErase = (state: ReplicaState, retirement: Retirement, now: number): boolean => {
   const membership = state.committedMembership?.value;
@@ -59,13 +60,13 @@
   return isMajoritySeenVoting(membership, retirement, now);
 };
 
-/** A member answers this only while it may vote. */
+/** A request that only a member that may vote carries out. */
 const votingPoll = (membership: CommittedMembership): ReplicaRequest => ({
   membership,
   operation: { kind: 'read-register', key: membershipKey },
 });
 
-/** Asks the members, whom this replica no longer belongs to, whether they vote. */
+/** Polls the members of the membership, which no longer names this replica, whether they vote. */
 export const pollMembers = (transition: Transition): void => {
   const { retirement, committedMembership: membership } = transition.state;
   if (retirement === null || membership === null) return;
@@ -81,17 +82,19 @@
     });
     nextRequestId += 1;
   }
-  // Only the replies to the last two rounds of polls are waited for.
+  // Only replies to the last two rounds of polls are awaited.
   const pollCount = Object.keys(slotByRequestId).length;
-  const lastRound = Object.fromEntries(Object.entries(retirement.pendingPolls).slice(-pollCount));
+  const previousRound = Object.fromEntries(
+    Object.entries(retirement.pendingPolls).slice(-pollCount),
+  );
   update(transition, {
     nextRequestId,
-    retirement: { ...retirement, pendingPolls: { ...lastRound, ...slotByRequestId } },
+    retirement: { ...retirement, pendingPolls: { ...previousRound, ...slotByRequestId } },
   });
 };
 
 const retire = (transition: Transition, now: number): Retirement => {
-  const retirement = beginRetirement(now);
+  const retirement = initialRetirement(now);
   update(transition, { retirement, peerReads: {} });
   const { committedMembership, diskId } = transition.state;
   transition.effects.push({
@@ -102,7 +105,7 @@
   return retirement;
 };
 
-/** Begins or ends retirement, by the membership in force; called after whatever may change it. */
+/** Begins or ends retirement as the membership requires; called after each possible change of it. */
 export const updateRetirement = (transition: Transition, now: number): void => {
   const { state } = transition;
   if (!isRetired(state)) {
@@ -113,11 +116,11 @@
   if (mayErase(transition.state, retirement, now)) eraseDisk(transition);
 };
 
-/** Whether a request was one of those that ask members whether they vote. */
+/** Whether the request with this id polls a member whether it votes. */
 export const isMemberPoll = (state: ReplicaState, requestId: number): boolean =>
   state.retirement?.pendingPolls[requestId] !== undefined;
 
-/** Notes a member's reply to a poll; null where none came. */
+/** Records a member's reply to a poll; the reply is null if the request failed. */
 export const handlePollReply = (
   transition: Transition,
   requestId: number,
@@ -127,10 +130,10 @@
   const { retirement, committedMembership } = transition.state;
   const slot = retirement?.pendingPolls[requestId];
   if (retirement === null || committedMembership === null || slot === undefined) return;
-  const { [requestId]: _answered, ...pendingPolls } = retirement.pendingPolls;
-  const isVoting =
+  const { [requestId]: _handledPoll, ...pendingPolls } = retirement.pendingPolls;
+  const isReplyOfVotingMember =
     reply?.kind === 'register-read' && reply.diskId === committedMembership.value.disks[slot];
-  const lastVotingAt = isVoting
+  const lastVotingAt = isReplyOfVotingMember
     ? { ...retirement.lastVotingAt, [reply.diskId]: now }
     : retirement.lastVotingAt;
   update(transition, { retirement: { ...retirement, pendingPolls, lastVotingAt } });
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -1,4 +1,4 @@
-/** The replica's process: its log, its port, and what falls due. */
+/** Runs the replica as a process: opens its log, serves its port and schedules its ticks. */
 import { randomUUID } from 'node:crypto';
 import path from 'node:path';
 import { performance } from 'node:perf_hooks';
@@ -19,27 +19,29 @@
 import type { ReplicaState } from './state.js';
 import { openReplicaLog, type ReplicaLog } from './storage/replica-log.js';
 
-/** The settings of a machine with a replica. */
+/** Settings of a machine that runs a replica. */
 export type ReplicaSettings = Settings & { readonly replica: NonNullable<Settings['replica']> };
 
 const callPath = '/replica';
 
 const now = (): number => performance.now();
 
-/** The state from what the log holds; a blank disk gets a new name. */
+/** Restores the state from the log. A blank disk gets a new random id. */
 const openState = (
   settings: ReplicaSettings,
   log: ReplicaLog,
 ): Step<ReplicaState, ReplicaEffect> => {
   const { founders = {}, voting, name, host } = settings;
-  const others = Object.fromEntries(Object.entries(founders).filter(([each]) => each !== name));
+  const otherFounders = Object.fromEntries(
+    Object.entries(founders).filter(([founder]) => founder !== name),
+  );
   const address = `${host}:${settings.replica.port}`;
   const bootstrap =
     voting === undefined ? null : { address, seeds: voting.seeds, isFirstStart: voting.firstStart };
   const records = log.takeRecords();
   return openReplica({
     name,
-    otherFounders: others,
+    otherFounders,
     bootstrap,
     records,
     newDiskId: randomUUID(),
@@ -47,37 +49,38 @@
   });
 };
 
-const shellOf = (logger: Logger, end: () => void): ReplicaEnvironment => ({
+const environmentOf = (logger: Logger, exitProcess: () => void): ReplicaEnvironment => ({
   now,
-  exitProcess: end,
-  call: async (address, body) =>
-    decodeReplicaReply(await call(address, callPath, encodeReplicaRequest(body))),
+  exitProcess,
+  call: async (address, request) =>
+    decodeReplicaReply(await call(address, callPath, encodeReplicaRequest(request))),
   log: (level, event, fields) => logger[level](event, fields),
 });
 
 /**
- * Where logs go to a file on the same disk, a line that finds no room is lost, and nothing else.
+ * Ignores errors of stderr. If it is redirected to a file on a full disk, log lines are lost, but the
+ * process goes on.
  */
-const outliveFailedLogLines = (): void => {
+const ignoreLogErrors = (): void => {
   process.stderr.on('error', () => undefined);
 };
 
-/** Ends the process once its calls and its log are closed, and in time also if the disk hangs. */
-const closeAndExit = (listening: RpcServer | null, log: ReplicaLog, logger: Logger): void => {
+/** Ends the process once its server and log are closed, or after a timeout if the disk hangs. */
+const closeAndExit = (server: RpcServer | null, log: ReplicaLog, logger: Logger): void => {
   const exit = (): never => {
     logger.info('stopped');
     process.exit(0);
   };
   setTimeout(exit, callTimeoutMs);
-  void Promise.resolve(listening?.close())
+  void Promise.resolve(server?.close())
     .then(() => log.close())
     .then(exit);
 };
 
-/** Tells the replica to stop; it ends the process itself, or else a timer does. */
-const stopOnSignals = (replica: ReplicaHost, leave: () => void): void => {
+/** Stops the replica on a signal. It ends the process itself, or a timer does. */
+const stopOnSignals = (replica: ReplicaHost, shutDown: () => void): void => {
   const stop = (): void => {
-    setTimeout(leave, shutdownTimeoutMs).unref();
+    setTimeout(shutDown, shutdownTimeoutMs).unref();
     replica.stop();
   };
   process.once('SIGTERM', stop);
@@ -85,26 +88,26 @@
 };
 
 /**
- * Runs a replica until the process is asked to stop.
+ * Runs a replica until the process is requested to stop.
  *
  * @example
  * await runReplica(SettingsReader.start('replica', process.argv.slice(2)));
  */
 export const runReplica = async (settings: ReplicaSettings): Promise<void> => {
   const logger = openLogger({ program: 'replica', node: settings.name });
-  outliveFailedLogLines();
+  ignoreLogErrors();
   setLocalAddress(settings.host);
   const log = await openReplicaLog(path.join(settings.dataFolder, 'replica'));
   const opened = openState(settings, log);
-  let listening: RpcServer | null = null;
-  let isLeaving = false;
-  const leave = (): void => {
-    if (isLeaving) return;
-    isLeaving = true;
-    closeAndExit(listening, log, logger);
+  let server: RpcServer | null = null;
+  let isShuttingDown = false;
+  const shutDown = (): void => {
+    if (isShuttingDown) return;
+    isShuttingDown = true;
+    closeAndExit(server, log, logger);
   };
-  const replica = new ReplicaHost(opened, log, shellOf(logger, leave));
-  listening = await serveCalls(
+  const replica = new ReplicaHost(opened, log, environmentOf(logger, shutDown));
+  server = await serveCalls(
     { host: settings.listen ?? settings.host, port: settings.replica.port },
     {
       [callPath]: async (body) =>
@@ -113,6 +116,6 @@
   );
   setInterval(() => replica.tick(), replicaTickIntervalMs);
   const { diskId: disk, hasBegunVoting: voting } = opened.state;
-  logger.info('started', { port: listening.port, disk, voting });
-  stopOnSignals(replica, leave);
+  logger.info('started', { port: server.port, disk, voting });
+  stopOnSignals(replica, shutDown);
 };
--- a/packages/replica/src/shutdown.ts
+++ b/packages/replica/src/shutdown.ts
@@ -1,26 +1,25 @@
-/** When a replica whose process was asked to stop may exit. */
+/** Decides when a replica whose process was requested to stop may exit. */
 import { leaseDurationMs } from './protocol/timing.js';
 import { retiredDataRetentionMs } from './retirement.js';
 import { isRetired, isVotingMember, type ReplicaState, type Transition } from './state.js';
 
 /**
- * ms. A replica that was asked to stop waits this long for its slot to be given away, if a spare is
- * known.
+ * How long a stopping replica waits for its slot to be assigned to a known spare, in milliseconds.
  */
 export const handoverTimeoutMs = 2_000;
 
 /**
- * Whether a replica should still run: a member while a spare could take its slot, a replaced one
- * until its successor has read it.
+ * Whether a stopping replica should still run: a voting member while a spare could take over its
+ * slot, a retired replica until its successor has had time to read it.
  */
 const isStillNeeded = (state: ReplicaState, stopRequestedAt: number, now: number): boolean => {
-  const waitedMs = now - stopRequestedAt;
-  if (isRetired(state)) return waitedMs < retiredDataRetentionMs;
+  const elapsedMs = now - stopRequestedAt;
+  if (isRetired(state)) return elapsedMs < retiredDataRetentionMs;
   const hasLiveSpare = now - state.spareSeenAt < leaseDurationMs;
-  return isVotingMember(state) && hasLiveSpare && waitedMs < handoverTimeoutMs;
+  return isVotingMember(state) && hasLiveSpare && elapsedMs < handoverTimeoutMs;
 };
 
-/** Lets the process exit, once it was asked to stop and nothing waits for it. */
+/** Exits once the process was requested to stop and no other replica still needs this one. */
 export const exitIfDone = (transition: Transition, now: number): void => {
   const { state } = transition;
   const { stopRequestedAt } = state;
--- a/packages/replica/src/snapshot-threshold.ts
+++ b/packages/replica/src/snapshot-threshold.ts
@@ -1,4 +1,4 @@
-/** When a snapshot is due. */
+/** The size of the log at which a snapshot is due. */
 
-/** bytes of log after which a snapshot is written and older segments are dropped. */
+/** Bytes of log after which a snapshot is written and older segments are deleted. */
 export const snapshotAfterBytes = 8 * 1024 * 1024;
--- a/packages/replica/src/state.ts
+++ b/packages/replica/src/state.ts
@@ -1,99 +1,101 @@
-/** The state of a replica, and the questions that every part of its reducer asks of it. */
-import type { Set as Group, Map as Table } from 'immutable';
+/** The state of a replica, and the predicates shared by all parts of its reducer. */
+import type { Set as ImmutableSet, Map as ImmutableMap } from 'immutable';
 import type { RegisterState } from '@reedyard/consensus';
 import type { ReplicaEffect } from './events.js';
 import type { BootstrapSettings, CommittedMembership, Membership } from './membership.js';
 import type { JournalEntry } from './messages.js';
 
-/** A journal entry as it is kept. */
+/** A journal entry as it is kept in the state. */
 export type RetainedEntry = JournalEntry & {
   readonly sequence: number;
-  /** ms of the replica's clock; of an entry that was read from disk, when the process started. */
+  /** Time on the replica's clock in milliseconds; the process start for an entry read from disk. */
   readonly appendedAt: number;
 };
 
-/** How far another replica was read. */
+/** The progress of reading another replica. */
 export type PeerRead = {
-  /** Where its next page begins; null for its first one. */
+  /** The position of the next page; null for the first page. */
   readonly nextPage: string | null;
-  /** `blank`: it has nothing to read. `done`: it was read to its end. */
+  /** `blank`: the peer has no data to read. `done`: it was read to its end. */
   readonly state: 'reading' | 'blank' | 'done';
-  /** The request that is under way. */
+  /** The latest request in flight; null if there is none. */
   readonly requestId: number | null;
   readonly sentAt: number;
-  /** The disk that answered. */
+  /** The disk that replied. */
   readonly diskId: string;
-  /** The epoch that the peer knew of when it was read to its end. */
+  /** The epoch that the peer knew while it was read to its end. */
   readonly epoch: number;
-  /** The epoch that the present requests tell the peer. */
+  /** The epoch that the current requests carry to the peer. */
   readonly requestedEpoch: number;
-  /** Earlier requests for the same page, under the same epoch, that may still be answered. */
+  /** Earlier requests for the same page and epoch that may still get a reply. */
   readonly earlierRequestIds: readonly number[];
 };
 
-/** What a replaced replica knows of the members that go on without it. */
+/** What a retired replica knows about the members that replaced it. */
 export type Retirement = {
   readonly startedAt: number;
-  /** Polls under way: the slot that each went to, by request. */
+  /** The slot polled by each request in flight, by request id. */
   readonly pendingPolls: Readonly<Record<number, string>>;
-  /** When each disk last answered as a voting member. */
+  /** The last time when each disk replied as a voting member, by disk id. */
   readonly lastVotingAt: Readonly<Record<string, number>>;
 };
 
-/** The state of a replica. All times are ms of its own monotonic clock. */
+/** The state of a replica. All times are milliseconds of its own monotonic clock. */
 export type ReplicaState = {
   readonly name: string;
-  /** The other founders: name and address. Empty where members find themselves from seeds. */
+  /** Addresses of the other founders, by name; empty if the cluster is founded from seeds. */
   readonly otherFounders: Readonly<Record<string, string>>;
-  /** Set where members find themselves from seeds; null where the settings name every founder. */
+  /** Set if the cluster is founded from seeds; null if the settings name every founder. */
   readonly bootstrap: BootstrapSettings | null;
-  /** The newest membership that is known to be committed: the replica votes by this alone. */
+  /** The newest membership that is known to be committed; it alone decides whether to vote. */
   readonly committedMembership: CommittedMembership | null;
   /** Changes when the disk is wiped or erased, so that votes of two incarnations never mix. */
   readonly diskId: string;
-  /** Whether this disk has ever voted; it does so now if the membership names it. */
+  /** Whether this disk has begun to vote; it may vote now only if the membership names it. */
   readonly hasBegunVoting: boolean;
-  /** The epoch that it last began to vote in: what it read reaches up to there. */
+  /** The epoch in which it last began to vote; it has read everything chosen before that epoch. */
   readonly votingEpoch: number;
-  readonly registers: Table<string, RegisterState>;
-  /** The minute in which each claim was last written, and the claims of each minute. */
-  readonly claimMinuteByKey: Table<string, number>;
-  readonly claimKeysByMinute: Table<number, Group<string>>;
-  /** Keys of the registers as they were when a reader began, by the name of its reading. */
+  readonly registers: ImmutableMap<string, RegisterState>;
+  /** The minute in which each claim was last written, by key. */
+  readonly claimMinuteByKey: ImmutableMap<string, number>;
+  /** The claims last written in each minute. */
+  readonly claimKeysByMinute: ImmutableMap<number, ImmutableSet<string>>;
+  /** The keys of the registers at the start of each read by another replica, by name of the read. */
   readonly openPageReads: Readonly<Record<string, readonly string[]>>;
   /** The journal, oldest first. */
   readonly entries: readonly RetainedEntry[];
-  readonly sequenceByEntryKey: Table<string, number>;
+  readonly sequenceByEntryKey: ImmutableMap<string, number>;
   readonly lastSequence: number;
-  /** Entries up to this sequence were let go. */
+  /** The sequence up to which expired entries were removed. */
   readonly truncatedUpTo: number;
-  /** How far others were read, by the name of the reading. */
+  /** The progress of reading other replicas, by name of the read. */
   readonly peerReads: Readonly<Record<string, PeerRead>>;
   readonly nextRequestId: number;
   readonly lastExpiryAt: number;
-  /** Until when it waits for agents to restore what they know. */
+  /** The end of the wait for agents to restore the values that they know. */
   readonly recoveringUntil: number;
-  /** The newest founding after a loss that it has waited for a restore after. */
+  /** The epoch of the latest founding after a loss for which a restore was awaited. */
   readonly lastRefoundedEpoch: number;
-  /** Set while its slot is given away and it keeps its data for the successor. */
+  /** Set while the disk is replaced but keeps its data for the successor. */
   readonly retirement: Retirement | null;
-  /** When the process was asked to stop. */
+  /** The time when the process was requested to stop; null before that. */
   readonly stopRequestedAt: number | null;
-  /** When a request last said that a blank replica could take a slot. */
+  /** The last time when a request reported a blank replica that could take over a slot. */
   readonly spareSeenAt: number;
 };
 
-/** What one step of the reducer works with; the states themselves never change. */
+/** The current state and the effects so far within a step of the reducer. States are immutable. */
 export type Transition = { state: ReplicaState; readonly effects: ReplicaEffect[] };
 
-/** Replaces some fields of the state. */
+/** Replaces the given fields of the state. */
 export const update = (transition: Transition, change: Partial<ReplicaState>): void => {
   transition.state = { ...transition.state, ...change };
 };
 
 /**
- * The slot that a membership gives to this disk. Where members find themselves from seeds the disk
- * alone tells, since machines move; else the replica's name is its slot.
+ * Returns the slot that a membership assigns to this disk. In a cluster founded from seeds the slot
+ * is found by the disk id alone, since a slot moves between machines; otherwise the replica's name is
+ * its slot.
  */
 export const slotOf = (state: ReplicaState, membership: Membership): string | undefined => {
   const { name, diskId, bootstrap } = state;
@@ -107,7 +109,7 @@
   state.committedMembership !== null &&
   slotOf(state, state.committedMembership.value) !== undefined;
 
-/** Whether its slot was given away while it still holds what it voted for. */
+/** Whether the replica's slot was assigned to another disk while it still has its data. */
 export const isRetired = (state: ReplicaState): boolean =>
   state.bootstrap !== null &&
   state.hasBegunVoting &&
@@ -115,9 +117,9 @@
   !isInMembership(state);
 
 /**
- * Whether it may vote: the membership names it, and it began to vote in this very slot. Where its
- * slot was given away and back without its hearing of it, values may have been chosen meanwhile
- * that it never read: then it reads again first.
+ * Whether the replica may vote: the membership names its disk, and it has begun to vote since its slot
+ * was assigned. If the slot was assigned to another disk and back without the replica noticing, values
+ * may have been chosen meanwhile that it never read, so it must read the others again first.
  */
 export const isVotingMember = (state: ReplicaState): boolean => {
   const membership = state.committedMembership?.value;
--- a/packages/replica/src/storage/record-codec.ts
+++ b/packages/replica/src/storage/record-codec.ts
@@ -1,9 +1,9 @@
 /**
- * Maps a replica's records between their types in this project and their form on disk.
+ * Maps a replica's records between their types in `records.ts` and their form on disk.
  *
- * The stored form stays as it is: a new version must read what earlier ones wrote, and an earlier
- * one what a new version wrote, since machines are rolled forward and back. A test holds it against
- * data of an earlier version (`stored-data.test.ts`).
+ * The stored form must not change: a new version must read the data of earlier versions, and an
+ * earlier version that of a new version, since machines are upgraded and rolled back. A test checks
+ * the stored form against data of an earlier version (`stored-data.test.ts`).
  */
 import { decodeRegister, encodeRegister, type WireRegister } from '@reedyard/consensus';
 import { ReplicaProtocolError } from '../protocol/errors.js';
@@ -15,7 +15,7 @@
 } from '../protocol/wire-membership.js';
 import type { ReplicaRecord } from './records.js';
 
-/** A record as it is on disk. */
+/** A record in the form in which it is stored on disk. */
 export type StoredRecord =
   | { readonly kind: 'disk'; readonly disk: string }
   | { readonly kind: 'voting'; readonly epoch?: number }
@@ -25,7 +25,7 @@
   | { readonly kind: 'cell'; readonly key: string; readonly cell: WireRegister }
   | { readonly kind: 'fact'; readonly seq: number; readonly fact: WireEntry };
 
-/** A record as it is stored. */
+/** Encodes a record for the disk. */
 export const encodeReplicaRecord = (record: ReplicaRecord): StoredRecord => {
   switch (record.kind) {
     case 'disk-named':
@@ -52,7 +52,11 @@
   }
 };
 
-/** @throws ReplicaProtocolError `unknown-record` where this version does not know the record */
+/**
+ * Decodes a record from disk.
+ *
+ * @throws ReplicaProtocolError `unknown-record` if this version does not know the record
+ */
 export const decodeReplicaRecord = (stored: unknown): ReplicaRecord => {
   const record = stored as StoredRecord;
   switch (record.kind) {
--- a/packages/replica/src/storage/replica-log.ts
+++ b/packages/replica/src/storage/replica-log.ts
@@ -1,4 +1,4 @@
-/** The replica's records on a write-ahead log: typed inside, in their stored form on disk. */
+/** Stores the replica's records in a write-ahead log, encoded by `record-codec.ts`. */
 import {
   type LogFileSystem,
   openWriteAheadLog,
@@ -7,7 +7,7 @@
 import { decodeReplicaRecord, encodeReplicaRecord } from './record-codec.js';
 import type { ReplicaRecord } from './records.js';
 
-/** Where a replica keeps its records; see `WriteAheadLog` for what each operation guarantees. */
+/** The log of a replica's records; see `WriteAheadLog` for the guarantees of each operation. */
 export type ReplicaLog = Pick<
   WriteAheadLog,
   | 'available'
@@ -19,11 +19,11 @@
   | 'fragmented'
   | 'close'
 > & {
-  /** Gives away what was on disk at opening, oldest first; empty once it was taken. */
+  /** Returns the records found on disk at opening, oldest first, and releases them. */
   readonly takeRecords: () => readonly ReplicaRecord[];
-  /** Resolves once the records, and all before them, are synced. */
+  /** Appends records; resolves once they, and all records before them, are synced. */
   readonly append: (records: readonly ReplicaRecord[]) => Promise<void>;
-  /** Replaces what was appended so far by a snapshot of the state. */
+  /** Replaces all records appended so far by a snapshot of the state. */
   readonly compact: (state: () => Iterable<ReplicaRecord>) => Promise<void>;
 };
 
@@ -31,7 +31,7 @@
   for (const record of records) yield encodeReplicaRecord(record);
 }
 
-/** A replica's log on an open write-ahead log. */
+/** Wraps an open write-ahead log as a replica's log. */
 const replicaLogOn = (log: WriteAheadLog): ReplicaLog => ({
   available: () => log.available(),
   failure: () => log.failure(),
@@ -47,10 +47,10 @@
 });
 
 /**
- * Opens the replica's log in a folder. It opens also with a disk that takes no writes: `available`
- * is then false, and `recover` must succeed first.
+ * Opens the replica's log in a folder. Opening succeeds even if the disk accepts no writes: then
+ * `available` returns false, and `recover` must succeed before records can be appended.
  *
- * @throws WriteAheadLogError `damaged` where something that was synced is missing
+ * @throws WriteAheadLogError `damaged` if data that was synced is missing
  */
 export const openReplicaLog = async (folder: string, files?: LogFileSystem): Promise<ReplicaLog> =>
   replicaLogOn(await openWriteAheadLog(folder, files));
--- a/packages/replica/src/voting.ts
+++ b/packages/replica/src/voting.ts
@@ -1,4 +1,4 @@
-/** How a disk begins to vote: as a member that has read the others, or as a founder. */
+/** Begins to vote, either as a member that has read the others or as a founder. */
 import { copyRegister, type ProposalNumber } from '@reedyard/consensus';
 import { adoptMembership } from './committed-membership.js';
 import {
@@ -21,14 +21,14 @@
 
 type PeerReads = Readonly<Record<string, PeerRead>>;
 
-/** What a disk begins to vote as; a field of the log line. */
+/** How a disk begins to vote; a field of the log line. */
 type VotingStart = 'vote' | 'found' | 'handover';
 
 const foundingProposer = 'founding';
 
 /**
- * All that found at once come to the same members under the same number, so that they found the
- * same state.
+ * Returns the proposal number of a founding. Replicas that found concurrently compute the same
+ * membership under the same number, so that they found the same cluster.
  */
 const foundingNumber = (counter: number): ProposalNumber => ({
   counter,
@@ -45,8 +45,8 @@
   );
 };
 
-/** A disk that comes back to vote in another slot: none of its earlier votes counts there. */
-const disownVotes = (transition: Transition, now: number): void => {
+/** Marks a disk's earlier votes as copies, since they do not count in the slot it now votes in. */
+const markVotesAsCopies = (transition: Transition, now: number): void => {
   for (const [key, register] of transition.state.registers) {
     const isVote = register.accepted !== null && register.accepted.copied !== true;
     if (key !== membershipKey && isVote)
@@ -55,7 +55,7 @@
 };
 
 const beginVoting = (transition: Transition, startedAs: VotingStart, now: number): void => {
-  if (transition.state.hasBegunVoting) disownVotes(transition, now);
+  if (transition.state.hasBegunVoting) markVotesAsCopies(transition, now);
   const epoch = transition.state.committedMembership?.value.epoch ?? 0;
   update(transition, { hasBegunVoting: true, votingEpoch: epoch, peerReads: {} });
   const { diskId, registers } = transition.state;
@@ -70,35 +70,39 @@
 };
 
 /**
- * The membership that the founders named in the settings found, once too few of them hold anything;
- * null where another founder came to the very same just before, and that epoch stands.
+ * Returns the membership that the founders named in the settings found if too few of them have data;
+ * null if another founder has just founded the same one, whose epoch then stays in force.
  */
 const foundedMembership = (state: ReplicaState, peers: PeerReads): CommittedMembership | null => {
-  const known = state.committedMembership;
-  const disks = { ...known?.value.disks, ...diskIdsOf(peers), [state.name]: state.diskId };
-  if (known !== null && isSameDisks(disks, known.value.disks)) return null;
-  const epoch = (known?.value.epoch ?? 0) + 1;
+  const knownMembership = state.committedMembership;
+  const disks = {
+    ...knownMembership?.value.disks,
+    ...diskIdsOf(peers),
+    [state.name]: state.diskId,
+  };
+  if (knownMembership !== null && isSameDisks(disks, knownMembership.value.disks)) return null;
+  const epoch = (knownMembership?.value.epoch ?? 0) + 1;
   return {
-    proposalNumber: foundingNumber((known?.proposalNumber.counter ?? 0) + 1),
+    proposalNumber: foundingNumber((knownMembership?.proposalNumber.counter ?? 0) + 1),
     value: { epoch, disks, ...(epoch > 1 ? { refounded: epoch } : {}) },
   };
 };
 
-/** Where the settings name every founder. */
-const beginVotingAsNamed = (transition: Transition, peers: PeerReads, now: number): void => {
+/** Begins to vote, if this disk may, in a cluster whose settings name every founder. */
+const beginVotingAsNamedFounder = (transition: Transition, peers: PeerReads, now: number): void => {
   const { state } = transition;
   const membership = state.committedMembership?.value ?? null;
-  const { name, diskId } = state;
-  const decision = decideVoting({ name, diskId, membership, peers });
+  const { name: slot, diskId } = state;
+  const decision = decideVoting({ slot, diskId, membership, peers });
   if (decision === 'wait') return;
   if (decision === 'found') adoptMembership(transition, foundedMembership(state, peers), now);
   beginVoting(transition, decision, now);
 };
 
 /**
- * Whether this disk holds all that its predecessor did. That one knew of the successor's epoch, or
- * a later one, before it was read, so it votes no more; with a copy of its state this disk counts
- * wherever that one did.
+ * Whether this disk has a complete copy of its predecessor's state. The predecessor knew of the
+ * successor's epoch, or of a later epoch, before it was read, so it no longer votes. With the copy this
+ * disk can stand for all of its votes.
  */
 const hasReadPredecessor = (state: ReplicaState): boolean => {
   const predecessor = predecessorOf(state);
@@ -112,8 +116,8 @@
 };
 
 /**
- * Founds the state from the seeds. It takes every seed reached, blank, and without knowing of any
- * members: nothing is ever founded a second time.
+ * Founds the cluster from the seeds. This requires that every seed was reached, is blank and knows no
+ * membership, so that a cluster is never founded a second time.
  */
 const foundFromSeeds = (
   transition: Transition,
@@ -132,8 +136,9 @@
 };
 
 /**
- * Where members find themselves from seeds. A member votes once it has read enough of the others or
- * its predecessor; one that the first membership names has no earlier votes to lose.
+ * Begins to vote, if this disk may, in a cluster founded from seeds. A member votes once it has read
+ * enough of the others or its predecessor. A member of the first membership need not read, since its
+ * slot has no earlier votes that could be lost.
  */
 const beginVotingFromSeeds = (
   transition: Transition,
@@ -142,26 +147,26 @@
   now: number,
 ): void => {
   const { state } = transition;
-  const own = slotAssignmentOf(state);
-  if (own === null) {
+  const assignment = slotAssignmentOf(state);
+  if (assignment === null) {
     foundFromSeeds(transition, bootstrap, peers, now);
     return;
   }
-  const { slot: name, membership } = own;
+  const { slot, membership } = assignment;
   const isFirstMembership = membership.epoch === 1;
   const { diskId } = state;
-  if (isFirstMembership || decideVoting({ name, diskId, membership, peers }) === 'vote')
+  if (isFirstMembership || decideVoting({ slot, diskId, membership, peers }) === 'vote')
     beginVoting(transition, 'vote', now);
   else if (hasReadPredecessor(state)) beginVoting(transition, 'handover', now);
 };
 
-/** Begins to vote if this disk may, by what it has read so far. */
+/** Begins to vote if this disk may, after what it has read so far. */
 export const voteIfReady = (transition: Transition, now: number): void => {
   const { state } = transition;
   if (isVotingMember(state)) return;
   const peers = Object.fromEntries(
     Object.keys(peersOf(state)).map((name) => [name, peerReadOf(state, name)]),
   );
-  if (state.bootstrap === null) beginVotingAsNamed(transition, peers, now);
+  if (state.bootstrap === null) beginVotingAsNamedFounder(transition, peers, now);
   else beginVotingFromSeeds(transition, state.bootstrap, peers, now);
 };
