--- a/packages/consensus/src/acceptor.ts
+++ b/packages/consensus/src/acceptor.ts
@@ -5,8 +5,8 @@
 /** An acceptor's response to either phase. */
 export type Vote =
   /**
-   * The acceptor takes part. `accepted` is the value that it had accepted before the first phase, if
-   * any, or the value that it accepted in the second phase.
+   * The acceptor takes part. `accepted` is the value that it had accepted before the first phase,
+   * if any, or the value that it accepted in the second phase.
    */
   | { readonly kind: 'yes'; readonly accepted: AcceptedValue | null }
   /** The acceptor has promised a higher proposal number. */
--- a/packages/consensus/src/consensus.test.ts
+++ b/packages/consensus/src/consensus.test.ts
@@ -168,7 +168,9 @@
   t.true(hasFoundLoss);
 });
 
-/** Delivers all messages in random orders from a fixed seed; whether any run lost a chosen value. */
+/**
+ * Delivers all messages in random orders from a fixed seed; whether any run lost a chosen value.
+ */
 const findsLoss = (first: World, runs: number): boolean => {
   let seed = 1;
   const randomBelow = (count: number): number => {
--- a/packages/consensus/src/proposer.ts
+++ b/packages/consensus/src/proposer.ts
@@ -4,8 +4,8 @@
  * result to a majority.
  *
  * It is a state machine without I/O: `startProposal` and `handleVote` return the next state and the
- * actions to carry out. It relies on acceptors to keep their promises, and on its caller to use each
- * proposal number once and to pass on only votes of the disks that the membership names.
+ * actions to carry out. It relies on acceptors to keep their promises, and on its caller to use
+ * each proposal number once and to pass on only votes of the disks that the membership names.
  */
 import {
   compareProposalNumbers,
@@ -33,7 +33,9 @@
 /** A member, named by its slot in the membership. */
 export type MemberName = string;
 
-/** A member's vote in the first phase, with its disk: the second phase is sent to that disk only. */
+/**
+ * A member's vote in the first phase, with its disk: the second phase is sent to that disk only.
+ */
 type PrepareResponse = { readonly diskId: string; readonly vote: Vote };
 
 /** The state of a proposal under one proposal number. */
--- a/packages/consensus/src/register.ts
+++ b/packages/consensus/src/register.ts
@@ -11,8 +11,8 @@
   readonly proposalNumber: ProposalNumber;
   readonly value: unknown;
   /**
-   * Set if the value was copied from another acceptor. A read takes it into account, but it is not a
-   * vote of this acceptor.
+   * Set if the value was copied from another acceptor. A read takes it into account, but it is not
+   * a vote of this acceptor.
    */
   readonly copied?: true;
 };
--- a/packages/replica/src/claim-expiry.ts
+++ b/packages/replica/src/claim-expiry.ts
@@ -2,7 +2,9 @@
 import { minuteOf, withoutClaim } from './registers.js';
 import { type Transition, update } from './state.js';
 
-/** How long a claim is kept after its last write, in milliseconds of the replica's own running time. */
+/**
+ * How long a claim is kept after its last write, in milliseconds of the replica's own running time.
+ */
 export const claimRetentionMs = 3_600_000;
 
 /** Claims removed in one sweep, which runs once a second: so many take a few milliseconds. */
--- a/packages/replica/src/codec.test.ts
+++ b/packages/replica/src/codec.test.ts
@@ -12,7 +12,7 @@
 
 type Examples = Readonly<Record<string, readonly string[]>>;
 
-/** Messages and records as commit 0da2ab4 sent and stored them, by their kind there. */
+/** Messages and records as commit 0da2ab4 sent and stored them, by their wire kind. */
 const examples = JSON.parse(
   readFileSync(
     fileURLToPath(new URL('../test/fixtures/messages-0da2ab4.json', import.meta.url)),
@@ -26,28 +26,28 @@
   'replica-record': (body: unknown) => encodeReplicaRecord(decodeReplicaRecord(body)),
 };
 
-for (const [group, recode] of Object.entries(codecs)) {
+for (const [group, reencode] of Object.entries(codecs)) {
   for (const [kind, texts] of Object.entries(examples[group as keyof typeof codecs])) {
-    test(`a ${group} of an earlier version is read, and written as it was: ${kind}`, (t) => {
+    test(`a ${group} of an earlier version is decoded, and encoded unchanged: ${kind}`, (t) => {
       t.true(texts.length > 0);
       for (const text of texts) {
-        const recoded = recode(parse(text));
-        t.is(JSON.stringify(recoded), JSON.stringify(parse(text)));
-        // What is kept is also written with the same references between its parts.
-        if (group === 'replica-record') t.is(stringify(recoded), text);
+        const reencoded = reencode(parse(text));
+        t.is(JSON.stringify(reencoded), JSON.stringify(parse(text)));
+        // Stored records must also have the same references between their parts.
+        if (group === 'replica-record') t.is(stringify(reencoded), text);
       }
     });
   }
 }
 
-test('replies without an example keep their form', (t) => {
+test('replies without a recorded example are encoded unchanged', (t) => {
   for (const kind of ['unavailable', 'full'] as const) {
     const reply = { kind, disk: 'disk-1' };
     t.deepEqual(encodeReplicaReply(decodeReplicaReply(reply)), reply);
   }
 });
 
-test('a message or record that this version does not know is refused with its kind', (t) => {
+test('decoding a message or record of an unknown kind fails with an error that names the kind', (t) => {
   const unknown = { kind: 'later', disk: 'disk-1' };
   t.throws(() => decodeReplicaRequest({ members: null, call: unknown }), { message: /later/ });
   t.like(
--- a/packages/replica/src/committed-membership.ts
+++ b/packages/replica/src/committed-membership.ts
@@ -11,7 +11,9 @@
 import { awaitRestore } from './restore.js';
 import { isInMembership, isRetired, type ReplicaState, type Transition, update } from './state.js';
 
-/** Returns the membership that this replica has accepted, whether or not it is known to be chosen. */
+/**
+ * Returns the membership that this replica has accepted, whether or not it is known to be chosen.
+ */
 const acceptedMembership = (state: ReplicaState): CommittedMembership | null => {
   const accepted = state.registers.get(membershipKey)?.accepted ?? null;
   if (accepted === null) return null;
@@ -65,8 +67,8 @@
 };
 
 /**
- * Erases everything that this disk voted for, since its successor has a copy. The replica then waits
- * for a slot as a blank disk, under a new disk id.
+ * Erases everything that this disk voted for, since its successor has a copy. The replica then
+ * waits for a slot as a blank disk, under a new disk id.
  */
 export const eraseDisk = (transition: Transition): void => {
   const { state } = transition;
--- a/packages/replica/src/membership.test.ts
+++ b/packages/replica/src/membership.test.ts
@@ -21,74 +21,78 @@
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
 
-// Members that found themselves from seeds, on a bench where any message may come next, or get
-// lost.
+// Clusters founded from seeds, in a network where any message may arrive next or get lost.
 
-const chanceFrom = (seed: number): (() => number) => {
+const seededRandom = (seed: number): (() => number) => {
   let state = seed + 1;
   return () => {
     state = (Math.imul(state, 1_664_525) + 1_013_904_223) >>> 0;
     return state / 4_294_967_296;
   };
 };
-const pull = { kind: 'poll', cursor: null, keys: [] } as const;
+const poll = { kind: 'poll', cursor: null, keys: [] } as const;
 
-type Flying = {
+/** A request or a reply in flight. */
+type Message = {
   readonly to: string;
   readonly from: string;
   readonly id: number;
-  readonly ask?: ReplicaRequest;
+  readonly request?: ReplicaRequest;
   readonly reply?: ReplicaReply;
 };
 
-class Bench {
+/** Replicas' reducers with their disks, and the network between them. */
+class SimulatedNetwork {
   readonly states = new Map<string, ReplicaState>();
   readonly disks = new Map<string, readonly ReplicaRecord[]>();
-  flying: readonly Flying[] = [];
+  inFlight: readonly Message[] = [];
   now = 0;
-  lives = 0;
-  #asks = 0;
-  readonly #asking = new Map<string, { from: string; id: number }>();
-  /** Who else may be asked, and may ask: not a replica. */
+  incarnations = 0;
+  #requestCount = 0;
+  readonly #senders = new Map<string, { from: string; id: number }>();
+  /** Receives the replies to clients that are not replicas. */
   onReply: (to: string, id: number, reply: ReplicaReply) => void = () => undefined;
-  /** What a replica hears of the members that a caller counts by; a planted fault changes it. */
-  hears: (state: ReplicaState, ask: ReplicaRequest) => ReplicaRequest = (_state, ask) => ask;
+  /** Returns a request as a replica receives it; an injected fault changes its membership. */
+  transformRequest: (state: ReplicaState, request: ReplicaRequest) => ReplicaRequest = (
+    _state,
+    request,
+  ) => request;
 
-  open(address: string, seeded: Omit<BootstrapSettings, 'address'>): void {
-    this.lives += 1;
+  open(address: string, bootstrap: Omit<BootstrapSettings, 'address'>): void {
+    this.incarnations += 1;
     const opened = openReplica({
       name: address,
       otherFounders: {},
-      bootstrap: { address, ...seeded },
+      bootstrap: { address, ...bootstrap },
       records: this.disks.get(address) ?? [],
-      newDiskId: `disk-${this.lives}`,
+      newDiskId: `disk-${this.incarnations}`,
       now: this.now,
     });
     this.states.set(address, opened.state);
-    this.perform(address, opened.effects);
+    this.applyEffects(address, opened.effects);
   }
-  close(address: string, wiped: boolean): void {
+  close(address: string, isWiped: boolean): void {
     this.states.delete(address);
-    if (wiped) this.disks.delete(address);
+    if (isWiped) this.disks.delete(address);
   }
-  /** Told when a replica came to vote by what its predecessor alone gave it. */
+  /** Called when a replica begins to vote after reading only its predecessor. */
   onHandover: () => void = () => undefined;
-  perform(address: string, effects: readonly ReplicaEffect[]): void {
+  applyEffects(address: string, effects: readonly ReplicaEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === 'log' && effect.fields.step === 'handover') this.onHandover();
       if (effect.kind === 'append-records')
         this.disks.set(address, [...(this.disks.get(address) ?? []), ...effect.records]);
       if (effect.kind === 'send-request')
-        this.flying = [
-          ...this.flying,
-          { to: effect.to, from: address, id: effect.requestId, ask: effect.request },
+        this.inFlight = [
+          ...this.inFlight,
+          { to: effect.to, from: address, id: effect.requestId, request: effect.request },
         ];
       if (effect.kind === 'send-reply') {
-        const asker = this.#asking.get(`${address}/${effect.requestId}`);
-        if (asker !== undefined)
-          this.flying = [
-            ...this.flying,
-            { to: asker.from, from: address, id: asker.id, reply: effect.reply },
+        const sender = this.#senders.get(`${address}/${effect.requestId}`);
+        if (sender !== undefined)
+          this.inFlight = [
+            ...this.inFlight,
+            { to: sender.from, from: address, id: sender.id, reply: effect.reply },
           ];
       }
     }
@@ -96,17 +100,17 @@
   step(address: string, event: ReplicaEvent): void {
     const state = this.states.get(address);
     if (state === undefined) return;
-    const done = reduceReplica(state, event);
-    this.states.set(address, done.state);
-    this.perform(address, done.effects);
+    const outcome = reduceReplica(state, event);
+    this.states.set(address, outcome.state);
+    this.applyEffects(address, outcome.effects);
   }
-  deliver(index: number, lost = false): void {
-    const message = this.flying[index];
+  deliver(index: number, isLost = false): void {
+    const message = this.inFlight[index];
     if (message === undefined) return;
-    this.flying = this.flying.filter((_, at) => at !== index);
-    const asker = message.reply === undefined ? message.from : message.to;
-    if (lost || (!this.states.has(message.to) && message.reply === undefined)) {
-      this.step(asker, { kind: 'request-failed', requestId: message.id, now: this.now });
+    this.inFlight = this.inFlight.filter((_, other) => other !== index);
+    const sender = message.reply === undefined ? message.from : message.to;
+    if (isLost || (!this.states.has(message.to) && message.reply === undefined)) {
+      this.step(sender, { kind: 'request-failed', requestId: message.id, now: this.now });
       return;
     }
     if (message.reply !== undefined) {
@@ -120,18 +124,21 @@
       else this.onReply(message.to, message.id, message.reply);
       return;
     }
-    this.#asks += 1;
-    this.#asking.set(`${message.to}/${this.#asks}`, { from: message.from, id: message.id });
+    this.#requestCount += 1;
+    this.#senders.set(`${message.to}/${this.#requestCount}`, {
+      from: message.from,
+      id: message.id,
+    });
     const state = this.states.get(message.to);
-    if (message.ask !== undefined && state !== undefined)
+    if (message.request !== undefined && state !== undefined)
       this.step(message.to, {
         kind: 'request-received',
-        requestId: this.#asks,
-        request: this.hears(state, message.ask),
+        requestId: this.#requestCount,
+        request: this.transformRequest(state, message.request),
         now: this.now,
       });
   }
-  votes(address: string): boolean {
+  isVoting(address: string): boolean {
     const state = this.states.get(address);
     return (
       state !== undefined &&
@@ -141,37 +148,44 @@
   }
 }
 
-test('three seeds found the same members in whatever order they start and hear of each other; nobody else founds', (t) => {
+test('three seeds found the same membership in any order of starts and messages, and no other replica founds one', (t) => {
   const seeds = ['a', 'b', 'c'];
   for (let seed = 0; seed < 600; seed += 1) {
-    const bench = new Bench();
-    const chance = chanceFrom(seed);
-    const waiting = [...seeds, 'x', 'y'].map((address) => ({
+    const network = new SimulatedNetwork();
+    const random = seededRandom(seed);
+    const starts = [...seeds, 'x', 'y'].map((address) => ({
       address,
-      at: Math.floor(chance() * 400),
+      startTick: Math.floor(random() * 400),
     }));
     for (let tick = 0; tick < 1_400; tick += 1) {
-      bench.now += 20;
-      for (const each of waiting)
-        if (each.at === tick) bench.open(each.address, { seeds, isFirstStart: true });
-      const up = [...bench.states.keys()];
-      if (bench.flying.length === 0 || chance() < 0.3)
-        bench.step(up[Math.floor(chance() * up.length)] ?? '', { kind: 'tick', now: bench.now });
-      else bench.deliver(Math.floor(chance() * bench.flying.length), chance() < (seed % 2) * 0.15);
-      if (seeds.some((each) => !bench.states.has(each)))
+      network.now += 20;
+      for (const start of starts)
+        if (start.startTick === tick) network.open(start.address, { seeds, isFirstStart: true });
+      const runningAddresses = [...network.states.keys()];
+      if (network.inFlight.length === 0 || random() < 0.3)
+        network.step(runningAddresses[Math.floor(random() * runningAddresses.length)] ?? '', {
+          kind: 'tick',
+          now: network.now,
+        });
+      else
+        network.deliver(
+          Math.floor(random() * network.inFlight.length),
+          random() < (seed % 2) * 0.15,
+        );
+      if (seeds.some((each) => !network.states.has(each)))
         t.false(
-          up.some((each) => bench.votes(each)),
+          runningAddresses.some((each) => network.isVoting(each)),
           `seed ${seed}`,
         );
     }
-    const told = seeds.map((each) => bench.states.get(each)?.committedMembership);
+    const memberships = seeds.map((each) => network.states.get(each)?.committedMembership);
     t.true(
-      seeds.every((each) => bench.votes(each)),
+      seeds.every((each) => network.isVoting(each)),
       `seed ${seed}`,
     );
     t.is(
       new Set(
-        told.map((each) =>
+        memberships.map((each) =>
           JSON.stringify([
             each?.proposalNumber,
             each?.value.epoch,
@@ -183,20 +197,20 @@
       1,
       `seed ${seed}`,
     );
-    t.false(bench.votes('x') || bench.votes('y'));
+    t.false(network.isVoting('x') || network.isVoting('y'));
   }
 });
 
-test('two seeds: all orders of their starts, beats and messages end in the same members or in none yet', (t) => {
-  type Node = {
+test('with two seeds all orders of starts, ticks and messages lead to the same membership or to none yet', (t) => {
+  type SearchNode = {
     readonly states: ReadonlyMap<string, ReplicaState>;
-    readonly flying: readonly Flying[];
-    readonly left: Readonly<Record<string, number>>;
+    readonly inFlight: readonly Message[];
+    readonly ticksLeft: Readonly<Record<string, number>>;
   };
   const seeds = ['a', 'b'];
-  const seen = new Set<string>();
+  const visited = new Set<string>();
   const founded = new Set<string>();
-  const note = (states: ReadonlyMap<string, ReplicaState>): void => {
+  const recordFounded = (states: ReadonlyMap<string, ReplicaState>): void => {
     for (const state of states.values())
       if (state.hasBegunVoting)
         founded.add(
@@ -207,8 +221,8 @@
           ]),
         );
   };
-  const transition: Node[] = [{ states: new Map(), flying: [], left: { a: 3, b: 3 } }];
-  for (let node = transition.pop(); node !== undefined; node = transition.pop()) {
+  const stack: SearchNode[] = [{ states: new Map(), inFlight: [], ticksLeft: { a: 3, b: 3 } }];
+  for (let node = stack.pop(); node !== undefined; node = stack.pop()) {
     const key = JSON.stringify([
       [...node.states]
         .sort(([x], [y]) => (x < y ? -1 : 1))
@@ -219,48 +233,51 @@
           state.peerReads,
           state.nextRequestId,
         ]),
-      node.flying,
-      node.left,
+      node.inFlight,
+      node.ticksLeft,
     ]);
-    if (seen.has(key)) continue;
-    seen.add(key);
-    note(node.states);
-    const next = (act: (bench: Bench) => void, left: Node['left'] = node.left): void => {
-      const bench = new Bench();
-      node.states.forEach((state, name) => bench.states.set(name, state));
-      bench.flying = node.flying.filter((message) => message.ask !== undefined);
-      bench.now = 1_000 * (7 - (left.a ?? 0) - (left.b ?? 0));
-      act(bench);
-      transition.push({ states: bench.states, flying: bench.flying, left });
+    if (visited.has(key)) continue;
+    visited.add(key);
+    recordFounded(node.states);
+    const explore = (
+      act: (network: SimulatedNetwork) => void,
+      ticksLeft: SearchNode['ticksLeft'] = node.ticksLeft,
+    ): void => {
+      const network = new SimulatedNetwork();
+      node.states.forEach((state, name) => network.states.set(name, state));
+      network.inFlight = node.inFlight.filter((message) => message.request !== undefined);
+      network.now = 1_000 * (7 - (ticksLeft.a ?? 0) - (ticksLeft.b ?? 0));
+      act(network);
+      stack.push({ states: network.states, inFlight: network.inFlight, ticksLeft });
     };
     for (const name of seeds) {
-      const left = node.left[name] ?? 0;
+      const remainingTicks = node.ticksLeft[name] ?? 0;
       if (!node.states.has(name))
-        next((bench) => {
-          bench.lives = name === 'a' ? 0 : 1;
-          bench.open(name, { seeds, isFirstStart: true });
+        explore((network) => {
+          network.incarnations = name === 'a' ? 0 : 1;
+          network.open(name, { seeds, isFirstStart: true });
         });
-      else if (left > 0)
-        next((bench) => bench.step(name, { kind: 'tick', now: bench.now }), {
-          ...node.left,
-          [name]: left - 1,
+      else if (remainingTicks > 0)
+        explore((network) => network.step(name, { kind: 'tick', now: network.now }), {
+          ...node.ticksLeft,
+          [name]: remainingTicks - 1,
         });
     }
-    // A question and its answer: each may be lost, and others' beats and questions come in between.
-    node.flying.forEach((_, index) => {
-      next((bench) => bench.deliver(index, true));
-      next((bench) => {
-        bench.deliver(index);
-        const answer = bench.flying.findIndex((message) => message.reply !== undefined);
-        if (answer >= 0) bench.deliver(answer);
+    // A request and its reply: either may be lost, and ticks and requests of others may intervene.
+    node.inFlight.forEach((_, index) => {
+      explore((network) => network.deliver(index, true));
+      explore((network) => {
+        network.deliver(index);
+        const replyIndex = network.inFlight.findIndex((message) => message.reply !== undefined);
+        if (replyIndex >= 0) network.deliver(replyIndex);
       });
     });
   }
-  t.true(seen.size > 200);
+  t.true(visited.size > 200);
   t.is(founded.size, 1, [...founded].join('\n'));
 });
 
-const told = (
+const committedMembershipOf = (
   epoch: number,
   disks: Readonly<Record<string, string>>,
   proposalNumber: ProposalNumber = { counter: epoch, proposerId: 'agent' },
@@ -269,25 +286,29 @@
   value: {
     epoch,
     disks,
-    addresses: Object.fromEntries(Object.keys(disks).map((place) => [place, place])),
+    addresses: Object.fromEntries(Object.keys(disks).map((slot) => [slot, slot])),
   },
 });
 
-/** One replica with a kept disk of the first members, and what it answers. */
-const member = (): {
-  ask: (ask: ReplicaRequest) => ReplicaReply | undefined;
+/** A replica that restarts with the disk of a member of the first membership. */
+const openMember = (): {
+  sendRequest: (request: ReplicaRequest) => ReplicaReply | undefined;
   state: () => ReplicaState;
   records: () => readonly ReplicaRecord[];
 } => {
-  const first = told(1, { a: 'A', b: 'B', c: 'C' }, { counter: 1, proposerId: 'founding' });
+  const initialMembership = committedMembershipOf(
+    1,
+    { a: 'A', b: 'B', c: 'C' },
+    { counter: 1, proposerId: 'founding' },
+  );
   const records: ReplicaRecord[] = [
     { kind: 'disk-named', diskId: 'A' },
     {
       kind: 'register-written',
       key: membershipKey,
-      register: { promised: first.proposalNumber, accepted: first },
+      register: { promised: initialMembership.proposalNumber, accepted: initialMembership },
     },
-    { kind: 'membership-committed', membership: first },
+    { kind: 'membership-committed', membership: initialMembership },
     { kind: 'voting-begun' },
   ];
   let state = openReplica({
@@ -299,17 +320,17 @@
     now: 0,
   }).state;
   return {
-    ask: (ask) => {
-      const done = reduceReplica(state, {
+    sendRequest: (request) => {
+      const outcome = reduceReplica(state, {
         kind: 'request-received',
         requestId: 1,
-        request: ask,
+        request,
         now: 1,
       });
-      state = done.state;
-      for (const effect of done.effects)
+      state = outcome.state;
+      for (const effect of outcome.effects)
         if (effect.kind === 'append-records') records.push(...effect.records);
-      return done.effects.flatMap((effect) =>
+      return outcome.effects.flatMap((effect) =>
         effect.kind === 'send-reply' ? [effect.reply] : [],
       )[0];
     },
@@ -317,14 +338,22 @@
     records: () => records,
   };
 };
-const first = told(1, { a: 'A', b: 'B', c: 'C' }, { counter: 1, proposerId: 'founding' });
-const second = told(2, { a: 'A', b: 'B', d: 'D' }, { counter: 2, proposerId: 'p' });
+const firstMembership = committedMembershipOf(
+  1,
+  { a: 'A', b: 'B', c: 'C' },
+  { counter: 1, proposerId: 'founding' },
+);
+const secondMembership = committedMembershipOf(
+  2,
+  { a: 'A', b: 'B', d: 'D' },
+  { counter: 2, proposerId: 'p' },
+);
 
-test('members that a replica accepted count only once it is told that they are chosen', (t) => {
-  const replica = member();
+test('a membership that a replica accepted is in force only once the replica knows that it is chosen', (t) => {
+  const replica = openMember();
   t.is(
-    replica.ask({
-      membership: first,
+    replica.sendRequest({
+      membership: firstMembership,
       operation: {
         kind: 'prepare',
         key: membershipKey,
@@ -334,26 +363,30 @@
     'vote',
   );
   t.is(
-    replica.ask({
-      membership: first,
+    replica.sendRequest({
+      membership: firstMembership,
       operation: {
         kind: 'accept',
         key: membershipKey,
         proposalNumber: { counter: 2, proposerId: 'p' },
-        value: second.value,
+        value: secondMembership.value,
         diskId: 'A',
       },
     })?.kind,
     'vote',
   );
-  t.is(replica.ask({ membership: first, operation: pull })?.kind, 'polled');
-  t.is(replica.ask({ membership: second, operation: pull })?.kind, 'polled');
-  const stale = replica.ask({ membership: first, operation: pull });
-  t.deepEqual(stale?.kind === 'newer-membership' ? stale.membership : null, second);
-  // Those who count by the set before decide nothing any more, not even who votes.
+  t.is(replica.sendRequest({ membership: firstMembership, operation: poll })?.kind, 'polled');
+  t.is(replica.sendRequest({ membership: secondMembership, operation: poll })?.kind, 'polled');
+  const rejection = replica.sendRequest({ membership: firstMembership, operation: poll });
+  t.deepEqual(
+    rejection?.kind === 'newer-membership' ? rejection.membership : null,
+    secondMembership,
+  );
+  // Clients that count votes by the previous membership decide nothing more, not even the
+  // membership.
   t.is(
-    replica.ask({
-      membership: first,
+    replica.sendRequest({
+      membership: firstMembership,
       operation: {
         kind: 'prepare',
         key: membershipKey,
@@ -363,13 +396,13 @@
     'newer-membership',
   );
   t.is(
-    replica.ask({
-      membership: first,
+    replica.sendRequest({
+      membership: firstMembership,
       operation: {
         kind: 'accept',
         key: membershipKey,
         proposalNumber: { counter: 9, proposerId: 'q' },
-        value: second.value,
+        value: secondMembership.value,
         diskId: 'A',
       },
     })?.kind,
@@ -377,47 +410,55 @@
   );
 });
 
-test('a later epoch under a lower ballot is newer, and stays so', (t) => {
-  const replica = member();
-  const third = told(3, { a: 'A', d: 'D', e: 'E' }, { counter: 3, proposerId: 'p' });
-  replica.ask({
-    membership: { ...second, proposalNumber: { counter: 9, proposerId: 'q' } },
-    operation: pull,
+test('a later epoch under a lower proposal number is newer, and is not replaced by an earlier epoch', (t) => {
+  const replica = openMember();
+  const thirdMembership = committedMembershipOf(
+    3,
+    { a: 'A', d: 'D', e: 'E' },
+    { counter: 3, proposerId: 'p' },
+  );
+  replica.sendRequest({
+    membership: { ...secondMembership, proposalNumber: { counter: 9, proposerId: 'q' } },
+    operation: poll,
   });
-  replica.ask({ membership: third, operation: pull });
+  replica.sendRequest({ membership: thirdMembership, operation: poll });
   t.is(replica.state().committedMembership?.value.epoch, 3);
-  replica.ask({
-    membership: { ...second, proposalNumber: { counter: 10, proposerId: 'q' } },
-    operation: pull,
+  replica.sendRequest({
+    membership: { ...secondMembership, proposalNumber: { counter: 10, proposerId: 'q' } },
+    operation: poll,
   });
   t.is(replica.state().committedMembership?.value.epoch, 3);
   t.is((replica.state().registers.get(membershipKey)?.accepted?.value as Membership).epoch, 3);
 });
 
-// An agent in short: it knows members that are chosen, and opens proposals by them.
-type Asker = {
+/** A simplified agent: it knows a chosen membership, and starts proposals by it. */
+type SimulatedClient = {
   readonly name: string;
   members: CommittedMembership;
-  highest: ProposalNumber;
+  highestSeen: ProposalNumber;
   proposal: Proposal | null;
   goal: 'count' | 'members';
-  since: number;
+  proposalCount: number;
 };
 
 /**
- * Places change hands, and disks are wiped, while askers that know different members count a
- * register up. Returns what must not be: two values chosen for one epoch, or a count given twice.
+ * Moves slots between replicas and wipes disks, while clients that know different memberships
+ * increment a counter register. Returns all violations (two values chosen for one epoch, or a count
+ * returned twice), and how many epochs, counts and handovers there were.
  */
-const turmoil = (seed: number, deaf: 'none' | 'members' | 'read'): readonly string[] => {
-  const chance = chanceFrom(seed);
-  const bench = new Bench();
-  const wrongs: string[] = [];
+const simulateMembershipChanges = (
+  seed: number,
+  fault: 'none' | 'members' | 'read',
+): readonly string[] => {
+  const random = seededRandom(seed);
+  const network = new SimulatedNetwork();
+  const violations: string[] = [];
   const chosen = new Map<number, string>();
-  const counted = new Set<number>();
+  const returnedCounts = new Set<number>();
   const founders = { a: 'disk-1', b: 'disk-2', c: 'disk-3' };
-  const founding = told(1, founders, { counter: 1, proposerId: 'founding' });
-  for (const [place, disk] of Object.entries(founders)) {
-    bench.disks.set(place, [
+  const founding = committedMembershipOf(1, founders, { counter: 1, proposerId: 'founding' });
+  for (const [slot, disk] of Object.entries(founders)) {
+    network.disks.set(slot, [
       { kind: 'disk-named', diskId: disk },
       {
         kind: 'register-written',
@@ -428,237 +469,268 @@
       { kind: 'voting-begun' },
     ]);
   }
-  const all = ['a', 'b', 'c', 'd', 'e', 'f'];
-  bench.lives = 3;
-  all.forEach((address) => bench.open(address, { seeds: [], isFirstStart: false }));
-  // Who is read does not hear of the epoch that the reader joins.
-  if (deaf === 'read')
-    bench.hears = (_state, ask) =>
-      ask.operation.kind === 'read-page' ? { ...ask, membership: null } : ask;
-  if (deaf === 'members')
-    bench.hears = (state, ask) =>
-      state.committedMembership !== null && state.hasBegunVoting && ask.membership !== null
-        ? { ...ask, membership: state.committedMembership }
-        : ask;
-  const askers: Asker[] = ['p', 'q', 'r'].map((name) => ({
+  const allAddresses = ['a', 'b', 'c', 'd', 'e', 'f'];
+  network.incarnations = 3;
+  allAddresses.forEach((address) => network.open(address, { seeds: [], isFirstStart: false }));
+  // A replica that is read does not learn the epoch in which the reader joins.
+  if (fault === 'read')
+    network.transformRequest = (_state, request) =>
+      request.operation.kind === 'read-page' ? { ...request, membership: null } : request;
+  if (fault === 'members')
+    network.transformRequest = (state, request) =>
+      state.committedMembership !== null && state.hasBegunVoting && request.membership !== null
+        ? { ...request, membership: state.committedMembership }
+        : request;
+  const clients: SimulatedClient[] = ['p', 'q', 'r'].map((name) => ({
     name,
     members: founding,
-    highest: { counter: 1, proposerId: '' },
+    highestSeen: { counter: 1, proposerId: '' },
     proposal: null,
     goal: 'count',
-    since: 0,
+    proposalCount: 0,
   }));
-  const calls = new Map<
+  const requests = new Map<
     string,
-    { asker: Asker; member: string; phase: 'prepare' | 'accept'; proposalNumber: ProposalNumber }
+    {
+      client: SimulatedClient;
+      member: string;
+      phase: 'prepare' | 'accept';
+      proposalNumber: ProposalNumber;
+    }
   >();
-  let ids = 0;
+  let lastRequestId = 0;
   let handovers = 0;
-  bench.onHandover = () => {
+  network.onHandover = () => {
     handovers += 1;
   };
-  const send = (asker: Asker, place: string, ask: ReplicaRequest['operation']): void => {
-    ids += 1;
-    const address = asker.members.value.addresses?.[place] ?? '';
-    if (ask.kind === 'prepare' || ask.kind === 'accept')
-      calls.set(`${asker.name}/${ids}`, {
-        asker,
-        member: place,
-        phase: ask.kind,
-        proposalNumber: ask.proposalNumber,
+  const send = (
+    client: SimulatedClient,
+    slot: string,
+    operation: ReplicaRequest['operation'],
+  ): void => {
+    lastRequestId += 1;
+    const address = client.members.value.addresses?.[slot] ?? '';
+    if (operation.kind === 'prepare' || operation.kind === 'accept')
+      requests.set(`${client.name}/${lastRequestId}`, {
+        client,
+        member: slot,
+        phase: operation.kind,
+        proposalNumber: operation.proposalNumber,
       });
-    bench.flying = [
-      ...bench.flying,
+    network.inFlight = [
+      ...network.inFlight,
       {
         to: address,
-        from: asker.name,
-        id: ids,
-        ask: { membership: asker.members, operation: ask },
+        from: client.name,
+        id: lastRequestId,
+        request: { membership: client.members, operation },
       },
     ];
   };
-  const learn = (asker: Asker, next: CommittedMembership): void => {
+  const adoptMembership = (client: SimulatedClient, next: CommittedMembership): void => {
     if (
-      next.value.epoch < asker.members.value.epoch ||
-      (next.value.epoch === asker.members.value.epoch &&
-        compareProposalNumbers(next.proposalNumber, asker.members.proposalNumber) <= 0)
+      next.value.epoch < client.members.value.epoch ||
+      (next.value.epoch === client.members.value.epoch &&
+        compareProposalNumbers(next.proposalNumber, client.members.proposalNumber) <= 0)
     )
       return;
-    const text = JSON.stringify(Object.entries(next.value.disks).sort());
-    const known = chosen.get(next.value.epoch);
-    if (known !== undefined && known !== text)
-      wrongs.push(`epoch ${next.value.epoch}: ${known} and ${text}`);
-    chosen.set(next.value.epoch, text);
-    asker.members = next;
-    asker.proposal = null;
+    const disks = JSON.stringify(Object.entries(next.value.disks).sort());
+    const knownDisks = chosen.get(next.value.epoch);
+    if (knownDisks !== undefined && knownDisks !== disks)
+      violations.push(`epoch ${next.value.epoch} has two memberships: ${knownDisks} and ${disks}`);
+    chosen.set(next.value.epoch, disks);
+    client.members = next;
+    client.proposal = null;
   };
-  const play = (asker: Asker, turn: ProposalTransition): void => {
-    asker.proposal = turn.proposal;
-    for (const move of turn.actions) {
-      if (move.kind === 'prepare')
-        send(asker, move.to, {
+  const applyTransition = (client: SimulatedClient, transition: ProposalTransition): void => {
+    client.proposal = transition.proposal;
+    for (const action of transition.actions) {
+      if (action.kind === 'prepare')
+        send(client, action.to, {
           kind: 'prepare',
-          key: turn.proposal.key,
-          proposalNumber: move.proposalNumber,
+          key: transition.proposal.key,
+          proposalNumber: action.proposalNumber,
         });
-      else if (move.kind === 'accept')
-        send(asker, move.to, {
+      else if (action.kind === 'accept')
+        send(client, action.to, {
           kind: 'accept',
-          key: turn.proposal.key,
-          proposalNumber: move.proposalNumber,
-          value: move.value,
-          diskId: move.diskId,
+          key: transition.proposal.key,
+          proposalNumber: action.proposalNumber,
+          value: action.value,
+          diskId: action.diskId,
         });
       else {
-        if (compareProposalNumbers(turn.proposal.highestSeen, asker.highest) > 0)
-          asker.highest = turn.proposal.highestSeen;
-        asker.proposal = null;
-        if (move.kind !== 'chosen' || move.proposalNumber === null) continue;
-        if (asker.goal === 'members')
-          learn(asker, { proposalNumber: move.proposalNumber, value: move.value as Membership });
-        else if (move.isWrite) {
-          const { count, by } = move.value as { count: number; by: string };
-          if (by !== `${asker.name}/${asker.since}`) continue;
-          if (counted.has(count)) wrongs.push(`count ${count} was given twice`);
-          counted.add(count);
+        if (compareProposalNumbers(transition.proposal.highestSeen, client.highestSeen) > 0)
+          client.highestSeen = transition.proposal.highestSeen;
+        client.proposal = null;
+        if (action.kind !== 'chosen' || action.proposalNumber === null) continue;
+        if (client.goal === 'members')
+          adoptMembership(client, {
+            proposalNumber: action.proposalNumber,
+            value: action.value as Membership,
+          });
+        else if (action.isWrite) {
+          const { count, by } = action.value as { count: number; by: string };
+          if (by !== `${client.name}/${client.proposalCount}`) continue;
+          if (returnedCounts.has(count)) violations.push(`count ${count} was returned twice`);
+          returnedCounts.add(count);
         }
       }
     }
   };
-  bench.onReply = (to, id, reply) => {
-    const call = calls.get(`${to}/${id}`);
-    const asker = askers.find((each) => each.name === to);
-    if (asker === undefined) return;
+  network.onReply = (to, id, reply) => {
+    const request = requests.get(`${to}/${id}`);
+    const client = clients.find((each) => each.name === to);
+    if (client === undefined) return;
     if (reply.kind === 'newer-membership' && reply.membership !== null)
-      learn(asker, reply.membership);
+      adoptMembership(client, reply.membership);
     if (
       reply.kind !== 'vote' ||
-      call === undefined ||
-      asker.proposal === null ||
-      asker.members.value.disks[call.member] !== reply.diskId
+      request === undefined ||
+      client.proposal === null ||
+      client.members.value.disks[request.member] !== reply.diskId
     )
       return;
-    play(
-      asker,
-      handleVote(asker.proposal, {
-        member: call.member,
+    applyTransition(
+      client,
+      handleVote(client.proposal, {
+        member: request.member,
         diskId: reply.diskId,
-        phase: call.phase,
-        proposalNumber: call.proposalNumber,
+        phase: request.phase,
+        proposalNumber: request.proposalNumber,
         vote: reply.vote,
       }),
     );
   };
-  const open = (asker: Asker): void => {
-    const { members } = asker;
-    const places = Object.keys(members.value.disks);
-    const spares = all.filter(
+  const startNextProposal = (client: SimulatedClient): void => {
+    const { members } = client;
+    const slots = Object.keys(members.value.disks);
+    const spares = allAddresses.filter(
       (address) => !Object.values(members.value.addresses ?? {}).includes(address),
     );
-    const gone = places[Math.floor(chance() * places.length)] ?? '';
-    const into = chance() < 0.5 ? gone : (spares[Math.floor(chance() * spares.length)] ?? '');
-    const state = bench.states.get(into);
-    const goal = chance() < 0.5 ? 'count' : 'members';
-    // Like an agent: only a disk that waits for a place is given one.
+    const replacedSlot = slots[Math.floor(random() * slots.length)] ?? '';
+    const newSlot =
+      random() < 0.5 ? replacedSlot : (spares[Math.floor(random() * spares.length)] ?? '');
+    const state = network.states.get(newSlot);
+    const goal = random() < 0.5 ? 'count' : 'members';
+    // Like an agent, a client assigns a slot only to a disk that waits for one.
     if (goal === 'members' && (state === undefined || state.hasBegunVoting)) return;
-    asker.goal = goal;
-    asker.since += 1;
-    const by = `${asker.name}/${asker.since}`;
-    const grows = places.length < 5 && into !== gone && chance() < 0.3;
+    client.goal = goal;
+    client.proposalCount += 1;
+    const by = `${client.name}/${client.proposalCount}`;
+    const isGrowing = slots.length < 5 && newSlot !== replacedSlot && random() < 0.3;
     const change: Change =
-      asker.goal === 'count'
+      client.goal === 'count'
         ? (current) => {
-            const old = current as { count: number; by: string } | null;
-            return old?.by === by
+            const counter = current as { count: number; by: string } | null;
+            return counter?.by === by
               ? { kind: 'keep' }
-              : { kind: 'write', value: { count: (old?.count ?? 0) + 1, by } };
+              : { kind: 'write', value: { count: (counter?.count ?? 0) + 1, by } };
           }
         : (current) => {
-            const old = current as Membership;
+            const currentMembership = current as Membership;
             const disk = state?.diskId ?? '';
-            if (old.epoch !== members.value.epoch) return { kind: 'keep' };
-            const without = grows
-              ? old.disks
-              : Object.fromEntries(Object.entries(old.disks).filter(([place]) => place !== gone));
-            const disks = { ...without, [into]: disk };
-            const kept = Object.entries(old.predecessors ?? {}).filter(
-              ([place]) => place !== gone && place !== into,
+            if (currentMembership.epoch !== members.value.epoch) return { kind: 'keep' };
+            const remainingDisks = isGrowing
+              ? currentMembership.disks
+              : Object.fromEntries(
+                  Object.entries(currentMembership.disks).filter(([slot]) => slot !== replacedSlot),
+                );
+            const disks = { ...remainingDisks, [newSlot]: disk };
+            const otherPredecessors = Object.entries(currentMembership.predecessors ?? {}).filter(
+              ([slot]) => slot !== replacedSlot && slot !== newSlot,
             );
-            const predecessor = { disk: old.disks[gone] ?? '', address: gone };
+            const predecessor = {
+              disk: currentMembership.disks[replacedSlot] ?? '',
+              address: replacedSlot,
+            };
             const predecessors = Object.fromEntries(
-              grows || into === gone ? kept : [...kept, [into, predecessor]],
+              isGrowing || newSlot === replacedSlot
+                ? otherPredecessors
+                : [...otherPredecessors, [newSlot, predecessor]],
             );
             return {
               kind: 'write',
               value: {
-                epoch: old.epoch + 1,
+                epoch: currentMembership.epoch + 1,
                 disks,
-                addresses: Object.fromEntries(Object.keys(disks).map((place) => [place, place])),
+                addresses: Object.fromEntries(Object.keys(disks).map((slot) => [slot, slot])),
                 predecessors,
               },
             };
           };
-    const turn = startProposal(
-      asker.goal === 'count' ? 'count' : membershipKey,
+    const transition = startProposal(
+      client.goal === 'count' ? 'count' : membershipKey,
       change,
-      places,
-      asker.highest,
-      asker.name,
+      slots,
+      client.highestSeen,
+      client.name,
     );
-    asker.highest = turn.proposal.proposalNumber;
-    play(asker, turn);
+    client.highestSeen = transition.proposal.proposalNumber;
+    applyTransition(client, transition);
   };
   for (let tick = 0; tick < 2_500; tick += 1) {
-    bench.now += 20;
-    const draw = chance();
-    const up = all.filter((each) => bench.states.has(each));
-    if (draw < 0.04) {
-      const asker = askers[Math.floor(chance() * askers.length)];
-      if (asker !== undefined) open(asker);
-    } else if (draw < 0.045) {
-      // Wiped, or only restarted: never one of a majority that is not there to be read.
-      const address = all[Math.floor(chance() * all.length)] ?? '';
-      const newest = [...bench.states.values()]
+    network.now += 20;
+    const choice = random();
+    const runningAddresses = allAddresses.filter((each) => network.states.has(each));
+    if (choice < 0.04) {
+      const client = clients[Math.floor(random() * clients.length)];
+      if (client !== undefined) startNextProposal(client);
+    } else if (choice < 0.045) {
+      // Restarts a replica, and wipes its disk if a majority of the members can still be read.
+      const address = allAddresses[Math.floor(random() * allAddresses.length)] ?? '';
+      const newest = [...network.states.values()]
         .map((state) => state.committedMembership)
         .reduce(
-          (best, each) =>
-            each !== null && (best === null || each.value.epoch > best.value.epoch) ? each : best,
+          (newestSoFar, membership) =>
+            membership !== null &&
+            (newestSoFar === null || membership.value.epoch > newestSoFar.value.epoch)
+              ? membership
+              : newestSoFar,
           null,
         );
-      const places = Object.entries(newest?.value.disks ?? {});
-      const sound = places.filter(([place, disk]) => {
-        const state = bench.states.get(place);
+      const slots = Object.entries(newest?.value.disks ?? {});
+      const readableMemberCount = slots.filter(([slot, disk]) => {
+        const state = network.states.get(slot);
         return (
-          place !== address && state !== undefined && state.diskId === disk && state.hasBegunVoting
+          slot !== address && state !== undefined && state.diskId === disk && state.hasBegunVoting
         );
       }).length;
-      bench.close(address, sound >= Math.floor(places.length / 2) + 1);
-      bench.open(address, { seeds: [], isFirstStart: false });
-    } else if (draw < 0.25 || bench.flying.length === 0) {
-      bench.step(up[Math.floor(chance() * up.length)] ?? '', { kind: 'tick', now: bench.now });
-      const asker = askers[Math.floor(chance() * askers.length)];
-      if (asker !== undefined && chance() < 0.3) {
-        const places = Object.keys(asker.members.value.disks);
-        send(asker, places[Math.floor(chance() * places.length)] ?? '', pull);
+      network.close(address, readableMemberCount >= Math.floor(slots.length / 2) + 1);
+      network.open(address, { seeds: [], isFirstStart: false });
+    } else if (choice < 0.25 || network.inFlight.length === 0) {
+      network.step(runningAddresses[Math.floor(random() * runningAddresses.length)] ?? '', {
+        kind: 'tick',
+        now: network.now,
+      });
+      const client = clients[Math.floor(random() * clients.length)];
+      if (client !== undefined && random() < 0.3) {
+        const slots = Object.keys(client.members.value.disks);
+        send(client, slots[Math.floor(random() * slots.length)] ?? '', poll);
       }
-    } else bench.deliver(Math.floor(chance() ** 2 * bench.flying.length), chance() < 0.05);
-    if (bench.flying.length > 60) bench.flying = bench.flying.slice(1);
+    } else network.deliver(Math.floor(random() ** 2 * network.inFlight.length), random() < 0.05);
+    if (network.inFlight.length > 60) network.inFlight = network.inFlight.slice(1);
   }
-  return [...wrongs, `epochs ${chosen.size}`, `counts ${counted.size}`, `handovers ${handovers}`];
+  return [
+    ...violations,
+    `epochs ${chosen.size}`,
+    `counts ${returnedCounts.size}`,
+    `handovers ${handovers}`,
+  ];
 };
-const wrongsOf = (told_: readonly string[]): readonly string[] =>
-  told_.filter((each) => !/^(epochs|counts|handovers) /.test(each));
-const figure = (told_: readonly string[], what: string): number =>
-  Number(told_.find((each) => each.startsWith(`${what} `))?.slice(what.length + 1) ?? 0);
+const violationsOf = (report: readonly string[]): readonly string[] =>
+  report.filter((line) => !/^(epochs|counts|handovers) /.test(line));
+const countOf = (report: readonly string[], label: string): number =>
+  Number(report.find((line) => line.startsWith(`${label} `))?.slice(label.length + 1) ?? 0);
 
-test('places change hands and disks are wiped while askers know different members: one value for each epoch, no count twice', (t) => {
+test('while slots move and disks are wiped, clients that know different memberships see one value per epoch and no count twice', (t) => {
   let [epochs, counts, handovers] = [0, 0, 0];
   for (let seed = 0; seed < 400; seed += 1) {
-    const found = turmoil(seed, 'none');
-    t.deepEqual(wrongsOf(found), [], `seed ${seed}`);
-    epochs += figure(found, 'epochs');
-    counts += figure(found, 'counts');
-    handovers += figure(found, 'handovers');
+    const report = simulateMembershipChanges(seed, 'none');
+    t.deepEqual(violationsOf(report), [], `seed ${seed}`);
+    epochs += countOf(report, 'epochs');
+    counts += countOf(report, 'counts');
+    handovers += countOf(report, 'handovers');
   }
   t.true(
     epochs > 1_200 && counts > 2_000 && handovers > 50,
@@ -667,18 +739,18 @@
   t.log(`${epochs} epochs, ${counts} counts, ${handovers} handovers`);
 });
 
-test('with replicas that do not heed by which members a caller counts, a run is found where that breaks', (t) => {
+test('if replicas ignore the membership by which a client counts votes, some run violates the invariants', (t) => {
   t.true(
     Array.from({ length: 400 }, (_, seed) => seed).some(
-      (seed) => wrongsOf(turmoil(seed, 'members')).length > 0,
+      (seed) => violationsOf(simulateMembershipChanges(seed, 'members')).length > 0,
     ),
   );
 });
 
-test('with replicas that are read without being told of the epoch that the reader joins, a run is found where that breaks', (t) => {
+test('if replicas that are read do not learn the epoch in which the reader joins, some run violates the invariants', (t) => {
   t.true(
     Array.from({ length: 400 }, (_, seed) => seed).some(
-      (seed) => wrongsOf(turmoil(seed, 'read')).length > 0,
+      (seed) => violationsOf(simulateMembershipChanges(seed, 'read')).length > 0,
     ),
   );
 });
--- a/packages/replica/src/membership.ts
+++ b/packages/replica/src/membership.ts
@@ -4,7 +4,7 @@
  */
 import { compareProposalNumbers, type ProposalNumber } from '@reedyard/consensus';
 
-/** The key of the register that holds the membership. */
+/** The key of the register whose value is the membership. */
 export const membershipKey = 'members';
 
 /** The disks that vote, by slot. */
@@ -24,8 +24,8 @@
 };
 
 /**
- * A disk that a member replaced. Once it knows of its replacement its state no longer changes, so that
- * a copy of this state is enough for the member to vote.
+ * A disk that a member replaced. Once it knows of its replacement its state no longer changes, so
+ * that a copy of this state is enough for the member to vote.
  */
 export type Predecessor = {
   readonly disk: string;
@@ -51,9 +51,9 @@
 };
 
 /**
- * Whether a committed membership is newer than the known one. Epochs are chosen one after the other,
- * so the epoch is compared first. The same epoch may have been written again under a higher proposal
- * number, even after the next epoch was chosen.
+ * Whether a committed membership is newer than the known one. Epochs are chosen one after the
+ * other, so the epoch is compared first. The same epoch may have been written again under a higher
+ * proposal number, even after the next epoch was chosen.
  *
  * @example
  * isNewerMembership({ proposalNumber: { counter: 3, proposerId: 'x' }, value: { epoch: 2, disks: {} } }, null) // true
--- a/packages/replica/src/open-replica.ts
+++ b/packages/replica/src/open-replica.ts
@@ -152,8 +152,8 @@
 };
 
 /**
- * Restores the state from the records on disk. A disk without an id gets `newDiskId`, and the effects
- * append the record of it.
+ * Restores the state from the records on disk. A disk without an id gets `newDiskId`, and the
+ * effects append the record of it.
  *
  * @example
  * openReplica({ name: 'core-1', otherFounders: {}, records: [], newDiskId: 'd1', now: 0 }).state.hasBegunVoting // false
--- a/packages/replica/src/page-read-handler.ts
+++ b/packages/replica/src/page-read-handler.ts
@@ -1,4 +1,6 @@
-/** Serves a replica's registers page by page, and its journal, to replicas that may not vote yet. */
+/**
+ * Serves a replica's registers page by page, and its journal, to replicas that may not vote yet.
+ */
 import { emptyRegister } from '@reedyard/consensus';
 import type { ReplicaReply } from './messages.js';
 import { isRetired, isVotingMember, type ReplicaState, type Transition, update } from './state.js';
--- a/packages/replica/src/peer-reads.ts
+++ b/packages/replica/src/peer-reads.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the other replicas for a replica that may not vote yet: their registers and journal, page by
- * page. Each request carries the reader's membership, so that the peer knows its epoch. Once the
+ * Reads the other replicas for a replica that may not vote yet: their registers and journal, page
+ * by page. Each request carries the reader's membership, so that the peer knows its epoch. Once the
  * replica has read enough it begins to vote.
  */
 import {
@@ -29,14 +29,14 @@
 import { voteIfReady } from './voting.js';
 
 /**
- * Interval between ticks in milliseconds. A replica that may not vote yet reads the others again after
- * this time.
+ * Interval between ticks in milliseconds. A replica that may not vote yet reads the others again
+ * after this time.
  */
 export const replicaTickIntervalMs = 200;
 
 /**
- * A member that catches up requests a page again after this time in milliseconds, and waits this much
- * longer before each further retry. It is far longer than a page takes on a busy machine.
+ * A member that catches up requests a page again after this time in milliseconds, and waits this
+ * much longer before each further retry. It is far longer than a page takes on a busy machine.
  */
 const pageTimeoutStepMs = 250;
 
--- a/packages/replica/src/peers.ts
+++ b/packages/replica/src/peers.ts
@@ -45,9 +45,9 @@
 export type PredecessorRead = Predecessor & { readonly readName: string };
 
 /**
- * Returns the disk on another machine that this replica's disk replaced; null if there is none, or if
- * that disk is a member again. Such a disk goes on voting, in a slot of its own, and its votes must not
- * count twice.
+ * Returns the disk on another machine that this replica's disk replaced; null if there is none, or
+ * if that disk is a member again. Such a disk goes on voting, in a slot of its own, and its votes
+ * must not count twice.
  */
 export const predecessorOf = (state: ReplicaState): PredecessorRead | null => {
   const assignment = state.bootstrap === null ? null : slotAssignmentOf(state);
--- a/packages/replica/src/protocol/wire-format.ts
+++ b/packages/replica/src/protocol/wire-format.ts
@@ -1,7 +1,7 @@
 /**
- * The wire format of requests to replicas and of their replies. It must not change, since agents and
- * replicas of different versions run side by side. `codec.ts` maps it to the types of `messages.ts`,
- * and no other code in the project depends on it.
+ * The wire format of requests to replicas and of their replies. It must not change, since agents
+ * and replicas of different versions run side by side. `codec.ts` maps it to the types of
+ * `messages.ts`, and no other code in the project depends on it.
  */
 import type {
   WireAcceptedValue,
--- a/packages/replica/src/reducer.ts
+++ b/packages/replica/src/reducer.ts
@@ -2,9 +2,9 @@
  * The replica's reducer: every decision of a replica, as a pure function of its state and an event.
  *
  * A replica is an acceptor of the fleet's registers, keeps a journal of entries that are written
- * once, and follows the membership, which decides whether it may vote. Events carry the time. Effects
- * are carried out by `ReplicaHost`, which replies only once the records appended before a reply are
- * on disk. The simulator runs the same reducer.
+ * once, and follows the membership, which decides whether it may vote. Events carry the time.
+ * Effects are carried out by `ReplicaHost`, which replies only once the records appended before a
+ * reply are on disk. The simulator runs the same reducer.
  */
 import type { Step } from '@reedyard/task-loop';
 import { expireClaims } from './claim-expiry.js';
--- a/packages/replica/src/registers.ts
+++ b/packages/replica/src/registers.ts
@@ -4,8 +4,8 @@
 import { update, type ReplicaState, type Transition } from './state.js';
 
 /**
- * The most claims that a replica keeps: an hour of 139 claims a second, some 600 MB. Beyond this, new
- * claims are refused.
+ * The most claims that a replica keeps: an hour of 139 claims a second, some 600 MB. Beyond this,
+ * new claims are refused.
  */
 export const maxClaims = 500_000;
 
--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -1,4 +1,4 @@
-// The replica on a disk that is full, refuses, or hangs.
+// A replica host on a disk that is full, fails or hangs.
 import test, { type ExecutionContext } from 'ava';
 import { callTimeoutMs } from '@reedyard/rpc';
 import {
@@ -19,28 +19,28 @@
   value: { epoch: 1, disks: { a: diskName, b: 'disk-b', c: 'disk-c' } },
 };
 
-const refusable: ReadonlySet<DiskOperation> = new Set([
+const writeOperations: ReadonlySet<DiskOperation> = new Set([
   'createFolder',
   'create',
   'write',
   'sync',
   'syncFolder',
 ]);
-const full: DiskFault = { kind: 'fail', code: 'ENOSPC' };
+const diskFullError: DiskFault = { kind: 'fail', code: 'ENOSPC' };
 const fullDisk = (operation: DiskOperation): DiskFault | null =>
-  refusable.has(operation) ? full : null;
+  writeOperations.has(operation) ? diskFullError : null;
 
-/** Lets everything that is ready run. */
+/** Waits until all pending callbacks have run. */
 const settle = async (): Promise<void> => {
   for (let turn = 0; turn < 3; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-/** The round that a value of these tests was written in. */
+/** Returns the round in which a value of these tests was written. */
 const roundOf = (value: unknown): number =>
   typeof value === 'string' ? Number(value.split(' ')[1]) : NaN;
 
-/** One replica with its disk and a clock that is set by hand. */
-class Bed {
+/** A replica with its disk, and a clock that the test sets. */
+class HostUnderTest {
   now = 0;
   readonly events: string[] = [];
   readonly host: ReplicaHost;
@@ -59,20 +59,20 @@
     });
     this.host = new ReplicaHost(opened, log, {
       now: () => this.now,
-      call: () => Promise.reject(new Error('nobody is there')),
+      call: () => Promise.reject(new Error('no peer is reachable')),
       exitProcess: () => undefined,
       log: (_level, event) => this.events.push(event),
     });
   }
 
-  static async open(disk: ModelDisk): Promise<Bed> {
-    const bed = new Bed(disk, await openReplicaLog(folder, disk.fileSystem));
+  static async open(disk: ModelDisk): Promise<HostUnderTest> {
+    const replica = new HostUnderTest(disk, await openReplicaLog(folder, disk.fileSystem));
     await settle();
-    return bed;
+    return replica;
   }
 
-  ask(call: ReplicaOperation): Promise<ReplicaReply> {
-    return this.host.handleRequest({ membership: members, operation: call });
+  sendRequest(operation: ReplicaOperation): Promise<ReplicaReply> {
+    return this.host.handleRequest({ membership: members, operation });
   }
 
   async tick(ms: number): Promise<void> {
@@ -82,7 +82,7 @@
   }
 
   prepare(round: number, key = 'config'): Promise<ReplicaReply> {
-    return this.ask({
+    return this.sendRequest({
       kind: 'prepare',
       key,
       proposalNumber: { counter: round, proposerId: 'proposer' },
@@ -90,7 +90,7 @@
   }
 
   accept(round: number, value: unknown, key = 'config'): Promise<ReplicaReply> {
-    return this.ask({
+    return this.sendRequest({
       kind: 'accept',
       key,
       proposalNumber: { counter: round, proposerId: 'proposer' },
@@ -99,12 +99,12 @@
     });
   }
 
-  pull(): Promise<ReplicaReply> {
-    return this.ask({ kind: 'poll', cursor: null, keys: ['config'] });
+  poll(): Promise<ReplicaReply> {
+    return this.sendRequest({ kind: 'poll', cursor: null, keys: ['config'] });
   }
 }
 
-/** A member that votes, on a disk of its own. */
+/** The disk of a member that votes. */
 const votingDisk = async (): Promise<ModelDisk> => {
   const disk = new ModelDisk();
   const log = await openReplicaLog(folder, disk.fileSystem);
@@ -122,7 +122,7 @@
   return disk;
 };
 
-/** What another process would read, and take part with, now. */
+/** Returns the accepted value that a new process would read from the disk. */
 const acceptedOnDisk = async (disk: ModelDisk): Promise<unknown> => {
   const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
   const { state } = openReplica({
@@ -135,181 +135,202 @@
   return state.registers.get('config')?.accepted?.value;
 };
 
-const ballotShown = (reply: ReplicaReply): unknown =>
+const acceptedNumberIn = (reply: ReplicaReply): unknown =>
   reply.kind === 'polled' ? reply.acceptedNumbers['config'] : reply.kind;
 
-test('with a full disk the replica refuses to vote at once, shows what is on disk, and votes again once there is room', async (t) => {
-  const bed = await Bed.open(await votingDisk());
-  t.is((await bed.accept(1, 'first')).kind, 'vote');
-  bed.disk.hook = fullDisk;
-  t.deepEqual(await bed.accept(2, 'second'), { kind: 'unavailable', diskId: diskName });
-  t.deepEqual(await bed.prepare(3), { kind: 'unavailable', diskId: diskName });
+test('with a full disk a replica refuses votes immediately, serves reads from disk, and votes again once there is free space', async (t) => {
+  const replica = await HostUnderTest.open(await votingDisk());
+  t.is((await replica.accept(1, 'first')).kind, 'vote');
+  replica.disk.hook = fullDisk;
+  t.deepEqual(await replica.accept(2, 'second'), { kind: 'unavailable', diskId: diskName });
+  t.deepEqual(await replica.prepare(3), { kind: 'unavailable', diskId: diskName });
   t.is(
-    (await bed.ask({ kind: 'append-entries', entries: [{ key: 'f', value: 1 }] })).kind,
+    (await replica.sendRequest({ kind: 'append-entries', entries: [{ key: 'f', value: 1 }] })).kind,
     'unavailable',
   );
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  t.deepEqual(await bed.ask({ kind: 'read-register', key: 'config' }), {
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 1, proposerId: 'proposer' });
+  t.deepEqual(await replica.sendRequest({ kind: 'read-register', key: 'config' }), {
     kind: 'register-read',
     diskId: diskName,
     accepted: { proposalNumber: { counter: 1, proposerId: 'proposer' }, value: 'first' },
   });
-  for (let each = 0; each < 100; each += 1) {
-    await bed.tick(200);
-    t.is((await bed.prepare(4)).kind, 'unavailable');
+  for (let attempt = 0; attempt < 100; attempt += 1) {
+    await replica.tick(200);
+    t.is((await replica.prepare(4)).kind, 'unavailable');
   }
-  t.deepEqual(bed.events, ['disk.unavailable']);
-  bed.disk.hook = () => null;
-  for (let each = 0; each < 25 && !bed.host.isAvailable; each += 1) await bed.tick(200);
-  t.deepEqual(bed.events, ['disk.unavailable', 'disk.available']);
-  t.is((await bed.accept(2, 'second')).kind, 'vote');
-  t.is(await acceptedOnDisk(bed.disk), 'second');
+  t.deepEqual(replica.events, ['disk.unavailable']);
+  replica.disk.hook = () => null;
+  for (let attempt = 0; attempt < 25 && !replica.host.isAvailable; attempt += 1)
+    await replica.tick(200);
+  t.deepEqual(replica.events, ['disk.unavailable', 'disk.available']);
+  t.is((await replica.accept(2, 'second')).kind, 'vote');
+  t.is(await acceptedOnDisk(replica.disk), 'second');
 });
 
-test('a replica whose disk takes no writes says so with each pull, and no longer once it does', async (t) => {
-  const bed = await Bed.open(await votingDisk());
+test('a replica reports in each poll reply that its disk accepts no writes, until it does again', async (t) => {
+  const replica = await HostUnderTest.open(await votingDisk());
   const isReadOnly = async (): Promise<boolean> => {
-    const reply = await bed.pull();
+    const reply = await replica.poll();
     return reply.kind === 'polled' && reply.isReadOnly === true;
   };
-  await bed.accept(1, 'first');
+  await replica.accept(1, 'first');
   t.false(await isReadOnly());
-  bed.disk.hook = fullDisk;
-  await bed.accept(2, 'second');
+  replica.disk.hook = fullDisk;
+  await replica.accept(2, 'second');
   t.true(await isReadOnly());
-  bed.disk.hook = () => null;
-  for (let each = 0; each < 25 && !bed.host.isAvailable; each += 1) await bed.tick(200);
+  replica.disk.hook = () => null;
+  for (let attempt = 0; attempt < 25 && !replica.host.isAvailable; attempt += 1)
+    await replica.tick(200);
   t.false(await isReadOnly());
 });
 
-test('what was decided on the way to a disk that refused is forgotten: it is shown nowhere', async (t) => {
-  const bed = await Bed.open(await votingDisk());
-  await bed.accept(1, 'first');
-  bed.disk.hook = fullDisk;
-  const answers = await Promise.all([bed.accept(5, 'lost'), bed.prepare(9, 'zone'), bed.pull()]);
+test('changes that a failed disk did not store are rolled back and never visible', async (t) => {
+  const replica = await HostUnderTest.open(await votingDisk());
+  await replica.accept(1, 'first');
+  replica.disk.hook = fullDisk;
+  const replies = await Promise.all([
+    replica.accept(5, 'lost'),
+    replica.prepare(9, 'zone'),
+    replica.poll(),
+  ]);
   t.deepEqual(
-    answers.map((answer) => answer.kind),
+    replies.map((reply) => reply.kind),
     ['unavailable', 'unavailable', 'polled'],
   );
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  bed.disk.hook = () => null;
-  await bed.tick(callTimeoutMs);
-  t.true(bed.host.isAvailable);
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  // The promise of proposal 9 was never given, so a lower one may be.
-  const vote = await bed.prepare(2, 'zone');
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 1, proposerId: 'proposer' });
+  replica.disk.hook = () => null;
+  await replica.tick(callTimeoutMs);
+  t.true(replica.host.isAvailable);
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 1, proposerId: 'proposer' });
+  // The promise of number 9 was never sent, so a lower number may be promised.
+  const vote = await replica.prepare(2, 'zone');
   t.deepEqual(vote.kind === 'vote' ? vote.vote.kind : vote.kind, 'yes');
-  t.is(await acceptedOnDisk(bed.disk), 'first');
+  t.is(await acceptedOnDisk(replica.disk), 'first');
 });
 
-test('a replica that starts with a full disk comes up, answers nothing, and takes part once there is room', async (t) => {
+test('a replica that starts with a full disk refuses all requests, and takes part once there is free space', async (t) => {
   const disk = await votingDisk();
-  const before = await Bed.open(disk);
+  const before = await HostUnderTest.open(disk);
   await before.accept(1, 'first');
   disk.hook = fullDisk;
-  const bed = await Bed.open(disk);
-  for (const call of [bed.pull(), bed.prepare(2), bed.ask({ kind: 'read-page', after: null })]) {
-    t.is((await call).kind, 'unavailable');
+  const replica = await HostUnderTest.open(disk);
+  for (const reply of [
+    replica.poll(),
+    replica.prepare(2),
+    replica.sendRequest({ kind: 'read-page', after: null }),
+  ]) {
+    t.is((await reply).kind, 'unavailable');
   }
-  await bed.tick(5_000);
-  t.is((await bed.pull()).kind, 'unavailable');
+  await replica.tick(5_000);
+  t.is((await replica.poll()).kind, 'unavailable');
   disk.hook = () => null;
-  await bed.tick(5_000);
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  t.is((await bed.accept(2, 'second')).kind, 'vote');
-  t.deepEqual(bed.events, ['disk.unavailable', 'disk.available']);
+  await replica.tick(5_000);
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 1, proposerId: 'proposer' });
+  t.is((await replica.accept(2, 'second')).kind, 'vote');
+  t.deepEqual(replica.events, ['disk.unavailable', 'disk.available']);
 });
 
-test('a first start with a full disk: its name is on disk before it tells it as a member could', async (t) => {
+test('after a first start with a full disk, the disk id is stored before the replica replies as a member', async (t) => {
   const disk = new ModelDisk();
   disk.hook = fullDisk;
-  const bed = await Bed.open(disk);
-  t.is((await bed.pull()).kind, 'unavailable');
+  const replica = await HostUnderTest.open(disk);
+  t.is((await replica.poll()).kind, 'unavailable');
   disk.hook = () => null;
-  await bed.tick(5_000);
-  // The only member has nobody to read: it votes with the call that names it.
-  t.is((await bed.pull()).kind, 'polled');
+  await replica.tick(5_000);
+  // There is no peer to read, so the replica begins to vote with the poll that names its disk.
+  t.is((await replica.poll()).kind, 'polled');
   const records = (await openReplicaLog(folder, disk.copy().fileSystem)).takeRecords();
   t.deepEqual(records[0], { kind: 'disk-named', diskId: diskName });
   t.true(records.some((record) => record.kind === 'voting-begun'));
 });
 
 /**
- * Calls of a few rounds, with all answers, while each operation of the disk in turn begins to fail.
+ * Sends requests of a few rounds and checks all replies, while `count` write operations of the disk
+ * fail after `first` successful operations. Returns whether any operation failed.
  */
-const playWithFault = async (
+const runWithFault = async (
   t: ExecutionContext,
   first: number,
   count: number,
 ): Promise<boolean> => {
   const disk = await votingDisk();
-  const bed = await Bed.open(disk);
-  let seen = 0;
+  const replica = await HostUnderTest.open(disk);
+  let operationCount = 0;
   disk.hook = (operation) => {
-    if (!refusable.has(operation)) return null;
-    seen += 1;
-    return seen > first && seen <= first + count ? full : null;
+    if (!writeOperations.has(operation)) return null;
+    operationCount += 1;
+    return operationCount > first && operationCount <= first + count ? diskFullError : null;
   };
-  let acknowledged: unknown;
+  let acknowledgedValue: unknown;
   for (let round = 1; round <= 12; round += 1) {
-    const [vote, pull] = await Promise.all([bed.accept(round, `value ${round}`), bed.pull()]);
-    if (vote.kind === 'vote') acknowledged = `value ${round}`;
-    // What any answer shows is what a process would find that starts on this disk after a loss of
-    // power.
-    const shown = ballotShown(pull);
-    for (const left of disk.powerLosses()) {
-      const value = await acceptedOnDisk(left);
-      const known = value === undefined ? 0 : roundOf(value);
-      t.true(known >= (Array.isArray(shown) ? Number(shown[0]) : 0), `${first} ${round}`);
-      if (acknowledged !== undefined) t.true(known >= roundOf(acknowledged));
+    const [vote, pollReply] = await Promise.all([
+      replica.accept(round, `value ${round}`),
+      replica.poll(),
+    ]);
+    if (vote.kind === 'vote') acknowledgedValue = `value ${round}`;
+    // A process that starts on this disk after a power loss must find everything that replies
+    // showed.
+    const acceptedNumber = acceptedNumberIn(pollReply);
+    for (const diskAfterPowerLoss of disk.powerLosses()) {
+      const value = await acceptedOnDisk(diskAfterPowerLoss);
+      const storedRound = value === undefined ? 0 : roundOf(value);
+      t.true(
+        storedRound >= (Array.isArray(acceptedNumber) ? Number(acceptedNumber[0]) : 0),
+        `${first} ${round}`,
+      );
+      if (acknowledgedValue !== undefined) t.true(storedRound >= roundOf(acknowledgedValue));
     }
-    await bed.tick(300);
+    await replica.tick(300);
   }
   disk.hook = () => null;
-  for (let each = 0; each < 25 && !bed.host.isAvailable; each += 1) await bed.tick(300);
-  t.is((await bed.accept(20, 'value 20')).kind, 'vote');
-  return seen > first;
+  for (let attempt = 0; attempt < 25 && !replica.host.isAvailable; attempt += 1)
+    await replica.tick(300);
+  t.is((await replica.accept(20, 'value 20')).kind, 'vote');
+  return operationCount > first;
 };
 
-test('at every operation that a full disk may begin to refuse, no answer tells of what is not on disk', async (t) => {
+test('at whichever operation a disk becomes full, no reply reveals anything that is not on disk', async (t) => {
   for (const count of [1, 4, 1_000]) {
     let first = 0;
-    while (await playWithFault(t, first, count)) first += 1;
+    while (await runWithFault(t, first, count)) first += 1;
     t.true(first > 10, `${first} operations`);
   }
 });
 
-test('a disk with no room for a snapshot: it votes on until nothing fits, and snapshots once there is room', async (t) => {
+test('without space for a snapshot a replica votes until the disk is full, and writes a snapshot once there is space', async (t) => {
   const disk = await votingDisk();
-  const bed = await Bed.open(disk);
+  const replica = await HostUnderTest.open(disk);
   const megabyte = 1024 * 1024;
   disk.capacity = 9 * megabyte;
   const writeRound = async (round: number): Promise<boolean> => {
-    const reply = await bed.accept(round, `value ${round} `.padEnd(megabyte, '.'));
-    await bed.tick(3_000);
+    const reply = await replica.accept(round, `value ${round} `.padEnd(megabyte, '.'));
+    await replica.tick(3_000);
     return reply.kind === 'vote';
   };
   let round = 1;
   while (await writeRound(round)) round += 1;
   t.true(round > 8, `${round} rounds`);
-  t.true(bed.events.includes('snapshot.failed'));
-  t.true(bed.events.includes('disk.unavailable'));
-  t.is(bed.events.filter((event) => event === 'snapshot.failed').length, 1);
-  t.deepEqual(ballotShown(await bed.pull()), { counter: round - 1, proposerId: 'proposer' });
+  t.true(replica.events.includes('snapshot.failed'));
+  t.true(replica.events.includes('disk.unavailable'));
+  t.is(replica.events.filter((event) => event === 'snapshot.failed').length, 1);
+  t.deepEqual(acceptedNumberIn(await replica.poll()), {
+    counter: round - 1,
+    proposerId: 'proposer',
+  });
   t.false([...disk.files().keys()].some((name) => name.startsWith('snapshot')));
   disk.capacity = 30 * megabyte;
-  for (let each = 0; each < 5; each += 1) await bed.tick(5_000);
+  for (let attempt = 0; attempt < 5; attempt += 1) await replica.tick(5_000);
   t.true(await writeRound(round));
-  for (let each = 0; each < 5; each += 1) await bed.tick(5_000);
-  t.true(bed.events.includes('disk.compacted'));
+  for (let attempt = 0; attempt < 5; attempt += 1) await replica.tick(5_000);
+  t.true(replica.events.includes('disk.compacted'));
   t.true(disk.totalBytes() < 4 * megabyte, `${disk.totalBytes()} bytes`);
   t.regex(String(await acceptedOnDisk(disk)), new RegExp(`^value ${round} `));
 });
 
-test('while a sync hangs, pulls are answered from the disk, votes are refused, and nothing piles up', async (t) => {
+test('while a sync hangs, polls are served from disk, votes are refused, and no requests accumulate', async (t) => {
   const disk = await votingDisk();
-  const bed = await Bed.open(disk);
-  await bed.accept(1, 'first');
+  const replica = await HostUnderTest.open(disk);
+  await replica.accept(1, 'first');
   const released: (() => void)[] = [];
   disk.hook = (operation) =>
     operation === 'sync'
@@ -317,30 +338,30 @@
           released.push(() => resolve(null));
         })
       : null;
-  const hanging = bed.accept(2, 'second');
-  // Before it counts as stalled, and after.
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  await bed.tick(proposalPhaseTimeoutMs + 1);
-  t.deepEqual(bed.events, ['disk.stalled']);
-  for (let each = 0; each < 10_000; each += 1) {
-    t.is((await bed.prepare(10 + each)).kind, 'unavailable');
+  const hangingReply = replica.accept(2, 'second');
+  // Polls are served both before and after the disk counts as stalled.
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 1, proposerId: 'proposer' });
+  await replica.tick(proposalPhaseTimeoutMs + 1);
+  t.deepEqual(replica.events, ['disk.stalled']);
+  for (let attempt = 0; attempt < 10_000; attempt += 1) {
+    t.is((await replica.prepare(10 + attempt)).kind, 'unavailable');
   }
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 1, proposerId: 'proposer' });
-  // Its caller has gone by now.
-  await bed.tick(callTimeoutMs);
-  t.is((await hanging).kind, 'unavailable');
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 1, proposerId: 'proposer' });
+  // The client no longer waits by now.
+  await replica.tick(callTimeoutMs);
+  t.is((await hangingReply).kind, 'unavailable');
   disk.hook = () => null;
   for (const release of released) release();
   await settle();
-  t.deepEqual(bed.events, ['disk.stalled', 'disk.resumed']);
-  t.deepEqual(ballotShown(await bed.pull()), { counter: 2, proposerId: 'proposer' });
-  t.is((await bed.accept(3, 'third')).kind, 'vote');
+  t.deepEqual(replica.events, ['disk.stalled', 'disk.resumed']);
+  t.deepEqual(acceptedNumberIn(await replica.poll()), { counter: 2, proposerId: 'proposer' });
+  t.is((await replica.accept(3, 'third')).kind, 'vote');
 });
 
-test('an answer that needs a sync is never given before it, however calls and syncs interleave', async (t) => {
+test('a reply that needs a sync is never sent before it, however requests and syncs interleave', async (t) => {
   for (let order = 0; order < 64; order += 1) {
     const disk = await votingDisk();
-    const bed = await Bed.open(disk);
+    const replica = await HostUnderTest.open(disk);
     let release: (() => void) | null = null;
     disk.hook = (operation) =>
       operation === 'sync'
@@ -348,17 +369,22 @@
             release = () => resolve(null);
           })
         : null;
-    const answers: Promise<void>[] = [];
+    const checks: Promise<void>[] = [];
     for (let step = 0; step < 6; step += 1) {
-      const accepts = (order & (1 << step)) !== 0;
-      const answered = accepts ? bed.accept(step + 1, `value ${step + 1}`) : bed.pull();
-      answers.push(
-        answered.then(async (reply) => {
-          const shown = reply.kind === 'vote' ? [step + 1] : ballotShown(reply);
-          for (const left of disk.powerLosses()) {
-            const value = await acceptedOnDisk(left);
-            const known = value === undefined ? 0 : roundOf(value);
-            t.true(known >= (Array.isArray(shown) ? Number(shown[0]) : 0), `${order} ${step}`);
+      const isAccept = (order & (1 << step)) !== 0;
+      const pendingReply = isAccept
+        ? replica.accept(step + 1, `value ${step + 1}`)
+        : replica.poll();
+      checks.push(
+        pendingReply.then(async (reply) => {
+          const acceptedNumber = reply.kind === 'vote' ? [step + 1] : acceptedNumberIn(reply);
+          for (const diskAfterPowerLoss of disk.powerLosses()) {
+            const value = await acceptedOnDisk(diskAfterPowerLoss);
+            const storedRound = value === undefined ? 0 : roundOf(value);
+            t.true(
+              storedRound >= (Array.isArray(acceptedNumber) ? Number(acceptedNumber[0]) : 0),
+              `${order} ${step}`,
+            );
           }
         }),
       );
@@ -368,6 +394,6 @@
     }
     disk.hook = () => null;
     (release as (() => void) | null)?.();
-    await Promise.all(answers);
+    await Promise.all(checks);
   }
 });
--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -47,7 +47,10 @@
 /** First and longest delay between two attempts to recover a failed disk, in milliseconds. */
 const minRecoveryDelayMs = 250;
 const maxRecoveryDelayMs = 1_000;
-/** After this time without a failure, in milliseconds, the recovery delay starts again at its minimum. */
+/**
+ * After this time without a failure, in milliseconds, the recovery delay starts again at its
+ * minimum.
+ */
 const recoveryDelayResetMs = 10_000;
 /** Delay before the next snapshot after one that could not be written, in milliseconds. */
 const snapshotRetryDelayMs = 2_000;
@@ -168,8 +171,8 @@
   }
 
   /**
-   * Returns the reply to a poll or register read that changes nothing, as if the request had arrived
-   * before the changes that are not on disk yet; null for other requests.
+   * Returns the reply to a poll or register read that changes nothing, as if the request had
+   * arrived before the changes that are not on disk yet; null for other requests.
    */
   #replyFromDurableState(event: RequestReceived): ReplicaReply | null {
     const { kind } = event.request.operation;
@@ -300,7 +303,9 @@
     }
   }
 
-  /** Returns to the state on disk. Request ids are not reused, although the state is rolled back. */
+  /**
+   * Returns to the state on disk. Request ids are not reused, although the state is rolled back.
+   */
   #rollBack(): void {
     this.#state = { ...this.#durableState, nextRequestId: this.#state.nextRequestId };
     this.#durableState = this.#state;
@@ -375,7 +380,9 @@
     else this.#environment.log('info', 'disk.resumed');
   }
 
-  /** Starts a snapshot if one is due. The larger the last snapshot, the later the next one is due. */
+  /**
+   * Starts a snapshot if one is due. The larger the last snapshot, the later the next one is due.
+   */
   #compactIfDue(): void {
     if (this.#isCompacting || !this.isAvailable || this.#environment.now() < this.#nextCompactionAt)
       return;
--- a/packages/replica/src/replica.test.ts
+++ b/packages/replica/src/replica.test.ts
@@ -11,39 +11,40 @@
 import type { ReplicaRecord } from './storage/records.js';
 import { decideVoting } from './voting-decision.js';
 
-const chanceFrom = (seed: number): (() => number) => {
+const seededRandom = (seed: number): (() => number) => {
   let state = seed + 1;
   return () => {
     state = (Math.imul(state, 1_664_525) + 1_013_904_223) >>> 0;
     return state / 4_294_967_296;
   };
 };
-type Flying = {
+/** A request or a reply in flight. */
+type Message = {
   readonly to: string;
   readonly from: string;
   readonly id: number;
-  readonly ask?: ReplicaRequest;
+  readonly request?: ReplicaRequest;
   readonly reply?: ReplicaReply;
 };
 
-/** Replicas that talk over a bench where any message may come next, or get lost. */
-class Bench {
+/** Replicas in a network where any message may arrive next or get lost. */
+class SimulatedNetwork {
   readonly states = new Map<string, ReplicaState>();
   readonly disks = new Map<string, ReplicaRecord[]>();
-  flying: Flying[] = [];
+  inFlight: Message[] = [];
   now = 0;
-  readonly #asking = new Map<string, { from: string; id: number }>();
-  #asks = 0;
-  #lives = 0;
+  readonly #senders = new Map<string, { from: string; id: number }>();
+  #requestCount = 0;
+  #incarnations = 0;
   constructor(
     readonly names: readonly string[],
-    readonly chance: () => number,
+    readonly random: () => number,
   ) {
     names.forEach((name) => this.open(name));
   }
 
   open(name: string): void {
-    this.#lives += 1;
+    this.#incarnations += 1;
     const others = Object.fromEntries(
       this.names.filter((each) => each !== name).map((each) => [each, each]),
     );
@@ -51,52 +52,57 @@
       name,
       otherFounders: others,
       records: this.disks.get(name) ?? [],
-      newDiskId: `disk-${this.#lives}`,
+      newDiskId: `disk-${this.#incarnations}`,
       now: this.now,
     });
     this.states.set(name, opened.state);
-    this.perform(name, opened.effects);
+    this.applyEffects(name, opened.effects);
   }
   wipe(name: string): void {
     this.disks.set(name, []);
-    this.flying = this.flying.filter((each) => each.from !== name && each.to !== name);
+    this.inFlight = this.inFlight.filter((each) => each.from !== name && each.to !== name);
     this.open(name);
   }
 
-  perform(name: string, effects: readonly ReplicaEffect[]): void {
+  applyEffects(name: string, effects: readonly ReplicaEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === 'append-records')
         this.disks.set(name, [...(this.disks.get(name) ?? []), ...effect.records]);
       if (effect.kind === 'send-request')
-        this.flying.push({ to: effect.to, from: name, id: effect.requestId, ask: effect.request });
+        this.inFlight.push({
+          to: effect.to,
+          from: name,
+          id: effect.requestId,
+          request: effect.request,
+        });
       if (effect.kind === 'send-reply') {
-        const asker = this.#asking.get(`${name}/${effect.requestId}`);
-        if (asker !== undefined)
-          this.flying.push({ to: asker.from, from: name, id: asker.id, reply: effect.reply });
+        const sender = this.#senders.get(`${name}/${effect.requestId}`);
+        if (sender !== undefined)
+          this.inFlight.push({ to: sender.from, from: name, id: sender.id, reply: effect.reply });
       }
     }
   }
   step(name: string, event: ReplicaEvent): void {
     const state = this.states.get(name);
     if (state === undefined) return;
-    const done = reduceReplica(state, event);
-    this.states.set(name, done.state);
-    this.perform(name, done.effects);
+    const outcome = reduceReplica(state, event);
+    this.states.set(name, outcome.state);
+    this.applyEffects(name, outcome.effects);
   }
-  /** One thing happens: a beat somewhere, or a message comes or is lost. */
-  tick(loss: number): void {
+  /** Makes a random replica tick, or delivers or loses a random message. */
+  runStep(lossRate: number): void {
     this.now += 20;
-    const draw = this.chance();
-    if (this.flying.length === 0 || draw < 0.3) {
-      this.step(this.names[Math.floor(this.chance() * this.names.length)] ?? '', {
+    const choice = this.random();
+    if (this.inFlight.length === 0 || choice < 0.3) {
+      this.step(this.names[Math.floor(this.random() * this.names.length)] ?? '', {
         kind: 'tick',
         now: this.now,
       });
       return;
     }
-    const [message] = this.flying.splice(Math.floor(this.chance() * this.flying.length), 1);
+    const [message] = this.inFlight.splice(Math.floor(this.random() * this.inFlight.length), 1);
     if (message === undefined) return;
-    if (this.chance() < loss) {
+    if (this.random() < lossRate) {
       if (message.reply === undefined)
         this.step(message.from, { kind: 'request-failed', requestId: message.id, now: this.now });
       else this.step(message.to, { kind: 'request-failed', requestId: message.id, now: this.now });
@@ -111,13 +117,16 @@
       });
       return;
     }
-    this.#asks += 1;
-    this.#asking.set(`${message.to}/${this.#asks}`, { from: message.from, id: message.id });
-    if (message.ask !== undefined)
+    this.#requestCount += 1;
+    this.#senders.set(`${message.to}/${this.#requestCount}`, {
+      from: message.from,
+      id: message.id,
+    });
+    if (message.request !== undefined)
       this.step(message.to, {
         kind: 'request-received',
-        requestId: this.#asks,
-        request: message.ask,
+        requestId: this.#requestCount,
+        request: message.request,
         now: this.now,
       });
   }
@@ -130,16 +139,16 @@
   }
 }
 
-test('founding: in whatever order they hear of each other, and whatever is lost, all come to the same members', (t) => {
+test('founders agree on the same membership whatever the order of messages and whichever are lost', (t) => {
   for (let seed = 0; seed < 400; seed += 1) {
-    const bench = new Bench(
+    const network = new SimulatedNetwork(
       seed % 2 === 0 ? ['a', 'b', 'c'] : ['a', 'b', 'c', 'd', 'e'],
-      chanceFrom(seed),
+      seededRandom(seed),
     );
-    for (let each = 0; each < 900; each += 1) bench.tick(seed % 4 < 2 ? 0 : 0.15);
-    const members = bench.members();
+    for (let step = 0; step < 900; step += 1) network.runStep(seed % 4 < 2 ? 0 : 0.15);
+    const members = network.members();
     t.true(
-      [...bench.states.values()].every((state) => state.hasBegunVoting),
+      [...network.states.values()].every((state) => state.hasBegunVoting),
       `seed ${seed}`,
     );
     t.is(
@@ -154,35 +163,36 @@
   }
 });
 
-test('a wiped replica does not vote until the members name its new disk and it has read the others', (t) => {
-  const bench = new Bench(['a', 'b', 'c'], chanceFrom(7));
-  for (let each = 0; each < 600; each += 1) bench.tick(0);
-  const before = bench.members()[0];
-  bench.wipe('c');
-  for (let each = 0; each < 600; each += 1) bench.tick(0.1);
-  t.false(bench.states.get('c')?.hasBegunVoting);
-  const told = {
+test('a wiped replica does not vote until the membership names its new disk and it has read the others', (t) => {
+  const network = new SimulatedNetwork(['a', 'b', 'c'], seededRandom(7));
+  for (let step = 0; step < 600; step += 1) network.runStep(0);
+  const before = network.members()[0];
+  network.wipe('c');
+  for (let step = 0; step < 600; step += 1) network.runStep(0.1);
+  t.false(network.states.get('c')?.hasBegunVoting);
+  const nextMembership = {
     proposalNumber: { counter: 9, proposerId: 'agent' } as const,
     value: {
       epoch: (before?.epoch ?? 0) + 1,
-      disks: { ...before?.disks, c: bench.states.get('c')?.diskId ?? '' },
+      disks: { ...before?.disks, c: network.states.get('c')?.diskId ?? '' },
     },
   };
-  bench.step('c', {
+  network.step('c', {
     kind: 'request-received',
     requestId: 9_999,
-    request: { membership: told, operation: { kind: 'poll', cursor: null, keys: [] } },
-    now: bench.now,
+    request: { membership: nextMembership, operation: { kind: 'poll', cursor: null, keys: [] } },
+    now: network.now,
   });
-  for (let each = 0; each < 600; each += 1) bench.tick(0.1);
-  t.true(bench.states.get('c')?.hasBegunVoting);
-  // Whom it read was told first: nobody of them goes on in the old epoch.
-  t.true(bench.members().every((each) => each?.epoch === told.value.epoch));
+  for (let step = 0; step < 600; step += 1) network.runStep(0.1);
+  t.true(network.states.get('c')?.hasBegunVoting);
+  // The replicas that it read had received the new membership first, so none still has the old
+  // epoch.
+  t.true(network.members().every((each) => each?.epoch === nextMembership.value.epoch));
 });
 
-test('when a disk that does not vote may come to do so', (t) => {
+test('a disk may begin to vote, or found the cluster, only once it has read enough of the others', (t) => {
   const disks = { a: '1', b: '2', c: '3', d: '4', e: '5' };
-  const other = (
+  const peerRead = (
     state: 'reading' | 'blank' | 'done',
     diskId: string,
     epoch = 2,
@@ -191,85 +201,85 @@
     diskId,
     epoch,
   });
-  const me = (
-    name: string,
-    others: Parameters<typeof decideVoting>[0]['peers'],
+  const decide = (
+    diskId: string,
+    peers: Parameters<typeof decideVoting>[0]['peers'],
     epoch = 2,
   ): ReturnType<typeof decideVoting> =>
-    decideVoting({ slot: 'a', diskId: name, membership: { epoch, disks }, peers: others });
+    decideVoting({ slot: 'a', diskId, membership: { epoch, disks }, peers });
   t.is(
-    me('1', {
-      b: other('done', '2'),
-      c: other('done', '3'),
-      d: other('done', '4'),
-      e: other('reading', ''),
+    decide('1', {
+      b: peerRead('done', '2'),
+      c: peerRead('done', '3'),
+      d: peerRead('done', '4'),
+      e: peerRead('reading', ''),
     }),
     'vote',
   );
   t.is(
-    me('1', {
-      b: other('done', '2'),
-      c: other('done', '3'),
-      d: other('reading', ''),
-      e: other('reading', ''),
+    decide('1', {
+      b: peerRead('done', '2'),
+      c: peerRead('done', '3'),
+      d: peerRead('reading', ''),
+      e: peerRead('reading', ''),
     }),
     'wait',
   );
   t.is(
-    me('1', {
-      b: other('done', '2', 1),
-      c: other('done', '3'),
-      d: other('done', '4'),
-      e: other('reading', ''),
+    decide('1', {
+      b: peerRead('done', '2', 1),
+      c: peerRead('done', '3'),
+      d: peerRead('done', '4'),
+      e: peerRead('reading', ''),
     }),
     'wait',
   );
   t.is(
-    me('1', {
-      b: other('done', 'old'),
-      c: other('done', '3'),
-      d: other('done', '4'),
-      e: other('reading', ''),
+    decide('1', {
+      b: peerRead('done', 'old'),
+      c: peerRead('done', '3'),
+      d: peerRead('done', '4'),
+      e: peerRead('reading', ''),
     }),
     'wait',
   );
   t.is(
-    me('new', {
-      b: other('done', '2'),
-      c: other('done', '3'),
-      d: other('done', '4'),
-      e: other('done', '5'),
+    decide('new', {
+      b: peerRead('done', '2'),
+      c: peerRead('done', '3'),
+      d: peerRead('done', '4'),
+      e: peerRead('done', '5'),
     }),
     'wait',
   );
   t.is(
-    me('new', {
-      b: other('blank', '8'),
-      c: other('blank', '9'),
-      d: other('done', '4'),
-      e: other('done', '5'),
+    decide('new', {
+      b: peerRead('blank', '8'),
+      c: peerRead('blank', '9'),
+      d: peerRead('done', '4'),
+      e: peerRead('done', '5'),
     }),
     'found',
   );
   t.is(
-    me('new', {
-      b: other('blank', '8'),
-      c: other('reading', ''),
-      d: other('done', '4'),
-      e: other('done', '5'),
+    decide('new', {
+      b: peerRead('blank', '8'),
+      c: peerRead('reading', ''),
+      d: peerRead('done', '4'),
+      e: peerRead('done', '5'),
     }),
     'wait',
   );
 });
 
-test('a replica that knows newer members refuses a caller that counts by older ones', (t) => {
-  const bench = new Bench(['a', 'b', 'c'], chanceFrom(3));
-  for (let each = 0; each < 600; each += 1) bench.tick(0);
-  const [members] = bench.members();
-  const proposalNumber = bench.states.get('a')?.registers.get(membershipKey)?.accepted
+test('a replica that knows a newer membership rejects a client that counts votes by an older one', (t) => {
+  const network = new SimulatedNetwork(['a', 'b', 'c'], seededRandom(3));
+  for (let step = 0; step < 600; step += 1) network.runStep(0);
+  const [members] = network.members();
+  const proposalNumber = network.states.get('a')?.registers.get(membershipKey)?.accepted
     ?.proposalNumber ?? { counter: 0, proposerId: '' };
-  const asked = (epoch: number): ReplicaReply | undefined => {
-    const state = bench.states.get('a');
+  const replyAtEpoch = (epoch: number): ReplicaReply | undefined => {
+    const state = network.states.get('a');
     if (state === undefined || members === undefined) return undefined;
     const { effects } = reduceReplica(state, {
       kind: 'request-received',
@@ -278,70 +288,73 @@
         membership: { proposalNumber, value: { ...members, epoch } },
         operation: { kind: 'poll', cursor: null, keys: [] },
       },
-      now: bench.now,
+      now: network.now,
     });
     return effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []))[0];
   };
-  t.is(asked(members?.epoch ?? 0)?.kind, 'polled');
-  t.is(asked((members?.epoch ?? 0) - 1)?.kind, 'newer-membership');
+  t.is(replyAtEpoch(members?.epoch ?? 0)?.kind, 'polled');
+  t.is(replyAtEpoch((members?.epoch ?? 0) - 1)?.kind, 'newer-membership');
 });
 
-test('a place on the board survives a restart, so no cursor skips a fact', (t) => {
-  const bench = new Bench(['a'], chanceFrom(1));
-  bench.step('a', { kind: 'tick', now: 100 });
+test('the last journal sequence survives a restart, so that no cursor skips an entry', (t) => {
+  const network = new SimulatedNetwork(['a'], seededRandom(1));
+  network.step('a', { kind: 'tick', now: 100 });
   const members = {
     proposalNumber: { counter: 1, proposerId: 'founding' } as const,
-    value: bench.members()[0] as Membership,
+    value: network.members()[0] as Membership,
   };
-  const post = (key: string, id: number): void =>
-    bench.step('a', {
+  const appendEntry = (key: string, requestId: number): void =>
+    network.step('a', {
       kind: 'request-received',
-      requestId: id,
+      requestId,
       request: {
         membership: members,
         operation: { kind: 'append-entries', entries: [{ key, value: 1 }] },
       },
-      now: bench.now,
+      now: network.now,
     });
-  post('purge/1', 1);
-  post('purge/2', 2);
-  const state = bench.states.get('a');
+  appendEntry('purge/1', 1);
+  appendEntry('purge/2', 2);
+  const state = network.states.get('a');
   if (state === undefined) {
     t.fail();
     return;
   }
-  // Everything aged away, then a snapshot, then a restart.
-  const aged = reduceReplica(state, { kind: 'tick', now: 1e9 }).state;
-  t.is(aged.entries.length, 0);
-  bench.disks.set('a', [...snapshotRecords(aged)]);
-  bench.open('a');
-  post('purge/3', 3);
-  t.is(bench.states.get('a')?.entries[0]?.sequence, 3);
+  // All entries expire, then a snapshot is written, then the replica restarts.
+  const expiredState = reduceReplica(state, { kind: 'tick', now: 1e9 }).state;
+  t.is(expiredState.entries.length, 0);
+  network.disks.set('a', [...snapshotRecords(expiredState)]);
+  network.open('a');
+  appendEntry('purge/3', 3);
+  t.is(network.states.get('a')?.entries[0]?.sequence, 3);
 });
 
-test('many claims: read page by page while more are written, let go after an hour, and refused when there is no room', (t) => {
-  const bench = new Bench(['a'], chanceFrom(1));
-  bench.step('a', { kind: 'tick', now: 100 });
+test('many claims are read page by page while more are written, expire after an hour, and are refused beyond the limit', (t) => {
+  const network = new SimulatedNetwork(['a'], seededRandom(1));
+  network.step('a', { kind: 'tick', now: 100 });
   const members = {
     proposalNumber: { counter: 1, proposerId: 'founding' } as const,
-    value: bench.members()[0] as Membership,
+    value: network.members()[0] as Membership,
   };
-  const disk = bench.states.get('a')?.diskId ?? '';
-  let state = bench.states.get('a') as ReplicaState;
-  const act = (event: ReplicaEvent): readonly ReplicaReply[] => {
+  const disk = network.states.get('a')?.diskId ?? '';
+  let state = network.states.get('a') as ReplicaState;
+  const handleEvent = (event: ReplicaEvent): readonly ReplicaReply[] => {
     const step = reduceReplica(state, event);
     state = step.state;
     return step.effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply] : []));
   };
-  const ask = (call: ReplicaRequest['operation'], now: number): ReplicaReply | undefined =>
-    act({
+  const sendRequest = (
+    operation: ReplicaRequest['operation'],
+    now: number,
+  ): ReplicaReply | undefined =>
+    handleEvent({
       kind: 'request-received',
       requestId: 1,
-      request: { membership: members, operation: call },
+      request: { membership: members, operation },
       now,
     })[0];
-  const claim = (index: number, now: number): void => {
-    ask(
+  const writeClaim = (index: number, now: number): void => {
+    sendRequest(
       {
         kind: 'accept',
         key: `claim/k${index}`,
@@ -353,51 +366,52 @@
     );
   };
   const count = Math.floor(2.5 * registersPerPage);
-  for (let index = 0; index < count; index += 1) claim(index, 1_000);
-  const got = new Set<string>();
+  for (let index = 0; index < count; index += 1) writeClaim(index, 1_000);
+  const readKeys = new Set<string>();
   let after: string | null = null;
   for (let pages = 0; pages < 10; pages += 1) {
-    const reply = ask({ kind: 'read-page', after }, 2_000);
+    const reply = sendRequest({ kind: 'read-page', after }, 2_000);
     if (reply?.kind !== 'page-read') {
       t.fail();
       return;
     }
-    reply.registers.forEach(([key]) => got.add(key));
+    reply.registers.forEach(([key]) => readKeys.add(key));
     after = reply.nextPage;
     if (after === null) break;
-    claim(count + pages, 2_000);
+    writeClaim(count + pages, 2_000);
   }
   t.is(after, null);
-  for (let index = 0; index < count; index += 1) t.true(got.has(`claim/k${index}`));
+  for (let index = 0; index < count; index += 1) t.true(readKeys.has(`claim/k${index}`));
   t.deepEqual(state.openPageReads, {});
 
-  // A claim written again late in the hour stays; the others go, some in each sweep.
-  claim(0, 3_000_000);
-  const over = 1_000 + claimRetentionMs + 120_000;
-  for (let sweeps = 0; sweeps < 3; sweeps += 1) act({ kind: 'tick', now: over + 2_000 * sweeps });
+  // A claim that was written again late in the hour is kept; the others expire over several sweeps.
+  writeClaim(0, 3_000_000);
+  const afterExpiry = 1_000 + claimRetentionMs + 120_000;
+  for (let sweeps = 0; sweeps < 3; sweeps += 1)
+    handleEvent({ kind: 'tick', now: afterExpiry + 2_000 * sweeps });
   t.deepEqual(
     [...state.registers.keys()].filter((key) => key.startsWith('claim/')),
     ['claim/k0'],
   );
   t.is(state.claimKeysByMinute.size, 1);
 
-  const full = {
+  const fullState = {
     ...state,
     claimMinuteByKey: {
       ...state.claimMinuteByKey,
       size: maxClaims,
     } as ReplicaState['claimMinuteByKey'],
   };
-  const prepared = (key: string): string | undefined =>
-    reduceReplica(full, {
+  const replyKindToPrepare = (key: string): string | undefined =>
+    reduceReplica(fullState, {
       kind: 'request-received',
       requestId: 1,
       request: {
         membership: members,
         operation: { kind: 'prepare', key, proposalNumber: { counter: 9, proposerId: 'x' } },
       },
-      now: over,
+      now: afterExpiry,
     }).effects.flatMap((effect) => (effect.kind === 'send-reply' ? [effect.reply.kind] : []))[0];
-  t.is(prepared('claim/new'), 'too-many-claims');
-  t.is(prepared('policy'), 'vote');
+  t.is(replyKindToPrepare('claim/new'), 'too-many-claims');
+  t.is(replyKindToPrepare('policy'), 'vote');
 });
--- a/packages/replica/src/restore.ts
+++ b/packages/replica/src/restore.ts
@@ -1,6 +1,6 @@
 /**
- * Restores values after most disks were lost: members of a cluster that was founded anew take part in
- * nothing until agents have sent them the values that they know to be chosen.
+ * Restores values after most disks were lost: members of a cluster that was founded anew take part
+ * in nothing until agents have sent them the values that they know to be chosen.
  */
 import { compareProposalNumbers, emptyRegister, mergeRegisters } from '@reedyard/consensus';
 import { appendEntries } from './journal.js';
@@ -53,9 +53,9 @@
 };
 
 /**
- * Starts the wait for restores by agents. Every member waits: also a member that kept its disk, since
- * it may lack values that the lost disks had, and a member that read the others before they were
- * restored.
+ * Starts the wait for restores by agents. Every member waits: also a member that kept its disk,
+ * since it may lack values that the lost disks had, and a member that read the others before they
+ * were restored.
  *
  * @param refoundedEpoch the epoch of the latest founding after a loss; 0 if there was none
  */
--- a/packages/replica/src/retirement.test.ts
+++ b/packages/replica/src/retirement.test.ts
@@ -10,24 +10,24 @@
 import type { ReplicaState } from './state.js';
 import type { ReplicaRecord } from './storage/records.js';
 
-// What a replica does once its slot was given to another disk, or its process was asked to stop.
+// A replica whose slot was assigned to another disk, or whose process was requested to stop.
 
 const membership = (
   epoch: number,
   disks: Readonly<Record<string, string>>,
-  more: Partial<CommittedMembership['value']> = {},
+  extraFields: Partial<CommittedMembership['value']> = {},
 ): CommittedMembership => {
   const proposalNumber: ProposalNumber = {
     counter: epoch,
     proposerId: epoch === 1 ? 'founding' : 'agent',
   };
   const addresses = Object.fromEntries(Object.keys(disks).map((member) => [member, member]));
-  return { proposalNumber, value: { epoch, disks, addresses, ...more } };
+  return { proposalNumber, value: { epoch, disks, addresses, ...extraFields } };
 };
-const first = membership(1, { a: 'A', b: 'B', c: 'C' });
+const firstMembership = membership(1, { a: 'A', b: 'B', c: 'C' });
 const predecessors = { d: { disk: 'A', address: 'a' } };
-const second = membership(2, { b: 'B', c: 'C', d: 'D' }, { predecessors });
-const third = membership(
+const secondMembership = membership(2, { b: 'B', c: 'C', d: 'D' }, { predecessors });
+const thirdMembership = membership(
   3,
   { b: 'B', c: 'C', e: 'E' },
   {
@@ -35,32 +35,36 @@
   },
 );
 
-const pull: ReplicaOperation = { kind: 'poll', cursor: null, keys: [] };
-const dump: ReplicaOperation = { kind: 'read-page', after: null };
+const poll: ReplicaOperation = { kind: 'poll', cursor: null, keys: [] };
+const readPage: ReplicaOperation = { kind: 'read-page', after: null };
 const prepare: ReplicaOperation = {
   kind: 'prepare',
   key: 'config',
   proposalNumber: { counter: 9, proposerId: 'agent' },
 };
-const entry: ReplicaOperation = { kind: 'append-entries', entries: [{ key: 'purge/1', value: 1 }] };
+const appendEntry: ReplicaOperation = {
+  kind: 'append-entries',
+  entries: [{ key: 'purge/1', value: 1 }],
+};
 
-/** Records of a replica that voted in the first epoch. */
+/** Records of a replica that votes in the first epoch. */
 const recordsOf = (disk: string): readonly ReplicaRecord[] => [
   { kind: 'disk-named', diskId: disk },
   {
     kind: 'register-written',
     key: membershipKey,
-    register: { promised: first.proposalNumber, accepted: first },
+    register: { promised: firstMembership.proposalNumber, accepted: firstMembership },
   },
-  { kind: 'membership-committed', membership: first },
+  { kind: 'membership-committed', membership: firstMembership },
   { kind: 'voting-begun' },
 ];
 
+/** A replica's reducer with its records, sent requests and a clock that the test sets. */
 class ReplicaUnderTest {
   state: ReplicaState;
   readonly records: ReplicaRecord[];
   sent: Extract<ReplicaEffect, { kind: 'send-request' }>[] = [];
-  ended = false;
+  hasExited = false;
   now = 0;
 
   constructor(
@@ -79,86 +83,86 @@
       now: 0,
     });
     this.state = opened.state;
-    this.#take(opened.effects);
+    this.#apply(opened.effects);
   }
 
-  #take(effects: readonly ReplicaEffect[]): readonly ReplicaReply[] {
+  #apply(effects: readonly ReplicaEffect[]): readonly ReplicaReply[] {
     const replies: ReplicaReply[] = [];
     for (const effect of effects) {
       if (effect.kind === 'append-records') this.records.push(...effect.records);
       if (effect.kind === 'send-request') this.sent.push(effect);
-      if (effect.kind === 'exit') this.ended = true;
+      if (effect.kind === 'exit') this.hasExited = true;
       if (effect.kind === 'send-reply') replies.push(effect.reply);
     }
     return replies;
   }
 
   step(event: ReplicaEvent): readonly ReplicaReply[] {
-    const done = reduceReplica(this.state, event);
-    this.state = done.state;
-    return this.#take(done.effects);
+    const outcome = reduceReplica(this.state, event);
+    this.state = outcome.state;
+    return this.#apply(outcome.effects);
   }
 
-  ask(
-    members: CommittedMembership,
-    call: ReplicaOperation,
-    more: Partial<ReplicaRequest> = {},
+  sendRequest(
+    membership: CommittedMembership,
+    operation: ReplicaOperation,
+    extraFields: Partial<ReplicaRequest> = {},
   ): ReplicaReply | undefined {
     return this.step({
       kind: 'request-received',
       requestId: 1,
-      request: { membership: members, operation: call, ...more },
+      request: { membership, operation, ...extraFields },
       now: this.now,
     })[0];
   }
 
-  interval(ms = 200): void {
+  tickAfter(ms = 200): void {
     this.now += ms;
     this.step({ kind: 'tick', now: this.now });
   }
 
-  /** Answers what was asked of a machine last. */
-  answer(from: string, reply: ReplicaReply): void {
-    const call = this.sent.filter((each) => each.to === from).at(-1);
-    if (call === undefined) throw new Error(`nothing was asked of ${from}`);
-    this.step({ kind: 'reply-received', requestId: call.requestId, reply: reply, now: this.now });
+  /** Replies to the last request that was sent to an address. */
+  receiveReplyFrom(from: string, reply: ReplicaReply): void {
+    const request = this.sent.filter((each) => each.to === from).at(-1);
+    if (request === undefined) throw new Error(`no request was sent to ${from}`);
+    this.step({ kind: 'reply-received', requestId: request.requestId, reply, now: this.now });
   }
 }
 
-const fetched = (disk: string): ReplicaReply => ({
+const registerReadBy = (diskId: string): ReplicaReply => ({
   kind: 'register-read',
-  diskId: disk,
+  diskId,
   accepted: null,
 });
 
-test('a replaced replica votes no more, and keeps its data, readable, until its successor votes', (t) => {
+test('a retired replica no longer votes, and keeps its data readable until its successor votes', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
-  replica.ask(first, entry);
-  t.deepEqual(replica.ask(second, pull), {
+  replica.sendRequest(firstMembership, appendEntry);
+  t.deepEqual(replica.sendRequest(secondMembership, poll), {
     kind: 'not-a-member',
     diskId: 'A',
     isBlank: false,
     knowsMembership: true,
   });
-  t.is(replica.ask(second, prepare)?.kind, 'not-a-member');
-  t.is(replica.ask(first, prepare)?.kind, 'newer-membership');
-  for (const holder of [replica, new ReplicaUnderTest('a', replica.records)]) {
-    holder.interval();
-    const read = holder.ask(second, dump);
+  t.is(replica.sendRequest(secondMembership, prepare)?.kind, 'not-a-member');
+  t.is(replica.sendRequest(firstMembership, prepare)?.kind, 'newer-membership');
+  for (const retired of [replica, new ReplicaUnderTest('a', replica.records)]) {
+    retired.tickAfter();
+    const read = retired.sendRequest(secondMembership, readPage);
     t.is(read?.kind === 'page-read' ? read.entries.length : 0, 1);
     t.is(read?.kind === 'page-read' ? read.membership?.value.epoch : 0, 2);
-    holder.answer('b', fetched('B'));
-    holder.answer('c', fetched('C'));
-    t.is(holder.ask(second, pull)?.kind, 'not-a-member');
+    retired.receiveReplyFrom('b', registerReadBy('B'));
+    retired.receiveReplyFrom('c', registerReadBy('C'));
+    t.is(retired.sendRequest(secondMembership, poll)?.kind, 'not-a-member');
     t.is(
-      holder.state.diskId,
+      retired.state.diskId,
       'A',
-      'a majority that votes is not enough while the successor may still read',
+      'erased its data because a majority votes, although the successor may still read it',
     );
-    holder.answer('d', fetched('D'));
+    retired.receiveReplyFrom('d', registerReadBy('D'));
     const blank = { kind: 'not-a-member', diskId: 'A/2', isBlank: true, knowsMembership: true };
-    t.deepEqual(holder.ask(second, pull), blank);
-    for (const records of [holder.records, [...snapshotRecords(holder.state)]]) {
+    t.deepEqual(retired.sendRequest(secondMembership, poll), blank);
+    for (const records of [retired.records, [...snapshotRecords(retired.state)]]) {
       const { state } = new ReplicaUnderTest('a', records);
       t.deepEqual(
         [state.diskId, state.hasBegunVoting, state.registers.size, state.entries.length],
@@ -170,106 +174,126 @@
   }
 });
 
-test('a successor that answers as a blank disk does not vote: the data is kept', (t) => {
+test('a retired replica keeps its data while its successor replies as a blank disk', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
-  replica.ask(second, pull);
-  replica.interval();
-  replica.answer('d', { kind: 'not-a-member', diskId: 'D', isBlank: true, knowsMembership: true });
-  replica.answer('b', fetched('D'));
+  replica.sendRequest(secondMembership, poll);
+  replica.tickAfter();
+  replica.receiveReplyFrom('d', {
+    kind: 'not-a-member',
+    diskId: 'D',
+    isBlank: true,
+    knowsMembership: true,
+  });
+  replica.receiveReplyFrom('b', registerReadBy('D'));
   t.is(replica.state.diskId, 'A');
 });
 
-test('without a successor that votes the data is kept until a majority votes without it', (t) => {
+test('without a voting successor a retired replica keeps its data until a majority votes without it', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
-  replica.ask(second, pull);
-  replica.interval(retiredDataRetentionMs + 200);
-  replica.answer('b', fetched('B'));
-  t.is(replica.state.diskId, 'A', 'one of three');
-  replica.interval(votingEvidenceMaxAgeMs + 200);
-  replica.answer('c', fetched('C'));
-  t.is(replica.state.diskId, 'A', 'two of three, but not at one time');
-  replica.answer('b', fetched('B'));
+  replica.sendRequest(secondMembership, poll);
+  replica.tickAfter(retiredDataRetentionMs + 200);
+  replica.receiveReplyFrom('b', registerReadBy('B'));
+  t.is(replica.state.diskId, 'A', 'erased its data although only one of three members votes');
+  replica.tickAfter(votingEvidenceMaxAgeMs + 200);
+  replica.receiveReplyFrom('c', registerReadBy('C'));
+  t.is(
+    replica.state.diskId,
+    'A',
+    'erased its data although two of three members did not vote at the same time',
+  );
+  replica.receiveReplyFrom('b', registerReadBy('B'));
   t.is(replica.state.diskId, 'A/2');
 });
 
-test('a successor that was replaced in its turn is not waited for', (t) => {
+test('a retired replica does not wait for a successor that was itself replaced', (t) => {
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
-  replica.ask(second, pull);
-  replica.interval();
-  replica.answer('b', { kind: 'newer-membership', diskId: 'B', membership: third });
+  replica.sendRequest(secondMembership, poll);
+  replica.tickAfter();
+  replica.receiveReplyFrom('b', {
+    kind: 'newer-membership',
+    diskId: 'B',
+    membership: thirdMembership,
+  });
   t.is(replica.state.diskId, 'A');
-  replica.interval();
-  replica.answer('b', fetched('B'));
-  replica.answer('e', fetched('E'));
+  replica.tickAfter();
+  replica.receiveReplyFrom('b', registerReadBy('B'));
+  replica.receiveReplyFrom('e', registerReadBy('E'));
   t.is(replica.state.diskId, 'A/3');
 });
 
-const dumped = (disk: string, members: CommittedMembership): ReplicaReply => ({
+const pageReadBy = (diskId: string, committed: CommittedMembership): ReplicaReply => ({
   kind: 'page-read',
-  diskId: disk,
-  membership: members,
+  diskId,
+  membership: committed,
   registers: [],
   entries: [],
   nextPage: null,
 });
 
-test('a successor votes once it has read its predecessor, or enough other members', (t) => {
-  const joining = (): ReplicaUnderTest => {
+test('a successor votes once it has read its predecessor or enough other members', (t) => {
+  const joiningReplica = (): ReplicaUnderTest => {
     const replica = new ReplicaUnderTest('d', [], 'D');
-    replica.ask(second, pull);
+    replica.sendRequest(secondMembership, poll);
     t.deepEqual(replica.sent.map((each) => each.to).sort(), ['a', 'b', 'c']);
     t.true(replica.sent.every((each) => each.request.membership?.value.epoch === 2));
     return replica;
   };
-  const fromPredecessor = joining();
-  fromPredecessor.answer('a', dumped('A', second));
+  const fromPredecessor = joiningReplica();
+  fromPredecessor.receiveReplyFrom('a', pageReadBy('A', secondMembership));
   t.true(fromPredecessor.state.hasBegunVoting);
 
-  const fromOthers = joining();
-  fromOthers.answer('b', dumped('B', second));
-  t.false(fromOthers.state.hasBegunVoting, 'one of two others');
-  fromOthers.answer('c', dumped('C', second));
+  const fromOthers = joiningReplica();
+  fromOthers.receiveReplyFrom('b', pageReadBy('B', secondMembership));
+  t.false(fromOthers.state.hasBegunVoting, 'votes after reading only one of two other members');
+  fromOthers.receiveReplyFrom('c', pageReadBy('C', secondMembership));
   t.true(fromOthers.state.hasBegunVoting);
 
-  const fromAnother = joining();
-  fromAnother.answer('a', dumped('X', second));
-  t.false(fromAnother.state.hasBegunVoting, 'another disk at the address of its predecessor');
+  const fromOtherDisk = joiningReplica();
+  fromOtherDisk.receiveReplyFrom('a', pageReadBy('X', secondMembership));
+  t.false(
+    fromOtherDisk.state.hasBegunVoting,
+    'votes after reading another disk at the address of its predecessor',
+  );
 });
 
-test('told to stop, a member without a spare ends at once; with one it says so and waits a while', (t) => {
-  const alone = new ReplicaUnderTest('a', recordsOf('A'));
-  alone.step({ kind: 'stop-requested', now: alone.now });
-  t.true(alone.ended);
+test('a stopping member exits immediately without a spare; with a spare it reports that it is stopping and waits for a limited time', (t) => {
+  const withoutSpare = new ReplicaUnderTest('a', recordsOf('A'));
+  withoutSpare.step({ kind: 'stop-requested', now: withoutSpare.now });
+  t.true(withoutSpare.hasExited);
 
   const replica = new ReplicaUnderTest('a', recordsOf('A'));
-  replica.ask(first, pull, { hasLiveSpare: true });
+  replica.sendRequest(firstMembership, poll, { hasLiveSpare: true });
   replica.step({ kind: 'stop-requested', now: replica.now });
-  const answer = replica.ask(first, pull, { hasLiveSpare: true });
-  t.true(answer?.kind === 'polled' && answer.isStopping === true);
-  replica.interval();
-  t.false(replica.ended);
-  t.is(replica.ask(first, prepare)?.kind, 'vote', 'it votes on meanwhile');
-  replica.interval(handoverTimeoutMs);
-  t.true(replica.ended);
+  const reply = replica.sendRequest(firstMembership, poll, { hasLiveSpare: true });
+  t.true(reply?.kind === 'polled' && reply.isStopping === true);
+  replica.tickAfter();
+  t.false(replica.hasExited);
+  t.is(
+    replica.sendRequest(firstMembership, prepare)?.kind,
+    'vote',
+    'a stopping member does not vote while it waits',
+  );
+  replica.tickAfter(handoverTimeoutMs);
+  t.true(replica.hasExited);
 });
 
-test('told to stop, a replaced member ends once its successor votes, or has taken too long', (t) => {
-  const leaving = (): ReplicaUnderTest => {
+test('a stopping replica that was replaced exits once its successor votes or has taken too long', (t) => {
+  const stoppingRetired = (): ReplicaUnderTest => {
     const replica = new ReplicaUnderTest('a', recordsOf('A'));
-    replica.ask(first, pull, { hasLiveSpare: true });
+    replica.sendRequest(firstMembership, poll, { hasLiveSpare: true });
     replica.step({ kind: 'stop-requested', now: replica.now });
-    replica.ask(second, pull);
-    replica.interval();
-    t.false(replica.ended);
+    replica.sendRequest(secondMembership, poll);
+    replica.tickAfter();
+    t.false(replica.hasExited);
     return replica;
   };
-  const done = leaving();
-  done.answer('d', fetched('D'));
-  done.interval();
-  t.true(done.ended);
+  const withVotingSuccessor = stoppingRetired();
+  withVotingSuccessor.receiveReplyFrom('d', registerReadBy('D'));
+  withVotingSuccessor.tickAfter();
+  t.true(withVotingSuccessor.hasExited);
 
-  const late = leaving();
-  late.interval(retiredDataRetentionMs);
-  t.true(late.ended);
-  t.is(late.state.diskId, 'A', 'with its data');
+  const withoutSuccessor = stoppingRetired();
+  withoutSuccessor.tickAfter(retiredDataRetentionMs);
+  t.true(withoutSuccessor.hasExited);
+  t.is(withoutSuccessor.state.diskId, 'A', 'erased its data at exit');
 });
--- a/packages/replica/src/retirement.ts
+++ b/packages/replica/src/retirement.ts
@@ -2,8 +2,8 @@
  * Retirement of a replica whose slot was assigned to another disk.
  *
  * The replica no longer votes, but keeps its data readable for its successor until the successor
- * votes. So a wrong suspicion or a planned shutdown never removes a copy before another copy replaces
- * it. Only then the replica erases its data and waits for a slot as a blank replica.
+ * votes. So a wrong suspicion or a planned shutdown never removes a copy before another copy
+ * replaces it. Only then the replica erases its data and waits for a slot as a blank replica.
  */
 import { majorityOf } from '@reedyard/consensus';
 import { adoptMembership, eraseDisk } from './committed-membership.js';
@@ -105,7 +105,9 @@
   return retirement;
 };
 
-/** Begins or ends retirement as the membership requires; called after each possible change of it. */
+/**
+ * Begins or ends retirement as the membership requires; called after each possible change of it.
+ */
 export const updateRetirement = (transition: Transition, now: number): void => {
   const { state } = transition;
   if (!isRetired(state)) {
--- a/packages/replica/src/run.ts
+++ b/packages/replica/src/run.ts
@@ -58,8 +58,8 @@
 });
 
 /**
- * Ignores errors of stderr. If it is redirected to a file on a full disk, log lines are lost, but the
- * process goes on.
+ * Ignores errors of stderr. If it is redirected to a file on a full disk, log lines are lost, but
+ * the process goes on.
  */
 const ignoreLogErrors = (): void => {
   process.stderr.on('error', () => undefined);
--- a/packages/replica/src/safeguards.test.ts
+++ b/packages/replica/src/safeguards.test.ts
@@ -1,5 +1,5 @@
 /**
- * Safeguards of the replica, each at the border of its reducer: red without the one that it names.
+ * Safeguards of the replica's reducer: each test fails if the safeguard that it names is removed.
  */
 import test from 'ava';
 import {
@@ -28,11 +28,11 @@
     key: membershipKey,
     register: { promised: membership.proposalNumber, accepted: membership },
   },
-  { kind: 'membership-committed', membership: membership },
+  { kind: 'membership-committed', membership },
   { kind: 'voting-begun' },
 ];
 
-const opened = (records: readonly ReplicaRecord[]): ReplicaState => {
+const openState = (records: readonly ReplicaRecord[]): ReplicaState => {
   const bootstrap = { address: 'a', seeds: ['a', 'b', 'c'], isFirstStart: false };
   return openReplica({
     name: 'a',
@@ -44,63 +44,67 @@
   }).state;
 };
 
-type Answered = {
+/** The outcome of one request. */
+type RequestOutcome = {
   readonly state: ReplicaState;
   readonly reply: ReplicaReply | undefined;
   readonly records: readonly ReplicaRecord[];
 };
 
-const asked = (state: ReplicaState, call: ReplicaOperation): Answered => {
-  const body = { membership, operation: call };
-  const done = reduceReplica(state, {
+const sendRequest = (state: ReplicaState, operation: ReplicaOperation): RequestOutcome => {
+  const request = { membership, operation };
+  const step = reduceReplica(state, {
     kind: 'request-received',
     requestId: 1,
-    request: body,
+    request,
     now: 1,
   });
-  const replies = done.effects.flatMap((effect) =>
+  const replies = step.effects.flatMap((effect) =>
     effect.kind === 'send-reply' ? [effect.reply] : [],
   );
-  const records = done.effects.flatMap((effect) =>
+  const records = step.effects.flatMap((effect) =>
     effect.kind === 'append-records' ? effect.records : [],
   );
-  return { state: done.state, reply: replies[0], records };
+  return { state: step.state, reply: replies[0], records };
 };
 
-const acceptBy = (disk: string): ReplicaOperation => ({
+const acceptFor = (diskId: string): ReplicaOperation => ({
   kind: 'accept',
   key: 'policy',
   proposalNumber: { counter: 2, proposerId: 'p' },
   value: 'new',
-  diskId: disk,
+  diskId,
 });
 
-test('an accept that rests on the promise of another disk is refused, and leaves nothing on this one', (t) => {
-  const foreign = asked(opened(memberRecords), acceptBy('disk-of-another-life'));
-  t.is(foreign.reply?.kind, 'not-a-member');
-  t.deepEqual(foreign.records, []);
-  const own = asked(opened(memberRecords), acceptBy('disk-a'));
-  t.is(own.reply?.kind, 'vote');
-  t.is(own.records.length, 1);
+test('an accept for the promise of another disk is rejected, and writes nothing to this disk', (t) => {
+  const foreignOutcome = sendRequest(
+    openState(memberRecords),
+    acceptFor('disk-of-another-incarnation'),
+  );
+  t.is(foreignOutcome.reply?.kind, 'not-a-member');
+  t.deepEqual(foreignOutcome.records, []);
+  const ownOutcome = sendRequest(openState(memberRecords), acceptFor('disk-a'));
+  t.is(ownOutcome.reply?.kind, 'vote');
+  t.is(ownOutcome.records.length, 1);
 });
 
-const pull = (disk: string, sequence: number): ReplicaOperation => ({
+const pollFrom = (diskId: string, sequence: number): ReplicaOperation => ({
   kind: 'poll',
-  cursor: { diskId: disk, sequence },
+  cursor: { diskId, sequence },
   keys: [],
 });
 
-test('a reader with the cursor of another disk is given the journal from its beginning', (t) => {
+test('a reader with a cursor of another disk receives the journal from its beginning', (t) => {
   const entries = [1, 2, 3].map((sequence) => ({
     kind: 'entry-appended' as const,
     sequence: 10 + sequence,
     entry: { key: `purge/${sequence}`, value: sequence },
   }));
-  const state = opened([...memberRecords, ...entries]);
-  const given = (disk: string, sequence: number): readonly unknown[] => {
-    const { reply } = asked(state, pull(disk, sequence));
+  const state = openState([...memberRecords, ...entries]);
+  const valuesAfter = (diskId: string, sequence: number): readonly unknown[] => {
+    const { reply } = sendRequest(state, pollFrom(diskId, sequence));
     return reply?.kind === 'polled' ? reply.entries.map((entry) => entry.value) : [];
   };
-  t.deepEqual(given('disk-a', 12), [3]);
-  t.deepEqual(given('disk-of-another-life', 12), [1, 2, 3]);
+  t.deepEqual(valuesAfter('disk-a', 12), [3]);
+  t.deepEqual(valuesAfter('disk-of-another-incarnation', 12), [1, 2, 3]);
 });
--- a/packages/replica/src/state.ts
+++ b/packages/replica/src/state.ts
@@ -60,7 +60,9 @@
   readonly claimMinuteByKey: ImmutableMap<string, number>;
   /** The claims last written in each minute. */
   readonly claimKeysByMinute: ImmutableMap<number, ImmutableSet<string>>;
-  /** The keys of the registers at the start of each read by another replica, by name of the read. */
+  /**
+   * The keys of the registers at the start of each read by another replica, by name of the read.
+   */
   readonly openPageReads: Readonly<Record<string, readonly string[]>>;
   /** The journal, oldest first. */
   readonly entries: readonly RetainedEntry[];
@@ -94,8 +96,8 @@
 
 /**
  * Returns the slot that a membership assigns to this disk. In a cluster founded from seeds the slot
- * is found by the disk id alone, since a slot moves between machines; otherwise the replica's name is
- * its slot.
+ * is found by the disk id alone, since a slot moves between machines; otherwise the replica's name
+ * is its slot.
  */
 export const slotOf = (state: ReplicaState, membership: Membership): string | undefined => {
   const { name, diskId, bootstrap } = state;
@@ -117,9 +119,10 @@
   !isInMembership(state);
 
 /**
- * Whether the replica may vote: the membership names its disk, and it has begun to vote since its slot
- * was assigned. If the slot was assigned to another disk and back without the replica noticing, values
- * may have been chosen meanwhile that it never read, so it must read the others again first.
+ * Whether the replica may vote: the membership names its disk, and it has begun to vote since its
+ * slot was assigned. If the slot was assigned to another disk and back without the replica
+ * noticing, values may have been chosen meanwhile that it never read, so it must read the others
+ * again first.
  */
 export const isVotingMember = (state: ReplicaState): boolean => {
   const membership = state.committedMembership?.value;
--- a/packages/replica/src/stored-data.test.ts
+++ b/packages/replica/src/stored-data.test.ts
@@ -10,14 +10,14 @@
 import { encodeReplicaRecord } from './storage/record-codec.js';
 import { openReplicaLog } from './storage/replica-log.js';
 
-/** Data folders as commit 0da2ab4 wrote them, and beside each what that commit read back from it. */
+/** Data folders as commit 0da2ab4 wrote them, each with a file of what that commit read from it. */
 const fixtures = fileURLToPath(new URL('../test/fixtures/stored-0da2ab4', import.meta.url));
 
 type Expected = {
   readonly name: string;
   readonly others: Readonly<Record<string, string>>;
   readonly seeded: BootstrapSettings | null;
-  /** The records of a snapshot of the state, as they are on disk. */
+  /** The records of a snapshot of the state, in their stored form. */
   readonly records: readonly string[];
   readonly summary: Readonly<Record<string, unknown>>;
 };
@@ -34,8 +34,8 @@
   entries: state.entries.length,
 });
 
-for (const name of readdirSync(fixtures).filter((each) => !each.endsWith('.json'))) {
-  test(`data of an earlier version is read, and written byte for byte as before: ${name}`, async (t) => {
+for (const name of readdirSync(fixtures).filter((entry) => !entry.endsWith('.json'))) {
+  test(`data of an earlier version is read, and its snapshot is written with the same bytes: ${name}`, async (t) => {
     const expected = JSON.parse(
       readFileSync(path.join(fixtures, `${name}.json`), 'utf8'),
     ) as Expected;
@@ -54,9 +54,9 @@
       now: 0,
     });
     t.deepEqual(summaryOf(state), expected.summary);
-    const written = [...snapshotRecords(state)].map((record) =>
+    const writtenRecords = [...snapshotRecords(state)].map((record) =>
       encodeRecord(encodeReplicaRecord(record)).toString(),
     );
-    t.deepEqual(written, [...expected.records]);
+    t.deepEqual(writtenRecords, [...expected.records]);
   });
 }
--- a/packages/replica/src/voting-decision.ts
+++ b/packages/replica/src/voting-decision.ts
@@ -41,9 +41,9 @@
 };
 
 /**
- * Decides whether a disk may begin to vote. It may if the membership names it and it has read enough
- * of the other members. It founds the cluster if every other replica was reached and too few of them
- * have data to make a majority.
+ * Decides whether a disk may begin to vote. It may if the membership names it and it has read
+ * enough of the other members. It founds the cluster if every other replica was reached and too few
+ * of them have data to make a majority.
  *
  * @example
  * decideVoting({ slot: 'a', diskId: 'd', membership: null, peers: { b: { state: 'blank', diskId: 'e', epoch: 0 } } }) // 'found'
--- a/packages/replica/src/voting.ts
+++ b/packages/replica/src/voting.ts
@@ -70,8 +70,8 @@
 };
 
 /**
- * Returns the membership that the founders named in the settings found if too few of them have data;
- * null if another founder has just founded the same one, whose epoch then stays in force.
+ * Returns the membership that the founders named in the settings found if too few of them have
+ * data; null if another founder has just founded the same one, whose epoch then stays in force.
  */
 const foundedMembership = (state: ReplicaState, peers: PeerReads): CommittedMembership | null => {
   const knownMembership = state.committedMembership;
@@ -101,8 +101,8 @@
 
 /**
  * Whether this disk has a complete copy of its predecessor's state. The predecessor knew of the
- * successor's epoch, or of a later epoch, before it was read, so it no longer votes. With the copy this
- * disk can stand for all of its votes.
+ * successor's epoch, or of a later epoch, before it was read, so it no longer votes. With the copy
+ * this disk can stand for all of its votes.
  */
 const hasReadPredecessor = (state: ReplicaState): boolean => {
   const predecessor = predecessorOf(state);
@@ -116,8 +116,8 @@
 };
 
 /**
- * Founds the cluster from the seeds. This requires that every seed was reached, is blank and knows no
- * membership, so that a cluster is never founded a second time.
+ * Founds the cluster from the seeds. This requires that every seed was reached, is blank and knows
+ * no membership, so that a cluster is never founded a second time.
  */
 const foundFromSeeds = (
   transition: Transition,
@@ -136,9 +136,9 @@
 };
 
 /**
- * Begins to vote, if this disk may, in a cluster founded from seeds. A member votes once it has read
- * enough of the others or its predecessor. A member of the first membership need not read, since its
- * slot has no earlier votes that could be lost.
+ * Begins to vote, if this disk may, in a cluster founded from seeds. A member votes once it has
+ * read enough of the others or its predecessor. A member of the first membership need not read,
+ * since its slot has no earlier votes that could be lost.
  */
 const beginVotingFromSeeds = (
   transition: Transition,
