--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -5,7 +5,7 @@
 import { originRefreshMs } from './api/api-actions.js';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
-import { isolatedAllowanceMs, undelayedForMs } from './control/reachability.js';
+import { isolatedAllowanceMs, minUndelayedMs } from './control/reachability.js';
 import { learnRecords } from './gossip/gossip-exchange.js';
 import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './messages.js';
 import { openAgent } from './open.js';
@@ -92,7 +92,7 @@
       }),
       ifMatch: null,
       changeId: id,
-      lapsed: 0,
+      expiredPolicyRevision: 0,
     });
   for (const order of [
     [3, 7, 5],
@@ -122,7 +122,7 @@
     id: string,
   ): ZonesRegister =>
     written(
-      zoneOrderChange({ zone: 'west', order: what, of, changeId: id, lapsed: 0 }),
+      zoneOrderChange({ zone: 'west', order: what, of, changeId: id, expiredZonesRevision: 0 }),
       current,
     ) as ZonesRegister;
   const closed = order(null, 'empty', 'origins', '1');
@@ -425,7 +425,7 @@
       { length: until / agentTickIntervalMs },
       (_none, index) => (index + 1) * agentTickIntervalMs,
     );
-  const calm = undelayedForMs + 2_000;
+  const calm = minUndelayedMs + 2_000;
   t.is(cut(true, steady(1_000), 1_000), 500);
   t.is(cut(false, steady(calm), calm), 0);
   t.is(cut(true, steady(calm), calm), isolatedAllowanceMs);
@@ -446,9 +446,9 @@
       [
         ...steady(calm),
         calm + 1_000,
-        ...steady(undelayedForMs + 100).map((beat) => calm + 1_000 + beat),
+        ...steady(minUndelayedMs + 100).map((beat) => calm + 1_000 + beat),
       ],
-      calm + 1_100 + undelayedForMs,
+      calm + 1_100 + minUndelayedMs,
     ),
     isolatedAllowanceMs,
   );
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -6,7 +6,7 @@
 import { rateOf } from '@reedyard/quota-division';
 import { leaseDurationMs } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
-import { actingAllowanceMs, isUnreachable, unreachableAnswer } from '../control/reachability.js';
+import { servingAllowanceMs, isUnreachable, unreachableResponse } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
 import { hasMostQuotas } from '../feed/feed.js';
 import { nodesOf } from '../gossip/known-nodes.js';
@@ -20,7 +20,7 @@
   originKey,
   withdrawnKey,
 } from '../origins/origins.js';
-import { lapsedRevision } from '../proposals/change-ids.js';
+import { newestExpiredRevision } from '../proposals/change-ids.js';
 import { putPolicyChange, zoneOrderChange } from '../proposals/changes.js';
 import { appendToJournal } from '../proposals/journal-appends.js';
 import { propose } from '../proposals/proposals.js';
@@ -106,7 +106,7 @@
   if (!told.draining) answer(transition, id, { status: 200, body: done });
   else if (!toleratesLosses(transition.state)) answer(transition, id, tooFewMembers);
   else if (isUnreachable(transition.state) && !transition.state.committedEntryKeys[drainKey(told)])
-    answer(transition, id, unreachableAnswer);
+    answer(transition, id, unreachableResponse);
   else postOnce(transition, drainKey(told), id, done);
 };
 
@@ -119,7 +119,7 @@
 const unreadyReason = (state: AgentState): string | null => {
   const policy = policyOf(state);
   if (state.self.proxy === null) return 'this machine has no proxy';
-  if (actingAllowanceMs(state) <= 0) return whyNoLease(state);
+  if (servingAllowanceMs(state) <= 0) return whyNoLease(state);
   if (policy === null) return 'no policy is known';
   if (state.proxyReport === null || state.now - state.proxyReport.at >= leaseDurationMs)
     return 'its proxy does not ask for news';
@@ -136,7 +136,7 @@
 };
 
 const shares = (state: AgentState): ApiAnswer => {
-  if (isUnreachable(state)) return unreachableAnswer;
+  if (isUnreachable(state)) return unreachableResponse;
   if (state.now >= state.leaseUntil) return unreached('The read');
   const plan = quotaAllocationOf(state);
   const services = Object.entries(serviceRateLimits(state)).map(([name, bound]) => {
@@ -165,8 +165,8 @@
   id: number,
   { document, ifMatch, changeId }: ActionOf<'put-policy'>,
 ): void => {
-  const lapsed = lapsedRevision(transition.state, 'policy');
-  const change = putPolicyChange({ document, ifMatch, changeId, lapsed });
+  const lapsed = newestExpiredRevision(transition.state, 'policy');
+  const change = putPolicyChange({ document, ifMatch, changeId, expiredPolicyRevision: lapsed });
   propose(transition, 'policy', change, { kind: 'put-policy', id, changeId });
 };
 
@@ -175,8 +175,8 @@
   id: number,
   { zone, order, of, changeId }: ActionOf<'zone'>,
 ): void => {
-  const lapsed = lapsedRevision(transition.state, 'zones');
-  const change = zoneOrderChange({ zone, order, of, changeId, lapsed });
+  const lapsed = newestExpiredRevision(transition.state, 'zones');
+  const change = zoneOrderChange({ zone, order, of, changeId, expiredZonesRevision: lapsed });
   propose(transition, 'zones', change, { kind: 'zone', id, changeId });
 };
 
@@ -210,7 +210,7 @@
     return;
   }
   if (needsMajority(state, action) && isUnreachable(state)) {
-    answer(transition, id, unreachableAnswer);
+    answer(transition, id, unreachableResponse);
     return;
   }
   switch (action.kind) {
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -9,7 +9,7 @@
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
 import type { Split } from '@reedyard/server-selection';
-import type { PollOutcome, PollReplySeen, ReplicaView } from '../control/control-state.js';
+import type { PollOutcome, LastPollReply, ReplicaView } from '../control/control-state.js';
 import { isUnreachable } from '../control/reachability.js';
 import {
   committedMembershipOf,
@@ -135,7 +135,7 @@
   state: AgentState,
   name: string,
   reply: ReplicaReply,
-): PollReplySeen => ({
+): LastPollReply => ({
   at: state.now,
   diskId: reply.diskId,
   outcome: outcomeOf(reply, isDiskOfMember(state, name, reply.diskId)),
--- a/packages/agent/src/control/control-state.ts
+++ b/packages/agent/src/control/control-state.ts
@@ -26,7 +26,7 @@
   | 'refused';
 
 /** How and when a replica last answered a poll, and with which disk. */
-export type PollReplySeen = {
+export type LastPollReply = {
   readonly at: number;
   readonly diskId: string;
   readonly outcome: PollOutcome;
@@ -58,7 +58,7 @@
   /** When it last answered anything, or was first known. */
   readonly lastMemberReplyAt: number;
   /** How it last answered a poll; null before the first answer. */
-  readonly lastPollReply: PollReplySeen | null;
+  readonly lastPollReply: LastPollReply | null;
   /**
    * When any answer last came from its address, whether or not it counted, or when it was first
    * known.
--- a/packages/agent/src/control/lease.ts
+++ b/packages/agent/src/control/lease.ts
@@ -45,13 +45,13 @@
  * answers; then the core is really away, and all of a large fleet asking that often would only
  * hinder its return.
  */
-export const eagerPollingMs = 5_000;
+export const eagerPollingDurationMs = 5_000;
 
 /**
  * ms. A lease with less left than this runs low: at rest 0.9 s are left when the next poll is sent,
  * and one that counts brings it back to 1.5 s within a round trip.
  */
-export const lowLeaseMs = 800;
+export const lowLeaseThresholdMs = 800;
 
 /** ms. A poll without an answer is sent again: two beats, so that a lost one costs no lease. */
 export const pollResendMs = 500;
@@ -149,7 +149,7 @@
 /** Whether the lease still holds, but a renewal that was due did not come. */
 export const isLeaseLow = (state: AgentState): boolean => {
   const left = state.leaseUntil - state.now;
-  return left > 0 && left < lowLeaseMs;
+  return left > 0 && left < lowLeaseThresholdMs;
 };
 
 /** Whether a replica is to be asked again before its turn, to renew a lease that runs low. */
@@ -167,7 +167,7 @@
 export const pollIntervalMs = (state: AgentState): number => {
   if (state.now < state.leaseUntil) return pollIntervalAtRestMs;
   const since = Math.max(state.leaseUntil, state.startedAt, state.lastReplicaReturnAt);
-  return state.now - since < eagerPollingMs ? noLeasePollIntervalMs : pollIntervalAtRestMs;
+  return state.now - since < eagerPollingDurationMs ? noLeasePollIntervalMs : pollIntervalAtRestMs;
 };
 
 /**
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -46,7 +46,7 @@
   pollTimeoutMs,
   renewLease,
 } from './lease.js';
-import { isHealthCheckDue, isHealthCheckWanted } from './reachability.js';
+import { isHealthCheckDue, isHealthCheckNeeded } from './reachability.js';
 import { committedMembershipOf, isDiskOfMember, zonesValueOf } from './registers.js';
 
 /**
@@ -54,10 +54,10 @@
  * long: far over what a write takes that is merely under way on busy machines, and under a
  * lease.
  */
-export const incompleteWriteMs = 900;
+export const incompleteWriteTimeoutMs = 900;
 
 /** registers and journal entries in one page of what an agent tells again. */
-export const itemsPerRestore = 1_000;
+export const itemsPerRestorePage = 1_000;
 
 const updateView = (transition: Transition, name: string, part: Partial<ReplicaView>): void => {
   const view = transition.state.replicas[name];
@@ -103,7 +103,7 @@
  * order hangs.
  */
 export const pollEarly = (transition: Transition): void => {
-  const [low, probing] = [isLeaseLow(transition.state), isHealthCheckWanted(transition.state)];
+  const [low, probing] = [isLeaseLow(transition.state), isHealthCheckNeeded(transition.state)];
   if (!low && !probing) return;
   for (const [name, view] of Object.entries(transition.state.replicas)) {
     const isDue =
@@ -344,7 +344,11 @@
   const repairing = Object.values(state.pendingChanges).some(
     (pendingChange) => pendingChange.key === key,
   );
-  if (state.now - seen.since <= incompleteWriteMs || repairing || nextRandom(transition) >= 0.1)
+  if (
+    state.now - seen.since <= incompleteWriteTimeoutMs ||
+    repairing ||
+    nextRandom(transition) >= 0.1
+  )
     return;
   propose(transition, key, () => ({ kind: 'keep' }), { kind: 'repair' });
 };
@@ -390,7 +394,7 @@
       : { epoch, chosen: knownChosenValues(transition.state), count: 0, sentAt: -Infinity };
   if (transition.state.now - begun.sentAt < pollResendMs) return;
   const { registers: cells, entries } = begun.chosen;
-  const [from, to] = [begun.count, begun.count + itemsPerRestore];
+  const [from, to] = [begun.count, begun.count + itemsPerRestorePage];
   const page = {
     registers: cells.slice(from, to),
     entries: entries.slice(Math.max(0, from - cells.length), Math.max(0, to - cells.length)),
@@ -417,7 +421,7 @@
 };
 
 /** The page was taken: the next one follows. */
-export const handleRestored = (
+export const handleRestoreReply = (
   transition: Transition,
   name: string,
   epoch: number,
--- a/packages/agent/src/control/reachability.test.ts
+++ b/packages/agent/src/control/reachability.test.ts
@@ -12,7 +12,7 @@
 } from '../testing/scripted-replicas.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import {
-  actingAllowanceMs,
+  servingAllowanceMs,
   isolatedAllowanceMs,
   isolatedChangeTimeoutMs,
   isUnreachable,
@@ -88,13 +88,13 @@
   test(`a node whose replicas answer is in touch, though none counts: ${what}`, (t) => {
     const agent = afterwards(({ replica, call }) => (call.kind === 'poll' ? reply(replica) : null));
     t.true(agent.state.leaseUntil < agent.state.now);
-    t.is(actingAllowanceMs(agent.state), 0);
+    t.is(servingAllowanceMs(agent.state), 0);
     t.false(isUnreachable(agent.state));
     // A minority that answers is no majority.
     const other = afterwards(({ replica, call }) =>
       call.kind === 'poll' && replica === 'a' ? reply(replica) : null,
     );
-    t.is(actingAllowanceMs(other.state), isolatedAllowanceMs);
+    t.is(servingAllowanceMs(other.state), isolatedAllowanceMs);
     t.true(isUnreachable(other.state));
   });
 }
@@ -104,20 +104,20 @@
   const over = agent.state.leaseUntil;
   // The feed just before has it last until the next one: no caller is refused in between.
   agent.run(over - 4 * agentTickIntervalMs, silent);
-  t.is(actingAllowanceMs(agent.state), over - agent.state.now);
+  t.is(servingAllowanceMs(agent.state), over - agent.state.now);
   agent.run(over - agentTickIntervalMs, silent);
-  t.is(actingAllowanceMs(agent.state), isolatedAllowanceMs);
+  t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
   t.false(isUnreachable(agent.state));
   agent.run(over, silent);
-  t.is(actingAllowanceMs(agent.state), isolatedAllowanceMs);
+  t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
   t.true(isUnreachable(agent.state));
   agent.run(30_000, silent);
-  t.is(actingAllowanceMs(agent.state), isolatedAllowanceMs);
+  t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
   // What the answers show is not known here yet: in touch, and without a lease.
   const news = ({ replica, call }: AddressedCall): ReplicaReply | null =>
     call.kind === 'poll' ? pulledReply(replica, { policy: ballotOf(7) }) : null;
   agent.run(30_600, news);
-  t.is(actingAllowanceMs(agent.state), 0);
+  t.is(servingAllowanceMs(agent.state), 0);
   t.true(agent.state.leaseUntil < agent.state.now);
 });
 
--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -18,7 +18,7 @@
  * ms. Only a process whose beats all came in time for this long may take itself for cut off: one
  * that was starved or frozen has unanswered polls as well, but others may reach it.
  */
-export const undelayedForMs = 2_000;
+export const minUndelayedMs = 2_000;
 
 /**
  * ms. Told to a proxy that may serve on while it is cut off, from question to question: two
@@ -46,7 +46,7 @@
   Object.values(state.replicas).filter((view) => view.lastReplyAt >= since).length;
 
 /** Whether a majority of replicas answered anything since a moment. */
-export const majorityAnsweredSince = (state: AgentState, since: number): boolean => {
+export const hasMajorityRepliedSince = (state: AgentState, since: number): boolean => {
   const replicas = Object.keys(state.replicas).length;
   return replicas > 0 && answeredSince(state, since) >= majorityOf(replicas);
 };
@@ -60,7 +60,7 @@
 
 /** Whether a majority of replicas has been silent for so long that it can't be by chance. */
 const isMajorityUnresponsive = (state: AgentState): boolean =>
-  !majorityAnsweredSince(state, state.now - replicaTimeoutMs);
+  !hasMajorityRepliedSince(state, state.now - replicaTimeoutMs);
 
 /** Whether this node has neither a lease nor any answer from a majority of replicas. */
 export const isUnreachable = (state: AgentState): boolean =>
@@ -69,7 +69,7 @@
   !wasDelayed(state, replicaTimeoutMs);
 
 /** Notes that a replica answered, whatever it said. */
-export const noteReply = (transition: Transition, replica: string): void => {
+export const recordReplicaReply = (transition: Transition, replica: string): void => {
   const { state } = transition;
   const view = state.replicas[replica];
   if (view === undefined) return;
@@ -85,7 +85,7 @@
   state.self.servesOn === true &&
   state.registers.policy !== undefined &&
   isMajorityUnresponsive(state) &&
-  !wasDelayed(state, undelayedForMs);
+  !wasDelayed(state, minUndelayedMs);
 
 /**
  * ms that this node may act on what it knows: what is left of its lease, or, where it may serve on,
@@ -93,13 +93,13 @@
  * feed would come between. A process that was itself held up can't tell, since its answers wait as
  * well: it refuses until it has polled.
  */
-export const actingAllowanceMs = (state: AgentState): number => {
+export const servingAllowanceMs = (state: AgentState): number => {
   const left = Math.max(0, state.leaseUntil - state.now);
   return mayServeIsolated(state) ? Math.max(left, isolatedAllowanceMs) : left;
 };
 
 /** Tells why this node has no lease, once, when it runs out. */
-export const noteLeaseLost = (transition: Transition, beatBefore: number): void => {
+export const logLeaseLost = (transition: Transition, beatBefore: number): void => {
   const { state } = transition;
   if (state.leaseUntil <= beatBefore || state.leaseUntil > state.now) return;
   const answering = answeredSince(state, state.now - replicaTimeoutMs);
@@ -113,7 +113,7 @@
 /** Whether a call has gone on for long enough, with too few answers since a moment to progress. */
 const isStuck = (state: AgentState, openedAt: number, since: number): boolean =>
   state.now - openedAt >= isolatedChangeTimeoutMs &&
-  !majorityAnsweredSince(state, Math.max(openedAt, since)) &&
+  !hasMajorityRepliedSince(state, Math.max(openedAt, since)) &&
   !wasDelayed(state, isolatedChangeTimeoutMs);
 
 /**
@@ -135,7 +135,7 @@
 ): boolean => isStuck(state, openedAt, state.now - isolatedChangeTimeoutMs);
 
 /** Whether an order has been open for so long that replicas are probed for any answer. */
-export const isHealthCheckWanted = (state: AgentState): boolean => {
+export const isHealthCheckNeeded = (state: AgentState): boolean => {
   const orders = Object.values(state.pendingChanges).filter(({ purpose }) => isOrder(purpose));
   return [...orders, ...Object.values(state.pendingAppends)].some(
     ({ requestedAt: openedAt }) => state.now - openedAt >= lowLeasePollIntervalMs,
@@ -147,7 +147,7 @@
   state.now - Math.max(view.lastPolledAt, view.lastReplyAt) >= lowLeasePollIntervalMs;
 
 /** The answer, at once, to what needs a majority at a node that reaches none: nothing was sent. */
-export const unreachableAnswer: ApiAnswer = {
+export const unreachableResponse: ApiAnswer = {
   ...unavailable(
     'No majority reached',
     'This node reaches no majority of replicas; nothing was changed. Ask another node.',
--- a/packages/agent/src/feed/feed.ts
+++ b/packages/agent/src/feed/feed.ts
@@ -1,7 +1,7 @@
 /** What this machine's proxy is told: feeds of what changed, and answers to its claims. */
 import { rateOf } from '@reedyard/quota-division';
 import type { Purge } from '@reedyard/schemas';
-import { actingAllowanceMs, isUnreachable } from '../control/reachability.js';
+import { servingAllowanceMs, isUnreachable } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
 import { heartbeat } from '../gossip/node-record.js';
 import {
@@ -48,7 +48,7 @@
   const policy = policyOf(state);
   const isNew = policy !== null && policy.revision !== report.policyRevision;
   return {
-    leaseMs: actingAllowanceMs(state),
+    leaseMs: servingAllowanceMs(state),
     life: state.incarnation,
     flushes: state.cacheFlushCount,
     policy: isNew ? { revision: policy.revision, document: policy.document } : null,
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -10,7 +10,7 @@
   sampleView,
 } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
-import { eagerPollingMs } from '../control/lease.js';
+import { eagerPollingDurationMs } from '../control/lease.js';
 import { followMovedReplicas } from '../membership/known-replicas.js';
 import { isOutdated } from '../origins/origins.js';
 import type { AgentState } from '../state.js';
@@ -31,7 +31,7 @@
 export const isJoining = (state: AgentState): boolean =>
   state.bootstrap !== null &&
   state.ownReplica?.isBlank === true &&
-  state.now - state.startedAt < eagerPollingMs;
+  state.now - state.startedAt < eagerPollingDurationMs;
 
 /** Agents of machines with a replica: who may give a blank one its slot. */
 const replicaAgents = (state: AgentState): readonly string[] =>
--- a/packages/agent/src/gossip/node-record.ts
+++ b/packages/agent/src/gossip/node-record.ts
@@ -5,7 +5,7 @@
 
 import { publishRecord, recordValue, renewalsSinceFull, renewRecord } from '@reedyard/gossip';
 import { leaseDurationMs } from '@reedyard/replica';
-import { actingAllowanceMs } from '../control/reachability.js';
+import { servingAllowanceMs } from '../control/reachability.js';
 import type { NodeRecord, ProxyReport } from '../messages.js';
 import type { AgentState } from '../state.js';
 import { nextRandom, type Transition, update } from '../transition.js';
@@ -78,7 +78,7 @@
     address,
     proxy,
     replica: replicaFields(state),
-    ready: staying && actingAllowanceMs(state) > 0,
+    ready: staying && servingAllowanceMs(state) > 0,
     staying,
     proxyLife: state.proxyReport?.proxyReport.proxyLife ?? '',
     wants: report === null ? {} : steadyDemand(report.wants, announced?.wants ?? {}),
--- a/packages/agent/src/proposals/change-ids.ts
+++ b/packages/agent/src/proposals/change-ids.ts
@@ -18,32 +18,32 @@
 /**
  * bytes of the change ids remembered in a register: some 900 changes within the repeat window.
  */
-export const recentChangesMaxBytes = 64 * 1024;
+export const maxRecentChangesBytes = 64 * 1024;
 
 /** A change that was made, and the revision that it made. */
-export type MadeChange = { readonly id: string; readonly revision: number };
+export type RecentChange = { readonly id: string; readonly revision: number };
 
 /** A revision of a register, and when this node learnt of it. */
 export type LearntRevision = { readonly revision: number; readonly at: number };
 
 /** Registers whose changes have ids. */
-export const identified = ['policy', 'zones'] as const;
+export const registersWithChangeIds = ['policy', 'zones'] as const;
 /** The key of a register whose changes have ids. */
-export type Identified = (typeof identified)[number];
+export type RegisterWithChangeIds = (typeof registersWithChangeIds)[number];
 
 /** Bytes of one remembered change beside its id: quotes, names and the revision. */
 const bytesBesideId = 32;
 
-const revisionOf = (state: AgentState, key: Identified): number =>
+const revisionOf = (state: AgentState, key: RegisterWithChangeIds): number =>
   (key === 'policy' ? policyOf(state) : zonesOf(state))?.revision ?? 0;
 
 /**
  * Notes revisions that are new since the last time; of those that are over the window the newest
  * one is enough.
  */
-export const noteRevisions = (transition: Transition): void => {
+export const recordLearntRevisions = (transition: Transition): void => {
   const { now } = transition.state;
-  for (const key of identified) {
+  for (const key of registersWithChangeIds) {
     const learnt = transition.state.learntRevisions[key];
     const revision = revisionOf(transition.state, key);
     if (revision === (learnt.at(-1)?.revision ?? 0)) continue;
@@ -57,7 +57,7 @@
  * The newest revision that this node has known for the whole repeat window: changes up to it may be
  * forgotten.
  */
-export const lapsedRevision = (state: AgentState, key: Identified): number =>
+export const newestExpiredRevision = (state: AgentState, key: RegisterWithChangeIds): number =>
   state.learntRevisions[key].findLast((each) => state.now - each.at > repeatWindowMs)?.revision ??
   0;
 
@@ -68,20 +68,22 @@
  * @example
  * rememberChange([{ id: 'a', revision: 1 }], { id: 'b', revision: 2 }, 1) // [{ id: 'b', revision: 2 }]
  */
-export const rememberChange = (
-  known: readonly MadeChange[],
-  made: MadeChange,
+export const addRecentChange = (
+  known: readonly RecentChange[],
+  made: RecentChange,
   lapsed: number,
-): readonly MadeChange[] => {
+): readonly RecentChange[] => {
   const live = [...known.filter((each) => each.revision > lapsed), made];
   let bytes = 0;
   const from = live.findLastIndex((each) => {
     bytes += each.id.length + bytesBesideId;
-    return bytes > recentChangesMaxBytes;
+    return bytes > maxRecentChangesBytes;
   });
   return live.slice(from + 1);
 };
 
 /** The change with this id, if it was made lately. */
-export const findChange = (known: readonly MadeChange[], id: string): MadeChange | undefined =>
-  known.find((each) => each.id === id);
+export const findRecentChange = (
+  known: readonly RecentChange[],
+  id: string,
+): RecentChange | undefined => known.find((each) => each.id === id);
--- a/packages/agent/src/proposals/changes.test.ts
+++ b/packages/agent/src/proposals/changes.test.ts
@@ -7,9 +7,9 @@
 import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
-import { lapsedRevision, recentChangesMaxBytes, repeatWindowMs } from './change-ids.js';
+import { newestExpiredRevision, maxRecentChangesBytes, repeatWindowMs } from './change-ids.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './changes.js';
-import { hasSameContent } from './content.js';
+import { hasSameContent } from './content-equality.js';
 
 const self = { id: 'n', zone: 'west', region: 'r', address: 'n/agent', proxy: null, replica: null };
 const document = (version: number | undefined, note: string): Policy =>
@@ -20,13 +20,14 @@
     notes: { note },
   });
 const put = (sent: Policy, changeId: string, ifMatch: number | null = null): RegisterChange =>
-  putPolicyChange({ document: sent, ifMatch, changeId, lapsed: 0 });
+  putPolicyChange({ document: sent, ifMatch, changeId, expiredPolicyRevision: 0 });
 const zone = (
   zone: string,
   order: 'empty' | 'take-back',
   changeId: string,
   lapsed = 0,
-): RegisterChange => zoneOrderChange({ zone, order, of: 'origins', changeId, lapsed });
+): RegisterChange =>
+  zoneOrderChange({ zone, order, of: 'origins', changeId, expiredZonesRevision: lapsed });
 
 /** The value that a change leaves. */
 const after = (change: RegisterChange, current: unknown): unknown => {
@@ -111,7 +112,7 @@
   for (let index = 0; index < 5_000; index += 1)
     value = after(zone('west', 'empty', `${index}-${'x'.repeat(100)}`), value);
   const { changes } = zonesValueOf(value);
-  t.true(JSON.stringify(changes).length < 1.1 * recentChangesMaxBytes);
+  t.true(JSON.stringify(changes).length < 1.1 * maxRecentChangesBytes);
   t.is(changes.at(-1)?.revision, 5_000);
   const later = zonesValueOf(after(zone('west', 'empty', 'new', 4_990), value));
   t.deepEqual(
@@ -139,7 +140,7 @@
     );
     state = reduceAgent(transition.state, { kind: 'tick', now }).state;
   };
-  const at = (now: number): number => lapsedRevision({ ...state, now }, 'zones');
+  const at = (now: number): number => newestExpiredRevision({ ...state, now }, 'zones');
   for (let index = 1; index <= 500; index += 1) learn(index, 100 * index);
   t.is(at(50_000), (50_000 - repeatWindowMs) / 100 - 1);
   t.is(at(50_000 + repeatWindowMs), 499);
@@ -147,7 +148,7 @@
   t.true(state.learntRevisions.zones.length <= repeatWindowMs / 100 + 2);
   // A node that has just started knows nothing to be old.
   t.is(
-    lapsedRevision(
+    newestExpiredRevision(
       openAgent({ self, incarnation: 'm', seeds: [], founders: {}, randomSeed: 1, now: 90_000 }),
       'zones',
     ),
--- a/packages/agent/src/proposals/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -10,8 +10,8 @@
 import { zonesValueOf } from '../control/registers.js';
 import type { ClaimRegister, ClaimState, PolicyRegister, ZonesRegister } from '../messages.js';
 import { without } from '../table.js';
-import { findChange, rememberChange } from './change-ids.js';
-import { hasSameContent } from './content.js';
+import { findRecentChange, addRecentChange } from './change-ids.js';
+import { hasSameContent } from './content-equality.js';
 
 /**
  * What the register held when a change was first applied, and what it holds in the present
@@ -34,12 +34,12 @@
 const keep: ChangeResult = { kind: 'keep' };
 
 /** A configuration to be taken, with what tells a repeat of it from a new one. */
-export type PolicyOrder = {
+export type PolicyUpdate = {
   readonly document: Policy;
   readonly ifMatch: number | null;
   readonly changeId: string;
   /** Changes up to this revision may be forgotten. */
-  readonly lapsed: number;
+  readonly expiredPolicyRevision: number;
 };
 
 /** What a configuration's version says about it beside the one held. */
@@ -56,11 +56,11 @@
  * one may be confirmed under a version.
  */
 export const putPolicyChange =
-  (order: PolicyOrder): RegisterChange =>
+  (order: PolicyUpdate): RegisterChange =>
   (current) => {
     const inForce = current as PolicyRegister | null;
     if (inForce === null) return putFirstPolicy(order);
-    if (findChange(inForce.changes, order.changeId) !== undefined) return keep;
+    if (findRecentChange(inForce.changes, order.changeId) !== undefined) return keep;
     if (isHeldAlready(inForce, order)) return keep;
     if (order.ifMatch !== null && order.ifMatch !== inForce.revision)
       return { kind: 'refuse', reason: refusalReasons.staleRevision };
@@ -75,7 +75,7 @@
   };
 
 /** The first policy of all; it can't be conditional on an earlier revision. */
-const putFirstPolicy = (order: PolicyOrder): ChangeResult =>
+const putFirstPolicy = (order: PolicyUpdate): ChangeResult =>
   order.ifMatch !== null && order.ifMatch !== 0
     ? { kind: 'refuse', reason: refusalReasons.staleRevision }
     : writePolicy(order, 0, []);
@@ -86,7 +86,7 @@
  */
 const isHeldAlready = (
   { revision, document }: PolicyRegister,
-  { ifMatch, document: sent }: PolicyOrder,
+  { ifMatch, document: sent }: PolicyUpdate,
 ): boolean => {
   const isRepeat = ifMatch === revision - 1;
   const isEqualVersion = compareVersions(document, sent) === 'equal';
@@ -95,12 +95,12 @@
 };
 
 const writePolicy = (
-  { document, changeId, lapsed }: PolicyOrder,
+  { document, changeId, expiredPolicyRevision: lapsed }: PolicyUpdate,
   revisionBefore: number,
   changesBefore: PolicyRegister['changes'],
 ): ChangeResult => {
   const revision = revisionBefore + 1;
-  const changes = rememberChange(changesBefore, { id: changeId, revision }, lapsed);
+  const changes = addRecentChange(changesBefore, { id: changeId, revision }, lapsed);
   return { kind: 'write', value: { revision, document, changes } satisfies PolicyRegister };
 };
 
@@ -111,7 +111,7 @@
   readonly of: ZoneOrder['of'];
   readonly changeId: string;
   /** Changes up to this revision may be forgotten. */
-  readonly lapsed: number;
+  readonly expiredZonesRevision: number;
 };
 
 /** The lists of zones after an order. */
@@ -154,7 +154,7 @@
   (sent: ZoneOrderChange): RegisterChange =>
   (current, reading) => {
     const old = zonesValueOf(current);
-    if (findChange(old.changes, sent.changeId) !== undefined) return keep;
+    if (findRecentChange(old.changes, sent.changeId) !== undefined) return keep;
     const { zone } = sent;
     const next = zonesAfter(old, sent);
     if (isOvertaken(reading, zone)) {
@@ -169,7 +169,11 @@
       revision,
       reopened: isReopened ? { ...old.reopened, [zone]: revision } : old.reopened,
       lastOrders: { ...old.lastOrders, [zone]: revision },
-      changes: rememberChange(old.changes, { id: sent.changeId, revision }, sent.lapsed),
+      changes: addRecentChange(
+        old.changes,
+        { id: sent.changeId, revision },
+        sent.expiredZonesRevision,
+      ),
     };
     return { kind: 'write', value };
   };
--- a/packages/agent/src/proposals/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -15,12 +15,12 @@
 } from '../messages.js';
 import { quotaRaiseDelayMs } from '../quota/quota-leadership.js';
 import { log, type Transition, update } from '../transition.js';
-import { findChange } from './change-ids.js';
+import { findRecentChange } from './change-ids.js';
 import { refusalReasons } from './changes.js';
 import type { Purpose } from './proposal-state.js';
 
 /** How a change of a register ended, and what the register held after it. */
-export type Outcome =
+export type ChangeOutcome =
   | { readonly kind: 'chosen'; readonly value: unknown }
   | { readonly kind: 'refused'; readonly reason: string; readonly value: unknown }
   | { readonly kind: 'unknown' };
@@ -44,7 +44,7 @@
 const finishPutPolicy = (
   transition: Transition,
   purpose: Purposed<'put-policy'>,
-  outcome: Outcome,
+  outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind === 'unknown') {
     answer(transition, purpose.id, unreached('The policy'));
@@ -61,7 +61,7 @@
     return;
   }
   const revision =
-    findChange(value?.changes ?? [], purpose.changeId)?.revision ?? value?.revision ?? 0;
+    findRecentChange(value?.changes ?? [], purpose.changeId)?.revision ?? value?.revision ?? 0;
   log(transition, 'policy.acknowledged', { revision, change: purpose.changeId });
   // The version in force: an older configuration is acknowledged though it is not this one.
   const version = value?.document.version;
@@ -76,7 +76,7 @@
 const finishGetPolicy = (
   transition: Transition,
   purpose: Purposed<'get-policy'>,
-  outcome: Outcome,
+  outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind !== 'chosen') {
     answer(transition, purpose.id, unreached('The read'));
@@ -87,7 +87,11 @@
   answer(transition, purpose.id, { status: 200, body: { revision: value?.revision ?? 0, policy } });
 };
 
-const finishZone = (transition: Transition, purpose: Purposed<'zone'>, outcome: Outcome): void => {
+const finishZone = (
+  transition: Transition,
+  purpose: Purposed<'zone'>,
+  outcome: ChangeOutcome,
+): void => {
   if (outcome.kind === 'unknown') {
     answer(transition, purpose.id, unreached('The order'));
     return;
@@ -100,7 +104,7 @@
     answer(transition, purpose.id, unavailable('Overtaken', detail));
     return;
   }
-  const revision = findChange(value.changes, purpose.changeId)?.revision ?? value.revision;
+  const revision = findRecentChange(value.changes, purpose.changeId)?.revision ?? value.revision;
   const { emptied, closedOrigins } = value;
   const lists = { emptied: emptied.join(','), closedOrigins: closedOrigins.join(',') };
   log(transition, 'zones.acknowledged', { revision: value.revision, ...lists });
@@ -110,7 +114,7 @@
 const finishAllocation = (
   transition: Transition,
   { goal }: Purposed<'publish-allocation'>,
-  outcome: Outcome,
+  outcome: ChangeOutcome,
 ): void => {
   const { state } = transition;
   const own = outcome.kind === 'chosen' ? (outcome.value as QuotaAllocation) : null;
@@ -147,7 +151,7 @@
   return record && record.proxyLife === claim.life ? 'pending' : 'unknown';
 };
 
-const claimReply = (transition: Transition, outcome: Outcome): ClaimReply => {
+const claimReply = (transition: Transition, outcome: ChangeOutcome): ClaimReply => {
   if (outcome.kind === 'chosen') return { kind: 'granted' };
   if (outcome.kind === 'unknown') return { kind: 'unreached' };
   if (outcome.reason === 'other') return { kind: 'other' };
@@ -157,7 +161,7 @@
 const finishMembershipChange = (
   transition: Transition,
   purpose: Purposed<'change-membership'>,
-  outcome: Outcome,
+  outcome: ChangeOutcome,
 ): void => {
   if (outcome.kind !== 'chosen') return;
   const { member: replica, diskId: disk, replacedMember: instead } = purpose;
@@ -169,7 +173,7 @@
 export const completeChange = (
   transition: Transition,
   purpose: Purpose,
-  outcome: Outcome,
+  outcome: ChangeOutcome,
 ): void => {
   switch (purpose.kind) {
     case 'put-policy':
--- a/packages/agent/src/proposals/journal-appends.ts
+++ b/packages/agent/src/proposals/journal-appends.ts
@@ -25,13 +25,13 @@
   const posting = {
     entries,
     acknowledgedBy: [],
-    callerId: id,
+    apiRequestId: id,
     requestedAt: transition.state.now,
     lastSentAt: -Infinity,
-    answerBody: done,
+    responseBody: done,
   };
   update(transition, { pendingAppends: { ...transition.state.pendingAppends, [which]: posting } });
-  tendAppends(transition);
+  maintainAppends(transition);
 };
 
 /** Counts a replica that appended; answers the caller once a majority has. */
@@ -65,15 +65,15 @@
   });
   transition.effects.push({
     kind: 'send-answer',
-    requestId: posting.callerId,
+    requestId: posting.apiRequestId,
     status: 200,
-    body: posting.answerBody,
+    body: posting.responseBody,
   });
 };
 
 const failAppend = (transition: Transition, appendId: number, append: PendingAppend): void => {
   update(transition, { pendingAppends: without(transition.state.pendingAppends, appendId) });
-  const requestId = append.callerId;
+  const requestId = append.apiRequestId;
   transition.effects.push({ kind: 'send-answer', requestId, ...unreached('The order') });
 };
 
@@ -91,7 +91,7 @@
 };
 
 /** Sends appends again to replicas that did not answer; fails one that has taken too long. */
-export const tendAppends = (transition: Transition): void => {
+export const maintainAppends = (transition: Transition): void => {
   const { now } = transition.state;
   for (const [name, append] of Object.entries(transition.state.pendingAppends)) {
     const appendId = Number(name);
--- a/packages/agent/src/proposals/orders.model.test.ts
+++ b/packages/agent/src/proposals/operator-commands.model.test.ts
@@ -220,7 +220,7 @@
 
 type PolicyChange = (document: Policy, id: string) => RegisterChange;
 const sound: PolicyChange = (sent, changeId) =>
-  putPolicyChange({ document: sent, ifMatch: null, changeId, lapsed: 0 });
+  putPolicyChange({ document: sent, ifMatch: null, changeId, expiredPolicyRevision: 0 });
 /** The fault: whatever is not above the version held is acknowledged. */
 const keepsAnyContent: PolicyChange = (sent, id) => (current) => {
   const held = (current as PolicyRegister | null)?.document.version ?? -1;
@@ -301,7 +301,7 @@
 const zoneChange =
   (order: 'empty' | 'take-back') =>
   (changeId: string): RegisterChange =>
-    zoneOrderChange({ zone: 'west', order, of: 'origins', changeId, lapsed: 0 });
+    zoneOrderChange({ zone: 'west', order, of: 'origins', changeId, expiredZonesRevision: 0 });
 
 /**
  * One operator that evacuates a zone and takes it back, each until it is acknowledged or given up.
--- a/packages/agent/src/proposals/proposal-state.ts
+++ b/packages/agent/src/proposals/proposal-state.ts
@@ -73,8 +73,8 @@
 export type PendingAppend = {
   readonly entries: readonly JournalEntry[];
   readonly acknowledgedBy: readonly string[];
-  readonly callerId: number;
+  readonly apiRequestId: number;
   readonly requestedAt: number;
   readonly lastSentAt: number;
-  readonly answerBody: unknown;
+  readonly responseBody: unknown;
 };
--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -32,7 +32,7 @@
   update,
 } from '../transition.js';
 import type { ReadHistory, RegisterChange } from './changes.js';
-import { completeChange, type Outcome } from './completion.js';
+import { completeChange, type ChangeOutcome } from './completion.js';
 import {
   type ActiveProposal,
   type IncludedChange,
@@ -47,7 +47,7 @@
  * ms. After this a proposal on the membership is given as long as any other, since the machines are
  * slow.
  */
-export const membershipHasteMs = 1_000;
+export const membershipShortPhasesMs = 1_000;
 
 /**
  * ms. The same for a proposal on the membership in its first second: while it lasts one loss less
@@ -214,7 +214,7 @@
   });
 };
 
-const outcomeOf = ({ changed, value }: Applied): Outcome =>
+const outcomeOf = ({ changed, value }: Applied): ChangeOutcome =>
   changed.kind === 'refuse'
     ? { kind: 'refused', reason: changed.reason, value }
     : { kind: 'chosen', value };
@@ -415,7 +415,7 @@
 const phaseTimeoutMs = (active: ActiveProposal, now: number): number => {
   const [oldest] = active.included;
   const isYoung =
-    oldest !== undefined && now - oldest.pendingChange.requestedAt < membershipHasteMs;
+    oldest !== undefined && now - oldest.pendingChange.requestedAt < membershipShortPhasesMs;
   return isYoung && active.proposal.key === membershipKey
     ? membershipPhaseTimeoutMs
     : proposalPhaseTimeoutMs;
@@ -450,7 +450,7 @@
 };
 
 /** Looks after proposals that wait or hang, and changes that have taken too long. */
-export const tendProposals = (transition: Transition): void => {
+export const maintainProposals = (transition: Transition): void => {
   for (const [id, pendingChange] of Object.entries(transition.state.pendingChanges)) {
     const isOverdue =
       transition.state.now - pendingChange.requestedAt > timeoutOf(pendingChange.purpose);
@@ -471,7 +471,7 @@
  * been proposed yet is dropped, and what is being proposed gets no further proposal, so that it
  * can't undo an order that follows.
  */
-export const abandonCaller = (transition: Transition, caller: number): void => {
+export const abandonClient = (transition: Transition, caller: number): void => {
   for (const [id, pendingChange] of Object.entries(transition.state.pendingChanges)) {
     if (!isCallersPurpose(pendingChange.purpose, caller)) continue;
     if (isProposed(transition.state, Number(id))) {
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -29,7 +29,7 @@
  * ms. It renews its term with an unchanged allocation: each costs two syncs of every replica and a
  * fetch of every agent. Two of them fit in the time after which it is given up.
  */
-export const allocationRenewalMs = 1_000;
+export const allocationRenewalIntervalMs = 1_000;
 
 /**
  * ms. An allocation may raise a quota only this long after the lower one was chosen: one lease plus
@@ -42,7 +42,7 @@
  * poll late. It must stay over `regrant`: a new holder counts only the allocation it finds, and
  * those before that must have lapsed by then.
  */
-export const leaderTimeoutMs = 2_500;
+export const quotaLeaderTimeoutMs = 2_500;
 
 const isPublishing = (transition: Transition): boolean =>
   Object.values(transition.state.pendingChanges).some(
@@ -103,7 +103,7 @@
 
 /** Half an interval early, since the last allocation was chosen a little after it was looked at. */
 const isRenewalDue = ({ now, allocationSeen }: AgentState): boolean =>
-  now - allocationSeen.at >= allocationRenewalMs - allocationIntervalMs / 2;
+  now - allocationSeen.at >= allocationRenewalIntervalMs - allocationIntervalMs / 2;
 
 /** The leader's turn: renew the term and move quotas to where the demand is. */
 const renew = (transition: Transition, current: QuotaAllocation): void => {
@@ -151,7 +151,7 @@
 };
 
 const isVacant = ({ now, allocationSeen }: AgentState, current: QuotaAllocation | null): boolean =>
-  current === null || now - allocationSeen.at > leaderTimeoutMs;
+  current === null || now - allocationSeen.at > quotaLeaderTimeoutMs;
 
 const proposeSelf = (transition: Transition, current: QuotaAllocation | null): void => {
   const { term = 0, slices = {}, seated = [] } = current ?? {};
@@ -162,7 +162,7 @@
 };
 
 /** Renews the quota leadership where this node has it, and takes it where nobody does. */
-export const tendQuotaLeadership = (transition: Transition): void => {
+export const maintainQuotaLeadership = (transition: Transition): void => {
   const { state } = transition;
   if (state.now >= state.leaseUntil || isPublishing(transition)) return;
   const current = quotaAllocationOf(state);
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -9,11 +9,11 @@
   handlePollFailure,
   handlePollReply,
   handleRegisterRead,
-  handleRestored,
+  handleRestoreReply,
   pollAll,
   pollEarly,
 } from './control/polling.js';
-import { noteLeaseLost, noteReply } from './control/reachability.js';
+import { logLeaseLost, recordReplicaReply } from './control/reachability.js';
 import { expireState } from './expiry.js';
 import { handleProxyRequest } from './feed/feed.js';
 import {
@@ -25,10 +25,10 @@
 import { heartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
 import { lookUpOwnReplica, tendMembership } from './membership/membership.js';
 import type { AgentEffect, AgentEvent, AgentReply, AgentRequest } from './messages.js';
-import { noteRevisions } from './proposals/change-ids.js';
-import { handleAppendReply, tendAppends } from './proposals/journal-appends.js';
-import { abandonCaller, handleVoteReply, tendProposals } from './proposals/proposals.js';
-import { allocationIntervalMs, tendQuotaLeadership } from './quota/quota-leadership.js';
+import { recordLearntRevisions } from './proposals/change-ids.js';
+import { handleAppendReply, maintainAppends } from './proposals/journal-appends.js';
+import { abandonClient, handleVoteReply, maintainProposals } from './proposals/proposals.js';
+import { allocationIntervalMs, maintainQuotaLeadership } from './quota/quota-leadership.js';
 import { handlePingReply, pingPeers, pingRoundIntervalMs } from './routing/peer-delays.js';
 import { computeRoutingTable } from './routing/routing-table.js';
 import type { AgentState } from './state.js';
@@ -81,7 +81,7 @@
   const pending = transition.state.pendingRequests[id];
   if (pending === undefined) return;
   update(transition, { pendingRequests: without(transition.state.pendingRequests, id) });
-  if ('replica' in pending) noteReply(transition, pending.replica);
+  if ('replica' in pending) recordReplicaReply(transition, pending.replica);
   switch (pending.kind) {
     case 'poll':
       handlePollReply(transition, pending.replica, pending.sentAt, body as ReplicaReply);
@@ -111,7 +111,7 @@
     case 'push':
       return;
     case 'restore':
-      handleRestored(
+      handleRestoreReply(
         transition,
         pending.replica,
         pending.epoch,
@@ -146,10 +146,10 @@
   };
   const { lastTickAt: beatAt } = transition.state;
   noteTick(transition);
-  noteLeaseLost(transition, beatAt);
-  noteRevisions(transition);
-  tendProposals(transition);
-  tendAppends(transition);
+  logLeaseLost(transition, beatAt);
+  recordLearntRevisions(transition);
+  maintainProposals(transition);
+  maintainAppends(transition);
   due('pull', pollIntervalMs(transition.state), () => {
     pollAll(transition);
     if (transition.state.self.replica === null) tendMembership(transition);
@@ -163,7 +163,7 @@
   );
   due('ping', pingRoundIntervalMs, () => pingPeers(transition));
   due('sweep', heartbeatIntervalMs, () => expireState(transition));
-  due('division', allocationIntervalMs, () => tendQuotaLeadership(transition));
+  due('division', allocationIntervalMs, () => maintainQuotaLeadership(transition));
   computeRoutingTable(transition);
   renewLease(transition);
 };
@@ -202,10 +202,10 @@
       handleFailure(transition, event.requestId);
       break;
     case 'caller-disconnected':
-      abandonCaller(transition, event.requestId);
+      abandonClient(transition, event.requestId);
       break;
     case 'wake-up-due':
-      tendProposals(transition);
+      maintainProposals(transition);
       break;
   }
   return { state: transition.state, effects: transition.effects };
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -16,7 +16,7 @@
 import { learnRegister } from './control/polling.js';
 import type { AgentEffect, NodeRecord } from './messages.js';
 import { assignSlotChange, replaceMemberChange } from './proposals/changes.js';
-import { leaderTimeoutMs } from './quota/quota-leadership.js';
+import { quotaLeaderTimeoutMs } from './quota/quota-leadership.js';
 import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import {
@@ -183,7 +183,7 @@
   const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
   let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
   let prepares: readonly AddressedCall[] = [];
-  for (let now = 2 * leaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
+  for (let now = 2 * quotaLeaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
     const step = reduceAgent(state, { kind: 'tick', now });
     ({ state } = step);
     prepares = replicaCalls(step.effects).filter(
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -6,7 +6,7 @@
 import type { Split, Vector } from '@reedyard/server-selection';
 import type { Claims, ReplicaView, WatchedRegister } from './control/control-state.js';
 import type { AgentBootstrap, FeedPart, NodeIdentity, ProxyReport } from './messages.js';
-import type { Identified, LearntRevision } from './proposals/change-ids.js';
+import type { RegisterWithChangeIds, LearntRevision } from './proposals/change-ids.js';
 import type { ActiveProposal, PendingAppend, PendingChange } from './proposals/proposal-state.js';
 
 /** A request under way, and what its reply is for. */
@@ -117,7 +117,7 @@
   /** The proposals under way, by register. */
   readonly activeProposals: Readonly<Record<string, ActiveProposal>>;
   /** Revisions of registers, and when this node learnt of them. */
-  readonly learntRevisions: Readonly<Record<Identified, readonly LearntRevision[]>>;
+  readonly learntRevisions: Readonly<Record<RegisterWithChangeIds, readonly LearntRevision[]>>;
   readonly pendingAppends: Readonly<Record<number, PendingAppend>>;
   readonly gossip: GossipState;
   readonly delaysByPeer: Readonly<Record<string, readonly number[]>>;
