--- a/packages/agent/src/api/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -4,20 +4,20 @@
 import { openAgent } from '../open.js';
 import {
   addresses,
-  allAnswer,
-  asked,
-  disksOf,
-  founded,
+  tickWithAllReplies,
+  tickAndAnswerPolls,
+  diskIdsWithSuffix,
+  openAgentWithMembership,
   names,
   pulled,
   self,
-  withMembers,
-} from '../testing/answered-polls.js';
+  withMembership,
+} from '../testing/five-founder-agent.js';
 import type { Transition } from '../transition.js';
 import { controlStatus, nodeStatus } from './status.js';
 
 test('the status shows epoch, quorum, and how many more losses are borne', (t) => {
-  const control = controlStatus(allAnswer(founded(), 100));
+  const control = controlStatus(tickWithAllReplies(openAgentWithMembership(), 100));
   t.deepEqual(
     [control.epoch, control.quorum, control.lossesBorne, control.configuredLosses],
     [3, 3, 2, 2],
@@ -30,7 +30,7 @@
 });
 
 test('a replica that never answered is silent, and bears nothing', (t) => {
-  const control = controlStatus(founded());
+  const control = controlStatus(openAgentWithMembership());
   t.deepEqual(
     control.members.map((member) => [member.state, member.lastAnswerAgeMs, member.outcome]),
     names.map(() => ['silent', null, null]),
@@ -39,7 +39,7 @@
 });
 
 test('a member is silent once it has not answered for a whole lease, not before', (t) => {
-  const last = allAnswer(founded(), 100);
+  const last = tickWithAllReplies(openAgentWithMembership(), 100);
   const at = (now: number): readonly string[] =>
     controlStatus({ ...last, now }).members.map((member) => member.state);
   t.deepEqual(
@@ -50,7 +50,7 @@
     at(100 + leaseDurationMs),
     names.map(() => 'silent'),
   );
-  const oneGone = asked(last, 100 + leaseDurationMs, (name) =>
+  const oneGone = tickAndAnswerPolls(last, 100 + leaseDurationMs, (name) =>
     name === 'core-5' ? null : pulled(`${name}/a`),
   );
   const control = controlStatus(oneGone);
@@ -69,7 +69,7 @@
     'core-4': { kind: 'newer-membership', diskId: 'core-4/a', membership: null },
     'core-5': pulled('core-5/old'),
   };
-  const state = asked(founded(), 100, (name) => replies[name] ?? null);
+  const state = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) => replies[name] ?? null);
   const control = controlStatus(state);
   t.deepEqual(
     control.members.map((member) => [member.state, member.outcome]),
@@ -86,8 +86,8 @@
 });
 
 test('an answer of the disk that was replaced does not count for its successor', (t) => {
-  const state = withMembers(allAnswer(founded(), 100), 4, {
-    ...disksOf('a'),
+  const state = withMembership(tickWithAllReplies(openAgentWithMembership(), 100), 4, {
+    ...diskIdsWithSuffix('a'),
     'core-2': 'core-2/b',
   });
   const control = controlStatus(state);
@@ -97,7 +97,7 @@
 });
 
 test('a named disk that still reads the others is recovering', (t) => {
-  const state = asked(founded(), 100, (name) =>
+  const state = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) =>
     name === 'core-2'
       ? { kind: 'not-a-member', diskId: 'core-2/a', isBlank: true, knowsMembership: true }
       : pulled(`${name}/a`),
@@ -107,7 +107,7 @@
 });
 
 test('a member whose disk takes no writes counts as lost, though its answers to pulls count', (t) => {
-  const state = asked(founded(), 100, (name) => {
+  const state = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) => {
     const reply = pulled(`${name}/a`);
     return name === 'core-2' && reply.kind === 'polled' ? { ...reply, isReadOnly: true } : reply;
   });
@@ -118,13 +118,13 @@
 });
 
 test('a lease is shown as what is left of it, and as 0 when it is over', (t) => {
-  const state = allAnswer(founded(), 100);
+  const state = tickWithAllReplies(openAgentWithMembership(), 100);
   t.is(nodeStatus({ ...state, now: 600 }).leaseMs, 100 + leaseDurationMs - 600);
   t.is(nodeStatus({ ...state, now: 10_000 }).leaseMs, 0);
 });
 
 test('a member is shown with the machine and zone that gossip tells of it', (t) => {
-  const state = allAnswer(founded(), 100);
+  const state = tickWithAllReplies(openAgentWithMembership(), 100);
   const [own, other] = controlStatus(state).members;
   t.deepEqual([own?.node, own?.zone], ['core-1', 'west']);
   t.deepEqual([other?.node, other?.zone], [null, null]);
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -20,7 +20,7 @@
   zonesWithClosedOrigins,
 } from '../control/registers.js';
 import { nodesOf, peerTimeoutMs } from '../gossip/known-nodes.js';
-import { replicasKnown } from '../membership/known-replicas.js';
+import { knownReplicas } from '../membership/known-replicas.js';
 import { originsOf } from '../origins/origins.js';
 import type { AgentState } from '../state.js';
 
@@ -192,7 +192,7 @@
   const disks = Object.values(committedMembershipOf(state)?.value.disks ?? {});
   const isLive = (id: string, seenAt: number): boolean =>
     id === state.self.id || state.now - seenAt < peerTimeoutMs;
-  return replicasKnown(state)
+  return knownReplicas(state)
     .filter((each) => each.isBlank && !disks.includes(each.diskId) && isLive(each.id, each.seenAt))
     .map((each) => ({ node: each.id, address: each.address, zone: each.zone }));
 };
--- a/packages/agent/src/control/lease.test.ts
+++ b/packages/agent/src/control/lease.test.ts
@@ -1,29 +1,29 @@
 import test from 'ava';
 import { leaseDurationMs } from '@reedyard/replica';
 import {
-  type AddressedCall,
+  type ReplicaCall,
   AgentUnderTest,
-  ballotOf,
-  pulledReply,
+  proposalNumberOf,
+  polledReply,
 } from '../testing/scripted-replicas.js';
 import { isLeaseLow } from './lease.js';
 
-const pullsIn = (calls: readonly AddressedCall[]): readonly AddressedCall[] =>
+const pullsIn = (calls: readonly ReplicaCall[]): readonly ReplicaCall[] =>
   calls.filter(({ call }) => call.kind === 'poll');
-const fetchIn = (calls: readonly AddressedCall[]): AddressedCall | undefined =>
+const fetchIn = (calls: readonly ReplicaCall[]): ReplicaCall | undefined =>
   calls.find(({ call }) => call.kind === 'read-register');
 
 /** Answers polls, all showing one proposal of a register, and gives the calls that follow. */
 const answerAll = (
   agent: AgentUnderTest,
-  calls: readonly AddressedCall[],
+  calls: readonly ReplicaCall[],
   round: number,
   now: number,
-): readonly AddressedCall[] =>
+): readonly ReplicaCall[] =>
   calls.flatMap((call) =>
     agent.answer(
       call,
-      pulledReply(call.replica, { policy: ballotOf(1), plan: ballotOf(round) }),
+      polledReply(call.replica, { policy: proposalNumberOf(1), plan: proposalNumberOf(round) }),
       now,
     ),
   );
@@ -52,7 +52,7 @@
     {
       kind: 'register-read',
       diskId: 'disk-a',
-      accepted: { proposalNumber: ballotOf(1), value: planOf(1) },
+      accepted: { proposalNumber: proposalNumberOf(1), value: planOf(1) },
     },
     760,
   );
@@ -72,7 +72,7 @@
     {
       kind: 'register-read',
       diskId: 'disk-a',
-      accepted: { proposalNumber: ballotOf(2), value: planOf(2) },
+      accepted: { proposalNumber: proposalNumberOf(2), value: planOf(2) },
     },
     160,
   );
@@ -85,25 +85,25 @@
   answerAll(agent, [one], 2, 750);
   t.is(agent.state.registers.plan, undefined, 'one of three shows it');
   t.is(fetchIn(answerAll(agent, [two], 2, 750)), undefined);
-  t.deepEqual(agent.state.registers.plan?.proposalNumber, ballotOf(2));
+  t.deepEqual(agent.state.registers.plan?.proposalNumber, proposalNumberOf(2));
   t.is(agent.state.leaseUntil, 700 + leaseDurationMs);
 });
 
 test('each register may be proven by another majority, and none by less than one', (t) => {
   const agent = new AgentUnderTest();
   const shown: Readonly<Record<string, object>> = {
-    a: { policy: ballotOf(9) },
-    b: { zones: ballotOf(9) },
-    c: { plan: ballotOf(9) },
+    a: { policy: proposalNumberOf(9) },
+    b: { zones: proposalNumberOf(9) },
+    c: { plan: proposalNumberOf(9) },
   };
   for (const call of pullsIn(agent.beat(100)))
-    agent.answer(call, pulledReply(call.replica, shown[call.replica] as never), 150);
+    agent.answer(call, polledReply(call.replica, shown[call.replica] as never), 150);
   t.is(agent.state.leaseUntil, 100 + leaseDurationMs);
   const other = new AgentUnderTest();
   for (const call of pullsIn(other.beat(100)))
     other.answer(
       call,
-      pulledReply(call.replica, call.replica === 'c' ? {} : { policy: ballotOf(9) }),
+      polledReply(call.replica, call.replica === 'c' ? {} : { policy: proposalNumberOf(9) }),
       150,
     );
   t.is(other.state.leaseUntil, 0, 'two of three show a policy that is not known here');
@@ -120,7 +120,7 @@
     agent.run(until, ({ replica, call }) => {
       if (call.kind !== 'poll') return null;
       counts[replica] = (counts[replica] ?? 0) + 1;
-      return answers(replica, agent.state.now) ? pulledReply(replica) : null;
+      return answers(replica, agent.state.now) ? polledReply(replica) : null;
     });
     return counts;
   };
@@ -149,7 +149,7 @@
   const asked = [700, 800, 900, 1_000].map((ms) => {
     const calls = agent.beat(low + ms);
     for (const call of calls) {
-      if (call.replica === 'a') agent.answer(call, pulledReply('a'), low + ms);
+      if (call.replica === 'a') agent.answer(call, polledReply('a'), low + ms);
     }
     return calls.map(({ replica }) => replica).join(' ');
   });
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -20,9 +20,9 @@
 import { replicaAnswer } from '../api/status.js';
 import {
   discoverMembers,
-  noteOwnReplica,
-  noteSpare,
-  offerOwnSlot,
+  recordOwnReplica,
+  recordSpare,
+  proposeSlotForBlankDisk,
 } from '../membership/membership.js';
 import type { ZonesRegister } from '../messages.js';
 import { propose, restartUnderNewMembership } from '../proposals/proposals.js';
@@ -121,8 +121,8 @@
 ): void => {
   if (reply.kind === 'newer-membership' && reply.membership !== null)
     learnCommittedMembership(transition, reply.membership);
-  noteSpare(transition, address, reply);
-  if (address === transition.state.self.replica?.address) noteOwnReplica(transition, reply);
+  recordSpare(transition, address, reply);
+  if (address === transition.state.self.replica?.address) recordOwnReplica(transition, reply);
 };
 
 /** Members that a replica was told are chosen. */
@@ -538,7 +538,7 @@
     updateView(transition, name, { newerMembership: reply.membership });
     learnNewerMembership(transition, reply.membership);
   } else if (reply.kind === 'recovering' && isFromMember) restore(transition, name, reply.epoch);
-  else if (isBlankReply(reply)) offerOwnSlot(transition, name, reply.diskId);
+  else if (isBlankReply(reply)) proposeSlotForBlankDisk(transition, name, reply.diskId);
 };
 
 /**
--- a/packages/agent/src/control/reachability.test.ts
+++ b/packages/agent/src/control/reachability.test.ts
@@ -5,10 +5,10 @@
 import { zoneOrderTimeoutMs } from '../proposals/proposals.js';
 import { reduceAgent } from '../reducer.js';
 import {
-  type AddressedCall,
+  type ReplicaCall,
   AgentUnderTest,
-  ballotOf,
-  pulledReply,
+  proposalNumberOf,
+  polledReply,
 } from '../testing/scripted-replicas.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import {
@@ -20,7 +20,7 @@
 } from './reachability.js';
 
 const members = {
-  proposalNumber: ballotOf(1),
+  proposalNumber: proposalNumberOf(1),
   value: { epoch: 1, disks: { a: 'disk-a', b: 'disk-b', c: 'disk-c' } },
 };
 const document = { services: {}, routes: [] };
@@ -38,13 +38,13 @@
 } as const;
 const draining = { ...description, draining: true };
 
-const answered = ({ replica, call }: AddressedCall): ReplicaReply | null =>
-  call.kind === 'poll' ? pulledReply(replica) : null;
+const answered = ({ replica, call }: ReplicaCall): ReplicaReply | null =>
+  call.kind === 'poll' ? polledReply(replica) : null;
 const silent = (): null => null;
 
 /** An agent that had a lease, and whose replicas then answered as given until a moment. */
 const afterwards = (
-  answer: (call: AddressedCall) => ReplicaReply | null,
+  answer: (call: ReplicaCall) => ReplicaReply | null,
   until = 10_000,
 ): AgentUnderTest => {
   const agent = new AgentUnderTest(true);
@@ -78,10 +78,11 @@
     epoch: 1,
   }),
   'it answers from another disk': (replica) => ({
-    ...pulledReply(replica),
+    ...polledReply(replica),
     diskId: `new-${replica}`,
   }),
-  'it shows what is not known here': (replica) => pulledReply(replica, { zones: ballotOf(9) }),
+  'it shows what is not known here': (replica) =>
+    polledReply(replica, { zones: proposalNumberOf(9) }),
 };
 
 for (const [what, reply] of Object.entries(refusals)) {
@@ -114,8 +115,8 @@
   agent.run(30_000, silent);
   t.is(servingAllowanceMs(agent.state), isolatedAllowanceMs);
   // What the answers show is not known here yet: in touch, and without a lease.
-  const news = ({ replica, call }: AddressedCall): ReplicaReply | null =>
-    call.kind === 'poll' ? pulledReply(replica, { policy: ballotOf(7) }) : null;
+  const news = ({ replica, call }: ReplicaCall): ReplicaReply | null =>
+    call.kind === 'poll' ? polledReply(replica, { policy: proposalNumberOf(7) }) : null;
   agent.run(30_600, news);
   t.is(servingAllowanceMs(agent.state), 0);
   t.true(agent.state.leaseUntil < agent.state.now);
@@ -150,8 +151,8 @@
 test('what needs a majority is refused at once by a node that is cut off, and nothing is sent', (t) => {
   for (const action of needMajority) {
     const agent = afterwards(silent);
-    t.deepEqual(agent.operate(action, agent.state.now), [], action.kind);
-    t.deepEqual(agent.answers(), [503], action.kind);
+    t.deepEqual(agent.sendAction(action, agent.state.now), [], action.kind);
+    t.deepEqual(agent.answerStatuses(), [503], action.kind);
     const [answer] = agent.effects.filter((effect) => effect.kind === 'send-answer');
     t.is(answer?.retryAfter, retryElsewhereSeconds);
   }
@@ -159,11 +160,11 @@
 
 test('a node that is cut off takes a heartbeat, and confirms a drain that a majority is known to hold', (t) => {
   const agent = afterwards(silent);
-  agent.operate({ kind: 'describe', description }, agent.state.now);
-  t.deepEqual(agent.answers(), [200]);
+  agent.sendAction({ kind: 'describe', description }, agent.state.now);
+  t.deepEqual(agent.answerStatuses(), [200]);
   agent.state = { ...agent.state, committedEntryKeys: { [drainKey(draining)]: true } };
-  agent.operate({ kind: 'describe', description: draining }, agent.state.now);
-  t.deepEqual(agent.answers(), [200]);
+  agent.sendAction({ kind: 'describe', description: draining }, agent.state.now);
+  t.deepEqual(agent.answerStatuses(), [200]);
 });
 
 test('without a lease orders go on while a majority answers, right after the start and after a freeze', (t) => {
@@ -175,22 +176,22 @@
   const refused = afterwards(({ replica, call }) =>
     call.kind === 'poll' ? { kind: 'recovering', diskId: `disk-${replica}`, epoch: 1 } : null,
   );
-  t.is(refused.operate(order, refused.state.now).length, 3);
+  t.is(refused.sendAction(order, refused.state.now).length, 3);
   const started = new AgentUnderTest();
   started.beat(100);
-  t.is(started.operate(order, 150).length, 3);
+  t.is(started.sendAction(order, 150).length, 3);
   const frozen = afterwards(answered, 5_000);
-  t.is(frozen.operate(order, 15_000).length, 3);
+  t.is(frozen.sendAction(order, 15_000).length, 3);
 });
 
 test('what is under way when the replicas fall silent is answered well under a second; not while they answer', (t) => {
   for (const action of needMajority.slice(0, 6)) {
     const agent = afterwards(answered, 5_000);
     const sentAt = agent.state.now;
-    t.is(agent.operate(action, sentAt).length, 3, action.kind);
+    t.is(agent.sendAction(action, sentAt).length, 3, action.kind);
     const answeredAt = (
       until: number,
-      answer: (call: AddressedCall) => ReplicaReply | null,
+      answer: (call: ReplicaCall) => ReplicaReply | null,
     ): number | undefined => {
       for (
         let now = agent.state.now + agentTickIntervalMs;
@@ -198,7 +199,7 @@
         now += agentTickIntervalMs
       ) {
         const calls = agent.beat(now);
-        if (agent.answers().length > 0) return now;
+        if (agent.answerStatuses().length > 0) return now;
         for (const call of calls) agent.answer(call, answer(call), now);
       }
       return undefined;
@@ -212,7 +213,7 @@
       at - silentFrom <= isolatedChangeTimeoutMs + agentTickIntervalMs,
       `${action.kind} ${at - silentFrom}`,
     );
-    t.deepEqual(agent.answers(), [503]);
+    t.deepEqual(agent.answerStatuses(), [503]);
   }
 });
 
@@ -223,7 +224,7 @@
     return;
   }
   const agent = afterwards(answered, 5_000);
-  agent.operate(order, agent.state.now);
+  agent.sendAction(order, agent.state.now);
   const pulls: string[] = [];
   agent.run(6_000, (call) => {
     if (call.call.kind === 'poll') pulls.push(call.replica);
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -11,7 +11,7 @@
 } from '@reedyard/gossip';
 import type { Description } from '@reedyard/schemas';
 import { eagerPollingDurationMs } from '../control/lease.js';
-import { followMovedReplicas } from '../membership/known-replicas.js';
+import { updateMovedReplicas } from '../membership/known-replicas.js';
 import { isOutdated } from '../origins/origins.js';
 import type { AgentState } from '../state.js';
 import { nextRandom, sendToAgent, type Transition, update } from '../transition.js';
@@ -156,5 +156,5 @@
   republishOwn(transition, newKeys);
   if (newKeys.some((key) => key.startsWith('vector/')))
     update(transition, { isRoutingTableStale: true });
-  if (values.some((key) => key.startsWith('node/'))) followMovedReplicas(transition);
+  if (values.some((key) => key.startsWith('node/'))) updateMovedReplicas(transition);
 };
--- a/packages/agent/src/membership/known-replicas.ts
+++ b/packages/agent/src/membership/known-replicas.ts
@@ -33,7 +33,7 @@
  * Replicas whose disk is known by gossip, each disk once: where it was heard of last. Where members
  * found themselves.
  */
-export const replicasKnown = (state: AgentState): readonly KnownReplica[] => {
+export const knownReplicas = (state: AgentState): readonly KnownReplica[] => {
   const { records } = state.gossip;
   const known = heardByRecords.get(records);
   if (known !== undefined) return known;
@@ -47,14 +47,14 @@
  * Where members found themselves from seeds its disk tells its slot, and a proposal then notes the
  * address.
  */
-export const followMovedReplicas = (transition: Transition): void => {
+export const updateMovedReplicas = (transition: Transition): void => {
   const disks = committedMembershipOf(transition.state)?.value.disks ?? {};
   const heard =
     transition.state.bootstrap === null
       ? nodesOf(transition.state).flatMap(({ record }) =>
           record.replica === null ? [] : [{ place: record.id, address: record.replica.address }],
         )
-      : replicasKnown(transition.state).flatMap((each) =>
+      : knownReplicas(transition.state).flatMap((each) =>
           Object.keys(disks)
             .filter((place) => disks[place] === each.diskId)
             .map((place) => ({ place, address: each.address })),
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -16,7 +16,7 @@
 import { without } from '../table.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import { log, nextRandom, sendToReplica, type Transition, update } from '../transition.js';
-import { type KnownReplica, replicasKnown } from './known-replicas.js';
+import { type KnownReplica, knownReplicas } from './known-replicas.js';
 import { liveSpares, spareMaxAgeMs } from './live-spares.js';
 
 /**
@@ -111,14 +111,14 @@
  * Until this machine's own replica has answered once it is asked at each interval: it may wait for
  * a slot.
  */
-export const lookUpOwnReplica = (transition: Transition): void => {
+export const pollOwnReplica = (transition: Transition): void => {
   const { bootstrap: voting, self, ownReplica } = transition.state;
   if (voting !== null && self.replica !== null && ownReplica === null)
     requestMembership(transition, self.replica.address);
 };
 
 /** What this machine's own replica tells of itself; news of it goes out by gossip at once. */
-export const noteOwnReplica = (transition: Transition, reply: ReplicaReply): void => {
+export const recordOwnReplica = (transition: Transition, reply: ReplicaReply): void => {
   if (reply.kind === 'newer-membership') return;
   const fresh = reply.kind === 'not-a-member' && reply.isBlank;
   const before = transition.state.ownReplica;
@@ -134,7 +134,7 @@
 };
 
 /** Whether the replica that was asked waits for a slot. */
-export const noteSpare = (transition: Transition, address: string, reply: ReplicaReply): void => {
+export const recordSpare = (transition: Transition, address: string, reply: ReplicaReply): void => {
   const { spares, now } = transition.state;
   if (reply.kind === 'not-a-member' && reply.isBlank) {
     update(transition, {
@@ -151,7 +151,7 @@
 const sparesHeard = (state: AgentState, members: Membership): readonly KnownReplica[] => {
   const disks = Object.values(members.disks);
   const addresses = Object.values(members.addresses ?? {});
-  return replicasKnown(state).filter(
+  return knownReplicas(state).filter(
     (each) =>
       isAlive(state, each) &&
       each.isBlank &&
@@ -185,7 +185,7 @@
 
 /** A member's disk that gossip tells of at another address than the membership does. */
 const movedMember = (state: AgentState, members: Membership): MembershipChange | null => {
-  for (const each of replicasKnown(state).filter((heard) => isAlive(state, heard))) {
+  for (const each of knownReplicas(state).filter((heard) => isAlive(state, heard))) {
     const { diskId: disk, address } = each;
     const member = Object.keys(members.disks).find((name) => members.disks[name] === disk);
     if (member !== undefined && members.addresses?.[member] !== address) {
@@ -205,7 +205,7 @@
   spares: readonly KnownReplica[],
 ): KnownReplica | undefined => {
   const disks = Object.values(members.disks);
-  const living = replicasKnown(state).filter(
+  const living = knownReplicas(state).filter(
     (each) => isAlive(state, each) && disks.includes(each.diskId),
   );
   const inZone = (zone: string): number => living.filter((each) => each.zone === zone).length;
@@ -323,7 +323,7 @@
 };
 
 /** Opens the change that is due, if any: one at a time, and only by an agent with a lease. */
-export const tendMembership = (transition: Transition): void => {
+export const maintainMembership = (transition: Transition): void => {
   const { state } = transition;
   const members = committedMembershipOf(state)?.value;
   if (state.bootstrap === null || members?.addresses === undefined) return;
@@ -342,14 +342,18 @@
   if (state.bootstrap === null) return false;
   const own = state.replicas[member]?.address;
   if (state.now - state.startedAt < suspicionTimeoutMs(state)) return true;
-  return replicasKnown(state).some(
+  return knownReplicas(state).some(
     (each) =>
       each.diskId === disk && each.address !== own && state.now - each.seenAt < peerTimeoutMs,
   );
 };
 
 /** A blank disk that answers at a member's own address gets its slot back. */
-export const offerOwnSlot = (transition: Transition, member: string, disk: string): void => {
+export const proposeSlotForBlankDisk = (
+  transition: Transition,
+  member: string,
+  disk: string,
+): void => {
   const members = committedMembershipOf(transition.state)?.value;
   const held = members?.disks[member];
   if (members === undefined || held === disk || isChangeUnderWay(transition.state)) return;
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -23,7 +23,7 @@
   learnRecords,
 } from './gossip/gossip-exchange.js';
 import { heartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
-import { lookUpOwnReplica, tendMembership } from './membership/membership.js';
+import { pollOwnReplica, maintainMembership } from './membership/membership.js';
 import type { AgentEffect, AgentEvent, AgentReply, AgentRequest } from './messages.js';
 import { recordLearntRevisions } from './proposals/change-ids.js';
 import { handleAppendReply, maintainAppends } from './proposals/journal-appends.js';
@@ -152,10 +152,10 @@
   maintainAppends(transition);
   due('pull', pollIntervalMs(transition.state), () => {
     pollAll(transition);
-    if (transition.state.self.replica === null) tendMembership(transition);
+    if (transition.state.self.replica === null) maintainMembership(transition);
   });
-  lookUpOwnReplica(transition);
-  if (transition.state.self.replica !== null) tendMembership(transition);
+  pollOwnReplica(transition);
+  if (transition.state.self.replica !== null) maintainMembership(transition);
   pollEarly(transition);
   due('heartbeat', heartbeatIntervalMs, () => heartbeat(transition));
   due('gossip', isJoining(transition.state) ? noLeasePollIntervalMs : gossipIntervalMs, () =>
--- a/packages/agent/src/safeguards.test.ts
+++ b/packages/agent/src/safeguards.test.ts
@@ -21,14 +21,14 @@
 import type { AgentState } from './state.js';
 import {
   addresses,
-  allAnswer,
-  answeredPulls,
-  asked,
-  disksOf,
-  founded,
+  tickWithAllReplies,
+  answerPolls,
+  tickAndAnswerPolls,
+  diskIdsWithSuffix,
+  openAgentWithMembership,
   names,
   pulled,
-} from './testing/answered-polls.js';
+} from './testing/five-founder-agent.js';
 import type { Transition } from './transition.js';
 
 const learnt = (
@@ -60,15 +60,19 @@
   reduceAgent(state, { kind: 'reply-received', requestId: id, reply: body, now });
 
 test('the lease runs from the sending of the pulls, however late their answers come', (t) => {
-  const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
-  const { state } = answeredPulls(beat, 900, (name) => pulled(`${name}/a`));
+  const beat = reduceAgent(openAgentWithMembership(), { kind: 'tick', now: 100 });
+  const { state } = answerPolls(beat, 900, (name) => pulled(`${name}/a`));
   t.is(state.leaseUntil, 100 + leaseDurationMs);
 });
 
 test('pulls answered by other disks than the members have, or by a minority, bring no lease', (t) => {
-  t.is(asked(founded(), 100, (name) => pulled(`${name}/other`)).leaseUntil, 0);
+  t.is(
+    tickAndAnswerPolls(openAgentWithMembership(), 100, (name) => pulled(`${name}/other`))
+      .leaseUntil,
+    0,
+  );
   const minority = names.slice(0, 2);
-  const some = asked(founded(), 100, (name) =>
+  const some = tickAndAnswerPolls(openAgentWithMembership(), 100, (name) =>
     minority.includes(name) ? pulled(`${name}/a`) : null,
   );
   t.is(some.leaseUntil, 0);
@@ -78,8 +82,8 @@
   const shown = { plan: { counter: 9, proposerId: 'z' } as const };
   const replyOf = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), acceptedNumbers: shown }) as ReplicaReply;
-  const beat = reduceAgent(founded(), { kind: 'tick', now: 100 });
-  const answered = answeredPulls(beat, 110, replyOf);
+  const beat = reduceAgent(openAgentWithMembership(), { kind: 'tick', now: 100 });
+  const answered = answerPolls(beat, 110, replyOf);
   t.is(answered.state.leaseUntil, 0);
   const fetch = replicaCalls(answered.effects).find(({ call }) => call.kind === 'read-register');
   const value = { term: 1, holder: 'core-2', beat: 1, slices: {}, seated: [] };
@@ -91,21 +95,21 @@
   );
   const partial = (name: string): ReplicaReply =>
     ({ ...pulled(`${name}/a`), hasMore: true }) as ReplicaReply;
-  t.is(asked(founded(), 100, partial).leaseUntil, 0);
+  t.is(tickAndAnswerPolls(openAgentWithMembership(), 100, partial).leaseUntil, 0);
 });
 
 test('a node that was away for half of what the journal keeps drops its copies; after less it keeps them', (t) => {
-  const held = allAnswer(founded(), 100);
-  const soon = allAnswer(held, 100 + journalRetentionMs / 2 - 1_000);
+  const held = tickWithAllReplies(openAgentWithMembership(), 100);
+  const soon = tickWithAllReplies(held, 100 + journalRetentionMs / 2 - 1_000);
   t.is(soon.cacheFlushCount, held.cacheFlushCount);
-  const late = allAnswer(held, 100 + journalRetentionMs / 2 + 1_000);
+  const late = tickWithAllReplies(held, 100 + journalRetentionMs / 2 + 1_000);
   t.is(late.cacheFlushCount, held.cacheFlushCount + 1);
 });
 
 test('a purge is acknowledged once a majority of the very disks of the members has it, not before', (t) => {
   const purge = { objects: ['host.example/x'], tags: [] };
   const action = { kind: 'purge', purge, changeId: 'c' } as const;
-  const opened = reduceAgent(allAnswer(founded(), 100), {
+  const opened = reduceAgent(tickWithAllReplies(openAgentWithMembership(), 100), {
     kind: 'action-received',
     requestId: 7,
     action,
@@ -137,7 +141,11 @@
     slices: {},
     seated: [],
   });
-  const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
+  const known = learnt(openAgentWithMembership(), 'policy', 1, {
+    revision: 1,
+    document: config,
+    changes: [],
+  });
   const leader = learnt(known, 'plan', 2, allocation(1, 'core-1'));
   const leased: AgentState = {
     ...leader,
@@ -180,7 +188,11 @@
     slices: {},
     seated: [],
   });
-  const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
+  const known = learnt(openAgentWithMembership(), 'policy', 1, {
+    revision: 1,
+    document: config,
+    changes: [],
+  });
   let state: AgentState = { ...learnt(known, 'plan', 2, allocation(1)), leaseUntil: 1e9 };
   let prepares: readonly AddressedCall[] = [];
   for (let now = 2 * quotaLeaderTimeoutMs; prepares.length === 0 && now < 1e5; now += 500) {
@@ -213,7 +225,7 @@
 });
 
 test('a change of members is made from the very epoch that its proposer knew, or not at all', (t) => {
-  const known = { epoch: 3, disks: disksOf('a'), addresses };
+  const known = { epoch: 3, disks: diskIdsWithSuffix('a'), addresses };
   const later = { ...known, epoch: 4 };
   const joins = assignSlotChange(known, 'core-1', 'core-1/b', '127.0.0.1:11');
   const replaces = replaceMemberChange(known, 'core-1', 'core-6', 'core-6/a', '127.0.0.1:16');
@@ -248,7 +260,11 @@
     slices: { s: { 'front-1': 0.1 } },
     seated: [],
   };
-  const known = learnt(founded(), 'policy', 1, { revision: 1, document: config, changes: [] });
+  const known = learnt(openAgentWithMembership(), 'policy', 1, {
+    revision: 1,
+    document: config,
+    changes: [],
+  });
   const told = [frontRecord('front-1', 0), frontRecord('front-2', 100)].reduce(
     (gossip, record) => publishRecord(gossip, `node/${record.id}`, record, now),
     known.gossip,
--- a/packages/agent/src/testing/answered-polls.ts
+++ b/packages/agent/src/testing/five-founder-agent.ts
@@ -23,14 +23,14 @@
   names.map((name, index) => [name, `127.0.0.1:${11 + index}`] as const),
 );
 /** A disk for each member, told apart by a suffix. */
-export const disksOf = (suffix: string): Readonly<Record<string, string>> =>
+export const diskIdsWithSuffix = (suffix: string): Readonly<Record<string, string>> =>
   Object.fromEntries(names.map((name) => [name, `${name}/${suffix}`] as const));
 
-export const opened = (): AgentState =>
+export const openTestAgent = (): AgentState =>
   openAgent({ self, incarnation: 'l', seeds: [], founders: addresses, randomSeed: 1, now: 0 });
 
 /** The agent after it learnt of a membership. */
-export const withMembers = (
+export const withMembership = (
   state: AgentState,
   epoch: number,
   disks: Membership['disks'],
@@ -53,7 +53,7 @@
 type Step = { readonly state: AgentState; readonly effects: readonly AgentEffect[] };
 
 /** What follows when the polls of a step are answered at a moment; null for silence. */
-export const answeredPulls = (
+export const answerPolls = (
   step: Step,
   now: number,
   replyOf: (name: string) => ReplicaReply | null,
@@ -77,15 +77,16 @@
 };
 
 /** A beat that asks every replica, and what each of them answers at once; null for silence. */
-export const asked = (
+export const tickAndAnswerPolls = (
   before: AgentState,
   now: number,
   replyOf: (name: string) => ReplicaReply | null,
 ): AgentState => {
   const beat = reduceAgent(before, { kind: 'tick', now });
-  return answeredPulls(beat, now, replyOf).state;
+  return answerPolls(beat, now, replyOf).state;
 };
 
-export const founded = (): AgentState => withMembers(opened(), 3, disksOf('a'));
-export const allAnswer = (state: AgentState, now: number): AgentState =>
-  asked(state, now, (name) => pulled(`${name}/a`));
+export const openAgentWithMembership = (): AgentState =>
+  withMembership(openTestAgent(), 3, diskIdsWithSuffix('a'));
+export const tickWithAllReplies = (state: AgentState, now: number): AgentState =>
+  tickAndAnswerPolls(state, now, (name) => pulled(`${name}/a`));
--- a/packages/agent/src/testing/scripted-replicas.ts
+++ b/packages/agent/src/testing/scripted-replicas.ts
@@ -14,7 +14,7 @@
  */
 
 /** A call to a replica that is under way. */
-export type AddressedCall = {
+export type ReplicaCall = {
   readonly id: number;
   readonly replica: string;
   readonly call: ReplicaOperation;
@@ -36,10 +36,13 @@
 };
 
 /** A proposal of some proposer. */
-export const ballotOf = (round: number): ProposalNumber => ({ counter: round, proposerId: 'p' });
+export const proposalNumberOf = (round: number): ProposalNumber => ({
+  counter: round,
+  proposerId: 'p',
+});
 
 /** What a replica that counts answers a poll: the proposals that it accepted. */
-export const pulledReply = (
+export const polledReply = (
   replica: string,
   ballots: Readonly<Record<string, ProposalNumber>> = {},
 ): ReplicaReply => ({
@@ -49,7 +52,7 @@
   isReset: false,
   hasMore: false,
   entries: [],
-  acceptedNumbers: { members: ballotOf(1), ...ballots },
+  acceptedNumbers: { members: proposalNumberOf(1), ...ballots },
 });
 
 /** An agent that beats on time and asks three replicas. */
@@ -73,12 +76,12 @@
   /** Lets it know a value as chosen. */
   learn(key: WatchedRegister, round: number, value: unknown): void {
     const transition: Transition = { state: this.state, effects: [] };
-    learnRegister(transition, key, ballotOf(round), value);
+    learnRegister(transition, key, proposalNumberOf(round), value);
     this.state = transition.state;
   }
 
   /** Lets a beat come at a moment, and tells what was asked of replicas in it. */
-  beat(now: number): readonly AddressedCall[] {
+  beat(now: number): readonly ReplicaCall[] {
     return this.#take(reduceAgent(this.state, { kind: 'tick', now }));
   }
 
@@ -86,14 +89,14 @@
    * Lets beats come on time until a moment; `answer` makes up what each replica answers, if
    * anything.
    */
-  run(until: number, answer: (call: AddressedCall) => ReplicaReply | null): void {
+  run(until: number, answer: (call: ReplicaCall) => ReplicaReply | null): void {
     for (let now = this.state.now + agentTickIntervalMs; now <= until; now += agentTickIntervalMs) {
       for (const call of this.beat(now)) this.answer(call, answer(call), now);
     }
   }
 
   /** Gives an answer, or none. */
-  answer(call: AddressedCall, body: ReplicaReply | null, now: number): readonly AddressedCall[] {
+  answer(call: ReplicaCall, body: ReplicaReply | null, now: number): readonly ReplicaCall[] {
     if (body === null) return [];
     return this.#take(
       reduceAgent(this.state, { kind: 'reply-received', requestId: call.id, reply: body, now }),
@@ -101,21 +104,21 @@
   }
 
   /** Asks for something as an operator does. */
-  operate(action: ApiAction, now: number): readonly AddressedCall[] {
+  sendAction(action: ApiAction, now: number): readonly ReplicaCall[] {
     return this.#take(
       reduceAgent(this.state, { kind: 'action-received', requestId: 1, action, now }),
     );
   }
 
   /** The statuses that the last step answered with. */
-  answers(): readonly number[] {
+  answerStatuses(): readonly number[] {
     return this.effects.flatMap((effect) => (effect.kind === 'send-answer' ? [effect.status] : []));
   }
 
   #take(step: {
     readonly state: AgentState;
     readonly effects: readonly AgentEffect[];
-  }): readonly AddressedCall[] {
+  }): readonly ReplicaCall[] {
     this.state = step.state;
     this.effects = step.effects;
     return step.effects.flatMap((effect) => {
