--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -8,7 +8,7 @@
 import { majorityOf } from '@reedyard/consensus';
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
-import type { Split } from '@reedyard/server-selection';
+import type { RoutingTable } from '@reedyard/server-selection';
 import type { PollOutcome, LastPollReply, ReplicaView } from '../control/control-state.js';
 import { isUnreachable } from '../control/reachability.js';
 import {
@@ -96,7 +96,7 @@
   readonly proxy: Readonly<Record<string, number>> | null;
   readonly notices: number;
   readonly splits: number;
-  readonly split: Split;
+  readonly split: RoutingTable;
 };
 
 const awayOutcome = (named: boolean, blank: boolean): PollOutcome => {
--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -5,7 +5,7 @@
 import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
 import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
 import type { GossipExchange, GossipExchangeReply, RecordUpdate } from '@reedyard/gossip';
-import type { Split } from '@reedyard/server-selection';
+import type { RoutingTable } from '@reedyard/server-selection';
 
 /** Who and where an agent is, and what else runs on its machine. */
 export type NodeIdentity = {
@@ -157,7 +157,7 @@
   readonly origins: readonly OriginEndpoint[];
   readonly peers: readonly PeerEndpoint[];
   readonly emptied: readonly string[];
-  readonly split: Split;
+  readonly split: RoutingTable;
   /** Attempts a second that this proxy may make, by service; Infinity where nothing bounds them. */
   readonly slices: Readonly<Record<string, number>>;
   /** Whether the allocation has given this node most of its quotas: until then it is not ready. */
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -7,10 +7,10 @@
 import {
   computeRoutes,
   fetchPenaltySeconds,
-  type ObjectRule,
+  type RoutePlacementRule,
   rendezvousOwner,
   shouldAnnounce,
-  type Vector,
+  type LoadVector,
 } from '@reedyard/server-selection';
 import { pollIntervalAtRestMs } from '../control/lease.js';
 import { policyOf } from '../control/registers.js';
@@ -23,7 +23,7 @@
 /** ms. A vector is sent again though nothing changed, so that a lost one heals. */
 export const vectorRefreshMs = 30_000;
 
-const vectorOf = (state: AgentState, measure: TrafficMeasurement): Vector => {
+const vectorOf = (state: AgentState, measure: TrafficMeasurement): LoadVector => {
   const capacity = state.self.proxy?.capacityBps ?? 0;
   const asked = Object.values(measure.demand).reduce((sum, bps) => sum + bps, 0);
   return {
@@ -103,12 +103,12 @@
 const usableVectors = (
   { self, gossip, now }: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
-): Readonly<Record<string, Vector>> => {
-  const vectors: Record<string, Vector> = {};
+): Readonly<Record<string, LoadVector>> => {
+  const vectors: Record<string, LoadVector> = {};
   for (const [key, value, seenAt] of liveRecords(gossip, vectorPrefix)) {
     const id = key.slice(vectorPrefix.length);
     const isFresh = serving.has(id) && now - seenAt < maxVectorAgeRefreshes * vectorRefreshMs;
-    if (id === self.id || isFresh) vectors[id] = value as Vector;
+    if (id === self.id || isFresh) vectors[id] = value as LoadVector;
   }
   return vectors;
 };
@@ -117,7 +117,7 @@
 const routeRulesOf = (
   state: AgentState,
   serving: ReadonlyMap<string, NodeRecord>,
-): ((name: string) => ObjectRule | null) => {
+): ((name: string) => RoutePlacementRule | null) => {
   const { self } = state;
   const routes = new Map(
     (policyOf(state)?.document.routes ?? []).map((route) => [route.name, route]),
@@ -132,7 +132,7 @@
     };
     if (route.cache.keep !== 'always') return { servers };
     const allowed = places.filter(({ id }) => servers(id));
-    return { servers, placed: placementFor(allowed, places) };
+    return { servers, placementOf: placementFor(allowed, places) };
   };
 };
 
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -3,7 +3,7 @@
 import type { GossipState } from '@reedyard/gossip';
 import type { QuotaShares } from '@reedyard/quota-division';
 import type { JournalEntry } from '@reedyard/replica';
-import type { Split, Vector } from '@reedyard/server-selection';
+import type { RoutingTable, LoadVector } from '@reedyard/server-selection';
 import type { Claims, ReplicaView, WatchedRegister } from './control/control-state.js';
 import type { AgentBootstrap, FeedPart, NodeIdentity, ProxyReport } from './messages.js';
 import type { RegisterWithChangeIds, LearntRevision } from './proposals/change-ids.js';
@@ -136,10 +136,10 @@
       >
     >
   >;
-  readonly announcedVector: Vector | null;
+  readonly announcedVector: LoadVector | null;
   readonly vectorAnnouncedAt: number;
   readonly vectorAnnouncementCount: number;
-  readonly routingTable: Split;
+  readonly routingTable: RoutingTable;
   /** When the routing table was last looked at. */
   readonly routingTableCheckedAt: number;
   readonly isRoutingTableStale: boolean;
--- a/packages/attempts/src/attempts.test.ts
+++ b/packages/attempts/src/attempts.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import { type Attempt, type AttemptResult, nextMove, shouldHedge } from './index.js';
+import { type Attempt, type AttemptResult, decideNextStep, shouldHedge } from './index.js';
 
 const attempt = (number: number, end: AttemptResult | null): Attempt => ({
   number,
   to: { kind: 'origin', id: `o${number}` },
   openedAt: 0,
-  limitAt: 10,
+  timeoutAt: 10,
   result: end,
 });
 const ends: readonly AttemptResult[] = [
@@ -28,11 +28,11 @@
   for (const list of ledgers) {
     for (const hasRetryBudget of [true, false]) {
       const attempts = list.map((end, index) => attempt(index, end));
-      const move = nextMove({
+      const move = decideNextStep({
         safe: false,
         attempts,
         now: 5,
-        limitAt: 9,
+        requestDeadlineAt: 9,
         hasRetryBudget: hasRetryBudget,
       });
       if (list.some(ran) && move.kind === 'open') t.fail(JSON.stringify(list));
@@ -47,20 +47,37 @@
 
 test('a safe one is made again within its limit and budget, then given up at once', (t) => {
   const attempts = [attempt(0, ends[1] ?? null)];
-  t.is(nextMove({ safe: true, attempts, now: 5, limitAt: 9, hasRetryBudget: true }).kind, 'open');
-  t.is(nextMove({ safe: true, attempts, now: 9, limitAt: 9, hasRetryBudget: true }).kind, 'fail');
-  t.is(nextMove({ safe: true, attempts, now: 5, limitAt: 9, hasRetryBudget: false }).kind, 'fail');
   t.is(
-    nextMove({ safe: true, attempts: [attempt(0, null)], now: 5, limitAt: 9, hasRetryBudget: true })
+    decideNextStep({ safe: true, attempts, now: 5, requestDeadlineAt: 9, hasRetryBudget: true })
       .kind,
+    'open',
+  );
+  t.is(
+    decideNextStep({ safe: true, attempts, now: 9, requestDeadlineAt: 9, hasRetryBudget: true })
+      .kind,
+    'fail',
+  );
+  t.is(
+    decideNextStep({ safe: true, attempts, now: 5, requestDeadlineAt: 9, hasRetryBudget: false })
+      .kind,
+    'fail',
+  );
+  t.is(
+    decideNextStep({
+      safe: true,
+      attempts: [attempt(0, null)],
+      now: 5,
+      requestDeadlineAt: 9,
+      hasRetryBudget: true,
+    }).kind,
     'wait',
   );
   t.is(
-    nextMove({
+    decideNextStep({
       safe: true,
       attempts: [0, 1, 2].map((n) => attempt(n, ends[1] ?? null)),
       now: 5,
-      limitAt: 9,
+      requestDeadlineAt: 9,
       hasRetryBudget: true,
     }).kind,
     'fail',
@@ -85,11 +102,11 @@
   t.false(shouldHedge({ ...hedge, maxAttempts: 1 }));
   t.false(shouldHedge({ ...hedge, attempts: [silent, attempt(1, null)] }));
   for (const end of ends) {
-    const move = nextMove({
+    const move = decideNextStep({
       safe: true,
       attempts: [silent, attempt(1, end)],
       now: 5,
-      limitAt: 9,
+      requestDeadlineAt: 9,
       hasRetryBudget: true,
     });
     t.is(move.kind, end.kind === 'answered' && end.final ? 'relay' : 'wait');
--- a/packages/attempts/src/attempts.ts
+++ b/packages/attempts/src/attempts.ts
@@ -20,7 +20,7 @@
   readonly number: number;
   readonly to: { readonly kind: 'origin' | 'peer'; readonly id: string };
   readonly openedAt: number;
-  readonly limitAt: number;
+  readonly timeoutAt: number;
   readonly result: AttemptResult | null;
   /**
    * Attempts at origins that may be made through this one: those granted to a peer. Left out: one.
@@ -90,7 +90,7 @@
   readonly safe: boolean;
   readonly attempts: readonly Attempt[];
   readonly now: number;
-  readonly limitAt: number;
+  readonly requestDeadlineAt: number;
   readonly hasRetryBudget: boolean;
   readonly maxAttempts?: number;
 }): RetryDecision => {
@@ -104,7 +104,7 @@
     why,
   });
   if (last === undefined)
-    return ledger.now >= ledger.limitAt
+    return ledger.now >= ledger.requestDeadlineAt
       ? giveUp('the limit was reached before an attempt was made', true)
       : { kind: 'open' };
   if (attempts.some((attempt) => attempt.result?.kind === 'answered' && attempt.result.final))
@@ -114,7 +114,7 @@
   const why = last.result.kind === 'failed' ? last.result.why : `answered ${last.result.status}`;
   const late = last.result.kind === 'failed' && last.result.why === 'limit';
   if (!ledger.safe && outcome === 'unknown') return giveUp(why, late);
-  if (ledger.now >= ledger.limitAt) return giveUp(why, true);
+  if (ledger.now >= ledger.requestDeadlineAt) return giveUp(why, true);
   if (attempts.length >= (ledger.maxAttempts ?? defaultMaxAttempts)) return giveUp(why, late);
   if (!ledger.hasRetryBudget) return giveUp(why, late);
   return { kind: 'open' };
--- a/packages/attempts/src/index.ts
+++ b/packages/attempts/src/index.ts
@@ -4,10 +4,10 @@
   type AttemptResult,
   consumedAttempts,
   isIdempotentMethod,
-  nextMove,
+  nextMove as decideNextStep,
   type Outcome,
   outcomeOf,
   type RetryDecision,
-  type Sent,
+  type Sent as SendProgress,
   shouldHedge,
 } from './attempts.js';
--- a/packages/cache/src/cache.test.ts
+++ b/packages/cache/src/cache.test.ts
@@ -1,18 +1,23 @@
 import test from 'ava';
-import { Cache, type Copy } from './index.js';
+import { Cache, type CachedResponse } from './index.js';
 
-const copy = (key: string, tags: readonly string[], size = 10, freshUntil = 1_000): Copy => ({
+const copy = (
+  key: string,
+  tags: readonly string[],
+  size = 10,
+  freshUntil = 1_000,
+): CachedResponse => ({
   key,
   service: 's',
   status: 200,
   headers: {},
   body: key,
-  size,
+  sizeBytes: size,
   tags,
   vary: {},
-  takenAt: 0,
+  storedAt: 0,
   freshUntil,
-  bornAge: 0,
+  initialAgeSeconds: 0,
 });
 const request = { method: 'GET', url: '/x', headers: {} };
 const life = (
@@ -45,17 +50,17 @@
   state = Cache.purge(state, { objects: ['http://A.example:80/3'], tags: ['u'] }, 100);
   t.deepEqual([...state.copies.keys()], ['a.example/1']);
   t.is(state.bytes, 10);
-  t.is(Cache.purgedSince(state, 'a.example/3', [], 50), 100);
-  t.is(Cache.purgedSince(state, 'a.example/9', ['u'], 50), 100);
-  t.is(Cache.purgedSince(state, 'a.example/9', ['u'], 101), null);
+  t.is(Cache.firstPurgeSince(state, 'a.example/3', [], 50), 100);
+  t.is(Cache.firstPurgeSince(state, 'a.example/9', ['u'], 50), 100);
+  t.is(Cache.firstPurgeSince(state, 'a.example/9', ['u'], 101), null);
   // Of several, the first since then tells how long it was known; each is forgotten after its
   // minute.
   state = Cache.purge(state, { objects: [], tags: ['u'] }, 400);
-  t.is(Cache.purgedSince(state, 'a.example/9', ['u'], 50), 100);
-  t.is(Cache.purgedSince(state, 'a.example/9', ['u'], 101), 400);
+  t.is(Cache.firstPurgeSince(state, 'a.example/9', ['u'], 50), 100);
+  t.is(Cache.firstPurgeSince(state, 'a.example/9', ['u'], 101), 400);
   state = Cache.purge(state, { objects: ['a.example/7'], tags: [] }, 60_200);
-  t.is(Cache.purgedSince(state, 'a.example/3', [], 0), null);
-  t.is(Cache.purgedSince(state, 'a.example/9', ['u'], 0), 400);
+  t.is(Cache.firstPurgeSince(state, 'a.example/3', [], 0), null);
+  t.is(Cache.firstPurgeSince(state, 'a.example/9', ['u'], 0), 400);
   t.is(state.purgedAt.size, 2);
 });
 
@@ -66,7 +71,7 @@
   t.deepEqual([...state.copies.keys()], ['1', '3']);
   t.truthy(Cache.find(state, '1', {}, 999));
   t.is(Cache.find(state, '1', {}, 1_000), undefined);
-  t.is(Cache.dropWhere(state, ({ freshUntil }) => freshUntil <= 1_000).bytes, 0);
+  t.is(Cache.evictWhere(state, ({ freshUntil }) => freshUntil <= 1_000).bytes, 0);
 });
 
 test('a copy answers only requests that agree in the fields it varies by', (t) => {
--- a/packages/cache/src/cache.ts
+++ b/packages/cache/src/cache.ts
@@ -22,15 +22,15 @@
   readonly status: number;
   readonly headers: Headers;
   readonly body: unknown;
-  readonly size: number;
+  readonly sizeBytes: number;
   readonly tags: readonly string[];
   /** Request fields that the answer varies by, with the values it was made for. */
   readonly vary: Readonly<Record<string, string>>;
   /** ms, monotonic: taken at, and fresh until. */
-  readonly takenAt: number;
+  readonly storedAt: number;
   readonly freshUntil: number;
   /** s. Age that it had when it was taken. */
-  readonly bornAge: number;
+  readonly initialAgeSeconds: number;
 };
 
 /** A purge that was applied, and when. */
@@ -72,7 +72,7 @@
     const group = (table.get(tag) ?? Group<string>()).delete(key);
     return group.isEmpty() ? table.delete(tag) : table.set(tag, group);
   }, state.byTag);
-  return { ...state, copies: state.copies.delete(key), byTag, bytes: state.bytes - copy.size };
+  return { ...state, copies: state.copies.delete(key), byTag, bytes: state.bytes - copy.sizeBytes };
 };
 
 export const Cache = {
@@ -95,7 +95,7 @@
   },
 
   /** The key that a purge means. @example Cache.purgeKey('http://a.example/x') // 'a.example/x' */
-  purgeKey: (object: string): string => {
+  keyOfPurgedUrl: (object: string): string => {
     const bare = object.replace(/^https?:\/\//, '');
     const cut = bare.indexOf('/');
     return cut < 0 ? Cache.key(bare, '/') : Cache.key(bare.slice(0, cut), bare.slice(cut));
@@ -163,7 +163,7 @@
         (table, tag) => table.set(tag, (table.get(tag) ?? Group<string>()).add(copy.key)),
         next.byTag,
       ),
-      bytes: next.bytes + copy.size,
+      bytes: next.bytes + copy.sizeBytes,
     };
     while (next.bytes > most) {
       const oldest = next.copies.keySeq().first();
@@ -174,7 +174,7 @@
   },
 
   /** Whether a purge that came after `since` means this object. @example Cache.purgedSince(state, 'a.example/x', [], 5) */
-  purgedSince: (
+  firstPurgeSince: (
     state: CacheState,
     key: string,
     tags: readonly string[],
@@ -194,7 +194,7 @@
     purge: { readonly objects: readonly string[]; readonly tags: readonly string[] },
     now: number,
   ): CacheState => {
-    const objects = purge.objects.map(Cache.purgeKey);
+    const objects = purge.objects.map(Cache.keyOfPurgedUrl);
     const keys = [...objects, ...purge.tags.flatMap((tag) => [...(state.byTag.get(tag) ?? [])])];
     const namesOf = (each: Purged): readonly string[] => [
       ...each.objects.map((key) => `object ${key}`),
@@ -225,6 +225,6 @@
   }),
 
   /** Drops what is no longer fit. @example Cache.dropWhere(state, (copy) => now >= copy.freshUntil) */
-  dropWhere: (state: CacheState, unfit: (copy: Copy) => boolean): CacheState =>
+  evictWhere: (state: CacheState, unfit: (copy: Copy) => boolean): CacheState =>
     state.copies.filter(unfit).keySeq().toArray().reduce(drop, state),
 } as const;
--- a/packages/cache/src/index.ts
+++ b/packages/cache/src/index.ts
@@ -2,9 +2,9 @@
 export {
   Cache,
   type CacheState,
-  type Copy,
+  type Copy as CachedResponse,
   type Headers,
   maxCacheBytes,
-  type Purged,
+  type Purged as AppliedPurge,
   purgeRetentionMs,
 } from './cache.js';
--- a/packages/proxy/src/attempt-budget.ts
+++ b/packages/proxy/src/attempt-budget.ts
@@ -3,9 +3,9 @@
  * tell each other what was used.
  */
 import { consumedAttempts } from '@reedyard/attempts';
-import { hasRetryBudget } from './choice.js';
-import { headerText, keepsAlways } from './request-rules.js';
-import type { AttemptAnswer, ProxyRequest, Transition } from './state.js';
+import { hasRetryBudget } from './endpoint-selection.js';
+import { headerText, isAlwaysCached } from './request-rules.js';
+import type { AttemptResponse, ProxyRequest, Transition } from './state.js';
 
 /**
  * attempts that a node keeps of a request that it hands to a peer, where its route allows more
@@ -18,12 +18,12 @@
  * Whether another attempt adds little to what origins get: those before went to peers alone, which
  * as a rule have a copy.
  */
-export const isFree = (request: ProxyRequest): boolean =>
-  keepsAlways(request.route) && request.attempts.every((attempt) => attempt.to.kind === 'peer');
+export const isExemptFromRetryBudget = (request: ProxyRequest): boolean =>
+  isAlwaysCached(request.route) && request.attempts.every((attempt) => attempt.to.kind === 'peer');
 
 /** Whether the route's attempts and the retry budget leave another attempt. */
 export const mayRetry = (transition: Transition, request: ProxyRequest): boolean =>
-  (isFree(request) || hasRetryBudget(transition.state, request.service)) &&
+  (isExemptFromRetryBudget(request) || hasRetryBudget(transition.state, request.service)) &&
   remainingAttempts(request) > 0;
 
 /** Origins that a request may still be sent to, from here or through peers. */
@@ -45,7 +45,7 @@
 const consumedAttemptsHeader = 'reedyard-spent';
 
 /** The field that tells a peer how many attempts its request used here. */
-export const consumedAttemptsFields = (
+export const consumedAttemptsHeaders = (
   request: ProxyRequest | undefined,
 ): Readonly<Record<string, string>> => {
   const spent = consumedAttempts(request?.attempts ?? []);
@@ -53,7 +53,7 @@
 };
 
 /** How many attempts a peer says it used; null where it does not say. */
-export const consumedAttemptsOf = (answer: AttemptAnswer): number | null => {
+export const consumedAttemptsOf = (answer: AttemptResponse): number | null => {
   const told = headerText(answer.headers, consumedAttemptsHeader);
   return told !== null && /^\d{1,3}$/.test(told) ? Number(told) : null;
 };
--- a/packages/proxy/src/attempt-ends.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -2,41 +2,46 @@
 import {
   type Attempt,
   type AttemptResult,
-  nextMove,
+  decideNextStep,
   outcomeOf,
-  type Sent,
+  type SendProgress,
 } from '@reedyard/attempts';
-import { Cache, type Copy } from '@reedyard/cache';
+import { Cache, type CachedResponse } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import {
-  consumedAttemptsFields,
+  consumedAttemptsHeaders,
   consumedAttemptsOf,
   mayRetry,
   remainingAttempts,
 } from './attempt-budget.js';
-import { ejectOrigin, hasRetryBudget, recordResponse, restOrigin } from './choice.js';
 import {
-  close,
+  ejectEndpoint,
+  hasRetryBudget,
+  recordResponse,
+  pauseFullOrigin,
+} from './endpoint-selection.js';
+import {
+  closeRequest,
   failRequest,
-  forget,
-  handleLeaderEnd,
+  removeRequest,
+  finishFetch,
   isLeaseExpired,
   recordReply,
   settleClaim,
-} from './ending.js';
+} from './request-completion.js';
 import {
-  copyExpiresAt,
+  copyExpiresAtMs,
   headerText,
-  keeps,
-  keepsAlways,
-  passedOn,
-  serviceOf,
-  unsound,
+  mayCache,
+  isAlwaysCached,
+  isOriginGatewayError,
+  serviceOfAttempt,
+  rejectionReasonOf,
 } from './request-rules.js';
 import { responseTimeGain } from './response-times.js';
-import { startAgain } from './serving.js';
+import { continueRequest } from './serving.js';
 import {
-  type AttemptAnswer,
+  type AttemptResponse,
   count,
   log,
   type ProxyRequest,
@@ -54,9 +59,11 @@
 ): ProxyRequest | undefined => {
   const attempt = request.attempts[number];
   if (attempt === undefined || attempt.result !== null) return undefined;
-  const under = (transition.state.outstanding[attempt.to.id] ?? 1) - 1;
-  const { [attempt.to.id]: _gone, ...others } = transition.state.outstanding;
-  update(transition, { outstanding: under > 0 ? { ...others, [attempt.to.id]: under } : others });
+  const under = (transition.state.inFlightCounts[attempt.to.id] ?? 1) - 1;
+  const { [attempt.to.id]: _gone, ...others } = transition.state.inFlightCounts;
+  update(transition, {
+    inFlightCounts: under > 0 ? { ...others, [attempt.to.id]: under } : others,
+  });
   return updateRequest(transition, request.id, {
     attempts: request.attempts.map((each) =>
       each.number === number ? { ...each, result: end } : each,
@@ -66,22 +73,23 @@
 
 const derive = (transition: Transition, request: ProxyRequest): void => {
   if (request.phase === 'over') {
-    if (request.attempts.every((attempt) => attempt.result !== null)) forget(transition, request);
+    if (request.attempts.every((attempt) => attempt.result !== null))
+      removeRequest(transition, request);
     return;
   }
   const { attempts, isIdempotent: safe, deadlineAt: limitAt } = request;
-  const move = nextMove({
+  const move = decideNextStep({
     safe,
     attempts,
     now: transition.state.now,
-    limitAt,
+    requestDeadlineAt: limitAt,
     hasRetryBudget: mayRetry(transition, request),
   });
-  if (request.isClientGone && move.kind === 'open') {
+  if (request.hasClientLeft && move.kind === 'open') {
     failRequest(transition, request, 503, outcomeOf(request.attempts), 'its caller left');
     return;
   }
-  if (move.kind === 'open') startAgain(transition, request);
+  if (move.kind === 'open') continueRequest(transition, request);
   else if (move.kind === 'fail')
     failRequest(transition, request, move.status, move.outcome, move.why);
 };
@@ -91,7 +99,7 @@
   transition: Transition,
   id: number,
   number: number,
-  sent: Sent,
+  sent: SendProgress,
   why: string,
 ): void => {
   const request = transition.state.requests[id];
@@ -99,7 +107,7 @@
   const ended = endAttempt(transition, request, number, { kind: 'failed', sent, why });
   if (ended === undefined) return;
   const name = ended.attempts[number]?.to.id ?? '';
-  if (why !== 'purged' && why !== 'lease') ejectOrigin(transition, name);
+  if (why !== 'purged' && why !== 'lease') ejectEndpoint(transition, name);
   count(transition, `attempt-failed.${why}`);
   log(transition, 'attempt.failed', { id, attempt: number, to: name, sent, why });
   derive(transition, ended);
@@ -110,13 +118,13 @@
   transition: Transition,
   id: number,
   number: number,
-  answer: AttemptAnswer,
+  answer: AttemptResponse,
 ): void => {
   const request = transition.state.requests[id];
   const attempt = request?.attempts[number];
   if (request === undefined || attempt === undefined || attempt.result !== null) return;
   const { state } = transition;
-  const bad = unsound(request, number, answer, state.routes);
+  const bad = rejectionReasonOf(request, number, answer, state.routes);
   if (bad !== null) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
     handleAttemptFailure(transition, id, number, 'maybe', bad);
@@ -124,8 +132,8 @@
   }
   const { isIdempotent: safe } = request;
   const tags = Cache.tags(answer.headers, request.route.tagsHeader);
-  const purgedAt = keeps(request.route, request.clientRequest.method)
-    ? Cache.purgedSince(state.cache, request.key, tags, attempt.openedAt)
+  const purgedAt = mayCache(request.route, request.clientRequest.method)
+    ? Cache.firstPurgeSince(state.cache, request.key, tags, attempt.openedAt)
     : null;
   // It may be what a purge was meant to take away, and the time for that is nearly over, or such a
   // purge can't have been heard of: what only reads is then not passed on.
@@ -167,7 +175,7 @@
   const final =
     (!turnedAway ||
       (safe && answer.status === 429 && answer.proof === undefined) ||
-      passedOn(answer)) &&
+      isOriginGatewayError(answer)) &&
     !mayTryAgain;
   const ended = endAttempt(transition, request, number, {
     kind: 'answered',
@@ -179,7 +187,7 @@
   if (ended === undefined) return;
   if (!notRun)
     recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, answer.proof);
-  if (attempt.to.kind === 'origin' && notRun) restOrigin(transition, attempt.to.id);
+  if (attempt.to.kind === 'origin' && notRun) pauseFullOrigin(transition, attempt.to.id);
   // What is read whole leaves its conn ready for the next.
   const drop = (): void => {
     if (!answer.isComplete)
@@ -192,7 +200,7 @@
   }
   if (!final) {
     drop();
-    if (attempt.to.kind === 'peer' && notRun) ejectOrigin(transition, attempt.to.id);
+    if (attempt.to.kind === 'peer' && notRun) ejectEndpoint(transition, attempt.to.id);
     derive(transition, ended);
     return;
   }
@@ -200,19 +208,23 @@
   const attemptMs = state.now - attempt.openedAt;
   if (fromOrigin) {
     const name = request.route.name;
-    const old = state.replyBytes[name];
+    const old = state.meanReplyBytes[name];
     update(transition, {
-      replyBytes: {
-        ...transition.state.replyBytes,
+      meanReplyBytes: {
+        ...transition.state.meanReplyBytes,
         [name]: old === undefined ? answer.size : old + responseTimeGain * (answer.size - old),
       },
     });
   }
   if (fromOrigin) {
     count(transition, 'fetched');
-    const { period } = transition.state;
+    const { trafficPeriod: period } = transition.state;
     update(transition, {
-      period: { ...period, attemptMs: period.attemptMs + attemptMs, fetched: period.fetched + 1 },
+      trafficPeriod: {
+        ...period,
+        attemptMs: period.attemptMs + attemptMs,
+        fetched: period.fetched + 1,
+      },
     });
   } else count(transition, 'forwarded');
   const copy = fromOrigin ? copyOf(transition, request, attempt, answer, tags, purgedAt) : null;
@@ -229,7 +241,7 @@
   settleClaim(transition, ended, answer.status < 500 ? 'ran' : 'unknown');
   recordReply(transition, request, answer.size, fromOrigin);
   count(transition, `status.${answer.status}`);
-  if (!request.isClientGone) {
+  if (!request.hasClientLeft) {
     transition.effects.push({
       kind: 'send-answer',
       requestId: id,
@@ -237,10 +249,10 @@
         status: answer.status,
         headers: {
           ...answer.headers,
-          ...consumedAttemptsFields(ended),
+          ...consumedAttemptsHeaders(ended),
           ...(request.clientRequest.via === null
             ? {}
-            : { 'reedyard-service': fromOrigin ? serviceOf(attempt) : request.service }),
+            : { 'reedyard-service': fromOrigin ? serviceOfAttempt(attempt) : request.service }),
           'reedyard-served': fromOrigin
             ? request.clientRequest.via === null
               ? 'origin'
@@ -252,8 +264,8 @@
       },
     });
   } else drop();
-  close(transition, ended);
-  handleLeaderEnd(transition, ended, copy, null);
+  closeRequest(transition, ended);
+  finishFetch(transition, ended, copy, null);
 };
 
 /**
@@ -264,10 +276,10 @@
   transition: Transition,
   request: ProxyRequest,
   attempt: Attempt,
-  answer: AttemptAnswer,
+  answer: AttemptResponse,
   tags: readonly string[],
   purgedAt: number | null,
-): Copy | null => {
+): CachedResponse | null => {
   const { state } = transition;
   if (
     request.clientRequest.method !== 'GET' ||
@@ -279,7 +291,7 @@
   const route = Routes.find(state.routes, request.clientRequest.host, request.clientRequest.target);
   const attemptMs = state.now - attempt.openedAt;
   const life =
-    route !== undefined && keepsAlways(route)
+    route !== undefined && isAlwaysCached(route)
       ? answer.status === 200
         ? (route.cache.mostSeconds ?? 0) * 1_000
         : 0
@@ -293,21 +305,21 @@
           attemptMs,
         );
   const { ['reedyard-attempt']: _mark, ...headers } = answer.headers;
-  const copy: Copy = {
+  const copy: CachedResponse = {
     key: request.key,
-    service: serviceOf(attempt),
+    service: serviceOfAttempt(attempt),
     status: answer.status,
     headers,
     body: answer.body,
-    size: answer.size,
+    sizeBytes: answer.size,
     tags,
     vary: Cache.vary(answer.headers, request.clientRequest.headers),
-    takenAt: state.now,
+    storedAt: state.now,
     freshUntil: state.now + life,
-    bornAge:
-      route !== undefined && keepsAlways(route)
+    initialAgeSeconds:
+      route !== undefined && isAlwaysCached(route)
         ? 0
         : Number(headerText(answer.headers, 'age') ?? 0) + attemptMs / 1_000,
   };
-  return life > 0 && state.now < copyExpiresAt(route, state, copy) ? copy : null;
+  return life > 0 && state.now < copyExpiresAtMs(route, state, copy) ? copy : null;
 };
--- a/packages/proxy/src/caller-answer.ts
+++ b/packages/proxy/src/caller-answer.ts
@@ -7,7 +7,7 @@
 import type { Headers } from '@reedyard/cache';
 import type { WireFormat } from './dialect.js';
 import { present, stamped } from './present.js';
-import type { Answer, ClientRequest } from './state.js';
+import type { ClientResponse, ClientRequest } from './state.js';
 
 /** Where an answer goes, and what of it depends on who asked. */
 export type AnswerTarget = {
@@ -18,17 +18,17 @@
   readonly hopFields: Readonly<Record<string, string>>;
 };
 
-type Problem = Extract<Answer['body'], { kind: 'problem' }>;
+type Problem = Extract<ClientResponse['body'], { kind: 'problem' }>;
 type AnswerBody = { readonly body: unknown; readonly size: number; readonly isComplete: boolean };
 
-const originStatusOf = ({ body }: Answer): number | null => {
+const originStatusOf = ({ body }: ClientResponse): number | null => {
   if (body.kind === 'problem') return null;
   return body.kind === 'copy' ? body.copy.status : body.answer.status;
 };
 
-const bodyOf = (body: Exclude<Answer['body'], Problem>): AnswerBody =>
+const bodyOf = (body: Exclude<ClientResponse['body'], Problem>): AnswerBody =>
   body.kind === 'copy'
-    ? { body: body.copy.body, size: body.copy.size, isComplete: true }
+    ? { body: body.copy.body, size: body.copy.sizeBytes, isComplete: true }
     : body.answer;
 
 /**
@@ -36,7 +36,7 @@
  */
 const shownFields = (
   { asked, dialect, hopFields }: AnswerTarget,
-  answer: Answer,
+  answer: ClientResponse,
   status: number,
   headers: Headers,
 ): http.OutgoingHttpHeaders => {
@@ -51,7 +51,7 @@
   return { ...shown, ...hopFields } as http.OutgoingHttpHeaders;
 };
 
-const writeProblem = (target: AnswerTarget, answer: Answer, problem: Problem): void => {
+const writeProblem = (target: AnswerTarget, answer: ClientResponse, problem: Problem): void => {
   const { response, asked } = target;
   const { status } = answer;
   const { title, detail, outcome } = problem;
@@ -65,7 +65,7 @@
   response.end(asked.method === 'HEAD' ? undefined : text);
 };
 
-const writeWhole = (target: AnswerTarget, answer: Answer, held: AnswerBody): void => {
+const writeWhole = (target: AnswerTarget, answer: ClientResponse, held: AnswerBody): void => {
   const { response, asked } = target;
   const { status, headers } = answer;
   const bodiless = asked.method === 'HEAD' && answer.body.kind === 'attempt';
@@ -81,7 +81,7 @@
 };
 
 /** Passes an answer on as it comes; one that was cut must not look like a whole one. */
-const writeStream = (target: AnswerTarget, answer: Answer, body: Readable): void => {
+const writeStream = (target: AnswerTarget, answer: ClientResponse, body: Readable): void => {
   const { response } = target;
   const { status, headers } = answer;
   response.writeHead(status, shownFields(target, answer, status, headers));
@@ -98,7 +98,7 @@
  * @example
  * const stream = writeAnswer({ response, asked, dialect, hopFields: { via } }, answer);
  */
-export const writeAnswer = (target: AnswerTarget, answer: Answer): Readable | null => {
+export const writeAnswer = (target: AnswerTarget, answer: ClientResponse): Readable | null => {
   const { response } = target;
   const held = answer.body.kind === 'problem' ? null : bodyOf(answer.body);
   const stream = held === null || held.isComplete ? null : (held.body as Readable);
--- a/packages/proxy/src/connection.ts
+++ b/packages/proxy/src/connection.ts
@@ -9,7 +9,7 @@
  * - It rests for another attempt only after the last one was written whole and answered whole by an
  *   answer that was its own, with no byte beyond it, and while neither end has begun to close.
  */
-import type { Sent } from '@reedyard/attempts';
+import type { SendProgress } from '@reedyard/attempts';
 
 /** What ties an answer to the attempt under way. */
 export type AnswerEvidence = {
@@ -86,7 +86,7 @@
   | {
       readonly kind: 'fail';
       readonly attempt: number;
-      readonly sent: Sent;
+      readonly sent: SendProgress;
       readonly why: string;
     }
   /** An answer that was passed on as it came ended early: its reader must not take it for whole. */
--- a/packages/proxy/src/conns.ts
+++ b/packages/proxy/src/conns.ts
@@ -7,10 +7,10 @@
 import { performance } from 'node:perf_hooks';
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import { errorMessage } from '@reedyard/logging';
-import { originName } from './choice.js';
+import { originIdOf } from './endpoint-selection.js';
 import { connectTimeoutMs, idleConnectionMs, plainConnectTimeoutMs } from './connection-timing.js';
 import type { WireFormat, ToOrigin } from './dialect.js';
-import { ejectionMs } from './ejection-timing.js';
+import { minEjectionMs } from './ejection-timing.js';
 import {
   type AttemptCallbacks,
   AttemptError,
@@ -135,7 +135,7 @@
     terms: SendTerms,
     ends: AttemptCallbacks,
   ): InFlightAttempt {
-    const name = originName(row);
+    const name = originIdOf(row);
     const judge = (response: http.IncomingMessage): Judgement => {
       const status = response.statusCode ?? 0;
       const proof = this.dialect.fromOrigin(status, response.headers, attempt);
@@ -206,7 +206,7 @@
   /** A resting connection that is fit for an attempt. */
   #take(name: string, safe: boolean, attempt: number): OpenConnection | undefined {
     // One that rested may be closing at the other end: what may not run twice needs a younger one.
-    const mostIdleMs = safe ? idleConnectionMs : ejectionMs / 2;
+    const mostIdleMs = safe ? idleConnectionMs : minEjectionMs / 2;
     const list = this.#idle.get(name) ?? [];
     for (let connection = list.pop(); connection !== undefined; connection = list.pop()) {
       if (!connection.quiet) connection.reduce({ kind: 'surplus' });
--- a/packages/proxy/src/core.ts
+++ b/packages/proxy/src/core.ts
@@ -6,10 +6,10 @@
 import { Cache } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import type { Step } from '@reedyard/task-loop';
-import { handleAttemptAnswer, endAttempt, handleAttemptFailure } from './attempt-ends.js';
-import { drawService, depositRetryToken, isSafe } from './choice.js';
-import { close, failRequest, reject } from './ending.js';
-import { applyFeed } from './feeding.js';
+import { handleAttemptAnswer, endAttempt, handleAttemptFailure } from './attempt-results.js';
+import { drawService, depositRetryToken, isIdempotentRequest } from './endpoint-selection.js';
+import { closeRequest, failRequest, sendProblem } from './request-completion.js';
+import { applyFeed } from './feed-handler.js';
 import { requestFeed } from './reporting.js';
 import { maxRequestsInFlight } from './request-limit.js';
 import { headerText, deadlineOf, refusalOf } from './request-rules.js';
@@ -26,16 +26,16 @@
   update,
   type Transition,
 } from './state.js';
-import { tick } from './upkeep.js';
+import { tick } from './tick-handler.js';
 
 const mayServe = (transition: Transition, id: number, via: string | null): boolean => {
   const { state } = transition;
   if (state.stoppingAt !== null && state.now - state.stoppingAt > unreadyServingMs) {
-    reject(transition, id, 503, 'Leaving', 'This node is leaving.', { connection: 'close' });
+    sendProblem(transition, id, 503, 'Leaving', 'This node is leaving.', { connection: 'close' });
     return false;
   }
   if (state.now >= state.leaseUntil || state.policy === null || state.feed === null) {
-    reject(transition, id, 503, 'Not ready', 'This node is cut off from the control state.');
+    sendProblem(transition, id, 503, 'Not ready', 'This node is cut off from the control state.');
     return false;
   }
   if (
@@ -43,7 +43,9 @@
     state.evacuatedAt !== null &&
     state.now - state.evacuatedAt > evacuationGraceMs
   ) {
-    reject(transition, id, 503, 'Zone emptied', 'This zone is emptied.', { connection: 'close' });
+    sendProblem(transition, id, 503, 'Zone emptied', 'This zone is emptied.', {
+      connection: 'close',
+    });
     return false;
   }
   return true;
@@ -63,14 +65,14 @@
   const refusal = refusalOf(route, asked, state.policy?.document.callers);
   if (route === undefined || refusal !== null) {
     if (refusal !== null)
-      reject(transition, id, refusal.status, refusal.title, refusal.detail, refusal.more);
+      sendProblem(transition, id, refusal.status, refusal.title, refusal.detail, refusal.more);
     return;
   }
   if (Object.keys(state.requests).length >= maxRequestsInFlight) {
-    reject(transition, id, 503, 'Too busy', 'Too many requests are under way here.');
+    sendProblem(transition, id, 503, 'Too busy', 'Too many requests are under way here.');
     return;
   }
-  const safe = isSafe(route, asked.method);
+  const safe = isIdempotentRequest(route, asked.method);
   const callerKey =
     safe || route.repeat === 'never' || asked.via !== null
       ? null
@@ -92,7 +94,7 @@
     phase: callerKey === null ? 'attempt' : 'claiming',
     queuedAt: 0,
     isFetchLeader: false,
-    isClientGone: false,
+    hasClientLeft: false,
   };
   update(transition, { requests: { ...state.requests, [id]: request } });
   // A forwarded request earned its repeat where its caller came to.
@@ -118,7 +120,7 @@
   if (reply.kind === 'granted') {
     const held = updateRequest(transition, id, { phase: 'attempt' });
     if (held === undefined) return;
-    if (held.isClientGone) failRequest(transition, held, 503, 'not-run', 'its caller left');
+    if (held.hasClientLeft) failRequest(transition, held, 503, 'not-run', 'its caller left');
     else start(transition, held);
     return;
   }
@@ -143,7 +145,7 @@
         },
       },
     });
-    close(transition, request);
+    closeRequest(transition, request);
     return;
   }
   const known = reply.state === 'pending' ? 'in-progress' : reply.state;
@@ -165,12 +167,12 @@
       },
     },
   });
-  close(transition, request);
+  closeRequest(transition, request);
 };
 
 /** The client closed its connection: what may be broken off is. */
 const handleClientLeft = (transition: Transition, id: number): void => {
-  const request = updateRequest(transition, id, { isClientGone: true });
+  const request = updateRequest(transition, id, { hasClientLeft: true });
   // An attempt that others wait for, or that may have run, is let finish; only safe ones alone are
   // dropped.
   if (
@@ -192,7 +194,7 @@
         why: 'caller',
       }) ?? ended;
   }
-  close(transition, ended);
+  closeRequest(transition, ended);
 };
 
 /** The proxy's reducer. */
@@ -204,12 +206,12 @@
     leaseUntil: 0,
     life: '',
     cacheFlushCount: 0,
-    feedReceivedAt: now,
+    feedRequestedAt: now,
     purgeSeq: 0,
     policy: null,
     routes: new Map(),
     feed: null,
-    holders: {},
+    ownersByRoute: {},
     evacuatedAt: null,
     cache: Cache.empty,
     hasRemotePeers: false,
@@ -219,12 +221,12 @@
     buckets: {},
     retryTokens: {},
     ejectedUntil: {},
-    outstanding: {},
+    inFlightCounts: {},
     originHealth: {},
-    replyBytes: {},
+    meanReplyBytes: {},
     stoppingAt: null,
     counters: {},
-    period: { since: now, bits: {}, servedBits: 0, replies: 0, attemptMs: 0, fetched: 0 },
+    trafficPeriod: { since: now, bits: {}, servedBits: 0, replies: 0, attemptMs: 0, fetched: 0 },
     demand: {},
     demandCounts: { since: now, counts: {} },
   }),
--- a/packages/proxy/src/ejection-timing.ts
+++ b/packages/proxy/src/ejection-timing.ts
@@ -4,4 +4,4 @@
  * ms. An instance that failed an attempt gets no ordinary traffic for this long; twice as long
  * each time that it fails again before a sound answer, up to the longest.
  */
-export const ejectionMs = 1_000;
+export const minEjectionMs = 1_000;
--- a/packages/proxy/src/choice.ts
+++ b/packages/proxy/src/endpoint-selection.ts
@@ -5,9 +5,9 @@
 import type { OriginEndpoint, PeerEndpoint } from '@reedyard/agent';
 import { isIdempotentMethod } from '@reedyard/attempts';
 import { type Route, Routes } from '@reedyard/schemas';
-import { groupKey, objectKey, rendezvousOwner } from '@reedyard/server-selection';
+import { placementKey, objectKey, rendezvousOwner } from '@reedyard/server-selection';
 import type { Proof } from './dialect.js';
-import { ejectionMs } from './ejection-timing.js';
+import { minEjectionMs } from './ejection-timing.js';
 import { responseTimeGain } from './response-times.js';
 import {
   type Bucket,
@@ -74,15 +74,15 @@
   (state.ejectedUntil[name] ?? 0) > state.now;
 
 /** The name of one incarnation of an origin: service/instance/incarnation. */
-export const originName = (row: OriginEndpoint): string =>
+export const originIdOf = (row: OriginEndpoint): string =>
   `${row.service}/${row.instance}/${row.incarnation}`;
 
 /** Whether a route's reports may be fetched and kept here. */
-export const atHome = (homes: readonly string[] | undefined, region: string): boolean =>
+export const isHomeRegion = (homes: readonly string[] | undefined, region: string): boolean =>
   homes === undefined || homes.includes(region);
 
 /** Whether a request on a route may run more than once. */
-export const isSafe = (route: Route, method: string): boolean =>
+export const isIdempotentRequest = (route: Route, method: string): boolean =>
   route.repeat === 'safe' || (route.repeat !== 'never' && isIdempotentMethod(method));
 
 /**
@@ -105,7 +105,9 @@
   const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
   return (state.feed?.peers ?? []).filter(
     (row) =>
-      atHome(request.route.homes, row.region) && !tried.has(row.id) && !isEjected(state, row.id),
+      isHomeRegion(request.route.homes, row.region) &&
+      !tried.has(row.id) &&
+      !isEjected(state, row.id),
   );
 };
 
@@ -117,15 +119,15 @@
   state: ProxyState,
   request: ProxyRequest,
 ): 'self' | PeerEndpoint | null => {
-  const home = atHome(request.route.homes, state.self.region);
+  const home = isHomeRegion(request.route.homes, state.self.region);
   if (request.clientRequest.via !== null) return home ? 'self' : null;
   const split = state.feed?.split ?? {};
   const { name } = request.route;
-  const holder = rendezvousOwner(request.key, state.holders[name] ?? []);
+  const holder = rendezvousOwner(request.key, state.ownersByRoute[name] ?? []);
   const row =
     (holder === undefined
       ? (split[objectKey(name, request.clientRequest.target)] ?? split[objectKey(name, null)])
-      : split[groupKey(name, holder)]) ?? [];
+      : split[placementKey(name, holder)]) ?? [];
   if (home && row.every(([edge]) => edge === state.self.id)) return 'self';
   const peers = allowedPeers(state, request);
   const open = row.flatMap(
@@ -180,7 +182,12 @@
 };
 
 /** ms until a bucket has its next token; Infinity where it never will. */
-export const waitFor = (state: ProxyState, name: string, rate: number, ahead: number): number => {
+export const tokenWaitMs = (
+  state: ProxyState,
+  name: string,
+  rate: number,
+  ahead: number,
+): number => {
   if (rate === Infinity) return 0;
   const bucket = state.buckets[name];
   const tokens = bucket === undefined ? 0 : filled(bucket, state.now);
@@ -194,7 +201,7 @@
  * Requests that this node may have under way at an origin: its part of what that one works on and
  * lets wait, and of the conns that it accepts.
  */
-export const remainingConcurrency = (state: ProxyState, row: OriginEndpoint): number => {
+export const maxConcurrencyOf = (state: ProxyState, row: OriginEndpoint): number => {
   const parts = nodes(state);
   const slots =
     row.slots === null || row.slots === undefined
@@ -212,7 +219,7 @@
  * ago that was.
  */
 const busyAt = (state: ProxyState, name: string): number => {
-  const own = state.outstanding[name] ?? 0;
+  const own = state.inFlightCounts[name] ?? 0;
   const load = state.originHealth[name]?.load;
   if (!load) return own;
   return (
@@ -223,19 +230,23 @@
 };
 
 /** ms that an origin's answers take; what was met there long ago counts as the mean of all. */
-export const answerMs = (state: ProxyState, row: OriginEndpoint, mean: number): number => {
-  const known = state.originHealth[originName(row)];
+export const expectedResponseMs = (
+  state: ProxyState,
+  row: OriginEndpoint,
+  mean: number,
+): number => {
+  const known = state.originHealth[originIdOf(row)];
   return known === undefined
     ? mean
     : mean +
         (known.meanResponseMs - mean) *
-          Math.exp((known.heardAt - state.now) / responseTimeMemoryMs);
+          Math.exp((known.lastResponseAt - state.now) / responseTimeMemoryMs);
 };
 
 /** ms that the answers of a service's origins take on average here; 0 where none was had. */
-export const meanMs = (state: ProxyState, rows: readonly OriginEndpoint[]): number => {
+export const meanResponseMsOf = (state: ProxyState, rows: readonly OriginEndpoint[]): number => {
   const known = rows.flatMap((row) => {
-    const standing = state.originHealth[originName(row)];
+    const standing = state.originHealth[originIdOf(row)];
     return standing === undefined ? [] : [standing.meanResponseMs];
   });
   return known.length === 0 ? 0 : known.reduce((sum, ms) => sum + ms, 0) / known.length;
@@ -251,9 +262,9 @@
   mean: number,
   replyBytes: number,
 ): number => {
-  const ms = Math.max(1, answerMs(state, row, mean));
+  const ms = Math.max(1, expectedResponseMs(state, row, mean));
   const slots = row.slots ?? Math.max(1, (row.capacity * Math.max(1, mean)) / 1_000);
-  const use = (busyAt(state, originName(row)) + 1) / slots;
+  const use = (busyAt(state, originIdOf(row)) + 1) / slots;
   const far =
     row.region !== state.self.region
       ? otherRegionPenaltyMs
@@ -274,13 +285,13 @@
 ): readonly OriginEndpoint[] => {
   const tried = new Set(request.attempts.map((attempt) => attempt.to.id));
   const rows = (state.feed?.origins ?? []).filter(
-    (row) => row.service === request.service && atHome(request.route.homes, row.region),
+    (row) => row.service === request.service && isHomeRegion(request.route.homes, row.region),
   );
-  const untried = rows.filter((row) => !tried.has(originName(row)));
-  const trusted = untried.filter((row) => !isEjected(state, originName(row)));
+  const untried = rows.filter((row) => !tried.has(originIdOf(row)));
+  const trusted = untried.filter((row) => !isEjected(state, originIdOf(row)));
   // Where every one is suspected, a suspected one is still better than none.
   const pool = trusted.length > 0 ? trusted : untried.length > 0 ? untried : rows;
-  const mean = meanMs(state, pool);
+  const mean = meanResponseMsOf(state, pool);
   const costs = pool.map((row) => ({ row, cost: costOf(state, row, mean, replyBytes) }));
   let left = [...costs];
   let best: (typeof costs)[number] | undefined;
@@ -300,7 +311,7 @@
 };
 
 /** Sets aside who failed: longer each time that it fails again before it answered soundly. */
-export const ejectOrigin = (transition: Transition, name: string): void => {
+export const ejectEndpoint = (transition: Transition, name: string): void => {
   const failures = (transition.state.originHealth[name]?.failures ?? 0) + 1;
   const known = transition.state.originHealth[name];
   const suspects = Object.fromEntries(
@@ -313,7 +324,7 @@
       ...suspects,
       [name]:
         transition.state.now +
-        Math.min(maxEjectionMs, ejectionMs * 2 ** Math.min(10, failures - 1)),
+        Math.min(maxEjectionMs, minEjectionMs * 2 ** Math.min(10, failures - 1)),
     },
     ...(known === undefined
       ? {}
@@ -324,7 +335,7 @@
 /**
  * Sets aside an origin that said that it was too full: only for the time in which that may change.
  */
-export const restOrigin = (transition: Transition, name: string): void =>
+export const pauseFullOrigin = (transition: Transition, name: string): void =>
   update(transition, {
     ejectedUntil: {
       ...transition.state.ejectedUntil,
@@ -347,10 +358,10 @@
   const next: OriginHealth = {
     meanResponseMs:
       old === undefined ? ms : old.meanResponseMs + responseTimeGain * (ms - old.meanResponseMs),
-    heardAt: transition.state.now,
+    lastResponseAt: transition.state.now,
     failures: 0,
     load: told
-      ? { ...told, at: transition.state.now, own: transition.state.outstanding[name] ?? 0 }
+      ? { ...told, at: transition.state.now, own: transition.state.inFlightCounts[name] ?? 0 }
       : (old?.load ?? null),
   };
   update(transition, { originHealth: { ...transition.state.originHealth, [name]: next } });
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -6,7 +6,7 @@
 import http from 'node:http';
 import type net from 'node:net';
 import { performance } from 'node:perf_hooks';
-import type { Sent } from '@reedyard/attempts';
+import type { SendProgress } from '@reedyard/attempts';
 import { CodedError, errorMessage } from '@reedyard/logging';
 import { idleCloseMarginMs, idleConnectionMs } from './connection-timing.js';
 import {
@@ -18,12 +18,12 @@
 } from './connection.js';
 import type { Proof } from './dialect.js';
 import { readAnswer, type ReadAnswer } from './read-answer.js';
-import type { AttemptAnswer } from './state.js';
+import type { AttemptResponse } from './state.js';
 
 /** An attempt that brought no sound answer. */
 export class AttemptError extends CodedError {
   constructor(
-    readonly sent: Sent,
+    readonly sent: SendProgress,
     readonly why: string,
     message: string,
     options?: { readonly cause?: unknown },
@@ -47,7 +47,7 @@
 
 /** How an attempt ends: one of the two is called, once, and never before `send` has returned. */
 export type AttemptCallbacks = {
-  readonly done: (answer: AttemptAnswer) => void;
+  readonly done: (answer: AttemptResponse) => void;
   readonly fail: (error: AttemptError) => void;
 };
 
@@ -113,7 +113,7 @@
 
 /** One attempt over a connection that was assigned to it. */
 export class Exchange {
-  #ready: AttemptAnswer | null = null;
+  #ready: AttemptResponse | null = null;
   #request: http.ClientRequest | null = null;
   #response: http.IncomingMessage | null = null;
   #judgement: Judgement | null = null;
@@ -235,7 +235,7 @@
   }
 
   /** What the connection knows against an answer goes with what its fields prove. */
-  #withUnsound(answer: AttemptAnswer, unsound: string | null): AttemptAnswer {
+  #withUnsound(answer: AttemptResponse, unsound: string | null): AttemptResponse {
     const { proof } = answer;
     return proof === undefined || unsound === null
       ? answer
--- a/packages/proxy/src/feeding.ts
+++ b/packages/proxy/src/feed-handler.ts
@@ -4,8 +4,8 @@
 import type { Feed } from '@reedyard/agent';
 import { Cache, purgeRetentionMs } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
-import { holdersOf } from '@reedyard/server-selection';
-import { copyExpiresAt } from './request-rules.js';
+import { ownersByRouteOf } from '@reedyard/server-selection';
+import { copyExpiresAtMs } from './request-rules.js';
 import { log, update, type Transition } from './state.js';
 
 /** Applies a new feed: lease, policy, endpoints, routing table, purges. */
@@ -20,7 +20,7 @@
     state.life !== '' &&
     (feed.life !== state.life ||
       feed.flushes !== state.cacheFlushCount ||
-      askedAt - state.feedReceivedAt > purgeRetentionMs / 2);
+      askedAt - state.feedRequestedAt > purgeRetentionMs / 2);
   if (gone)
     log(transition, 'copies.flushed', {
       why: feed.life !== state.life ? 'agent restarted' : 'was away',
@@ -34,19 +34,20 @@
   if (policy !== state.policy) {
     log(transition, 'policy.in-force', { revision: policy?.revision ?? 0 });
     const table = routes;
-    cache = Cache.dropWhere(
+    cache = Cache.evictWhere(
       cache,
       (copy) =>
-        state.now >= copyExpiresAt(Routes.find(table, ...Cache.place(copy.key)), state, copy),
+        state.now >= copyExpiresAtMs(Routes.find(table, ...Cache.place(copy.key)), state, copy),
     );
   }
   const emptied = feed.emptied.includes(state.self.zone);
   update(transition, {
-    holders: feed.split === state.feed?.split ? state.holders : holdersOf(feed.split),
+    ownersByRoute:
+      feed.split === state.feed?.split ? state.ownersByRoute : ownersByRouteOf(feed.split),
     feed: { ...feed, policy: null, purges: [] },
     life: feed.life,
     cacheFlushCount: feed.flushes,
-    feedReceivedAt: askedAt,
+    feedRequestedAt: askedAt,
     purgeSeq: feed.purgeSeq,
     cache,
     leaseUntil:
--- a/packages/proxy/src/feeds.ts
+++ b/packages/proxy/src/feed-snapshot.ts
@@ -7,7 +7,7 @@
 /** How feeds are asked for and put together. */
 export const Feeds = {
   /** What the agent is told to be held. @example Feeds.holding(null) // null */
-  holding: (held: FeedSnapshot | null): FeedPartsHeld | null =>
+  heldParts: (held: FeedSnapshot | null): FeedPartsHeld | null =>
     held === null ? null : { life: held.feed.life, revisions: held.revisions },
 
   /**
--- a/packages/proxy/src/proxy-host.ts
+++ b/packages/proxy/src/proxy-host.ts
@@ -22,25 +22,25 @@
 import { writeAnswer } from './caller-answer.js';
 import { CallerBounds } from './caller-bounds.js';
 import { type CallerServer, type CallerTurn, openCallerServer } from './caller-server.js';
-import { originName } from './choice.js';
+import { originIdOf } from './endpoint-selection.js';
 import { clientRequestOf, isPlainTarget, readBody } from './client-request-reader.js';
 import { type AttemptError, OriginConnections, peerName } from './conns.js';
 import { ProxyCore } from './core.js';
 import type { WireFormat } from './dialect.js';
 import type { InFlightAttempt } from './exchange.js';
 import { feedIntervalMs } from './feed-timing.js';
-import { Feeds, type FeedSnapshot } from './feeds.js';
+import { Feeds, type FeedSnapshot } from './feed-snapshot.js';
 import { outgoingRequest, type ProxyName } from './outgoing-request.js';
 import { rejectUnread, writeHealth, writeRejection } from './own-responses.js';
 import type {
-  Answer,
-  AttemptAnswer,
+  ClientResponse,
+  AttemptResponse,
   ClientRequest,
   ProxyEffect,
   ProxyEvent,
   ProxyState,
 } from './state.js';
-import { idleProxyTickIntervalMs, proxyTickIntervalMs } from './ticks.js';
+import { idleProxyTickIntervalMs, proxyTickIntervalMs } from './tick-timing.js';
 
 /**
  * Random numbers drawn for one request: who serves, three origins for each of three attempts, and
@@ -370,7 +370,7 @@
     // A second attempt of what may not run twice goes where no answer to the first can come.
     const terms = { sendBy: effect.sendBy, fresh: !effect.isIdempotent && effect.attempt > 0 };
     const callbacks = {
-      done: (answer: AttemptAnswer) => this.#attemptAnswered(effect, answer),
+      done: (answer: AttemptResponse) => this.#attemptAnswered(effect, answer),
       fail: (error: AttemptError) => this.#attemptFailed(effect, error),
     };
     this.#trace?.('trace.attempt', { revision: this.#revision(), attempt: effect.attempt });
@@ -390,7 +390,7 @@
     this.#attempts.set(name, this.#connections.send(origin, outgoing, attempt, terms, callbacks));
   }
 
-  #attemptAnswered(effect: EffectOf<'send-attempt'>, answer: AttemptAnswer): void {
+  #attemptAnswered(effect: EffectOf<'send-attempt'>, answer: AttemptResponse): void {
     const name = attemptName(effect);
     // One that still comes can be broken off until its end.
     if (answer.isComplete) this.#attempts.delete(name);
@@ -412,7 +412,7 @@
     this.#openRequests.delete(requestId);
   }
 
-  #write(id: number, open: OpenRequest, answer: Answer): void {
+  #write(id: number, open: OpenRequest, answer: ClientResponse): void {
     const { response, clientRequest, turn, attemptId } = open;
     const closes = turn.closes(this.#isStopping || answer.headers.connection === 'close');
     const hopFields = {
@@ -444,7 +444,7 @@
 
   #requestFeed({ report }: EffectOf<'request-feed'>): void {
     const askedAt = now();
-    const held = Feeds.holding(this.#feed);
+    const held = Feeds.heldParts(this.#feed);
     this.#dependencies
       .askAgent({ kind: 'feed', report, held })
       .then(
@@ -458,7 +458,7 @@
     this.#feed = Feeds.merge(this.#feed, reply);
     const { feed } = this.#feed;
     this.task.put({ kind: 'feed-received', feed, askedAt, now: now() });
-    const names = [...feed.origins.map(originName), ...feed.peers.map(peerName)];
+    const names = [...feed.origins.map(originIdOf), ...feed.peers.map(peerName)];
     this.#connections.keepOnly(new Set(names));
   }
 
--- a/packages/proxy/src/proxy.test.ts
+++ b/packages/proxy/src/proxy.test.ts
@@ -3,7 +3,7 @@
 import { Schemas } from '@reedyard/schemas';
 import {
   type ClientRequest,
-  type AttemptAnswer,
+  type AttemptResponse,
   present,
   ProxyCore,
   type ProxyEffect,
@@ -11,7 +11,7 @@
   type ProxyState,
 } from './index.js';
 import { defaultAttemptTimeoutMs } from './serving.js';
-import { cacheWithoutLeaseMs } from './upkeep.js';
+import { cacheWithoutLeaseMs } from './tick-handler.js';
 
 const policy = Schemas.policy({
   services: { store: { ceiling: 1_000, coldRate: 10 } },
@@ -73,7 +73,7 @@
   token: `t${id}`,
   now,
 });
-const answer = (mark: string, part: Partial<AttemptAnswer> = {}): AttemptAnswer => ({
+const answer = (mark: string, part: Partial<AttemptResponse> = {}): AttemptResponse => ({
   status: 200,
   size: 3,
   isComplete: true,
@@ -620,7 +620,7 @@
   );
   t.is(only(late.effects, 'send-answer', 1).length, 0);
   t.is(Object.keys(late.state.requests).length, 0);
-  t.deepEqual(late.state.outstanding, {});
+  t.deepEqual(late.state.inFlightCounts, {});
 });
 
 test('beside a silent attempt a safe request gets a second one elsewhere; the first to answer serves, an unsafe one waits', (t) => {
@@ -644,7 +644,7 @@
       }
       t.deepEqual(opens.map(({ to }) => to.kind).sort(), ['origin', 'origin']);
       t.not(opens[0]?.to.row, opens[1]?.to.row);
-      const reply = (attempt: number): AttemptAnswer => {
+      const reply = (attempt: number): AttemptResponse => {
         const to = opens[attempt]?.to;
         return answer(`t1-${attempt}`, {
           headers: {
@@ -686,7 +686,7 @@
         0,
       );
       t.is(Object.keys(ended.state.requests).length, 0);
-      t.deepEqual(ended.state.outstanding, {});
+      t.deepEqual(ended.state.inFlightCounts, {});
     }
 });
 
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -17,7 +17,7 @@
  */
 const measure = (transition: Transition): TrafficMeasurement | null => {
   const { state } = transition;
-  const { period } = state;
+  const { trafficPeriod: period } = state;
   const ms = state.now - period.since;
   if (ms < measurementIntervalMs) return null;
   const perSecond = 1_000 / ms;
@@ -43,8 +43,15 @@
     );
   });
   update(transition, {
-    period: { since: state.now, bits: {}, servedBits: 0, replies: 0, attemptMs: 0, fetched: 0 },
-    cache: Cache.dropWhere(state.cache, (copy) => state.now >= copy.freshUntil),
+    trafficPeriod: {
+      since: state.now,
+      bits: {},
+      servedBits: 0,
+      replies: 0,
+      attemptMs: 0,
+      fetched: 0,
+    },
+    cache: Cache.evictWhere(state.cache, (copy) => state.now >= copy.freshUntil),
   });
   const allBits = entries.reduce((sum, [, bits]) => sum + bits, 0);
   return {
--- a/packages/proxy/src/ending.ts
+++ b/packages/proxy/src/request-completion.ts
@@ -4,15 +4,15 @@
  */
 import { type ClaimState, retryAfterSeconds } from '@reedyard/agent';
 import { type Outcome, outcomeOf } from '@reedyard/attempts';
-import type { Copy } from '@reedyard/cache';
+import type { CachedResponse } from '@reedyard/cache';
 import { Routes } from '@reedyard/schemas';
 import { objectKey } from '@reedyard/server-selection';
-import { consumedAttemptsFields } from './attempt-budget.js';
-import { drawService, isSafe } from './choice.js';
-import { deadlineOf, headerText, keeps, keepsAlways, refusalOf } from './request-rules.js';
-import { startAgain } from './serving.js';
+import { consumedAttemptsHeaders } from './attempt-budget.js';
+import { drawService, isIdempotentRequest } from './endpoint-selection.js';
+import { deadlineOf, headerText, mayCache, isAlwaysCached, refusalOf } from './request-rules.js';
+import { continueRequest } from './serving.js';
 import {
-  type Answer,
+  type ClientResponse,
   count,
   log,
   type ProxyRequest,
@@ -22,7 +22,7 @@
 } from './state.js';
 
 /** Answers that ask nothing of any origin: what the proxy itself has to say. */
-export const reject = (
+export const sendProblem = (
   transition: Transition,
   id: number,
   status: number,
@@ -41,7 +41,7 @@
       status,
       headers: {
         'reedyard-outcome': outcome,
-        ...consumedAttemptsFields(transition.state.requests[id]),
+        ...consumedAttemptsHeaders(transition.state.requests[id]),
         ...(waits ? { 'retry-after': String(Math.ceil(retryMs / 1_000)) } : {}),
         ...more,
       },
@@ -66,7 +66,7 @@
 };
 
 /** Lets a request go, with what it holds. */
-export const forget = (transition: Transition, request: ProxyRequest): void => {
+export const removeRequest = (transition: Transition, request: ProxyRequest): void => {
   const { [request.id]: _gone, ...rest } = transition.state.requests;
   update(transition, { requests: rest });
 };
@@ -75,11 +75,11 @@
  * Its caller has heard the last of it. An attempt beside the one that served is let end: breaking
  * it off helps nobody.
  */
-export const close = (transition: Transition, request: ProxyRequest): void => {
+export const closeRequest = (transition: Transition, request: ProxyRequest): void => {
   const known = transition.state.requests[request.id];
   if (known !== undefined && known.attempts.some((attempt) => attempt.result === null))
     updateRequest(transition, request.id, { phase: 'over' });
-  else forget(transition, request);
+  else removeRequest(transition, request);
   transition.effects.push({ kind: 'close-request', requestId: request.id });
 };
 
@@ -91,14 +91,14 @@
   here: boolean,
 ): void => {
   const bits = 8 * (size + 300);
-  const { period } = transition.state;
+  const { trafficPeriod: period } = transition.state;
   const own = request.clientRequest.via === null;
   const busy = objectKey(
     request.route.name,
-    keepsAlways(request.route) ? null : request.clientRequest.target,
+    isAlwaysCached(request.route) ? null : request.clientRequest.target,
   );
   update(transition, {
-    period: {
+    trafficPeriod: {
       ...period,
       servedBits: period.servedBits + (here ? bits : 0),
       replies: period.replies + 1,
@@ -114,34 +114,34 @@
   transition.state.now >= transition.state.leaseUntil;
 
 /** Told to a client whose node has no lease. */
-export const isolatedDetail = 'this node is cut off from the control state';
+export const isolatedNodeDetail = 'this node is cut off from the control state';
 
 /** Answers with a kept object. */
-export const answerFromCache = (
+export const respondFromCache = (
   transition: Transition,
   request: ProxyRequest,
-  copy: Copy,
+  copy: CachedResponse,
 ): void => {
   if (isLeaseExpired(transition)) {
-    failRequest(transition, request, 503, 'not-run', isolatedDetail);
+    failRequest(transition, request, 503, 'not-run', isolatedNodeDetail);
     return;
   }
-  const age = Math.floor(copy.bornAge + (transition.state.now - copy.takenAt) / 1_000);
-  const answer: Answer = {
+  const age = Math.floor(copy.initialAgeSeconds + (transition.state.now - copy.storedAt) / 1_000);
+  const answer: ClientResponse = {
     status: copy.status,
     headers: {
       ...copy.headers,
       age: String(age),
-      ...consumedAttemptsFields(request),
+      ...consumedAttemptsHeaders(request),
       ...(request.clientRequest.via === null ? {} : { 'reedyard-service': copy.service }),
       'reedyard-served': request.clientRequest.via === null ? 'copy' : 'peer-copy',
     },
     body: { kind: 'copy', copy },
   };
   count(transition, 'served.copy');
-  recordReply(transition, request, copy.size, true);
+  recordReply(transition, request, copy.sizeBytes, true);
   transition.effects.push({ kind: 'send-answer', requestId: request.id, answer });
-  close(transition, request);
+  closeRequest(transition, request);
 };
 
 /** Answers with an error of the proxy's own, and ends the request. */
@@ -157,8 +157,8 @@
   const status = reached === 503 && outcome === 'unknown' ? 502 : reached;
   settleClaim(transition, request, outcome);
   count(transition, 'given-up');
-  if (!request.isClientGone) {
-    reject(
+  if (!request.hasClientLeft) {
+    sendProblem(
       transition,
       request.id,
       status,
@@ -177,21 +177,16 @@
     why,
     attempts: request.attempts.length,
   });
-  close(transition, request);
+  closeRequest(transition, request);
   // Its waiters share its fate, but for a caller who left.
-  handleLeaderEnd(
-    transition,
-    request,
-    null,
-    request.isClientGone ? null : { status, outcome, why },
-  );
+  finishFetch(transition, request, null, request.hasClientLeft ? null : { status, outcome, why });
 };
 
 /** A leader's fetch is over: its waiters are answered from it, or go on by themselves. */
-export const handleLeaderEnd = (
+export const finishFetch = (
   transition: Transition,
   leader: ProxyRequest,
-  kept: Copy | null,
+  kept: CachedResponse | null,
   failure: {
     readonly status: 502 | 503 | 504;
     readonly outcome: Outcome;
@@ -210,17 +205,17 @@
       failRequest(transition, waiter, failure.status, failure.outcome, failure.why);
       continue;
     }
-    const current = underCurrentPolicy(transition, waiter);
+    const current = applyCurrentPolicy(transition, waiter);
     if (current === null) continue;
     const fits =
       kept !== null &&
       Routes.allows(current.route, kept.service) &&
-      keeps(current.route, 'GET') &&
+      mayCache(current.route, 'GET') &&
       Object.entries(kept.vary).every(
         ([name, value]) => (headerText(waiter.clientRequest.headers, name) ?? '') === value,
       );
-    if (fits && kept !== null) answerFromCache(transition, current, kept);
-    else startAgain(transition, current);
+    if (fits && kept !== null) respondFromCache(transition, current, kept);
+    else continueRequest(transition, current);
   }
 };
 
@@ -231,10 +226,17 @@
   refusal: NonNullable<ReturnType<typeof refusalOf>>,
 ): void => {
   settleClaim(transition, request, 'not-run');
-  if (!request.isClientGone)
-    reject(transition, request.id, refusal.status, refusal.title, refusal.detail, refusal.more);
-  close(transition, request);
-  handleLeaderEnd(transition, request, null, null);
+  if (!request.hasClientLeft)
+    sendProblem(
+      transition,
+      request.id,
+      refusal.status,
+      refusal.title,
+      refusal.detail,
+      refusal.more,
+    );
+  closeRequest(transition, request);
+  finishFetch(transition, request, null, null);
 };
 
 /**
@@ -242,7 +244,7 @@
  * once it was ended because that policy lets it go no further: as if it came now where nothing ran,
  * and with an unknown outcome where an attempt may have run.
  */
-export const underCurrentPolicy = (
+export const applyCurrentPolicy = (
   transition: Transition,
   request: ProxyRequest,
 ): ProxyRequest | null => {
@@ -264,7 +266,7 @@
         route,
         revision,
         service: drawService(route, request.randomNumbers.at(-1) ?? 0, request.service),
-        isIdempotent: isSafe(route, request.clientRequest.method),
+        isIdempotent: isIdempotentRequest(route, request.clientRequest.method),
         deadlineAt: deadlineOf(route, request.clientRequest, request.arrivedAt),
       }) ?? null
     );
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -3,12 +3,12 @@
  * or taken for sound. Pure functions.
  */
 import type { Attempt } from '@reedyard/attempts';
-import type { Copy } from '@reedyard/cache';
+import type { CachedResponse } from '@reedyard/cache';
 import { type Policy, type Route, Routes, type RouteTable } from '@reedyard/schemas';
 import { CallerBounds } from './caller-bounds.js';
-import { atHome, isSafe } from './choice.js';
+import { isHomeRegion, isIdempotentRequest } from './endpoint-selection.js';
 import { maxQueueWaitMs } from './serving.js';
-import type { ClientRequest, AttemptAnswer, ProxyRequest, ProxyState } from './state.js';
+import type { ClientRequest, AttemptResponse, ProxyRequest, ProxyState } from './state.js';
 
 /** ms. Default limit of a whole request. */
 const defaultRequestTimeoutMs = 10_000;
@@ -58,7 +58,7 @@
     };
   if (
     route.key === 'required' &&
-    !isSafe(route, asked.method) &&
+    !isIdempotentRequest(route, asked.method) &&
     headerText(asked.headers, 'idempotency-key') === null
   )
     return {
@@ -70,17 +70,17 @@
 };
 
 /** Whether a route keeps answers to a method. */
-export const keeps = (route: Route, method: string): boolean =>
+export const mayCache = (route: Route, method: string): boolean =>
   route.cache.keep !== 'never' && (method === 'GET' || method === 'HEAD');
 
 /** Whether a route keeps whatever its origin answers. */
-export const keepsAlways = (route: Route): boolean => route.cache.keep === 'always';
+export const isAlwaysCached = (route: Route): boolean => route.cache.keep === 'always';
 
 /** Whether a request may wait for another one's fetch of the same object. */
-export const joins = (request: ProxyRequest): boolean =>
+export const mayJoinFetch = (request: ProxyRequest): boolean =>
   request.clientRequest.method === 'GET' &&
-  keeps(request.route, 'GET') &&
-  (keepsAlways(request.route) ||
+  mayCache(request.route, 'GET') &&
+  (isAlwaysCached(request.route) ||
     headerText(request.clientRequest.headers, 'authorization') === null);
 
 /**
@@ -94,32 +94,36 @@
  * ms that a request may wait for its turn: a refusal must leave time for another try within its
  * target.
  */
-export const maxQueueWaitOf = (request: ProxyRequest): number =>
+export const maxQueueWaitMsOf = (request: ProxyRequest): number =>
   Math.min(maxQueueWaitMs, (request.route.targetMs ?? Infinity) * queueWaitShare);
 
 /** ms. Until when a route lets a copy live here, whatever its origin allows. */
-export const copyExpiresAt = (route: Route | undefined, state: ProxyState, copy: Copy): number =>
+export const copyExpiresAtMs = (
+  route: Route | undefined,
+  state: ProxyState,
+  copy: CachedResponse,
+): number =>
   route === undefined ||
   !Routes.allows(route, copy.service) ||
-  !keeps(route, 'GET') ||
-  !atHome(route.homes, state.self.region)
+  !mayCache(route, 'GET') ||
+  !isHomeRegion(route.homes, state.self.region)
     ? 0
     : route.cache.mostSeconds === undefined
       ? Infinity
-      : copy.takenAt + (route.cache.mostSeconds - copy.bornAge) * 1_000;
+      : copy.storedAt + (route.cache.mostSeconds - copy.initialAgeSeconds) * 1_000;
 
 /**
  * The service that an attempt went to: the request's own may have been drawn anew since, under a
  * newer policy.
  */
-export const serviceOf = (attempt: Attempt): string =>
+export const serviceOfAttempt = (attempt: Attempt): string =>
   attempt.to.id.slice(0, attempt.to.id.indexOf('/'));
 
 /** Why an answer can't be passed on, or null if it is sound. */
-export const unsound = (
+export const rejectionReasonOf = (
   request: ProxyRequest,
   number: number,
-  answer: AttemptAnswer,
+  answer: AttemptResponse,
   routes: RouteTable,
 ): string | null => {
   const attempt = request.attempts[number];
@@ -147,7 +151,7 @@
  * An origin's own word, under a dialect that tells what did not run by a field: its 502 or 504 is
  * its answer and is passed on.
  */
-export const passedOn = (answer: AttemptAnswer): boolean =>
+export const isOriginGatewayError = (answer: AttemptResponse): boolean =>
   answer.proof !== undefined &&
   !answer.proof.notRun &&
   (answer.status === 502 || answer.status === 504);
--- a/packages/proxy/src/serving.ts
+++ b/packages/proxy/src/serving.ts
@@ -4,31 +4,41 @@
  */
 import { outcomeOf } from '@reedyard/attempts';
 import { Cache } from '@reedyard/cache';
-import { delegatedAttemptsFor, isFree, remainingAttempts } from './attempt-budget.js';
+import {
+  delegatedAttemptsFor,
+  isExemptFromRetryBudget,
+  remainingAttempts,
+} from './attempt-budget.js';
 import {
   allowedPeers,
-  atHome,
+  isHomeRegion,
   drawServer,
-  originName,
+  originIdOf,
   rankOrigins,
-  remainingConcurrency,
+  maxConcurrencyOf,
   returnToken,
   spendRetryToken,
   takeToken,
-  waitFor,
-} from './choice.js';
+  tokenWaitMs,
+} from './endpoint-selection.js';
 import {
-  answerFromCache,
+  respondFromCache,
   failRequest,
   isLeaseExpired,
-  isolatedDetail,
-  underCurrentPolicy,
-} from './ending.js';
-import { copyExpiresAt, joins, keeps, keepsAlways, maxQueueWaitOf } from './request-rules.js';
+  isolatedNodeDetail,
+  applyCurrentPolicy,
+} from './request-completion.js';
+import {
+  copyExpiresAtMs,
+  mayJoinFetch,
+  mayCache,
+  isAlwaysCached,
+  maxQueueWaitMsOf,
+} from './request-rules.js';
 import {
   count,
   type ProxyRequest,
-  type Target,
+  type AttemptTarget,
   type Transition,
   update,
   updateRequest,
@@ -44,9 +54,13 @@
 const retrySoonMs = 100;
 
 /** Opens an attempt at an origin or a peer. */
-export const open = (transition: Transition, request: ProxyRequest, to: Target): void => {
+export const openAttempt = (
+  transition: Transition,
+  request: ProxyRequest,
+  to: AttemptTarget,
+): void => {
   if (isLeaseExpired(transition)) {
-    failRequest(transition, request, 503, outcomeOf(request.attempts), isolatedDetail);
+    failRequest(transition, request, 503, outcomeOf(request.attempts), isolatedNodeDetail);
     return;
   }
   const left = remainingAttempts(request);
@@ -56,7 +70,7 @@
   }
   const granted = to.kind === 'origin' ? 1 : delegatedAttemptsFor(left);
   const number = request.attempts.length;
-  const id = to.kind === 'origin' ? originName(to.row) : to.row.id;
+  const id = to.kind === 'origin' ? originIdOf(to.row) : to.row.id;
   const attemptLimit = Math.min(
     request.deadlineAt,
     transition.state.now +
@@ -71,7 +85,7 @@
         number,
         to: { kind: to.kind, id },
         openedAt: transition.state.now,
-        limitAt: attemptLimit,
+        timeoutAt: attemptLimit,
         result: null,
         delegatedAttempts: granted,
       },
@@ -79,14 +93,14 @@
   });
   if (next === undefined) return;
   if (number > 0) {
-    if (!isFree(request)) spendRetryToken(transition, request.service);
+    if (!isExemptFromRetryBudget(request)) spendRetryToken(transition, request.service);
     count(transition, 'repeats');
   }
   count(transition, 'attempts', to.kind === 'origin' ? 'attempts.origin' : 'attempts.peer');
   update(transition, {
-    outstanding: {
-      ...transition.state.outstanding,
-      [id]: (transition.state.outstanding[id] ?? 0) + 1,
+    inFlightCounts: {
+      ...transition.state.inFlightCounts,
+      [id]: (transition.state.inFlightCounts[id] ?? 0) + 1,
     },
   });
   transition.effects.push({
@@ -97,7 +111,7 @@
     clientRequest: request.clientRequest,
     attemptId: `${request.token}-${number}`,
     timeoutMs: attemptLimit - transition.state.now,
-    isCacheable: joins(request) && to.kind === 'origin',
+    isCacheable: mayJoinFetch(request) && to.kind === 'origin',
     isIdempotent: request.isIdempotent,
     delegatedAttempts: granted,
     sendBy: transition.state.leaseUntil,
@@ -113,7 +127,7 @@
   const ranked = rankOrigins(
     transition.state,
     request,
-    transition.state.replyBytes[request.route.name] ?? 0,
+    transition.state.meanReplyBytes[request.route.name] ?? 0,
   );
   if (ranked.length === 0) {
     failRequest(
@@ -130,15 +144,15 @@
   const bucket = `service/${service}`;
   const withRoom = ranked.filter(
     (row) =>
-      (transition.state.outstanding[originName(row)] ?? 0) <
-      remainingConcurrency(transition.state, row),
+      (transition.state.inFlightCounts[originIdOf(row)] ?? 0) <
+      maxConcurrencyOf(transition.state, row),
   );
   if (withRoom.length > 0 && takeToken(transition, bucket, rate)) {
     const chosenRow = withRoom.find((row) =>
-      takeToken(transition, `instance/${originName(row)}`, row.rate),
+      takeToken(transition, `instance/${originIdOf(row)}`, row.rate),
     );
     if (chosenRow !== undefined) {
-      open(transition, request, { kind: 'origin', row: chosenRow });
+      openAttempt(transition, request, { kind: 'origin', row: chosenRow });
       return;
     }
     returnToken(transition, bucket);
@@ -147,15 +161,17 @@
     (each) => each.phase === 'holding' && each.service === service && each.id !== request.id,
   ).length;
   const wait = Math.max(
-    waitFor(transition.state, bucket, rate, ahead),
+    tokenWaitMs(transition.state, bucket, rate, ahead),
     Math.min(
-      ...ranked.map((row) => waitFor(transition.state, `instance/${originName(row)}`, row.rate, 0)),
+      ...ranked.map((row) =>
+        tokenWaitMs(transition.state, `instance/${originIdOf(row)}`, row.rate, 0),
+      ),
     ),
   );
   const heldAt = request.phase === 'holding' ? request.queuedAt : transition.state.now;
   if (
     transition.state.now + (request.phase === 'holding' ? 0 : wait) - heldAt >
-      maxQueueWaitOf(request) ||
+      maxQueueWaitMsOf(request) ||
     transition.state.now >= request.deadlineAt
   ) {
     failRequest(
@@ -176,7 +192,7 @@
 
 /** This edge serves: from a copy, by joining a fetch under way, or by an attempt of its own. */
 const serveHere = (transition: Transition, request: ProxyRequest): void => {
-  if (keeps(request.route, request.clientRequest.method)) {
+  if (mayCache(request.route, request.clientRequest.method)) {
     const copy = Cache.find(
       transition.state.cache,
       request.key,
@@ -185,20 +201,20 @@
     );
     if (
       copy !== undefined &&
-      transition.state.now < copyExpiresAt(request.route, transition.state, copy)
+      transition.state.now < copyExpiresAtMs(request.route, transition.state, copy)
     ) {
       update(transition, { cache: Cache.touch(transition.state.cache, request.key) });
-      answerFromCache(transition, request, copy);
+      respondFromCache(transition, request, copy);
       return;
     }
   }
   if (
-    joins(request) &&
+    mayJoinFetch(request) &&
     request.attempts.length === 0 &&
     (transition.state.uncacheableKeys[request.key] ?? 0) <= transition.state.now
   ) {
     const fetch = transition.state.fetches[request.key];
-    if (fetch !== undefined && !fetch.closed) {
+    if (fetch !== undefined && !fetch.isClosed) {
       updateRequest(transition, request.id, { phase: 'joined' });
       update(transition, {
         fetches: {
@@ -214,7 +230,7 @@
       update(transition, {
         fetches: {
           ...transition.state.fetches,
-          [request.key]: { leader: request.id, waiters: [], closed: false },
+          [request.key]: { leader: request.id, waiters: [], isClosed: false },
         },
       });
       if (leader !== undefined) fetchHere(transition, leader);
@@ -241,11 +257,11 @@
 
 /** First attempt: the policy's draw says who serves. */
 export const start = (transition: Transition, given: ProxyRequest): void => {
-  const request = underCurrentPolicy(transition, given);
+  const request = applyCurrentPolicy(transition, given);
   if (request === null) return;
   // A copy that lies here costs nothing to reach.
   const here =
-    keepsAlways(request.route) &&
+    isAlwaysCached(request.route) &&
     Cache.find(
       transition.state.cache,
       request.key,
@@ -253,7 +269,7 @@
       transition.state.now,
     ) !== undefined;
   const server =
-    here && atHome(request.route.homes, transition.state.self.region)
+    here && isHomeRegion(request.route.homes, transition.state.self.region)
       ? 'self'
       : drawServer(transition.state, request);
   if (server === null) {
@@ -264,14 +280,14 @@
     serveHere(transition, request);
     return;
   }
-  open(transition, request, { kind: 'peer', row: server });
+  openAttempt(transition, request, { kind: 'peer', row: server });
 };
 
 /** A later move: itself where it may, else another peer. */
-export const startAgain = (transition: Transition, given: ProxyRequest): void => {
-  const request = underCurrentPolicy(transition, given);
+export const continueRequest = (transition: Transition, given: ProxyRequest): void => {
+  const request = applyCurrentPolicy(transition, given);
   if (request === null) return;
-  if (atHome(request.route.homes, transition.state.self.region)) {
+  if (isHomeRegion(request.route.homes, transition.state.self.region)) {
     serveHere(transition, request);
     return;
   }
@@ -285,5 +301,5 @@
       outcomeOf(request.attempts),
       'no other node that may serve it can be reached',
     );
-  else open(transition, request, { kind: 'peer', row: peer });
+  else openAttempt(transition, request, { kind: 'peer', row: peer });
 };
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -7,10 +7,10 @@
   PeerEndpoint,
   ProxyReport,
 } from '@reedyard/agent';
-import type { Copy, Headers, CacheState } from '@reedyard/cache';
+import type { CachedResponse, Headers, CacheState } from '@reedyard/cache';
 import type { Load, Proof } from './dialect.js';
 import type { Policy, Route, RouteTable } from '@reedyard/schemas';
-import type { Attempt, Sent } from '@reedyard/attempts';
+import type { Attempt, SendProgress } from '@reedyard/attempts';
 
 /** A caller's request, as far as the moves depend on it. Header names are in small letters. */
 export type ClientRequest = {
@@ -32,7 +32,7 @@
 };
 
 /** An answer to an attempt, read whole up to maxBufferedBodyBytes, or still streaming. */
-export type AttemptAnswer = {
+export type AttemptResponse = {
   readonly status: number;
   readonly headers: Headers;
   readonly body: unknown;
@@ -46,7 +46,7 @@
 };
 
 /** Where an attempt goes. */
-export type Target =
+export type AttemptTarget =
   | { readonly kind: 'origin'; readonly row: OriginEndpoint }
   | { readonly kind: 'peer'; readonly row: PeerEndpoint };
 
@@ -76,21 +76,21 @@
   readonly phase: 'claiming' | 'joined' | 'holding' | 'attempt' | 'over';
   readonly queuedAt: number;
   readonly isFetchLeader: boolean;
-  readonly isClientGone: boolean;
+  readonly hasClientLeft: boolean;
 };
 
 /** One fetch that several requests wait for. */
-export type Fetch = {
+export type SharedFetch = {
   readonly leader: number;
   readonly waiters: readonly number[];
-  readonly closed: boolean;
+  readonly isClosed: boolean;
 };
 
 /** What was met at an origin lately. */
 export type OriginHealth = {
   /** ms that its answers take, the newer ones counting more. */
   readonly meanResponseMs: number;
-  readonly heardAt: number;
+  readonly lastResponseAt: number;
   /** What it last told of itself, and how many of that were ours. */
   readonly load: (Load & { readonly at: number; readonly own: number }) | null;
   /** Failures since it last answered soundly. */
@@ -113,19 +113,19 @@
   readonly leaseUntil: number;
   readonly life: string;
   readonly cacheFlushCount: number;
-  readonly feedReceivedAt: number;
+  readonly feedRequestedAt: number;
   readonly purgeSeq: number;
   readonly policy: { readonly revision: number; readonly document: Policy } | null;
   readonly routes: RouteTable;
   readonly feed: Feed | null;
   /** Edges at which a route's objects are placed, by route. */
-  readonly holders: Readonly<Record<string, readonly string[]>>;
+  readonly ownersByRoute: Readonly<Record<string, readonly string[]>>;
   readonly evacuatedAt: number | null;
   readonly cache: CacheState;
   /** Whether peers in other regions were ever told of. */
   readonly hasRemotePeers: boolean;
   readonly requests: Readonly<Record<number, ProxyRequest>>;
-  readonly fetches: Readonly<Record<string, Fetch>>;
+  readonly fetches: Readonly<Record<string, SharedFetch>>;
   /**
    * Objects lately found not to be keepable: their requests are not made to wait for each other.
    */
@@ -134,14 +134,14 @@
   /** Repeats saved, by service. */
   readonly retryTokens: Readonly<Record<string, number>>;
   readonly ejectedUntil: Readonly<Record<string, number>>;
-  readonly outstanding: Readonly<Record<string, number>>;
+  readonly inFlightCounts: Readonly<Record<string, number>>;
   readonly originHealth: Readonly<Record<string, OriginHealth>>;
   /** bytes of a reply from an origin lately, by route. */
-  readonly replyBytes: Readonly<Record<string, number>>;
+  readonly meanReplyBytes: Readonly<Record<string, number>>;
   /** When it was warned that it must stop. */
   readonly stoppingAt: number | null;
   readonly counters: Readonly<Record<string, number>>;
-  readonly period: {
+  readonly trafficPeriod: {
     readonly since: number;
     readonly bits: Readonly<Record<string, number>>;
     readonly servedBits: number;
@@ -171,14 +171,14 @@
       readonly kind: 'attempt-answered';
       readonly requestId: number;
       readonly attempt: number;
-      readonly answer: AttemptAnswer;
+      readonly answer: AttemptResponse;
       readonly now: number;
     }
   | {
       readonly kind: 'attempt-failed';
       readonly requestId: number;
       readonly attempt: number;
-      readonly sent: Sent;
+      readonly sent: SendProgress;
       readonly why: string;
       readonly now: number;
     }
@@ -200,7 +200,7 @@
   | { readonly kind: 'stop-requested'; readonly now: number };
 
 /** An answer to a client. */
-export type Answer = {
+export type ClientResponse = {
   readonly status: number;
   readonly headers: Headers;
   /** ms after which to come again; left out where the answer is not the proxy's own. */
@@ -212,8 +212,8 @@
         readonly detail: string;
         readonly outcome: string;
       }
-    | { readonly kind: 'copy'; readonly copy: Copy }
-    | { readonly kind: 'attempt'; readonly answer: AttemptAnswer };
+    | { readonly kind: 'copy'; readonly copy: CachedResponse }
+    | { readonly kind: 'attempt'; readonly answer: AttemptResponse };
 };
 
 /** What the proxy's reducer wants done, in order. */
@@ -222,7 +222,7 @@
       readonly kind: 'send-attempt';
       readonly requestId: number;
       readonly attempt: number;
-      readonly to: Target;
+      readonly to: AttemptTarget;
       readonly clientRequest: ClientRequest;
       readonly attemptId: string;
       readonly timeoutMs: number;
@@ -237,7 +237,7 @@
       readonly sendBy: number;
     }
   | { readonly kind: 'abort-attempt'; readonly requestId: number; readonly attempt: number }
-  | { readonly kind: 'send-answer'; readonly requestId: number; readonly answer: Answer }
+  | { readonly kind: 'send-answer'; readonly requestId: number; readonly answer: ClientResponse }
   /** A request is over: nothing more will be said of it. */
   | { readonly kind: 'close-request'; readonly requestId: number }
   | { readonly kind: 'query-agent'; readonly requestId: number; readonly query: ProxyQuery }
--- a/packages/proxy/src/testing/connection-world.ts
+++ b/packages/proxy/src/testing/connection-world.ts
@@ -4,7 +4,7 @@
  * that may answer, refuse, stay silent, answer twice, cut an answer short, send bytes that are no
  * answer, close, reset, or be replaced by another one at its address.
  */
-import { type Attempt, type AttemptResult, nextMove } from '@reedyard/attempts';
+import { type Attempt, type AttemptResult, decideNextStep } from '@reedyard/attempts';
 import {
   type Connection,
   type ConnectionEffect,
@@ -202,15 +202,15 @@
       number,
       to: { kind: 'origin', id: `store/i${number}/0` },
       openedAt: 0,
-      limitAt: 9,
+      timeoutAt: 9,
       result: attempt.end,
     }));
 
 const mayOpen = (world: World, request: number): boolean => {
   const attempts = attemptsOf(world, request);
   if (attempts.length >= MOST_ATTEMPTS_EACH) return false;
-  const ledger = { safe: false, attempts, now: 0, limitAt: 9, hasRetryBudget: true };
-  return nextMove(ledger).kind === 'open';
+  const ledger = { safe: false, attempts, now: 0, requestDeadlineAt: 9, hasRetryBudget: true };
+  return decideNextStep(ledger).kind === 'open';
 };
 
 const freshWire = (world: World): Wire => ({
--- a/packages/proxy/src/upkeep.ts
+++ b/packages/proxy/src/tick-handler.ts
@@ -5,21 +5,21 @@
 import { shouldHedge } from '@reedyard/attempts';
 import { Cache } from '@reedyard/cache';
 import { mayRetry } from './attempt-budget.js';
-import { handleAttemptFailure } from './attempt-ends.js';
+import { handleAttemptFailure } from './attempt-results.js';
 import {
   allowedPeers,
-  answerMs,
-  atHome,
-  ejectOrigin,
-  meanMs,
-  originName,
+  expectedResponseMs,
+  isHomeRegion,
+  ejectEndpoint,
+  meanResponseMsOf,
+  originIdOf,
   rankOrigins,
-  remainingConcurrency,
+  maxConcurrencyOf,
   returnToken,
   takeToken,
-} from './choice.js';
-import { failRequest, isLeaseExpired, underCurrentPolicy } from './ending.js';
-import { attemptToOrigin, open, startAgain } from './serving.js';
+} from './endpoint-selection.js';
+import { failRequest, isLeaseExpired, applyCurrentPolicy } from './request-completion.js';
+import { attemptToOrigin, openAttempt, continueRequest } from './serving.js';
 import {
   count,
   log,
@@ -67,10 +67,10 @@
  */
 const hedgeDelayMs = (state: ProxyState, request: ProxyRequest): number => {
   const rows = (state.feed?.origins ?? []).filter((row) => row.service === request.service);
-  const mean = meanMs(state, rows);
+  const mean = meanResponseMsOf(state, rows);
   const to = request.attempts.find((attempt) => attempt.result === null)?.to.id;
-  const row = rows.find((each) => originName(each) === to);
-  const met = row === undefined ? mean : answerMs(state, row, mean);
+  const row = rows.find((each) => originIdOf(each) === to);
+  const met = row === undefined ? mean : expectedResponseMs(state, row, mean);
   const usual = met > 0 ? met : (request.route.targetMs ?? 0) * hedgeAfterShare;
   return Math.min(
     Math.max(minSilenceMs, silenceFactor * usual),
@@ -86,7 +86,7 @@
   const { now } = transition.state;
   for (const attempt of request.attempts) {
     if (attempt.result !== null) continue;
-    if (now >= attempt.limitAt) {
+    if (now >= attempt.timeoutAt) {
       transition.effects.push({
         kind: 'abort-attempt',
         requestId: request.id,
@@ -97,21 +97,21 @@
     }
     if (now - attempt.openedAt < minStallMs) continue;
     const standing = transition.state.originHealth[attempt.to.id];
-    const heard = standing !== undefined && standing.heardAt >= attempt.openedAt;
+    const heard = standing !== undefined && standing.lastResponseAt >= attempt.openedAt;
     if (
       !heard &&
       now - attempt.openedAt > stallFactor * (standing?.meanResponseMs ?? 0) &&
       (transition.state.ejectedUntil[attempt.to.id] ?? 0) <= now
     ) {
       count(transition, 'stalled');
-      ejectOrigin(transition, attempt.to.id);
+      ejectEndpoint(transition, attempt.to.id);
     }
   }
   const current = transition.state.requests[request.id];
   if (
     current === undefined ||
     current.phase !== 'attempt' ||
-    current.isClientGone ||
+    current.hasClientLeft ||
     isLeaseExpired(transition)
   )
     return;
@@ -133,25 +133,25 @@
     })
   )
     return;
-  const given = underCurrentPolicy(transition, current);
+  const given = applyCurrentPolicy(transition, current);
   if (given === null) return;
-  if (!atHome(given.route.homes, transition.state.self.region)) {
+  if (!isHomeRegion(given.route.homes, transition.state.self.region)) {
     const [peer] = given.clientRequest.via === null ? allowedPeers(transition.state, given) : [];
     if (peer !== undefined) {
       count(transition, 'hedged');
-      open(transition, given, { kind: 'peer', row: peer });
+      openAttempt(transition, given, { kind: 'peer', row: peer });
     }
     return;
   }
   const ranked = rankOrigins(
     transition.state,
     given,
-    transition.state.replyBytes[given.route.name] ?? 0,
+    transition.state.meanReplyBytes[given.route.name] ?? 0,
   ).filter(
     (row) =>
-      !given.attempts.some((attempt) => attempt.to.id === originName(row)) &&
-      (transition.state.outstanding[originName(row)] ?? 0) <
-        remainingConcurrency(transition.state, row),
+      !given.attempts.some((attempt) => attempt.to.id === originIdOf(row)) &&
+      (transition.state.inFlightCounts[originIdOf(row)] ?? 0) <
+        maxConcurrencyOf(transition.state, row),
   );
   const [row] = ranked;
   if (
@@ -163,12 +163,12 @@
     )
   )
     return;
-  if (!takeToken(transition, `instance/${originName(row)}`, row.rate)) {
+  if (!takeToken(transition, `instance/${originIdOf(row)}`, row.rate)) {
     returnToken(transition, `service/${given.service}`);
     return;
   }
   count(transition, 'hedged');
-  open(transition, given, { kind: 'origin', row });
+  openAttempt(transition, given, { kind: 'origin', row });
 };
 
 /** Comes many times a second: time-outs, hedges, queues, copies to be dropped. */
@@ -183,7 +183,7 @@
     if (request.phase === 'holding') {
       // Under a newer policy it may be another's to serve, or another service's.
       if (request.revision !== (transition.state.policy?.revision ?? 0))
-        startAgain(transition, request);
+        continueRequest(transition, request);
       else attemptToOrigin(transition, request);
       continue;
     }
--- a/packages/server-selection/src/index.ts
+++ b/packages/server-selection/src/index.ts
@@ -5,8 +5,8 @@
   costOf,
   maxIterations,
   type Network,
-  queueing,
+  queueing as queueingCost,
   type Solution,
   solve,
 } from './server-selection.js';
-export * from './vectors.js';
+export * from './load-vectors.js';
--- a/packages/server-selection/src/vectors.ts
+++ b/packages/server-selection/src/load-vectors.ts
@@ -17,7 +17,7 @@
 export const defaultMeanReplyBits = 96_000;
 
 /** What an edge tells the others: its load, its replicas, its delays. */
-export type Vector = {
+export type LoadVector = {
   /** bps that this edge's own clients ask of each object. */
   readonly demand: Readonly<Record<string, number>>;
   /** Busy objects of which it holds a copy. */
@@ -37,13 +37,13 @@
 };
 
 /** What of a route the routing table must know. */
-export type ObjectRule = {
+export type RoutePlacementRule = {
   readonly servers: (edge: string) => boolean;
   /**
    * Where the route's objects are placed for the clients of an edge: each at one of these, drawn by
    * its name. Left out: nowhere, copies lie where they happened to be made.
    */
-  readonly placed?: (client: string) => readonly string[];
+  readonly placementOf?: (client: string) => readonly string[];
 };
 
 /** An even spread of numbers over names, the same on every node. @example mixed('a') === mixed('a') // true */
@@ -77,9 +77,11 @@
 };
 
 /** The key of those of a route's objects that are placed at one edge. @example groupKey('sheets', 'front-1') // 'sheets @front-1' */
-export const groupKey = (route: string, holder: string): string => `${route} @${holder}`;
+export const placementKey = (route: string, holder: string): string => `${route} @${holder}`;
 /** The holders that a split has rows for, by route. @example holdersOf({ 'sheets @front-1': [['front-1', 1]] }) // { sheets: ['front-1'] } */
-export const holdersOf = (split: Split): Readonly<Record<string, readonly string[]>> => {
+export const ownersByRouteOf = (
+  split: RoutingTable,
+): Readonly<Record<string, readonly string[]>> => {
   const found: Record<string, string[]> = {};
   for (const key of Object.keys(split)) {
     const cut = key.indexOf(' @');
@@ -89,14 +91,14 @@
 };
 
 /** Share of an object's demand by the edge that serves it. */
-export type Row = readonly (readonly [edge: string, share: number])[];
-export type Split = Readonly<Record<string, Row>>;
+export type RoutingRow = readonly (readonly [edge: string, share: number])[];
+export type RoutingTable = Readonly<Record<string, RoutingRow>>;
 
 /** The key of an object told one by one, or of the rest of its route. */
 export const objectKey = (route: string, path: string | null): string =>
   path === null ? route : `${route} ${path}`;
 /** @example routeOf('sheets /sheets/7') // 'sheets' */
-export const routeOf = (key: string): string => key.split(' ', 1)[0] ?? key;
+export const routeNameOf = (key: string): string => key.split(' ', 1)[0] ?? key;
 
 /** A change of delta or more; the last digits of a float don't count. */
 const changed = (next: number, old: number): boolean =>
@@ -110,7 +112,7 @@
  * @example
  * mustSend({ ...old, utilisation: old.utilisation + 0.1 }, old) // true
  */
-export const shouldAnnounce = (next: Vector, sent: Vector | null): boolean =>
+export const shouldAnnounce = (next: LoadVector, sent: LoadVector | null): boolean =>
   sent === null ||
   changed(next.utilisation, sent.utilisation) ||
   changed(next.offered, sent.offered) ||
@@ -130,9 +132,9 @@
  */
 export const computeRoutes = (
   self: string,
-  vectors: Readonly<Record<string, Vector>>,
-  ruleOf: (route: string) => ObjectRule | null,
-): { readonly split: Split; readonly iterations: number; readonly cost: number } => {
+  vectors: Readonly<Record<string, LoadVector>>,
+  ruleOf: (route: string) => RoutePlacementRule | null,
+): { readonly split: RoutingTable; readonly iterations: number; readonly cost: number } => {
   const edges = Object.keys(vectors).sort();
   const list = edges.flatMap((edge) => {
     const vector = vectors[edge];
@@ -146,16 +148,16 @@
   const keys = [...new Set(list.flatMap((vector) => Object.keys(vector.demand)))]
     .sort()
     .flatMap((key) => {
-      const rule = ruleOf(routeOf(key));
+      const rule = ruleOf(routeNameOf(key));
       return rule === null ? [] : [{ key, rule }];
     });
   const copies = list.map((vector) => new Set(vector.copies));
   const grouped = keys.flatMap(({ key, rule }) => {
-    const { placed } = rule;
-    if (placed === undefined || key !== routeOf(key)) return [];
+    const { placementOf: placed } = rule;
+    if (placed === undefined || key !== routeNameOf(key)) return [];
     const places = edges.map((edge) => placed(edge));
     return [...new Set(places.flat())].sort().map((holder) => ({
-      key: groupKey(key, holder),
+      key: placementKey(key, holder),
       object: {
         demand: list.map((vector, k) =>
           places[k]?.includes(holder) === true
@@ -172,7 +174,9 @@
       },
     }));
   });
-  const single = keys.filter(({ key, rule }) => rule.placed === undefined || key !== routeOf(key));
+  const single = keys.filter(
+    ({ key, rule }) => rule.placementOf === undefined || key !== routeNameOf(key),
+  );
   const delays = list.map((vector, j) =>
     edges.map((edge, k) =>
       j === k ? 0 : (vector.delays[edge] ?? list[k]?.delays[edges[j] ?? ''] ?? fetchPenaltySeconds),
@@ -202,7 +206,7 @@
     ],
   });
   const me = edges.indexOf(self);
-  const split: Record<string, Row> = {};
+  const split: Record<string, RoutingRow> = {};
   [...grouped, ...single].forEach(({ key }, i) => {
     const row = solution.flows[i]?.[me] ?? [];
     const total = row.reduce((sum, flow) => sum + flow, 0);
--- a/packages/server-selection/src/server-selection.test.ts
+++ b/packages/server-selection/src/server-selection.test.ts
@@ -2,14 +2,14 @@
 import {
   costOf,
   rendezvousOwner,
-  holdersOf,
+  ownersByRouteOf,
   shouldAnnounce,
-  queueing,
+  queueingCost,
   solve,
   computeRoutes,
   type Network,
   type Solution,
-  type Vector,
+  type LoadVector,
 } from './index.js';
 
 const chanceFrom = (seed: number): (() => number) => {
@@ -140,11 +140,11 @@
     objects: [{ demand: [300, 0], link: () => 0 }],
   });
   t.true(Math.abs((loads[0] ?? 0) - (loads[1] ?? 0)) < 5);
-  const [below, above] = [queueing(95 - 1e-6, 100), queueing(95 + 1e-6, 100)];
+  const [below, above] = [queueingCost(95 - 1e-6, 100), queueingCost(95 + 1e-6, 100)];
   t.true(Math.abs(below.cost - above.cost) < 1e-3 && Math.abs(below.slope - above.slope) < 1e-3);
 });
 
-const vector = (part: Partial<Vector>): Vector => ({
+const vector = (part: Partial<LoadVector>): LoadVector => ({
   demand: {},
   copies: [],
   capacity: 8e6,
@@ -198,10 +198,10 @@
       Object.fromEntries(
         edges.map((edge) => [edge, vector({ demand: { sheets: demand }, delays, capacity })]),
       ),
-      () => ({ servers: () => true, placed: near }),
+      () => ({ servers: () => true, placementOf: near }),
     ).split;
   t.deepEqual(rows(1e5), { 'sheets @a': [['a', 1]], 'sheets @b': [['b', 1]] });
-  t.deepEqual(holdersOf(rows(1e5)), { sheets: ['a', 'b'] });
+  t.deepEqual(ownersByRouteOf(rows(1e5)), { sheets: ['a', 'b'] });
   // b is full of its own: some of what it holds is fetched where it is asked for.
   const crowded = computeRoutes(
     'a',
@@ -212,7 +212,7 @@
     (route) =>
       route === 'heavy'
         ? { servers: (edge) => edge === 'b' }
-        : { servers: () => true, placed: () => ['a', 'b'] },
+        : { servers: () => true, placementOf: () => ['a', 'b'] },
   ).split['sheets @b'];
   t.true(crowded?.some(([edge, share]) => edge === 'a' && share > 0.1));
   // Outside its homes nothing is fetched for oneself.
@@ -220,7 +220,7 @@
     computeRoutes(
       'c',
       { a: vector({ delays }), c: vector({ demand: { sheets: 1e5 }, delays }) },
-      () => ({ servers: (edge) => edge === 'a', placed: () => ['a'] }),
+      () => ({ servers: (edge) => edge === 'a', placementOf: () => ['a'] }),
     ).split,
     { 'sheets @a': [['a', 1]] },
   );
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -17,8 +17,8 @@
 } from '@reedyard/agent';
 import { Cache } from '@reedyard/cache';
 import {
-  type Answer,
-  type AttemptAnswer,
+  type ClientResponse,
+  type AttemptResponse,
   type ClientRequest,
   connectTimeoutMs,
   feedIntervalMs,
@@ -29,7 +29,7 @@
   type ProxyEvent,
   type ProxyState,
   proxyTickIntervalMs,
-  type Target,
+  type AttemptTarget,
 } from '@reedyard/proxy';
 import {
   openReplica,
@@ -111,7 +111,7 @@
 /** A stand-in origin: an identity at an address. */
 export type SimulatedOrigin = ScenarioOrigin & {
   readonly address: string;
-  previous: AttemptAnswer | null;
+  previous: AttemptResponse | null;
 };
 
 /** A field of an answer as text; empty where there is none. */
@@ -913,7 +913,7 @@
                   request: {
                     kind: 'feed',
                     report: effect.report,
-                    held: Feeds.holding(this.#held.get(process) ?? null),
+                    held: Feeds.heldParts(this.#held.get(process) ?? null),
                   },
                   now: this.#now(agent),
                 }),
@@ -1033,7 +1033,7 @@
           `${name}/${process.clockFrom}/${effect.requestId}/${effect.attempt}`,
           state,
         );
-        const done = (answer: AttemptAnswer): void =>
+        const done = (answer: AttemptResponse): void =>
           this.#inside(process, () => {
             if (!state.aborted)
               this.#step(process, {
@@ -1164,7 +1164,7 @@
   }
 
   /** A planted fault: an answer that came through a peer is kept all the same. */
-  #keepRelayed(process: Process<'proxy'>, answer: AttemptAnswer): void {
+  #keepRelayed(process: Process<'proxy'>, answer: AttemptResponse): void {
     const body = answer.body as SimBody | null;
     if (body === null || body.maxAgeMs === Infinity) return;
     const now = this.#now(process);
@@ -1177,22 +1177,22 @@
         status: 200,
         headers: answer.headers,
         body,
-        size: answer.size,
+        sizeBytes: answer.size,
         tags: body.tags,
         vary: {},
-        takenAt: now,
+        storedAt: now,
         freshUntil: now + body.maxAgeMs,
-        bornAge: 0,
+        initialAgeSeconds: 0,
       }),
     };
   }
 
   /** ms until a reply has left a proxy. A relayed one costs a fifth: no look-up, no making. */
-  #leave(name: string, capacityBps: number, answer: Answer): number {
+  #leave(name: string, capacityBps: number, answer: ClientResponse): number {
     if (answer.body.kind === 'problem') return 0;
     // A large one streams beside the others; what counts is when it begins.
     if (answer.body.kind === 'attempt' && !answer.body.answer.isComplete) return 0;
-    const size = answer.body.kind === 'copy' ? answer.body.copy.size : answer.body.answer.size;
+    const size = answer.body.kind === 'copy' ? answer.body.copy.sizeBytes : answer.body.answer.size;
     const relayed = answer.headers['reedyard-served'] === 'peer';
     const work = ((8 * (size + 300)) / capacityBps) * 1_000 * (relayed ? 0.2 : 1);
     const until = Math.max(this.clock.now(), this.#busyUntil.get(name) ?? 0) + work;
@@ -1200,7 +1200,7 @@
     return until - this.clock.now();
   }
 
-  #shown(answer: Answer, mark: string | null): Parameters<Caller['done']>[0] {
+  #shown(answer: ClientResponse, mark: string | null): Parameters<Caller['done']>[0] {
     const body =
       answer.body.kind === 'copy'
         ? (answer.body.copy.body as SimBody)
@@ -1243,12 +1243,12 @@
 
   #toOrigin(
     process: Process<'proxy'>,
-    to: Extract<Target, { kind: 'origin' }>,
+    to: Extract<AttemptTarget, { kind: 'origin' }>,
     asked: ClientRequest,
     mark: string,
     sendBy: number,
     about: { submission: number; job: string },
-    done: (answer: AttemptAnswer) => void,
+    done: (answer: AttemptResponse) => void,
     fail: (sent: 'nothing' | 'maybe', why: string) => void,
   ): void {
     const from = process.machine;
@@ -1353,7 +1353,7 @@
               sentAt,
               maxAgeMs,
             };
-            const answer: AttemptAnswer = {
+            const answer: AttemptResponse = {
               status: 200,
               size: large ? 3_000_000 : 2_000,
               isComplete: !large,
@@ -1386,11 +1386,11 @@
 
   #toPeer(
     process: Process<'proxy'>,
-    to: Extract<Target, { kind: 'peer' }>,
+    to: Extract<AttemptTarget, { kind: 'peer' }>,
     asked: ClientRequest,
     mark: string,
     about: { submission: number; job: string },
-    done: (answer: AttemptAnswer) => void,
+    done: (answer: AttemptResponse) => void,
     fail: (sent: 'nothing' | 'maybe', why: string) => void,
   ): void {
     const from = process.machine.name;
@@ -1430,7 +1430,7 @@
           this.#carry(to.row.id, from, () =>
             done({
               status: got.status,
-              headers: got.headers as AttemptAnswer['headers'],
+              headers: got.headers as AttemptResponse['headers'],
               body: got.body,
               size: 2_000,
               isComplete: true,
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -697,7 +697,7 @@
       {
         kind: 'feed',
         report: this.#reportOf(node),
-        held: Feeds.holding(node.held),
+        held: Feeds.heldParts(node.held),
       } satisfies ProxyQuery,
       (body) => {
         node.held = Feeds.merge(node.held, body as FeedReply);
--- a/packages/testbed/src/part-costs.ts
+++ b/packages/testbed/src/part-costs.ts
@@ -1,5 +1,5 @@
 import { type AgentState, type NodeIdentity, openAgent, reduceAgent } from '@reedyard/agent';
-import { computeRoutes, type Vector } from '@reedyard/server-selection';
+import { computeRoutes, type LoadVector } from '@reedyard/server-selection';
 
 /**
  * What parts of an agent cost that no hollow fleet of the target's size can afford to run on every
@@ -12,7 +12,7 @@
   const used = process.cpuUsage(from);
   return (used.user + used.system) / 1_000;
 };
-const vectorsOf = (edges: number, objects: number): Readonly<Record<string, Vector>> =>
+const vectorsOf = (edges: number, objects: number): Readonly<Record<string, LoadVector>> =>
   Object.fromEntries(
     Array.from({ length: edges }, (_, edge) => {
       const demand = Object.fromEntries(
@@ -37,7 +37,7 @@
               0.001 * (1 + ((edge + other) % 5)),
             ]),
           ),
-        } satisfies Vector,
+        } satisfies LoadVector,
       ] as const;
     }),
   );
