--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -2,19 +2,19 @@
 import { parse, stringify } from 'devalue';
 import { recordValue } from '@reedyard/gossip';
 import { type Description, Schemas } from '@reedyard/schemas';
-import { originRefreshMs } from './api/api-actions.js';
+import { originRefreshIntervalMs } from './api/api-actions.js';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
 import { isolatedAllowanceMs, minUndelayedMs } from './control/reachability.js';
 import { learnRecords } from './gossip/gossip-exchange.js';
 import type { AgentEffect, ApiAction, PolicyRegister, ZonesRegister } from './messages.js';
-import { openAgent } from './open.js';
+import { openAgent } from './open-agent.js';
 import { originEndpoints, serviceRateLimits, slowStartShare } from './origins/origin-endpoints.js';
-import { originsOf, warmthDoubtMs } from './origins/origins.js';
+import { originsOf, restoreSettleMs } from './origins/origins.js';
 import { putPolicyChange, type RegisterChange, zoneOrderChange } from './proposals/changes.js';
 import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
-import { agentTickIntervalMs, lateTickMs } from './tick-delay.js';
+import { agentTickIntervalMs, lateTickThresholdMs } from './tick-delay.js';
 import type { Transition } from './transition.js';
 
 const self = {
@@ -181,9 +181,9 @@
   );
   state = learnt({ ...state, now: 2_000 }, 'zones', 2, zones(2, [], { west: 2 }));
   t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[true], 4 * slowStartShare]);
-  hear(2_000 + warmthDoubtMs - 1, 2);
+  hear(2_000 + restoreSettleMs - 1, 2);
   t.deepEqual(colds(), [true]);
-  hear(2_000 + warmthDoubtMs, 3);
+  hear(2_000 + restoreSettleMs, 3);
   t.deepEqual([colds(), originEndpoints(state)[0]?.rate], [[false], Infinity]);
   state = learnt({ ...state, now: 3_000 }, 'zones', 3, zones(3, ['east'], { west: 2 }));
   t.deepEqual(colds(), [false]);
@@ -229,7 +229,7 @@
   state = acted(
     state,
     { kind: 'describe', description: told({ sequence: 8 }) },
-    1_100 + originRefreshMs,
+    1_100 + originRefreshIntervalMs,
   ).state;
   t.is(revision(), 8);
 });
@@ -430,8 +430,11 @@
   t.is(cut(false, steady(calm), calm), 0);
   t.is(cut(true, steady(calm), calm), isolatedAllowanceMs);
   // Frozen and woken: what waits here is looked at before any beat, and after one.
-  t.is(cut(true, steady(calm), calm + lateTickMs + 1), 0);
-  t.is(cut(true, [...steady(calm), calm + lateTickMs + 1], calm + lateTickMs + 1), 0);
+  t.is(cut(true, steady(calm), calm + lateTickThresholdMs + 1), 0);
+  t.is(
+    cut(true, [...steady(calm), calm + lateTickThresholdMs + 1], calm + lateTickThresholdMs + 1),
+    0,
+  );
   t.is(
     cut(
       true,
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -2,13 +2,13 @@
  * Calls of operators and origins: orders, reads, descriptions, and what this node tells about
  * itself.
  */
-import { publishRecord, recordValue, replaceLocally } from '@reedyard/gossip';
+import { publishRecord, recordValue, replaceValueLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
 import { leaseDurationMs } from '@reedyard/replica';
 import type { Description } from '@reedyard/schemas';
 import { servingAllowanceMs, isUnreachable, unreachableResponse } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
-import { hasMostQuotas } from '../feed/feed.js';
+import { hasReadyQuotas } from '../feed/feed.js';
 import { nodesOf } from '../gossip/known-nodes.js';
 import type { ApiAction } from '../messages.js';
 import { serviceRateLimits } from '../origins/origin-endpoints.js';
@@ -16,18 +16,18 @@
   drainKey,
   exclusionReason,
   isOutdated,
-  isWarmthInDoubt,
+  mayPredateZoneRestore,
   originKey,
-  withdrawnKey,
+  withdrawalKey,
 } from '../origins/origins.js';
 import { newestExpiredRevision } from '../proposals/change-ids.js';
 import { putPolicyChange, zoneOrderChange } from '../proposals/changes.js';
 import { appendToJournal } from '../proposals/journal-appends.js';
 import { propose } from '../proposals/proposals.js';
-import { delayTo } from '../routing/peer-delays.js';
+import { delaySecondsTo } from '../routing/peer-delays.js';
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
-import { type ApiAnswer, retryAfterSeconds, tooFewMembers, unreached } from './api-answers.js';
+import { type ActionReply, retryAfterSeconds, tooFewMembers, unreached } from './action-replies.js';
 import { nodeStatus } from './status.js';
 
 /**
@@ -35,19 +35,22 @@
  * between two of its descriptions still twice within `originForgotten`, and a third of the
  * bytes.
  */
-export const originRefreshMs = 3_000;
+export const originRefreshIntervalMs = 3_000;
 
 type ActionOf<K extends ApiAction['kind']> = Extract<ApiAction, { kind: K }>;
 
-const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
+const answer = (transition: Transition, id: number, given: ActionReply): void => {
   transition.effects.push({ kind: 'send-answer', requestId: id, ...given });
 };
 
 /** Whether all of a description but its number was told already, lately enough. */
 const isAnnounced = (state: AgentState, key: string, told: Description): boolean => {
   const held = state.gossip.records[key];
-  if (held === undefined || held.isForgotten) return false;
-  if (state.now - held.seenAt >= originRefreshMs || isWarmthInDoubt(state, told.zone, held.seenAt))
+  if (held === undefined || held.isExpired) return false;
+  if (
+    state.now - held.seenAt >= originRefreshIntervalMs ||
+    mayPredateZoneRestore(state, told.zone, held.seenAt)
+  )
     return false;
   const known = held.value as Description;
   const fields = new Set([...Object.keys(told), ...Object.keys(known)] as (keyof Description)[]);
@@ -60,7 +63,7 @@
   else appendToJournal(transition, [{ key, value: true }], id, done);
 };
 
-const olderIncarnation = (known: Description): ApiAnswer => ({
+const olderIncarnation = (known: Description): ActionReply => ({
   status: 409,
   body: {
     type: 'about:blank',
@@ -97,7 +100,7 @@
   if (!isLate) {
     const { gossip, now } = transition.state;
     const next = isAnnounced(transition.state, key, told)
-      ? replaceLocally(gossip, key, told)
+      ? replaceValueLocally(gossip, key, told)
       : publishRecord(gossip, key, told, now, told.sequence);
     update(transition, { gossip: next });
   }
@@ -121,21 +124,21 @@
   if (state.self.proxy === null) return 'this machine has no proxy';
   if (servingAllowanceMs(state) <= 0) return whyNoLease(state);
   if (policy === null) return 'no policy is known';
-  if (state.proxyReport === null || state.now - state.proxyReport.at >= leaseDurationMs)
+  if (state.lastProxyReport === null || state.now - state.lastProxyReport.at >= leaseDurationMs)
     return 'its proxy does not ask for news';
-  if (state.proxyReport.proxyReport.stopping) return 'its proxy is leaving';
+  if (state.lastProxyReport.content.stopping) return 'its proxy is leaving';
   if (zonesOf(state)?.emptied.includes(state.self.zone) === true) return 'its zone is emptied';
-  return hasMostQuotas(state) ? null : 'the division has not given it its slices yet';
+  return hasReadyQuotas(state) ? null : 'the division has not given it its slices yet';
 };
 
-const readiness = (state: AgentState): ApiAnswer => {
+const readiness = (state: AgentState): ActionReply => {
   const why = unreadyReason(state);
   if (why === null) return { status: 200, body: { ready: true } };
   const body = { type: 'about:blank', title: 'Not ready', status: 503, detail: why, ready: false };
   return { status: 503, body, retryAfter: retryAfterSeconds };
 };
 
-const shares = (state: AgentState): ApiAnswer => {
+const shares = (state: AgentState): ActionReply => {
   if (isUnreachable(state)) return unreachableResponse;
   if (state.now >= state.leaseUntil) return unreached('The read');
   const plan = quotaAllocationOf(state);
@@ -149,12 +152,12 @@
   return { status: 200, body: { holder, term, beat, services: Object.fromEntries(services) } };
 };
 
-const peers = (state: AgentState): ApiAnswer => {
+const peers = (state: AgentState): ActionReply => {
   const rows = nodesOf(state).map(({ record, seenAt }) => ({
     ...record,
     self: record.id === state.self.id,
     silentMs: Math.round(state.now - seenAt),
-    delaySeconds: delayTo(state, record.id),
+    delaySeconds: delaySecondsTo(state, record.id),
   }));
   const view = state.gossip.view.map((each) => each.id);
   return { status: 200, body: { node: state.self.id, view, peers: rows } };
@@ -196,7 +199,7 @@
     case 'purge':
       return true;
     case 'withdraw':
-      return !state.committedEntryKeys[withdrawnKey(action.instance)];
+      return !state.committedEntryKeys[withdrawalKey(action.instance)];
     default:
       return false;
   }
@@ -229,7 +232,7 @@
       return;
     }
     case 'withdraw':
-      postOnce(transition, withdrawnKey(action.instance), id, { withdrawn: action.instance });
+      postOnce(transition, withdrawalKey(action.instance), id, { withdrawn: action.instance });
       return;
     case 'describe':
       describe(transition, id, action.description);
--- a/packages/agent/src/api/status.test.ts
+++ b/packages/agent/src/api/status.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import { learnRegister } from '../control/polling.js';
-import { openAgent } from '../open.js';
+import { openAgent } from '../open-agent.js';
 import {
   addresses,
   tickWithAllReplies,
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -131,7 +131,7 @@
  * @example
  * replicaAnswer(state, 'core-1', reply).outcome // 'counted'
  */
-export const replicaAnswer = (
+export const pollReplySeenOf = (
   state: AgentState,
   name: string,
   reply: ReplicaReply,
@@ -255,7 +255,7 @@
     control: controlStatus(state),
     quotaLeadership: plan === null ? null : { holder: plan.holder, term: plan.term },
     origins: originStatuses(state),
-    proxy: state.proxyReport?.proxyReport.counters ?? null,
+    proxy: state.lastProxyReport?.content.counters ?? null,
     notices: state.vectorAnnouncementCount,
     splits: state.routingTableCount,
     split: state.routingTable,
--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -17,7 +17,7 @@
   type Membership,
   type ReplicaReply,
 } from '@reedyard/replica';
-import { replicaAnswer } from '../api/status.js';
+import { pollReplySeenOf } from '../api/status.js';
 import {
   discoverMembers,
   recordOwnReplica,
@@ -27,7 +27,7 @@
 import type { ZonesRegister } from '../messages.js';
 import { propose, restartUnderNewMembership } from '../proposals/proposals.js';
 import type { AgentState } from '../state.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import { log, nextRandom, sendToReplica, type Transition, update } from '../transition.js';
 import {
   type ChosenValues,
@@ -196,9 +196,9 @@
 };
 
 const noteAllocation = (transition: Transition, { term, beat }: QuotaAllocation): void => {
-  const { allocationSeen, now } = transition.state;
+  const { lastSeenAllocation: allocationSeen, now } = transition.state;
   if (term === allocationSeen.term && beat === allocationSeen.beat) return;
-  update(transition, { allocationSeen: { term, beat, at: now } });
+  update(transition, { lastSeenAllocation: { term, beat, at: now } });
 };
 
 /** Polls at the next tick: there is more to read, or members that do not know the membership yet. */
@@ -298,7 +298,7 @@
 const learnFetchedValue = (transition: Transition, key: WatchedRegister): void => {
   const candidate = transition.state.fetchedValues[key];
   if (candidate === undefined || !isChosen(transition.state, key, candidate.proposalNumber)) return;
-  update(transition, { fetchedValues: without(transition.state.fetchedValues, key) });
+  update(transition, { fetchedValues: omitKey(transition.state.fetchedValues, key) });
   learnRegister(transition, key, candidate.proposalNumber, candidate.value);
 };
 
@@ -467,7 +467,7 @@
 
 /** Notes how a replica answered, and that a member of the membership did. */
 const noteReplyTo = (transition: Transition, name: string, reply: ReplicaReply): void => {
-  updateView(transition, name, { lastPollReply: replicaAnswer(transition.state, name, reply) });
+  updateView(transition, name, { lastPollReply: pollReplySeenOf(transition.state, name, reply) });
   if (isDiskOfMember(transition.state, name, reply.diskId) || isBlankReply(reply))
     updateView(transition, name, {
       lastMemberReplyAt: transition.state.now,
--- a/packages/agent/src/control/reachability.ts
+++ b/packages/agent/src/control/reachability.ts
@@ -6,7 +6,7 @@
  * in touch.
  */
 import { majorityOf } from '@reedyard/consensus';
-import { type ApiAnswer, unavailable } from '../api/api-answers.js';
+import { type ActionReply, unavailable } from '../api/action-replies.js';
 import type { PendingAppend, PendingChange, Purpose } from '../proposals/proposal-state.js';
 import type { AgentState } from '../state.js';
 import { isTickLate } from '../tick-delay.js';
@@ -147,7 +147,7 @@
   state.now - Math.max(view.lastPolledAt, view.lastReplyAt) >= lowLeasePollIntervalMs;
 
 /** The answer, at once, to what needs a majority at a node that reaches none: nothing was sent. */
-export const unreachableResponse: ApiAnswer = {
+export const unreachableResponse: ActionReply = {
   ...unavailable(
     'No majority reached',
     'This node reaches no majority of replicas; nothing was changed. Ask another node.',
--- a/packages/agent/src/feed/feed.test.ts
+++ b/packages/agent/src/feed/feed.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import type { AgentState, FeedPartsHeld, FeedReply, ProxyReport } from '../index.js';
-import { openAgent } from '../open.js';
+import type { AgentState, HeldFeedParts, FeedReply, ProxyReport } from '../index.js';
+import { openAgent } from '../open-agent.js';
 import { reduceAgent } from '../reducer.js';
 
 const self = {
@@ -32,7 +32,7 @@
 };
 const ask = (
   state: AgentState,
-  held: FeedPartsHeld | null,
+  held: HeldFeedParts | null,
 ): { readonly state: AgentState; readonly told: FeedReply } => {
   const step = reduceAgent(state, {
     kind: 'proxy-request-received',
--- a/packages/agent/src/feed/feed.ts
+++ b/packages/agent/src/feed/feed.ts
@@ -3,21 +3,21 @@
 import type { Purge } from '@reedyard/schemas';
 import { servingAllowanceMs, isUnreachable } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
-import { heartbeat } from '../gossip/node-record.js';
+import { publishHeartbeat } from '../gossip/node-record.js';
 import {
   type Feed,
   type FeedPart,
-  feedParts,
-  type FeedPartsHeld,
+  feedPartNames,
+  type HeldFeedParts,
   type FeedReply,
   type ProxyQuery,
   type ProxyReport,
-  type Revisions,
+  type FeedRevisions,
 } from '../messages.js';
 import { originEndpoints, serviceRateLimits } from '../origins/origin-endpoints.js';
 import { claimChange, settleClaimChange } from '../proposals/changes.js';
 import { propose } from '../proposals/proposals.js';
-import { noteMeasurement, peerEndpoints } from '../routing/routing-table.js';
+import { handleMeasurement, peerEndpoints } from '../routing/routing-table.js';
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
 
@@ -32,7 +32,7 @@
  * Whether the allocation has given this node most of its quotas; without services there is nothing
  * to divide.
  */
-export const hasMostQuotas = (state: AgentState): boolean =>
+export const hasReadyQuotas = (state: AgentState): boolean =>
   Object.keys(policyOf(state)?.document.services ?? {}).length === 0 ||
   quotaAllocationOf(state)?.seated.includes(state.self.id) === true;
 
@@ -58,7 +58,7 @@
     emptied: zonesOf(state)?.emptied ?? [],
     split: state.routingTable,
     slices: slicesOf(state),
-    seated: hasMostQuotas(state),
+    seated: hasReadyQuotas(state),
     purges: purgesAfter(state, report.life === state.incarnation ? report.purgeSeq : 0),
     purgeSeq: state.lastEntrySequence,
   };
@@ -68,7 +68,7 @@
 
 /** The parts of a feed with their revisions; one that changed gets a new one. */
 const revisedParts = (before: AgentState['lastFeedParts'], whole: Feed): FedParts => {
-  const parts = feedParts.map((part) => {
+  const parts = feedPartNames.map((part) => {
     const value = whole[part];
     const known = before[part];
     if (known !== undefined && known.value === value) return [part, known] as const;
@@ -83,7 +83,7 @@
 const feedReplyFor = (
   transition: Transition,
   report: ProxyReport,
-  held: FeedPartsHeld | null,
+  held: HeldFeedParts | null,
 ): FeedReply => {
   const whole = feed(transition.state, report);
   const now = revisedParts(transition.state.lastFeedParts, whole);
@@ -94,20 +94,20 @@
     ([name]) => now[name as FeedPart] === undefined || !isHeld(name as FeedPart),
   );
   const revisions = Object.fromEntries(
-    feedParts.map((part) => [part, now[part].revision]),
-  ) as Revisions;
+    feedPartNames.map((part) => [part, now[part].revision]),
+  ) as FeedRevisions;
   return { ...(Object.fromEntries(told) as Omit<FeedReply, 'revisions'>), revisions };
 };
 
 const noteReport = (transition: Transition, report: ProxyReport): void => {
-  const before = transition.state.proxyReport?.proxyReport;
+  const before = transition.state.lastProxyReport?.content;
   const isChanged =
     before === undefined ||
     before.proxyLife !== report.proxyLife ||
     before.stopping !== report.stopping;
-  update(transition, { proxyReport: { proxyReport: report, at: transition.state.now } });
-  if (isChanged) heartbeat(transition);
-  if (report.measure !== null) noteMeasurement(transition, report.measure);
+  update(transition, { lastProxyReport: { content: report, at: transition.state.now } });
+  if (isChanged) publishHeartbeat(transition);
+  if (report.measure !== null) handleMeasurement(transition, report.measure);
 };
 
 /** Takes a call of this machine's proxy. */
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -16,7 +16,7 @@
 import type { AgentState } from '../state.js';
 import { nextRandom, sendToAgent, type Transition, update } from '../transition.js';
 import { nodesOf } from './known-nodes.js';
-import { heartbeat } from './node-record.js';
+import { publishHeartbeat } from './node-record.js';
 
 /**
  * ms. One gossip exchange with one peer. Each also answers one as often, so a heartbeat crosses
@@ -30,7 +30,7 @@
  */
 export const isJoining = (state: AgentState): boolean =>
   state.bootstrap !== null &&
-  state.ownReplica?.isBlank === true &&
+  state.localReplica?.isBlank === true &&
   state.now - state.startedAt < eagerPollingDurationMs;
 
 /** Agents of machines with a replica: who may give a blank one its slot. */
@@ -137,7 +137,7 @@
 /** This node's own records that came back with a higher revision are published again above it. */
 const republishOwn = (transition: Transition, newKeys: readonly string[]): void => {
   const { id } = transition.state.self;
-  if (newKeys.includes(`node/${id}`)) heartbeat(transition, true);
+  if (newKeys.includes(`node/${id}`)) publishHeartbeat(transition, true);
   const vectorKey = `vector/${id}`;
   const { announcedVector, gossip, now } = transition.state;
   if (newKeys.includes(vectorKey) && announcedVector !== null)
@@ -150,7 +150,11 @@
   updates: GossipExchangeReply['newer'],
 ): void => {
   const before = transition.state;
-  const { state: gossip, news: newKeys, values } = mergeUpdates(before.gossip, updates, before.now);
+  const {
+    state: gossip,
+    updatedKeys: newKeys,
+    keysWithValue: values,
+  } = mergeUpdates(before.gossip, updates, before.now);
   update(transition, { gossip });
   republishNewerOrigins(transition, before, updates, newKeys);
   republishOwn(transition, newKeys);
--- a/packages/agent/src/gossip/node-record.ts
+++ b/packages/agent/src/gossip/node-record.ts
@@ -3,7 +3,7 @@
  * changed, where an incarnation begins, and now and then.
  */
 
-import { publishRecord, recordValue, renewalsSinceFull, renewRecord } from '@reedyard/gossip';
+import { publishRecord, recordValue, renewalsSinceValue, renewRecord } from '@reedyard/gossip';
 import { leaseDurationMs } from '@reedyard/replica';
 import { servingAllowanceMs } from '../control/reachability.js';
 import type { NodeRecord, ProxyReport } from '../messages.js';
@@ -17,7 +17,7 @@
  * heartbeats after which a node's record is sent in full though nothing changed: a revision that
  * two incarnations of a node came to alike is then set right within 8 s.
  */
-export const heartbeatsToFullRecord = 16;
+export const heartbeatsPerFullRecord = 16;
 
 /**
  * An incarnation's first revision lies anywhere under this, so that two incarnations hardly come to
@@ -57,15 +57,19 @@
   );
 
 /** What this machine's replica last said of its disk, while that is not outdated. */
-const replicaFields = ({ self, ownReplica, now }: AgentState): NodeRecord['replica'] => {
+const replicaFields = ({
+  self,
+  localReplica: ownReplica,
+  now,
+}: AgentState): NodeRecord['replica'] => {
   if (self.replica === null || ownReplica === null) return self.replica;
   if (now - ownReplica.at > leaseDurationMs) return self.replica;
   return { ...self.replica, disk: ownReplica.diskId, fresh: ownReplica.isBlank };
 };
 
 /** The report of this machine's proxy, while it asks for its feed. */
-const liveReport = ({ proxyReport, now }: AgentState): ProxyReport | null =>
-  proxyReport !== null && now - proxyReport.at < leaseDurationMs ? proxyReport.proxyReport : null;
+const liveReport = ({ lastProxyReport: proxyReport, now }: AgentState): ProxyReport | null =>
+  proxyReport !== null && now - proxyReport.at < leaseDurationMs ? proxyReport.content : null;
 
 const ownRecord = (state: AgentState, announced: NodeRecord | null): NodeRecord => {
   const { id, zone, region, address, proxy } = state.self;
@@ -80,7 +84,7 @@
     replica: replicaFields(state),
     ready: staying && servingAllowanceMs(state) > 0,
     staying,
-    proxyLife: state.proxyReport?.proxyReport.proxyLife ?? '',
+    proxyLife: state.lastProxyReport?.content.proxyLife ?? '',
     wants: report === null ? {} : steadyDemand(report.wants, announced?.wants ?? {}),
   };
 };
@@ -89,14 +93,14 @@
  * Announces this node's own record; each new revision is a heartbeat. It is sent in full where it
  * changed, where an incarnation begins and now and then.
  */
-export const heartbeat = (transition: Transition, isFull = false): void => {
+export const publishHeartbeat = (transition: Transition, isFull = false): void => {
   const { state } = transition;
   const { gossip, now } = state;
   const key = `node/${state.self.id}`;
   const announced = (recordValue(gossip, key) as NodeRecord | null | undefined) ?? null;
   const record = ownRecord(state, announced);
   const isUnchanged = announced !== null && JSON.stringify(announced) === JSON.stringify(record);
-  if (!isFull && isUnchanged && renewalsSinceFull(gossip, key) < heartbeatsToFullRecord) {
+  if (!isFull && isUnchanged && renewalsSinceValue(gossip, key) < heartbeatsPerFullRecord) {
     update(transition, { gossip: renewRecord(gossip, key, now) });
     return;
   }
--- a/packages/agent/src/waiting-callers.ts
+++ b/packages/agent/src/incoming-requests.ts
@@ -4,7 +4,7 @@
 import type { AgentEvent } from './messages.js';
 
 /** The caller closed its connection before its request was handed to the reducer. */
-export class CallerDisconnectedError extends CodedError {
+export class ClientDisconnectedError extends CodedError {
   constructor() {
     super('caller-disconnected', 'the caller is gone');
   }
@@ -18,7 +18,7 @@
 }
 
 /** What the waiting callers need of the reducer's process. */
-export type WaitingCallersParts = {
+export type IncomingRequestsOptions = {
   /** Hands an event to the reducer; false where it takes no more. */
   readonly put: (event: AgentEvent) => boolean;
   /** ms of the process's monotonic clock. */
@@ -26,12 +26,12 @@
 };
 
 /** Gives each request an id, and its caller the reply that comes under it. */
-export class WaitingCallers {
-  readonly #parts: WaitingCallersParts;
+export class IncomingRequests {
+  readonly #parts: IncomingRequestsOptions;
   readonly #resolvers = new Map<number, (reply: unknown) => void>();
   #nextRequestId = 1;
 
-  constructor(parts: WaitingCallersParts) {
+  constructor(parts: IncomingRequestsOptions) {
     this.#parts = parts;
   }
 
@@ -41,13 +41,13 @@
    *
    * @throws CallerDisconnectedError, OverloadedError
    */
-  ask<Reply>(toEvent: (requestId: number) => AgentEvent, signal?: AbortSignal): Promise<Reply> {
+  submit<Reply>(toEvent: (requestId: number) => AgentEvent, signal?: AbortSignal): Promise<Reply> {
     const requestId = this.#nextRequestId;
     this.#nextRequestId += 1;
     signal?.addEventListener('abort', () => this.#disconnect(requestId), { once: true });
     return new Promise((resolve, reject) => {
       if (signal?.aborted === true) {
-        reject(new CallerDisconnectedError());
+        reject(new ClientDisconnectedError());
         return;
       }
       this.#resolvers.set(requestId, resolve as (reply: unknown) => void);
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -2,17 +2,17 @@
  * The agent: a node's lease, its part in gossip and proposals, the API, and the feed of its proxy.
  */
 export * from './messages.js';
-export { openAgent, type AgentParts } from './open.js';
+export { openAgent, type AgentParts as AgentInit } from './open-agent.js';
 export { reduceAgent } from './reducer.js';
 export type { AgentState } from './state.js';
 export { runAgent, type AgentOptions, type AgentSettings } from './run.js';
 export {
-  translatedServer,
-  type PerformAction as Act,
-  type TranslatedApi as Api,
+  translatedServer as apiAdapterServer,
+  type PerformAction as ActionHandler,
+  type TranslatedApi as ApiAdapter,
   type ApiRequest,
   type ApiResponse,
-  type ApiReply as Reply,
+  type ApiReply as ActionResponse,
 } from './api/api-server.js';
 export type {
   ControlStatus,
@@ -23,7 +23,7 @@
   SpareStatus,
 } from './api/status.js';
 export { leaseDurationMs } from '@reedyard/replica';
-export { retryAfterSeconds } from './api/api-answers.js';
+export { retryAfterSeconds } from './api/action-replies.js';
 export { maxPolicyBytes, maxRequestHeadBytes, requestHeadTimeoutMs } from './api/http-limits.js';
 export { noLeasePollIntervalMs, pollIntervalAtRestMs } from './control/lease.js';
 export { replicaTimeoutMs } from './control/reachability.js';
--- a/packages/agent/src/membership/membership.test.ts
+++ b/packages/agent/src/membership/membership.test.ts
@@ -2,7 +2,7 @@
 import { type CommittedMembership, leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
 import { pollIntervalAtRestMs } from '../control/lease.js';
 import type { AgentEffect, AgentEvent, NodeRecord } from '../messages.js';
-import { openAgent } from '../open.js';
+import { openAgent } from '../open-agent.js';
 import { reduceAgent } from '../reducer.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import { joinBudgetMs } from './membership.js';
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -9,11 +9,11 @@
 import { pollNow } from '../control/polling.js';
 import { committedMembershipOf, toleratesLosses } from '../control/registers.js';
 import { nodesOf, peerTimeoutMs } from '../gossip/known-nodes.js';
-import { heartbeat } from '../gossip/node-record.js';
+import { publishHeartbeat } from '../gossip/node-record.js';
 import { assignSlotChange, replaceMemberChange } from '../proposals/changes.js';
 import { propose } from '../proposals/proposals.js';
 import type { AgentState } from '../state.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
 import { log, nextRandom, sendToReplica, type Transition, update } from '../transition.js';
 import { type KnownReplica, knownReplicas } from './known-replicas.js';
@@ -112,7 +112,7 @@
  * a slot.
  */
 export const pollOwnReplica = (transition: Transition): void => {
-  const { bootstrap: voting, self, ownReplica } = transition.state;
+  const { bootstrap: voting, self, localReplica: ownReplica } = transition.state;
   if (voting !== null && self.replica !== null && ownReplica === null)
     requestMembership(transition, self.replica.address);
 };
@@ -121,12 +121,12 @@
 export const recordOwnReplica = (transition: Transition, reply: ReplicaReply): void => {
   if (reply.kind === 'newer-membership') return;
   const fresh = reply.kind === 'not-a-member' && reply.isBlank;
-  const before = transition.state.ownReplica;
+  const before = transition.state.localReplica;
   update(transition, {
-    ownReplica: { diskId: reply.diskId, isBlank: fresh, at: transition.state.now },
+    localReplica: { diskId: reply.diskId, isBlank: fresh, at: transition.state.now },
   });
   if (before !== null && before.diskId === reply.diskId && before.isBlank === fresh) return;
-  heartbeat(transition);
+  publishHeartbeat(transition);
   if (fresh)
     update(transition, {
       nextDueAt: { ...transition.state.nextDueAt, gossip: transition.state.now },
@@ -141,7 +141,7 @@
       spares: { ...liveSpares(transition.state), [address]: { diskId: reply.diskId, at: now } },
     });
   } else if (spares[address] !== undefined)
-    update(transition, { spares: without(spares, address) });
+    update(transition, { spares: omitKey(spares, address) });
 };
 
 const isAlive = (state: AgentState, each: KnownReplica): boolean =>
--- a/packages/agent/src/messages.test.ts
+++ b/packages/agent/src/messages.test.ts
@@ -12,7 +12,7 @@
   FeedReply,
   ProxyQuery,
 } from './index.js';
-import { openAgent } from './open.js';
+import { openAgent } from './open-agent.js';
 import { reduceAgent } from './reducer.js';
 
 type Examples = Readonly<Record<string, readonly string[]>>;
--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -167,20 +167,20 @@
 };
 
 /** Parts of a feed that are told only to a proxy that does not hold them as they are. */
-export const feedParts = ['origins', 'peers', 'emptied', 'split', 'slices'] as const;
+export const feedPartNames = ['origins', 'peers', 'emptied', 'split', 'slices'] as const;
 /** The name of a part of the feed that is sent only where it changed. */
-export type FeedPart = (typeof feedParts)[number];
+export type FeedPart = (typeof feedPartNames)[number];
 /** For each part a number that grows when it changes, within one incarnation of the agent. */
-export type Revisions = Readonly<Record<FeedPart, number>>;
+export type FeedRevisions = Readonly<Record<FeedPart, number>>;
 /** A feed as it goes to the proxy: without the parts that it holds. */
 export type FeedReply = Omit<Feed, FeedPart> &
-  Partial<Pick<Feed, FeedPart>> & { readonly revisions: Revisions };
+  Partial<Pick<Feed, FeedPart>> & { readonly revisions: FeedRevisions };
 /** What a proxy holds, and of which incarnation of the agent. */
-export type FeedPartsHeld = { readonly life: string; readonly revisions: Revisions };
+export type HeldFeedParts = { readonly life: string; readonly revisions: FeedRevisions };
 
 /** What a proxy asks of its agent. */
 export type ProxyQuery =
-  | { readonly kind: 'feed'; readonly report: ProxyReport; readonly held: FeedPartsHeld | null }
+  | { readonly kind: 'feed'; readonly report: ProxyReport; readonly held: HeldFeedParts | null }
   | {
       readonly kind: 'claim';
       readonly key: string;
--- a/packages/agent/src/table.ts
+++ b/packages/agent/src/omit-key.ts
@@ -1,7 +1,7 @@
 /** Tables that are never changed in place. */
 
 /** A table without one key. */
-export const without = <T>(
+export const omitKey = <T>(
   table: Readonly<Record<number | string, T>>,
   key: number | string,
 ): Readonly<Record<number | string, T>> => {
--- a/packages/agent/src/open.ts
+++ b/packages/agent/src/open-agent.ts
@@ -37,7 +37,7 @@
   routingTable: {},
   routingTableCheckedAt: 0,
   isRoutingTableStale: true,
-  routingTableNodes: '',
+  routingTableNodeIds: '',
   routingTableCount: 0,
 };
 
@@ -60,7 +60,7 @@
     pendingRequests: {},
     bootstrap,
     startedAt: now,
-    ownReplica: null,
+    localReplica: null,
     spares: {},
     replicas: Object.fromEntries(
       founders.map(([name, address]) => [name, newReplicaView(address, now)]),
@@ -82,14 +82,14 @@
     learntRevisions: { policy: [], zones: [] },
     pendingAppends: {},
     gossip: emptyGossip,
-    delaysByPeer: {},
-    proxyReport: null,
+    pingSecondsByPeer: {},
+    lastProxyReport: null,
     lastFeedParts: {},
     announcedVector: null,
     vectorAnnouncedAt: 0,
     vectorAnnouncementCount: 0,
     ...emptyRouting,
-    allocationSeen: { term: 0, beat: 0, at: now },
+    lastSeenAllocation: { term: 0, beat: 0, at: now },
     quotaLeadership: null,
     nextDueAt: { pull: 0, gossip: 0, heartbeat: 0, division: 0, ping: 0, sweep: 0 },
   };
--- a/packages/agent/src/origins/origin-endpoints.ts
+++ b/packages/agent/src/origins/origin-endpoints.ts
@@ -6,13 +6,13 @@
 import { nodesOf } from '../gossip/known-nodes.js';
 import type { OriginEndpoint } from '../messages.js';
 import type { AgentState } from '../state.js';
-import { isWarmthInDoubt, originsOf } from './origins.js';
+import { mayPredateZoneRestore, originsOf } from './origins.js';
 
 /**
  * requests a second to a cold instance that are worth a node's part: fewer nodes get more each,
  * so that what they may have saved, a request each, stays small beside it.
  */
-export const minSlowStartRate = 3;
+export const minSlowStartRatePerNode = 3;
 
 /**
  * share of a cold instance's bearable rate that the nodes it is given to may use together: what
@@ -35,7 +35,7 @@
       ...nodesOf(state).flatMap(({ record }) => (record.proxy === null ? [] : [record.id])),
     ]),
   ];
-  const parts = Math.max(1, Math.min(names.length, Math.floor(rate / minSlowStartRate)));
+  const parts = Math.max(1, Math.min(names.length, Math.floor(rate / minSlowStartRatePerNode)));
   const own = hashOf(`${instance} ${state.self.id}`);
   const ahead = names.filter(
     (name) => name !== state.self.id && hashOf(`${instance} ${name}`) > own,
@@ -51,7 +51,7 @@
     ({ description, heardAt, exclusionReason: why }): readonly OriginEndpoint[] => {
       if (why !== null) return [];
       const cold =
-        description.state === 'cold' || isWarmthInDoubt(state, description.zone, heardAt);
+        description.state === 'cold' || mayPredateZoneRestore(state, description.zone, heardAt);
       const mine = slices[description.service] ?? {};
       const carried = rateOf(mine, state.self.id, description.capacity ?? Infinity);
       const service = services[description.service];
--- a/packages/agent/src/origins/origins.ts
+++ b/packages/agent/src/origins/origins.ts
@@ -9,7 +9,7 @@
  * ms. After a zone was taken back its origins count as cold until a description is heard this
  * much later: an earlier one may have been under way for a few exchanges of gossip.
  */
-export const warmthDoubtMs = 500;
+export const restoreSettleMs = 500;
 
 /** Why an origin gets no traffic, or null if it does. */
 export const exclusionReason = (state: AgentState, description: Description): string | null => {
@@ -17,7 +17,7 @@
   if (service === undefined) return 'no policy allows this service';
   if (service.instances !== undefined && !service.instances.includes(description.instance))
     return 'the policy does not name this instance';
-  if (state.entryKeys[withdrawnKey(description.instance)] !== undefined) return 'withdrawn';
+  if (state.entryKeys[withdrawalKey(description.instance)] !== undefined) return 'withdrawn';
   if (description.draining || state.entryKeys[drainKey(description)] !== undefined)
     return 'draining';
   if (zonesWithClosedOrigins(state).includes(description.zone))
@@ -32,14 +32,14 @@
   `drain/${description.service}/${description.instance}/${description.incarnation}`;
 
 /** Bars every incarnation of an instance of this name, for as long as the journal entry lasts. */
-export const withdrawnKey = (instance: string): string => `withdrawn/${instance}`;
+export const withdrawalKey = (instance: string): string => `withdrawn/${instance}`;
 
 /**
  * Whether what an origin of a zone said at some time is too old to be trusted as warm: its zone was
  * taken back since.
  */
-export const isWarmthInDoubt = (state: AgentState, zone: string, heardAt: number): boolean =>
-  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + warmthDoubtMs;
+export const mayPredateZoneRestore = (state: AgentState, zone: string, heardAt: number): boolean =>
+  heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + restoreSettleMs;
 
 const isOlder = (told: Description, known: Description): boolean =>
   told.incarnation < known.incarnation ||
--- a/packages/agent/src/proposals/changes.test.ts
+++ b/packages/agent/src/proposals/changes.test.ts
@@ -3,7 +3,7 @@
 import { learnRegister } from '../control/polling.js';
 import { zonesValueOf } from '../control/registers.js';
 import type { PolicyRegister } from '../messages.js';
-import { openAgent } from '../open.js';
+import { openAgent } from '../open-agent.js';
 import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
--- a/packages/agent/src/proposals/changes.ts
+++ b/packages/agent/src/proposals/changes.ts
@@ -9,7 +9,7 @@
 import type { Policy, ZoneOrder } from '@reedyard/schemas';
 import { zonesValueOf } from '../control/registers.js';
 import type { ClaimRegister, ClaimState, PolicyRegister, ZonesRegister } from '../messages.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import { findRecentChange, addRecentChange } from './change-ids.js';
 import { hasSameContent } from './content-equality.js';
 
@@ -243,7 +243,7 @@
 ): Pick<Membership, 'predecessors'> => {
   if (members.predecessors === undefined) return {};
   if (member === undefined) return { predecessors: members.predecessors };
-  return { predecessors: without(members.predecessors, member) };
+  return { predecessors: omitKey(members.predecessors, member) };
 };
 
 const membershipChanged: ChangeResult = {
@@ -297,16 +297,16 @@
     if (old.epoch !== known.epoch || old.disks[gone] === undefined) {
       return membershipChanged;
     }
-    const disks = { ...without(old.disks, gone), [replica]: disk };
-    const addresses = { ...without(old.addresses ?? {}, gone), [replica]: address };
+    const disks = { ...omitKey(old.disks, gone), [replica]: disk };
+    const addresses = { ...omitKey(old.addresses ?? {}, gone), [replica]: address };
     const since = old.joinedIn?.[gone];
     const predecessor = {
       disk: old.disks[gone],
       address: old.addresses?.[gone] ?? '',
       ...(since === undefined ? {} : { joinedIn: since }),
     };
-    const predecessors = { ...without(old.predecessors ?? {}, gone), [replica]: predecessor };
-    const joinedIn = { ...without(old.joinedIn ?? {}, gone), [replica]: old.epoch + 1 };
+    const predecessors = { ...omitKey(old.predecessors ?? {}, gone), [replica]: predecessor };
+    const joinedIn = { ...omitKey(old.joinedIn ?? {}, gone), [replica]: old.epoch + 1 };
     const value = { ...old, epoch: old.epoch + 1, disks, addresses, predecessors, joinedIn };
     return { kind: 'write', value: value satisfies Membership };
   };
--- a/packages/agent/src/proposals/completion.ts
+++ b/packages/agent/src/proposals/completion.ts
@@ -4,7 +4,7 @@
  */
 import { recordValue } from '@reedyard/gossip';
 import type { QuotaAllocation } from '@reedyard/quota-division';
-import { type ApiAnswer, refusal, unavailable, unreached } from '../api/api-answers.js';
+import { type ActionReply, refusal, unavailable, unreached } from '../api/action-replies.js';
 import { zonesValueOf } from '../control/registers.js';
 import type {
   ClaimRegister,
@@ -27,11 +27,11 @@
 
 type Purposed<K extends Purpose['kind']> = Extract<Purpose, { kind: K }>;
 
-const answer = (transition: Transition, id: number, given: ApiAnswer): void => {
+const answer = (transition: Transition, id: number, given: ActionReply): void => {
   transition.effects.push({ kind: 'send-answer', requestId: id, ...given });
 };
 
-const refusedPolicy = (reason: string, value: PolicyRegister | null): ApiAnswer => {
+const refusedPolicy = (reason: string, value: PolicyRegister | null): ActionReply => {
   const revision = value?.revision ?? 0;
   const isTaken = reason === refusalReasons.versionTaken;
   const detail = isTaken
--- a/packages/agent/src/proposals/journal-appends.ts
+++ b/packages/agent/src/proposals/journal-appends.ts
@@ -4,10 +4,10 @@
  */
 import { majorityOf } from '@reedyard/consensus';
 import type { JournalEntry, ReplicaReply } from '@reedyard/replica';
-import { unreached } from '../api/api-answers.js';
+import { unreached } from '../api/action-replies.js';
 import { isAppendIsolated } from '../control/reachability.js';
 import { isDiskOfMember } from '../control/registers.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import { sendToReplica, takeRequestId, type Transition, update } from '../transition.js';
 import { type PendingAppend, proposalTimeoutMs, resendMs } from './proposal-state.js';
 
@@ -60,7 +60,7 @@
   }
   const posted = Object.fromEntries(posting.entries.map((entry) => [entry.key, true as const]));
   update(transition, {
-    pendingAppends: without(transition.state.pendingAppends, which),
+    pendingAppends: omitKey(transition.state.pendingAppends, which),
     committedEntryKeys: { ...transition.state.committedEntryKeys, ...posted },
   });
   transition.effects.push({
@@ -72,7 +72,7 @@
 };
 
 const failAppend = (transition: Transition, appendId: number, append: PendingAppend): void => {
-  update(transition, { pendingAppends: without(transition.state.pendingAppends, appendId) });
+  update(transition, { pendingAppends: omitKey(transition.state.pendingAppends, appendId) });
   const requestId = append.apiRequestId;
   transition.effects.push({ kind: 'send-answer', requestId, ...unreached('The order') });
 };
--- a/packages/agent/src/proposals/proposals.test.ts
+++ b/packages/agent/src/proposals/proposals.test.ts
@@ -8,7 +8,7 @@
 import { Schemas } from '@reedyard/schemas';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect, AgentEvent, ApiAction } from '../messages.js';
-import { openAgent } from '../open.js';
+import { openAgent } from '../open-agent.js';
 import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
--- a/packages/agent/src/proposals/proposals.ts
+++ b/packages/agent/src/proposals/proposals.ts
@@ -22,7 +22,7 @@
 import { isChangeIsolated } from '../control/reachability.js';
 import { isDiskOfMember } from '../control/registers.js';
 import type { AgentState } from '../state.js';
-import { without } from '../table.js';
+import { omitKey } from '../omit-key.js';
 import {
   log,
   nextRandom,
@@ -160,7 +160,7 @@
 const dropAbandoned = (transition: Transition, key: string): void => {
   for (const { id, pendingChange } of waitingFor(transition.state, key)) {
     if (pendingChange.isAbandoned)
-      update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+      update(transition, { pendingChanges: omitKey(transition.state.pendingChanges, id) });
   }
 };
 
@@ -173,7 +173,7 @@
   dropAbandoned(transition, key);
   const waiting = waitingFor(transition.state, key);
   if (waiting.length === 0) {
-    update(transition, { activeProposals: without(transition.state.activeProposals, key) });
+    update(transition, { activeProposals: omitKey(transition.state.activeProposals, key) });
     return;
   }
   const { state } = transition;
@@ -233,12 +233,12 @@
   const isWanted = ({ id }: Applied): boolean => transition.state.pendingChanges[id] !== undefined;
   const applied = applyAll(active.included, chosen.valueRead).filter(isWanted);
   const proposalRuns = applied.reduce(
-    (left, { id }) => without(left, id),
+    (left, { id }) => omitKey(left, id),
     transition.state.pendingChanges,
   );
   update(transition, {
     pendingChanges: proposalRuns,
-    activeProposals: without(transition.state.activeProposals, key),
+    activeProposals: omitKey(transition.state.activeProposals, key),
   });
   if (chosen.proposalNumber !== null)
     learnChosen(transition, key, chosen.proposalNumber, chosen.value);
@@ -372,7 +372,7 @@
   purpose.kind === 'zone' ? zoneOrderTimeoutMs : proposalTimeoutMs;
 
 const failChange = (transition: Transition, id: number, pendingChange: PendingChange): void => {
-  update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+  update(transition, { pendingChanges: omitKey(transition.state.pendingChanges, id) });
   completeChange(transition, pendingChange.purpose, { kind: 'unknown' });
 };
 
@@ -483,7 +483,7 @@
       });
       continue;
     }
-    update(transition, { pendingChanges: without(transition.state.pendingChanges, id) });
+    update(transition, { pendingChanges: omitKey(transition.state.pendingChanges, id) });
     log(transition, 'order.dropped', { kind: pendingChange.purpose.kind });
     withdrawUnwanted(transition, pendingChange.key);
   }
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -4,8 +4,8 @@
  */
 import {
   allocateQuotas,
-  hasChangedShares,
-  hasMostOfGoal,
+  haveSharesChanged,
+  hasReachedReadyShare,
   nextShares,
   type QuotaAllocation,
   type QuotaNode,
@@ -83,7 +83,7 @@
       const now = current[service] ?? {};
       const earlier = preceding.map(({ slices }) => slices[service] ?? {});
       const next = nextShares(goal, [now, ...earlier]);
-      return [service, hasChangedShares(next, now) ? next : now];
+      return [service, haveSharesChanged(next, now) ? next : now];
     }),
   );
 
@@ -102,7 +102,7 @@
 };
 
 /** Half an interval early, since the last allocation was chosen a little after it was looked at. */
-const isRenewalDue = ({ now, allocationSeen }: AgentState): boolean =>
+const isRenewalDue = ({ now, lastSeenAllocation: allocationSeen }: AgentState): boolean =>
   now - allocationSeen.at >= allocationRenewalIntervalMs - allocationIntervalMs / 2;
 
 /** The leader's turn: renew the term and move quotas to where the demand is. */
@@ -121,7 +121,7 @@
   );
   const seated = nodes
     .map(({ id }) => id)
-    .filter((id) => current.seated.includes(id) || hasMostOfGoal(id, limitedGoals, slices));
+    .filter((id) => current.seated.includes(id) || hasReachedReadyShare(id, limitedGoals, slices));
   if (isSameAllocation(slices, seated, current) && !isRenewalDue(state)) return;
   const { term } = current;
   const goal = { term, holder: state.self.id, beat: current.beat + 1, slices, seated };
@@ -150,8 +150,10 @@
   update(transition, { quotaLeadership: null });
 };
 
-const isVacant = ({ now, allocationSeen }: AgentState, current: QuotaAllocation | null): boolean =>
-  current === null || now - allocationSeen.at > quotaLeaderTimeoutMs;
+const isVacant = (
+  { now, lastSeenAllocation: allocationSeen }: AgentState,
+  current: QuotaAllocation | null,
+): boolean => current === null || now - allocationSeen.at > quotaLeaderTimeoutMs;
 
 const proposeSelf = (transition: Transition, current: QuotaAllocation | null): void => {
   const { term = 0, slices = {}, seated = [] } = current ?? {};
--- a/packages/agent/src/reducer.ts
+++ b/packages/agent/src/reducer.ts
@@ -22,7 +22,7 @@
   isJoining,
   learnRecords,
 } from './gossip/gossip-exchange.js';
-import { heartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
+import { publishHeartbeat, heartbeatIntervalMs } from './gossip/node-record.js';
 import { pollOwnReplica, maintainMembership } from './membership/membership.js';
 import type { AgentEffect, AgentEvent, AgentReply, AgentRequest } from './messages.js';
 import { recordLearntRevisions } from './proposals/change-ids.js';
@@ -32,8 +32,8 @@
 import { handlePingReply, pingPeers, pingRoundIntervalMs } from './routing/peer-delays.js';
 import { computeRoutingTable } from './routing/routing-table.js';
 import type { AgentState } from './state.js';
-import { without } from './table.js';
-import { noteTick } from './tick-delay.js';
+import { omitKey } from './omit-key.js';
+import { recordTick } from './tick-delay.js';
 import { sendToAgent, type Transition, update } from './transition.js';
 
 type ExchangeCall = Extract<AgentRequest, { kind: 'exchange' }>;
@@ -80,7 +80,7 @@
 const handleReply = (transition: Transition, id: number, body: ReplicaReply | AgentReply): void => {
   const pending = transition.state.pendingRequests[id];
   if (pending === undefined) return;
-  update(transition, { pendingRequests: without(transition.state.pendingRequests, id) });
+  update(transition, { pendingRequests: omitKey(transition.state.pendingRequests, id) });
   if ('replica' in pending) recordReplicaReply(transition, pending.replica);
   switch (pending.kind) {
     case 'poll':
@@ -128,7 +128,7 @@
 const handleFailure = (transition: Transition, id: number): void => {
   const pending = transition.state.pendingRequests[id];
   if (pending === undefined) return;
-  update(transition, { pendingRequests: without(transition.state.pendingRequests, id) });
+  update(transition, { pendingRequests: omitKey(transition.state.pendingRequests, id) });
   if (pending.kind === 'poll') handlePollFailure(transition, pending.replica);
   if (pending.kind === 'exchange' && pending.peer !== null) {
     const { gossip } = transition.state;
@@ -145,7 +145,7 @@
     act();
   };
   const { lastTickAt: beatAt } = transition.state;
-  noteTick(transition);
+  recordTick(transition);
   logLeaseLost(transition, beatAt);
   recordLearntRevisions(transition);
   maintainProposals(transition);
@@ -157,7 +157,7 @@
   pollOwnReplica(transition);
   if (transition.state.self.replica !== null) maintainMembership(transition);
   pollEarly(transition);
-  due('heartbeat', heartbeatIntervalMs, () => heartbeat(transition));
+  due('heartbeat', heartbeatIntervalMs, () => publishHeartbeat(transition));
   due('gossip', isJoining(transition.state) ? noLeasePollIntervalMs : gossipIntervalMs, () =>
     exchangeGossip(transition),
   );
--- a/packages/agent/src/routing/peer-delays.ts
+++ b/packages/agent/src/routing/peer-delays.ts
@@ -19,7 +19,7 @@
   for (const { record } of nodesOf(transition.state)) {
     if (record.id === transition.state.self.id || record.proxy === null) continue;
     if (
-      transition.state.delaysByPeer[record.id] !== undefined &&
+      transition.state.pingSecondsByPeer[record.id] !== undefined &&
       nextRandom(transition) >= pingRoundIntervalMs / pingIntervalMs
     )
       continue;
@@ -35,15 +35,15 @@
 /** Notes how long a peer took to answer a ping; the last two count. */
 export const handlePingReply = (transition: Transition, edge: string, seconds: number): void => {
   update(transition, {
-    delaysByPeer: {
-      ...transition.state.delaysByPeer,
-      [edge]: [...(transition.state.delaysByPeer[edge] ?? []), seconds].slice(-2),
+    pingSecondsByPeer: {
+      ...transition.state.pingSecondsByPeer,
+      [edge]: [...(transition.state.pingSecondsByPeer[edge] ?? []), seconds].slice(-2),
     },
   });
 };
 
 /** s. The least of the last two pings: what the path takes without the machine's own noise. */
-export const delayTo = (state: AgentState, edge: string): number | null => {
-  const known = state.delaysByPeer[edge];
+export const delaySecondsTo = (state: AgentState, edge: string): number | null => {
+  const known = state.pingSecondsByPeer[edge];
   return known === undefined || known.length === 0 ? null : Math.min(...known);
 };
--- a/packages/agent/src/routing/routing-table.ts
+++ b/packages/agent/src/routing/routing-table.ts
@@ -18,10 +18,10 @@
 import type { NodeRecord, PeerEndpoint, TrafficMeasurement } from '../messages.js';
 import type { AgentState } from '../state.js';
 import { type Transition, update } from '../transition.js';
-import { delayTo } from './peer-delays.js';
+import { delaySecondsTo } from './peer-delays.js';
 
 /** ms. A vector is sent again though nothing changed, so that a lost one heals. */
-export const vectorRefreshMs = 30_000;
+export const vectorRefreshIntervalMs = 30_000;
 
 const vectorOf = (state: AgentState, measure: TrafficMeasurement): LoadVector => {
   const capacity = state.self.proxy?.capacityBps ?? 0;
@@ -33,8 +33,8 @@
     utilisation: capacity > 0 ? measure.servedBps / capacity : 0,
     offered: capacity > 0 ? asked / capacity : 0,
     delays: Object.fromEntries(
-      Object.keys(state.delaysByPeer).flatMap((edge) => {
-        const delay = delayTo(state, edge);
+      Object.keys(state.pingSecondsByPeer).flatMap((edge) => {
+        const delay = delaySecondsTo(state, edge);
         return delay === null ? [] : [[edge, delay]];
       }),
     ),
@@ -44,10 +44,10 @@
 };
 
 /** A new measurement: told to all only on a marked change, or when the slow refresh is due. */
-export const noteMeasurement = (transition: Transition, measure: TrafficMeasurement): void => {
+export const handleMeasurement = (transition: Transition, measure: TrafficMeasurement): void => {
   const vector = vectorOf(transition.state, measure);
   const { announcedVector: sent, vectorAnnouncedAt: sentAt, now } = transition.state;
-  if (!shouldAnnounce(vector, sent) && now - sentAt < vectorRefreshMs) return;
+  if (!shouldAnnounce(vector, sent) && now - sentAt < vectorRefreshIntervalMs) return;
   update(transition, {
     announcedVector: vector,
     vectorAnnouncedAt: now,
@@ -107,7 +107,8 @@
   const vectors: Record<string, LoadVector> = {};
   for (const [key, value, seenAt] of liveRecords(gossip, vectorPrefix)) {
     const id = key.slice(vectorPrefix.length);
-    const isFresh = serving.has(id) && now - seenAt < maxVectorAgeRefreshes * vectorRefreshMs;
+    const isFresh =
+      serving.has(id) && now - seenAt < maxVectorAgeRefreshes * vectorRefreshIntervalMs;
     if (id === self.id || isFresh) vectors[id] = value as LoadVector;
   }
   return vectors;
@@ -144,7 +145,7 @@
   const serving = new Map(servingNodes(state).map((record) => [record.id, record]));
   const routingTableNodes = [...serving.keys()].sort().join(' ');
   update(transition, { routingTableCheckedAt: now });
-  if (!state.isRoutingTableStale && routingTableNodes === state.routingTableNodes) return;
+  if (!state.isRoutingTableStale && routingTableNodes === state.routingTableNodeIds) return;
   const vectors = usableVectors(state, serving);
   const routingTable =
     vectors[self.id] === undefined
@@ -153,7 +154,7 @@
   update(transition, {
     routingTable,
     isRoutingTableStale: false,
-    routingTableNodes,
+    routingTableNodeIds: routingTableNodes,
     routingTableCount: state.routingTableCount + 1,
   });
 };
@@ -170,7 +171,7 @@
               zone: record.zone,
               region: record.region,
               address: record.proxy.peers,
-              delay: delayTo(state, record.id) ?? fetchPenaltySeconds,
+              delay: delaySecondsTo(state, record.id) ?? fetchPenaltySeconds,
             },
           ],
     )
--- a/packages/agent/src/run.ts
+++ b/packages/agent/src/run.ts
@@ -27,11 +27,11 @@
   NodeIdentity,
   ProxyQuery,
 } from './messages.js';
-import { openAgent } from './open.js';
+import { openAgent } from './open-agent.js';
 import { reduceAgent } from './reducer.js';
 import type { AgentState } from './state.js';
 import { agentTickIntervalMs } from './tick-delay.js';
-import { WaitingCallers } from './waiting-callers.js';
+import { IncomingRequests } from './incoming-requests.js';
 
 /** ms of this process's monotonic clock. */
 const now = (): number => performance.now();
@@ -93,7 +93,7 @@
 const perform = (
   effect: AgentEffect,
   put: (event: AgentEvent) => boolean,
-  callers: WaitingCallers,
+  callers: IncomingRequests,
   logger: Logger,
 ): void => {
   switch (effect.kind) {
@@ -128,12 +128,12 @@
 };
 
 /** Serves the calls of other agents. */
-const serveAgents = (settings: AgentSettings, callers: WaitingCallers): Promise<RpcServer> =>
+const serveAgents = (settings: AgentSettings, callers: IncomingRequests): Promise<RpcServer> =>
   serveCalls(
     { host: settings.listen ?? settings.host, port: settings.agent.port },
     {
       '/agent': (body) =>
-        callers.ask((requestId) => ({
+        callers.submit((requestId) => ({
           kind: 'agent-request-received',
           requestId,
           request: body as AgentRequest,
@@ -143,12 +143,12 @@
   );
 
 /** Serves this machine's proxy; only processes of this machine reach it. */
-const serveProxy = (settings: AgentSettings, callers: WaitingCallers): Promise<RpcServer> =>
+const serveProxy = (settings: AgentSettings, callers: IncomingRequests): Promise<RpcServer> =>
   serveCalls(
     { host: '127.0.0.1', port: settings.agent.feedPort },
     {
       '/feed': (body) =>
-        callers.ask((requestId) => ({
+        callers.submit((requestId) => ({
           kind: 'proxy-request-received',
           requestId,
           request: body as ProxyQuery,
@@ -160,11 +160,11 @@
 /** Serves operators and origins. */
 const serveApi = async (
   settings: AgentSettings,
-  callers: WaitingCallers,
+  callers: IncomingRequests,
   options: AgentOptions,
 ): Promise<http.Server> => {
   const act: PerformAction = (action, signal) =>
-    callers.ask<ApiReply>(
+    callers.submit<ApiReply>(
       (requestId) => ({ kind: 'action-received', requestId, action, now: now() }),
       signal,
     );
@@ -201,7 +201,7 @@
 ): Promise<void> => {
   const logger = openLogger({ program: 'agent', node: settings.name });
   setLocalAddress(settings.host);
-  const callers = new WaitingCallers({ put: (event) => task.put(event), now });
+  const callers = new IncomingRequests({ put: (event) => task.put(event), now });
   const task = Task.run<AgentState, AgentEvent, AgentEffect>({
     initial: openState(settings),
     reduce: reduceAgent,
--- a/packages/agent/src/state.ts
+++ b/packages/agent/src/state.ts
@@ -44,7 +44,7 @@
   readonly bootstrap: AgentBootstrap | null;
   readonly startedAt: number;
   /** This machine's own replica as it last answered. */
-  readonly ownReplica: {
+  readonly localReplica: {
     readonly diskId: string;
     readonly isBlank: boolean;
     readonly at: number;
@@ -120,9 +120,9 @@
   readonly learntRevisions: Readonly<Record<RegisterWithChangeIds, readonly LearntRevision[]>>;
   readonly pendingAppends: Readonly<Record<number, PendingAppend>>;
   readonly gossip: GossipState;
-  readonly delaysByPeer: Readonly<Record<string, readonly number[]>>;
+  readonly pingSecondsByPeer: Readonly<Record<string, readonly number[]>>;
   /** What this machine's proxy last reported, and when. */
-  readonly proxyReport: { readonly proxyReport: ProxyReport; readonly at: number } | null;
+  readonly lastProxyReport: { readonly content: ProxyReport; readonly at: number } | null;
   /** Parts of the feed as they were last told to the proxy. */
   readonly lastFeedParts: Readonly<
     Partial<
@@ -144,9 +144,13 @@
   readonly routingTableCheckedAt: number;
   readonly isRoutingTableStale: boolean;
   /** The nodes that the routing table was computed over. */
-  readonly routingTableNodes: string;
+  readonly routingTableNodeIds: string;
   readonly routingTableCount: number;
-  readonly allocationSeen: { readonly term: number; readonly beat: number; readonly at: number };
+  readonly lastSeenAllocation: {
+    readonly term: number;
+    readonly beat: number;
+    readonly at: number;
+  };
   readonly quotaLeadership: {
     readonly term: number;
     readonly precedingAllocations: readonly {
--- a/packages/agent/src/testing/five-founder-agent.ts
+++ b/packages/agent/src/testing/five-founder-agent.ts
@@ -5,7 +5,7 @@
 import type { Membership, ReplicaReply } from '@reedyard/replica';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect } from '../messages.js';
-import { openAgent } from '../open.js';
+import { openAgent } from '../open-agent.js';
 import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import type { Transition } from '../transition.js';
--- a/packages/agent/src/testing/scripted-replicas.ts
+++ b/packages/agent/src/testing/scripted-replicas.ts
@@ -3,7 +3,7 @@
 import type { WatchedRegister } from '../control/control-state.js';
 import { learnRegister } from '../control/polling.js';
 import type { AgentEffect, ApiAction } from '../messages.js';
-import { openAgent } from '../open.js';
+import { openAgent } from '../open-agent.js';
 import { reduceAgent } from '../reducer.js';
 import type { AgentState } from '../state.js';
 import { agentTickIntervalMs } from '../tick-delay.js';
--- a/packages/agent/src/tick-delay.ts
+++ b/packages/agent/src/tick-delay.ts
@@ -10,13 +10,14 @@
 export const agentTickIntervalMs = 100;
 
 /** ms. A beat that comes this late shows that the process, not the network, is slow. */
-export const lateTickMs = 400;
+export const lateTickThresholdMs = 400;
 
 /** Whether beats stopped for a while until now: whatever waits here waited for that. */
-export const isTickLate = (state: AgentState): boolean => state.now - state.lastTickAt > lateTickMs;
+export const isTickLate = (state: AgentState): boolean =>
+  state.now - state.lastTickAt > lateTickThresholdMs;
 
 /** Notes that a beat came, and whether it came late. */
-export const noteTick = (transition: Transition): void => {
+export const recordTick = (transition: Transition): void => {
   const { state } = transition;
   update(transition, {
     lastTickAt: state.now,
--- a/packages/gossip/src/exchange.ts
+++ b/packages/gossip/src/exchange.ts
@@ -31,9 +31,9 @@
 
 /** The update for a node that holds a revision of the record; 0 where it holds none. */
 const updateFor = (record: GossipRecord, revision: number): RecordUpdate =>
-  revision >= record.fullSince && !record.isForgotten
+  revision >= record.valueRevision && !record.isExpired
     ? { revision: record.revision }
-    : { revision: record.revision, value: record.isForgotten ? null : record.value };
+    : { revision: record.revision, value: record.isExpired ? null : record.value };
 
 /**
  * Learns what others told; returns the keys that were news. @example mergeUpdates(state, newer,
@@ -45,8 +45,8 @@
   now: number,
 ): {
   readonly state: GossipState;
-  readonly news: readonly string[];
-  /** Those of them with a value. */ readonly values: readonly string[];
+  readonly updatedKeys: readonly string[];
+  /** Those of them with a value. */ readonly keysWithValue: readonly string[];
 } => {
   const added: Record<string, GossipRecord> = {};
   const values: string[] = [];
@@ -57,19 +57,19 @@
       added[key] = {
         revision,
         value: rest.value,
-        fullSince: revision,
+        valueRevision: revision,
         seenAt: now,
-        isForgotten: rest.value === null,
+        isExpired: rest.value === null,
       };
       values.push(key);
-    } else if (record !== undefined && !record.isForgotten)
+    } else if (record !== undefined && !record.isExpired)
       added[key] = { ...record, revision, seenAt: now };
   }
   const news = Object.keys(added);
   return {
     state: news.length === 0 ? state : { ...state, records: { ...state.records, ...added } },
-    news,
-    values,
+    updatedKeys: news,
+    keysWithValue: values,
   };
 };
 
@@ -77,7 +77,7 @@
 export const digestOf = (state: GossipState): Readonly<Record<string, number>> =>
   Object.fromEntries(
     Object.entries(state.records).flatMap(([key, record]) =>
-      record.isForgotten ? [] : [[key, record.revision]],
+      record.isExpired ? [] : [[key, record.revision]],
     ),
   );
 
@@ -98,7 +98,7 @@
 } => ({
   newer: Object.fromEntries(
     Object.entries(state.records).flatMap(([key, record]) =>
-      record.revision > (digest[key] ?? 0) && (!record.isForgotten || digest[key] !== undefined)
+      record.revision > (digest[key] ?? 0) && (!record.isExpired || digest[key] !== undefined)
         ? [[key, updateFor(record, digest[key] ?? 0)]]
         : [],
     ),
@@ -107,7 +107,7 @@
     Object.entries(digest).flatMap(([key, revision]) => {
       const record = state.records[key];
       return revision > (record?.revision ?? 0)
-        ? [[key, record === undefined || record.isForgotten ? 0 : record.revision]]
+        ? [[key, record === undefined || record.isExpired ? 0 : record.revision]]
         : [];
     }),
   ),
@@ -121,6 +121,6 @@
   Object.fromEntries(
     Object.entries(wants).flatMap(([key, revision]) => {
       const record = state.records[key];
-      return record === undefined || record.isForgotten ? [] : [[key, updateFor(record, revision)]];
+      return record === undefined || record.isExpired ? [] : [[key, updateFor(record, revision)]];
     }),
   );
--- a/packages/gossip/src/gossip.test.ts
+++ b/packages/gossip/src/gossip.test.ts
@@ -51,7 +51,7 @@
     0,
   );
   const swept = expireRecords(told, originRetentionMs + 1);
-  t.deepEqual(swept.gone, ['origin/s/i']);
+  t.deepEqual(swept.expiredKeys, ['origin/s/i']);
   t.is(recordValue(exchange(swept.state, told, 20_000)[0], 'origin/s/i'), undefined);
   // The owner came back without memory: it speaks below the revision that others have put away,
   // hears of that, and speaks above it.
@@ -83,7 +83,7 @@
     news: [],
     values: [],
   });
-  t.deepEqual(mergeUpdates(emptyGossip, { 'node/a': { revision: 3 } }, 0).news, []);
+  t.deepEqual(mergeUpdates(emptyGossip, { 'node/a': { revision: 3 } }, 0).updatedKeys, []);
   t.is(recordValue(exchange(swept, beaten, 40_000)[0], 'node/a') !== undefined, true);
 });
 
--- a/packages/gossip/src/records.ts
+++ b/packages/gossip/src/records.ts
@@ -16,11 +16,11 @@
   readonly revision: number;
   readonly value: unknown;
   /** The revision that first had this value: whoever holds it or a later one has the value. */
-  readonly fullSince: number;
+  readonly valueRevision: number;
   /** ms of this node's clock at which the present revision came. */
   readonly seenAt: number;
   /** It expired. The revision stays, so that a late copy does not bring the value back. */
-  readonly isForgotten: boolean;
+  readonly isExpired: boolean;
 };
 
 /** What a node holds: records by key, and a partial view of the other nodes. */
@@ -47,7 +47,7 @@
 /** The value under a key, if it is known and not forgotten. @example recordValue(state, 'node/front-1') */
 export const recordValue = (state: GossipState, key: string): unknown => {
   const record = state.records[key];
-  return record === undefined || record.isForgotten ? undefined : record.value;
+  return record === undefined || record.isExpired ? undefined : record.value;
 };
 
 /** All live records of a kind. @example liveRecords(state, 'origin/') // [[key, value, seenAt], …] */
@@ -63,7 +63,7 @@
   let found = known.get(prefix);
   if (found === undefined) {
     found = Object.entries(state.records).flatMap(([key, record]) =>
-      key.startsWith(prefix) && !record.isForgotten
+      key.startsWith(prefix) && !record.isExpired
         ? [[key, record.value, record.seenAt] as const]
         : [],
     );
@@ -92,7 +92,7 @@
     ...state,
     records: {
       ...state.records,
-      [key]: { revision, value, fullSince: revision, seenAt: now, isForgotten: false },
+      [key]: { revision, value, valueRevision: revision, seenAt: now, isExpired: false },
     },
   };
 };
@@ -107,7 +107,7 @@
  */
 export const renewRecord = (state: GossipState, key: string, now: number): GossipState => {
   const record = state.records[key];
-  return record === undefined || record.isForgotten
+  return record === undefined || record.isExpired
     ? state
     : {
         ...state,
@@ -124,7 +124,7 @@
  */
 export const renewalsSinceFull = (state: GossipState, key: string): number => {
   const record = state.records[key];
-  return record === undefined ? 0 : record.revision - record.fullSince;
+  return record === undefined ? 0 : record.revision - record.valueRevision;
 };
 
 /** Changes a value held here without telling it to others. @example replaceLocally(state, 'origin/s/i', value) */
@@ -139,11 +139,11 @@
 export const expireRecords = (
   state: GossipState,
   now: number,
-): { readonly state: GossipState; readonly gone: readonly string[] } => {
+): { readonly state: GossipState; readonly expiredKeys: readonly string[] } => {
   const gone = Object.entries(state.records).flatMap(([key, record]) =>
-    !record.isForgotten && now - record.seenAt > retentionMsOf(key) ? [key] : [],
+    !record.isExpired && now - record.seenAt > retentionMsOf(key) ? [key] : [],
   );
-  if (gone.length === 0) return { state, gone };
+  if (gone.length === 0) return { state, expiredKeys: gone };
   return {
     state: {
       ...state,
@@ -154,6 +154,6 @@
         ),
       },
     },
-    gone,
+    expiredKeys: gone,
   };
 };
--- a/packages/proxy/src/feed-snapshot.ts
+++ b/packages/proxy/src/feed-snapshot.ts
@@ -1,13 +1,13 @@
 /** The feed as the agent sends it: only the parts that changed, merged with those held. */
-import type { Feed, FeedReply, FeedPartsHeld, Revisions } from '@reedyard/agent';
+import type { Feed, FeedReply, HeldFeedParts, FeedRevisions } from '@reedyard/agent';
 
 /** The last feed as a proxy's shell holds it. */
-export type FeedSnapshot = { readonly feed: Feed; readonly revisions: Revisions };
+export type FeedSnapshot = { readonly feed: Feed; readonly revisions: FeedRevisions };
 
 /** How feeds are asked for and put together. */
 export const Feeds = {
   /** What the agent is told to be held. @example Feeds.holding(null) // null */
-  heldParts: (held: FeedSnapshot | null): FeedPartsHeld | null =>
+  heldParts: (held: FeedSnapshot | null): HeldFeedParts | null =>
     held === null ? null : { life: held.feed.life, revisions: held.revisions },
 
   /**
--- a/packages/quota-division/src/index.ts
+++ b/packages/quota-division/src/index.ts
@@ -1,9 +1,9 @@
 /** How a rate limit is divided among nodes. */
 export {
   allocateQuotas,
-  floorShare,
-  hasChangedShares,
-  hasMostOfGoal,
+  floorShare as evenlySpreadShare,
+  hasChangedShares as haveSharesChanged,
+  hasMostOfGoal as hasReachedReadyShare,
   nextShares,
   type QuotaAllocation,
   type QuotaNode,
@@ -11,5 +11,5 @@
   rateLimitOf,
   rateOf,
   readyQuotaShare,
-  usableRate,
+  usableRate as usableRateOf,
 } from './quota-allocation.js';
--- a/packages/quota-division/src/quota-division.test.ts
+++ b/packages/quota-division/src/quota-division.test.ts
@@ -4,7 +4,7 @@
   allocateQuotas,
   rateOf,
   nextShares,
-  usableRate,
+  usableRateOf,
   type QuotaNode,
   type QuotaShares,
 } from './index.js';
@@ -65,8 +65,8 @@
 });
 
 test('small ceilings leave room for the token that each edge may have saved', (t) => {
-  t.true(5 * usableRate(20, 11) + 11 <= 1.1 * 5 * 20 + 1e-9);
-  t.is(usableRate(1_000, 11), 1_000);
+  t.true(5 * usableRateOf(20, 11) + 11 <= 1.1 * 5 * 20 + 1e-9);
+  t.is(usableRateOf(1_000, 11), 1_000);
 });
 
 test('a service is bound by its ceiling, and by what its instances carry', (t) => {
