--- a/packages/replica/src/replica-host.ts
+++ b/packages/replica/src/replica-host.ts
@@ -28,7 +28,7 @@
 export type ReplicaEnvironment = {
   readonly now: () => number;
   readonly call: (address: string, request: ReplicaRequest) => Promise<ReplicaReply>;
-  /** Ends the process, which was requested to stop, once no other replica still needs it. */
+  /** Ends the process; called once it was requested to stop and no other replica still needs it. */
   readonly exitProcess: () => void;
   readonly log: (
     level: 'info' | 'warn' | 'error',
@@ -41,7 +41,7 @@
 const maxPendingReplies = 4_096;
 /**
  * Time in milliseconds after which a sync counts as stalled. It equals the time for a phase of a
- * proposal, after which no client waits for the reply any longer.
+ * proposal, after which a vote is of no use to the proposer.
  */
 const stallTimeoutMs = proposalPhaseTimeoutMs;
 /** First and longest delay between two attempts to recover a failed disk, in milliseconds. */
--- a/packages/replica/src/voting.ts
+++ b/packages/replica/src/voting.ts
@@ -38,7 +38,7 @@
 const diskIdsOf = (peers: PeerReads): Membership['disks'] =>
   Object.fromEntries(Object.entries(peers).map(([name, peer]) => [name, peer.diskId]));
 
-const isSameDisks = (left: Membership['disks'], right: Membership['disks']): boolean => {
+const hasSameDisks = (left: Membership['disks'], right: Membership['disks']): boolean => {
   const names = Object.keys(left);
   return (
     names.length === Object.keys(right).length && names.every((name) => left[name] === right[name])
@@ -80,7 +80,7 @@
     ...diskIdsOf(peers),
     [state.name]: state.diskId,
   };
-  if (knownMembership !== null && isSameDisks(disks, knownMembership.value.disks)) return null;
+  if (knownMembership !== null && hasSameDisks(disks, knownMembership.value.disks)) return null;
   const epoch = (knownMembership?.value.epoch ?? 0) + 1;
   return {
     proposalNumber: foundingNumber((knownMembership?.proposalNumber.counter ?? 0) + 1),
