--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -271,7 +271,7 @@
     // A process that starts on this disk after a power loss must find everything that replies
     // showed.
     const acceptedNumber = acceptedNumberIn(pollReply);
-    for (const diskAfterPowerLoss of disk.powerLosses()) {
+    for (const diskAfterPowerLoss of disk.statesAfterPowerLoss()) {
       const value = await acceptedOnDisk(diskAfterPowerLoss);
       const storedRound = value === undefined ? 0 : roundOf(value);
       t.true(
@@ -378,7 +378,7 @@
       checks.push(
         pendingReply.then(async (reply) => {
           const acceptedNumber = reply.kind === 'vote' ? [step + 1] : acceptedNumberIn(reply);
-          for (const diskAfterPowerLoss of disk.powerLosses()) {
+          for (const diskAfterPowerLoss of disk.statesAfterPowerLoss()) {
             const value = await acceptedOnDisk(diskAfterPowerLoss);
             const storedRound = value === undefined ? 0 : roundOf(value);
             t.true(
