--- a/packages/write-ahead-log/src/errors.ts
+++ b/packages/write-ahead-log/src/errors.ts
@@ -1,19 +1,19 @@
-/** What goes wrong with a write-ahead log, in a form that programs can tell apart. */
+/** The error class of the write-ahead log, with codes that programs can distinguish. */
 import { CodedError, errorMessage } from '@reedyard/logging';
 
 /**
  * An error of the log. Its `code` is one of
- * - `damaged`: something that was synced is missing or unreadable; only an operator can decide,
- * - `full`: the disk has no room,
- * - `disk`: the disk refused in another way.
+ * - `damaged`: synced data is missing or unreadable; an operator must decide how to repair the log,
+ * - `full`: the disk has no free space,
+ * - `disk`: a disk operation failed for another reason.
  *
- * After `full` and `disk` the log can be recovered once the disk takes writes again.
+ * After `full` and `disk` the log can be recovered once the disk accepts writes again.
  */
 export class WriteAheadLogError extends CodedError {}
 
 const outOfSpaceCodes: ReadonlySet<string> = new Set(['ENOSPC', 'EDQUOT']);
 
-/** Turns anything that a file system throws into an error of the log. */
+/** Converts an error that a file system throws to an error of the log. */
 export const toLogError = (thrown: unknown, folder: string): WriteAheadLogError => {
   if (thrown instanceof WriteAheadLogError) return thrown;
   const systemCode = (thrown as NodeJS.ErrnoException).code ?? '';
--- a/packages/write-ahead-log/src/file-system.ts
+++ b/packages/write-ahead-log/src/file-system.ts
@@ -1,36 +1,36 @@
 /**
- * The few file operations that the log is built on. Tests put a model disk in place of the real
- * one, with faults and losses of power at every operation.
+ * The file operations that the log needs. Tests replace the real file system by a model disk that
+ * injects faults and power losses at every operation.
  */
 import { promises as fs } from 'node:fs';
 import path from 'node:path';
 
-/** A new file that is written from its start to its end. */
+/** A new file that is written sequentially. */
 export type WritableFile = {
   /**
-   * Writes at the end of the file; tells how many bytes were taken, which may be fewer than given.
+   * Appends to the file; resolves with the number of bytes written, which may be fewer than given.
    */
   readonly write: (bytes: Buffer) => Promise<number>;
-  /** Resolves once all bytes written so far, and the file itself, outlast a loss of power. */
+  /** Resolves once all bytes written so far, and the file itself, survive a power loss. */
   readonly sync: () => Promise<void>;
   readonly close: () => Promise<void>;
 };
 
-/** File operations in one folder; names are names of files in it. */
+/** File operations in one folder; each name is the name of a file in that folder. */
 export type LogFileSystem = {
-  /** Makes the folder if it is missing; its name is durable afterwards. */
+  /** Creates the folder if it does not exist and makes its name durable. */
   readonly createFolder: () => Promise<void>;
-  /** The names of all files; none if the folder does not exist. */
+  /** Lists the names of all files; empty if the folder does not exist. */
   readonly list: () => Promise<readonly string[]>;
   readonly read: (name: string) => Promise<Buffer>;
-  /** Makes a new file; fails with `EEXIST` if one of this name is there. */
+  /** Creates a file; fails with `EEXIST` if a file of this name exists. */
   readonly create: (name: string) => Promise<WritableFile>;
   readonly remove: (name: string) => Promise<void>;
-  /** Resolves once all names made or removed so far outlast a loss of power. */
+  /** Resolves once all creations and removals of files so far survive a power loss. */
   readonly syncFolder: () => Promise<void>;
 };
 
-const syncPath = async (folder: string): Promise<void> => {
+const syncFolderAt = async (folder: string): Promise<void> => {
   const handle = await fs.open(folder, 'r');
   try {
     await handle.sync();
@@ -48,8 +48,8 @@
   }
 };
 
-const createFile = async (file: string): Promise<WritableFile> => {
-  const handle = await fs.open(file, 'wx');
+const createFile = async (filePath: string): Promise<WritableFile> => {
+  const handle = await fs.open(filePath, 'wx');
   return {
     write: async (bytes) => (await handle.write(bytes)).bytesWritten,
     sync: () => handle.datasync(),
@@ -58,7 +58,7 @@
 };
 
 /**
- * The real file system under one folder.
+ * The file operations of Node.js on one folder of the real file system.
  *
  * @example
  * const files = nodeFileSystem('/var/lib/reedyard/core-1');
@@ -67,11 +67,11 @@
 export const nodeFileSystem = (folder: string): LogFileSystem => ({
   createFolder: async () => {
     await fs.mkdir(folder, { recursive: true });
-    await syncPath(path.dirname(path.resolve(folder)));
+    await syncFolderAt(path.dirname(path.resolve(folder)));
   },
   list: () => listFolder(folder),
   read: (name) => fs.readFile(path.join(folder, name)),
   create: (name) => createFile(path.join(folder, name)),
   remove: (name) => fs.rm(path.join(folder, name), { force: true }),
-  syncFolder: () => syncPath(folder),
+  syncFolder: () => syncFolderAt(folder),
 });
--- a/packages/write-ahead-log/src/index.ts
+++ b/packages/write-ahead-log/src/index.ts
@@ -1,4 +1,4 @@
-/** A write-ahead log in segments, with snapshots beside it. */
+/** A write-ahead log that consists of segments and snapshots in one folder. */
 export { WriteAheadLogError } from './errors.js';
 export { encodeRecord } from './frames.js';
 export { nodeFileSystem, type LogFileSystem, type WritableFile } from './file-system.js';
--- a/packages/write-ahead-log/src/log.ts
+++ b/packages/write-ahead-log/src/log.ts
@@ -1,8 +1,8 @@
 /**
- * The write-ahead log of one process: appended records are acknowledged once they are synced. A
- * write or a sync that fails seals the segment for good, since nothing is known of what it holds
- * from there on; the log takes appends again after `recover`, which begins a new segment that
- * fences the old one.
+ * The write-ahead log of one process. Appended records are acknowledged once they are synced. A
+ * failed write or sync seals the segment permanently, because the contents of the file from that
+ * point on are unknown. The log accepts appends again after `recover`, which starts a new segment
+ * that fences the old segment.
  */
 import { WriteAheadLogError, toLogError } from './errors.js';
 import { nodeFileSystem, type LogFileSystem, type WritableFile } from './file-system.js';
@@ -18,43 +18,46 @@
 import { recoverLog, type RecoveredLog } from './recovery.js';
 import { writeFully, writeSnapshot } from './snapshot-writer.js';
 
-/** Each restart begins a segment; past this many a snapshot is due however small they are. */
+/**
+ * Number of segments above which a snapshot is due even if the segments are small. Each restart
+ * starts a segment.
+ */
 const maxSegments = 64;
 
-/** An open log. */
+/** An open log, to which one process appends. */
 export type WriteAheadLog = {
-  /** What was on disk at opening, oldest first; empty once it was taken. */
+  /** The records on disk when the log was opened, oldest first; empty after `takeRecords`. */
   readonly records: readonly unknown[];
-  /** Gives `records` away, so that what newer ones replaced need not stay in memory. */
+  /** Returns `records` and releases them, so that outdated records don't stay in memory. */
   readonly takeRecords: () => readonly unknown[];
-  /** Whether appends are taken. If not, `recover` must succeed first. */
+  /** Whether the log accepts appends. If not, `recover` must succeed first. */
   readonly available: () => boolean;
-  /** Why appends are not taken. */
+  /** The error that made the log stop accepting appends; null if there is none. */
   readonly failure: () => WriteAheadLogError | null;
   /**
-   * Adds records; resolves once they and all before them are synced. One sync serves all that wait.
-   * All that wait are rejected, and will not come back, if a write or sync fails and the log is
-   * recovered.
+   * Appends records; resolves once they and all records before them are synced. One sync covers all
+   * waiting appends. If a write or sync fails, all waiting appends are rejected, and their records
+   * do not reappear after the log is recovered.
    */
   readonly append: (records: readonly unknown[]) => Promise<void>;
-  /** Resolves once all that was appended so far is synced. */
+  /** Resolves once all records appended so far are synced. */
   readonly settled: () => Promise<void>;
   /**
-   * Begins a new segment after a failure, and makes durable what `records` told if it is not
-   * certain.
+   * Starts a new segment after a failure, and makes those of `records` durable whose sync is
+   * uncertain.
    */
   readonly recover: () => Promise<void>;
-  /** Bytes on disk that a new snapshot would make needless, without the newest snapshot. */
+  /** Bytes on disk that a new snapshot would replace, without the newest snapshot. */
   readonly segmentBytes: () => number;
-  /** Bytes of the newest snapshot. */
+  /** Size of the newest snapshot in bytes. */
   readonly snapshotBytes: () => number;
   /** Whether there are so many segments that a snapshot is due. */
   readonly fragmented: () => boolean;
   /**
-   * Writes the whole state as a snapshot, then drops what it makes needless. Appends go on
-   * meanwhile, in the next segment. `state` is called once, at a moment when all acknowledged
-   * records and no others were written, and must give exactly the state that these make. If the
-   * snapshot can't be written the call fails, but appends go on.
+   * Writes the complete state as a snapshot, then removes the files that the snapshot replaces.
+   * Appends continue meanwhile, in the next segment. `state` is called once, at a moment when
+   * exactly the acknowledged records are written, and must return exactly the state that these
+   * records produce. If the snapshot can't be written the call fails, but appends continue.
    */
   readonly compact: (state: () => Iterable<unknown>) => Promise<void>;
   readonly close: () => Promise<void>;
@@ -63,9 +66,9 @@
 type OpenSegment = {
   readonly file: WritableFile;
   readonly number: number;
-  /** Length up to which it is synced. */
+  /** Length of the synced part of the file, in bytes. */
   syncedBytes: number;
-  /** The newest batch that is synced. */
+  /** The newest synced batch. */
   syncedBatch: number;
 };
 
@@ -75,7 +78,7 @@
   readonly reject: (error: WriteAheadLogError) => void;
 };
 
-const alreadyExists = (thrown: unknown): boolean =>
+const isAlreadyExistsError = (thrown: unknown): boolean =>
   (thrown as NodeJS.ErrnoException).code === 'EEXIST';
 
 const closeQuietly = (file: WritableFile): Promise<void> => file.close().catch(() => undefined);
@@ -86,19 +89,21 @@
   readonly #folder: string;
   #segment: OpenSegment | null = null;
   #failure: WriteAheadLogError | null = null;
-  /** Where the chain ends for the next segment, and what its header must carry on. */
+  /** The end of the chain, which the header of the next segment refers to. */
   #previous: SegmentEnd | null;
+  /** The records that the header of the next segment must contain. */
   #carried: readonly unknown[];
-  #highestNumber: number;
-  #segments: number;
-  #otherBytes: number;
+  #highestFileNumber: number;
+  #segmentCount: number;
+  #replaceableBytes: number;
   #snapshotBytes: number;
   #incompleteSnapshots: readonly string[];
   #unreferencedSegments: readonly string[];
-  #waiting: WaitingAppend[] = [];
-  /** Writes to segments, one after the other. */
-  #writes: Promise<void> = Promise.resolve();
-  #snapshot: Promise<void> = Promise.resolve();
+  #waitingAppends: WaitingAppend[] = [];
+  /** The end of the queue of segment writes, which run one after the other. */
+  #writeQueue: Promise<void> = Promise.resolve();
+  /** The newest compaction; never rejects. */
+  #compaction: Promise<void> = Promise.resolve();
 
   constructor(files: LogFileSystem, folder: string, recovered: RecoveredLog) {
     this.#files = files;
@@ -106,18 +111,18 @@
     this.records = recovered.records;
     this.#previous = recovered.previous;
     this.#carried = recovered.carried;
-    this.#highestNumber = recovered.highestFileNumber;
-    this.#segments = recovered.segmentCount;
-    this.#otherBytes = recovered.otherBytes;
+    this.#highestFileNumber = recovered.highestFileNumber;
+    this.#segmentCount = recovered.segmentCount;
+    this.#replaceableBytes = recovered.replaceableBytes;
     this.#snapshotBytes = recovered.snapshotBytes;
     this.#incompleteSnapshots = recovered.incompleteSnapshots;
     this.#unreferencedSegments = recovered.unreferencedSegments;
   }
 
   takeRecords(): readonly unknown[] {
-    const taken = this.records;
+    const records = this.records;
     this.records = [];
-    return taken;
+    return records;
   }
 
   available(): boolean {
@@ -129,7 +134,7 @@
   }
 
   segmentBytes(): number {
-    return this.#otherBytes;
+    return this.#replaceableBytes;
   }
 
   snapshotBytes(): number {
@@ -137,7 +142,7 @@
   }
 
   fragmented(): boolean {
-    return this.#segments > maxSegments;
+    return this.#segmentCount > maxSegments;
   }
 
   settled(): Promise<void> {
@@ -146,8 +151,8 @@
 
   append(records: readonly unknown[]): Promise<void> {
     return new Promise((resolve, reject) => {
-      this.#waiting.push({ payloads: records.map(encodeRecord), resolve, reject });
-      if (this.#waiting.length === 1) void this.#enqueue(() => this.#flush());
+      this.#waitingAppends.push({ payloads: records.map(encodeRecord), resolve, reject });
+      if (this.#waitingAppends.length === 1) void this.#enqueue(() => this.#flush());
     });
   }
 
@@ -156,10 +161,10 @@
       if (this.#segment !== null) return;
       try {
         await this.#files.createFolder();
-        await this.#removeAll(this.#incompleteSnapshots);
+        await this.#removeFiles(this.#incompleteSnapshots);
         this.#incompleteSnapshots = [];
         this.#segment = await this.#beginSegment();
-        await this.#removeAll(this.#unreferencedSegments);
+        await this.#removeFiles(this.#unreferencedSegments);
         this.#unreferencedSegments = [];
         this.#failure = null;
       } catch (thrown) {
@@ -170,39 +175,39 @@
   }
 
   compact(state: () => Iterable<unknown>): Promise<void> {
-    const run = this.#enqueue(() => this.#rotate(state)).then(({ number, taken }) =>
-      this.#replaceBySnapshot(number, taken),
+    const compaction = this.#enqueue(() => this.#rotate(state)).then(({ number, stateRecords }) =>
+      this.#replaceBySnapshot(number, stateRecords),
     );
-    this.#snapshot = run.catch(() => undefined);
-    return run;
+    this.#compaction = compaction.catch(() => undefined);
+    return compaction;
   }
 
   async close(): Promise<void> {
-    await this.#writes;
-    await this.#snapshot;
-    await this.#writes;
+    await this.#writeQueue;
+    await this.#compaction;
+    await this.#writeQueue;
     if (this.#segment !== null) await closeQuietly(this.#segment.file);
     this.#segment = null;
   }
 
-  #enqueue<Result>(work: () => Promise<Result>): Promise<Result> {
-    const run = this.#writes.then(work);
-    this.#writes = run.then(
+  #enqueue<Result>(operation: () => Promise<Result>): Promise<Result> {
+    const result = this.#writeQueue.then(operation);
+    this.#writeQueue = result.then(
       () => undefined,
       () => undefined,
     );
-    return run;
+    return result;
   }
 
   async #flush(): Promise<void> {
-    const appends = this.#waiting;
-    this.#waiting = [];
+    const appends = this.#waitingAppends;
+    this.#waitingAppends = [];
     try {
-      await this.#writeBatch(appends.flatMap((each) => each.payloads));
-      for (const each of appends) each.resolve();
+      await this.#writeBatch(appends.flatMap((append) => append.payloads));
+      for (const append of appends) append.resolve();
     } catch (thrown) {
       const error = toLogError(thrown, this.#folder);
-      for (const each of appends) each.reject(error);
+      for (const append of appends) append.reject(error);
     }
   }
 
@@ -212,7 +217,7 @@
     const batch = segment.syncedBatch + 1;
     const fileId = fileIdOf('segment', segment.number);
     const frames = payloads.map((payload, index) =>
-      encodeFrame({ payload, batch, lastOfBatch: index === payloads.length - 1, fileId }),
+      encodeFrame({ payload, batch, isLastInBatch: index === payloads.length - 1, fileId }),
     );
     const bytes = Buffer.concat(frames);
     try {
@@ -224,7 +229,7 @@
     }
     segment.syncedBytes += bytes.length;
     segment.syncedBatch = batch;
-    this.#otherBytes += bytes.length;
+    this.#replaceableBytes += bytes.length;
   }
 
   #writableSegment(): OpenSegment {
@@ -232,7 +237,7 @@
     throw this.#failure ?? new WriteAheadLogError('disk', `${this.#folder}: the log is closed`);
   }
 
-  /** Nothing more is ever written to this segment. */
+  /** Closes a segment after a failure; nothing is written to the segment again. */
   async #seal(segment: OpenSegment, thrown: unknown): Promise<void> {
     this.#segment = null;
     this.#failure = toLogError(thrown, this.#folder);
@@ -241,8 +246,8 @@
     await closeQuietly(segment.file);
   }
 
-  /** Frees what counts for nothing; a later compaction removes what can't be removed now. */
-  async #removeAll(names: readonly string[]): Promise<void> {
+  /** Removes files that are no longer needed; a later compaction retries removals that fail. */
+  async #removeFiles(names: readonly string[]): Promise<void> {
     for (const name of names) await this.#files.remove(name).catch(() => undefined);
   }
 
@@ -261,72 +266,75 @@
       await this.#files.remove(fileName('segment', number)).catch(() => undefined);
       throw thrown;
     }
-    this.#segments += 1;
-    this.#otherBytes += header.length;
+    this.#segmentCount += 1;
+    this.#replaceableBytes += header.length;
     return { file, number, syncedBytes: header.length, syncedBatch: headerBatch };
   }
 
-  /** Makes a file under a number that was never used, also where a failed removal left one. */
+  /** Creates a file with an unused number, skipping files that a failed removal left behind. */
   async #createSegmentFile(): Promise<{ readonly file: WritableFile; readonly number: number }> {
     for (;;) {
-      this.#highestNumber += 1;
-      const number = this.#highestNumber;
+      this.#highestFileNumber += 1;
+      const number = this.#highestFileNumber;
       try {
         return { file: await this.#files.create(fileName('segment', number)), number };
       } catch (thrown) {
-        if (!alreadyExists(thrown)) throw thrown;
+        if (!isAlreadyExistsError(thrown)) throw thrown;
       }
     }
   }
 
   /**
-   * Goes on in a new segment. If that fails the old one may already be fenced, so it is sealed all
-   * the same.
+   * Continues in a new segment. If that fails, the header of the new segment may already be on disk
+   * and fence the old segment, so the old segment is sealed in any case.
    */
   async #rotate(
     state: () => Iterable<unknown>,
-  ): Promise<{ readonly number: number; readonly taken: Iterable<unknown> }> {
-    const old = this.#writableSegment();
-    this.#previous = { number: old.number, bytes: old.syncedBytes };
+  ): Promise<{ readonly number: number; readonly stateRecords: Iterable<unknown> }> {
+    const oldSegment = this.#writableSegment();
+    this.#previous = { number: oldSegment.number, bytes: oldSegment.syncedBytes };
     this.#carried = [];
     try {
       this.#segment = await this.#beginSegment();
     } catch (thrown) {
-      await this.#seal(old, thrown);
+      await this.#seal(oldSegment, thrown);
       throw toLogError(thrown, this.#folder);
     }
-    await closeQuietly(old.file);
-    return { number: this.#segment.number, taken: state() };
+    await closeQuietly(oldSegment.file);
+    return { number: this.#segment.number, stateRecords: state() };
   }
 
-  async #replaceBySnapshot(number: number, state: Iterable<unknown>): Promise<void> {
-    const replacedBytes = this.#otherBytes;
-    const replacedSegments = this.#segments - 1;
+  async #replaceBySnapshot(number: number, stateRecords: Iterable<unknown>): Promise<void> {
+    const replacedBytes = this.#replaceableBytes;
+    const replacedSegments = this.#segmentCount - 1;
     try {
-      this.#snapshotBytes = await writeSnapshot(this.#files, number, state);
+      this.#snapshotBytes = await writeSnapshot(this.#files, number, stateRecords);
     } catch (thrown) {
       throw toLogError(thrown, this.#folder);
     }
-    this.#otherBytes -= replacedBytes;
-    this.#segments -= replacedSegments;
+    this.#replaceableBytes -= replacedBytes;
+    this.#segmentCount -= replacedSegments;
     await this.#removeOlderThan(number);
   }
 
-  /** Names whose removal fails, or is lost with the power, are removed after the next snapshot. */
+  /**
+   * Removes the files that a snapshot replaces. Removals that fail, or that a power loss undoes, are
+   * repeated after the next snapshot.
+   */
   async #removeOlderThan(number: number): Promise<void> {
     const names = await this.#files.list().catch(() => []);
-    const older = logFilesOf(names).filter((file) => file.number < number);
-    await this.#removeAll(older.map(({ name }) => name));
+    const olderFiles = logFilesOf(names).filter((file) => file.number < number);
+    await this.#removeFiles(olderFiles.map(({ name }) => name));
   }
 }
 
 /**
- * Opens the log in a folder. It opens also with a disk that takes no writes: `available` is then
- * false, and `recover` must succeed before anything that `records` tells may be shown to others.
+ * Opens the log in a folder. Opening succeeds even if the disk accepts no writes: `available` then
+ * returns false, and `recover` must succeed before the contents of `records` may leave the process.
  *
  * @example
  * const log = await openWriteAheadLog('/var/lib/reedyard/core-1');
- * await log.append([{ kind: 'voting' }]); // on disk from here on
+ * await log.append([{ kind: 'voting' }]); // synced to disk
  */
 export const openWriteAheadLog = async (
   folder: string,
--- a/packages/write-ahead-log/src/recovery.ts
+++ b/packages/write-ahead-log/src/recovery.ts
@@ -1,10 +1,11 @@
 /**
- * Reads a log back. Nothing is written here, so that a process starts also with a disk that takes
+ * Reads a log from disk. Reading writes nothing, so that a process can start while the disk accepts
  * no writes.
  *
- * The newest segment with a whole header counts, and from it the chain of the segments before, up
- * to a whole snapshot or the first segment of all. Only the last batch of the newest segment may be
- * missing in part: everything else is known to have been synced, and a gap in it is damage.
+ * Recovery starts at the newest segment with a complete header and follows the chain of previous
+ * segments back to a complete snapshot or to the first segment. Only the last batch of the newest
+ * segment may be partly missing: all other data is known to have been synced, and a gap in that data
+ * is damage.
  */
 import { WriteAheadLogError } from './errors.js';
 import { scanFrames, type Frame, type ScanResult } from './frames.js';
@@ -22,24 +23,24 @@
   type SnapshotEnd,
 } from './layout.js';
 
-/** What a folder holds of a log, and how its next segment must begin. */
+/** The contents of a log on disk, and how the next segment must begin. */
 export type RecoveredLog = {
-  /** The newest snapshot's records and all that was appended since, oldest first. */
+  /** The records of the newest complete snapshot and all records appended since, oldest first. */
   readonly records: readonly unknown[];
-  /** Where the chain ends for the next segment. */
+  /** The end of the chain that the next segment continues; null if there is nothing to continue. */
   readonly previous: SegmentEnd | null;
-  /** Records at the end whose sync is not certain: the next segment's header must hold them. */
+  /** The last records if their sync is uncertain: the next segment's header must contain them. */
   readonly carried: readonly unknown[];
-  /** The highest number that any file has. */
+  /** The highest number of any log file; 0 if there are no files. */
   readonly highestFileNumber: number;
   readonly snapshotBytes: number;
-  /** Bytes of the other files that were read. */
-  readonly otherBytes: number;
-  /** Segments in the chain. */
+  /** Total size of the other files that were read, all of which a new snapshot replaces. */
+  readonly replaceableBytes: number;
+  /** Number of segments in the chain. */
   readonly segmentCount: number;
-  /** Snapshots that were never completed: they may go at once. */
+  /** Snapshots that were never completed; they can be removed immediately. */
   readonly incompleteSnapshots: readonly string[];
-  /** Segments outside the chain: they may go once the next segment is synced. */
+  /** Segments outside the chain; they can be removed once the next segment is synced. */
   readonly unreferencedSegments: readonly string[];
 };
 
@@ -53,59 +54,67 @@
 
 type Snapshot = { readonly records: readonly unknown[]; readonly bytes: number };
 
-/** The files of one folder, read one by one. */
+/** The folder that is recovered, and how to read a file in that folder. */
 type Source = {
   readonly folder: string;
   readonly scan: (kind: FileKind, number: number) => Promise<ScanResult>;
 };
 
-const damaged = (source: Source, name: string, what: string): WriteAheadLogError =>
+const damagedError = (source: Source, name: string, problem: string): WriteAheadLogError =>
   new WriteAheadLogError(
     'damaged',
-    `${source.folder}: ${name}: ${what}; restore the file or wipe the data folder`,
+    `${source.folder}: ${name}: ${problem}; restore the file or wipe the data folder`,
   );
 
-/** The batch that the first gap of a segment lies in. */
+/** The batch that the first gap of a segment belongs to. */
 const batchOfGap = (scan: ScanResult): number => {
-  const last = scan.frames.at(-1);
-  if (last === undefined) return headerBatch;
-  return last.isLastInBatch ? last.batch + 1 : last.batch;
+  const lastFrame = scan.frames.at(-1);
+  if (lastFrame === undefined) return headerBatch;
+  return lastFrame.isLastInBatch ? lastFrame.batch + 1 : lastFrame.batch;
 };
 
-const refuseGapInSyncedPart = (source: Source, name: string, scan: ScanResult): void => {
+/**
+ * Throws if a later batch follows the first gap, which is evidence that the batch with the gap was
+ * synced.
+ */
+const assertNoGapInSyncedBatches = (source: Source, name: string, scan: ScanResult): void => {
   if (scan.highestBatchAfterGap === null || scan.highestBatchAfterGap <= batchOfGap(scan)) return;
-  throw damaged(source, name, `a gap at byte ${scan.validBytes} with newer records behind it`);
+  throw damagedError(source, name, `gap at byte ${scan.validBytes} with newer records after it`);
 };
 
 /**
- * A segment; null if its header was never completed, so that nothing can have been written behind
- * it.
+ * Reads a segment; null if its header was never completed, in which case nothing was written after
+ * the header.
  */
 const readSegment = async (source: Source, number: number): Promise<Segment | null> => {
   const name = fileName('segment', number);
   const scan = await source.scan('segment', number);
-  const first = scan.frames[0];
-  if (first === undefined) {
-    refuseGapInSyncedPart(source, name, scan);
+  const headerFrame = scan.frames[0];
+  if (headerFrame === undefined) {
+    assertNoGapInSyncedBatches(source, name, scan);
     return null;
   }
-  const header = first.record as SegmentHeader;
-  if (header.format !== logFormat) throw damaged(source, name, `format ${header.format}`);
-  return { number, header, headerEnd: first.end, frames: scan.frames.slice(1), scan };
+  const header = headerFrame.record as SegmentHeader;
+  if (header.format !== logFormat)
+    throw damagedError(source, name, `unsupported format ${header.format}`);
+  return { number, header, headerEnd: headerFrame.end, frames: scan.frames.slice(1), scan };
 };
 
-/** A snapshot; null if it was never completed. */
+/** Reads a snapshot; null if the snapshot was never completed. */
 const readSnapshot = async (source: Source, number: number): Promise<Snapshot | null> => {
-  const { frames, validBytes: goodBytes } = await source.scan('snapshot', number);
-  const last = frames.at(-1);
-  if (last === undefined || !last.isLastInBatch) return null;
+  const { frames, validBytes } = await source.scan('snapshot', number);
+  const endFrame = frames.at(-1);
+  if (endFrame === undefined || !endFrame.isLastInBatch) return null;
   const records = frames.slice(0, -1).map((frame) => frame.record);
-  if ((last.record as SnapshotEnd).records !== records.length) return null;
-  return { records, bytes: goodBytes };
+  if ((endFrame.record as SnapshotEnd).records !== records.length) return null;
+  return { records, bytes: validBytes };
 };
 
-/** The newest segment whose header is whole. */
-const newestSegment = async (
+/**
+ * Finds the newest segment with a complete header; null if there is none. Throws if there is none
+ * although a snapshot exists.
+ */
+const findNewestSegment = async (
   source: Source,
   files: readonly LogFile[],
 ): Promise<Segment | null> => {
@@ -113,33 +122,34 @@
   for (const number of numbers.reverse()) {
     const segment = await readSegment(source, number);
     if (segment === null) continue;
-    refuseGapInSyncedPart(source, fileName('segment', number), segment.scan);
+    assertNoGapInSyncedBatches(source, fileName('segment', number), segment.scan);
     return segment;
   }
   if (files.some((file) => file.kind === 'snapshot')) {
-    throw damaged(source, 'segments', 'missing beside a snapshot');
+    throw damagedError(source, 'segments', 'missing although a snapshot exists');
   }
   return null;
 };
 
-const olderSegment = async (
+/** Reads a segment that the header of a newer segment refers to. */
+const readPreviousSegment = async (
   source: Source,
   files: readonly LogFile[],
   number: number,
 ): Promise<Segment> => {
   const name = fileName('segment', number);
-  if (!files.some((file) => file.name === name)) throw damaged(source, name, 'is missing');
+  if (!files.some((file) => file.name === name)) throw damagedError(source, name, 'is missing');
   const segment = await readSegment(source, number);
-  if (segment === null) throw damaged(source, name, 'its header is missing');
+  if (segment === null) throw damagedError(source, name, 'its header is missing');
   return segment;
 };
 
-/** The frames of a segment up to the end that the next segment's header tells. */
+/** The frames of a segment up to the end that the next segment's header contains. */
 const framesUpTo = (source: Source, segment: Segment, end: SegmentEnd): readonly Frame[] => {
   const frames = segment.frames.filter((frame) => frame.end <= end.bytes);
-  const reached = frames.at(-1)?.end ?? segment.headerEnd;
-  if (reached === end.bytes) return frames;
-  throw damaged(source, fileName('segment', segment.number), `a gap at byte ${reached}`);
+  const contiguousBytes = frames.at(-1)?.end ?? segment.headerEnd;
+  if (contiguousBytes === end.bytes) return frames;
+  throw damagedError(source, fileName('segment', segment.number), `gap at byte ${contiguousBytes}`);
 };
 
 const recordsOf = (segment: Segment, frames: readonly Frame[]): readonly unknown[] => [
@@ -150,9 +160,9 @@
 type Chain = {
   readonly records: readonly unknown[];
   readonly snapshotBytes: number;
-  /** Newest first. */
+  /** Numbers of the segments in the chain, newest first. */
   readonly segmentNumbers: readonly number[];
-  /** The segment that the snapshot was begun with; 0 if there is none. */
+  /** Number of the snapshot that the chain builds on; 0 if there is none. */
   readonly snapshotNumber: number;
 };
 
@@ -161,117 +171,129 @@
   files: readonly LogFile[],
   newest: Segment,
 ): Promise<Chain> => {
-  const parts: (readonly unknown[])[] = [];
+  const recordsBySegment: (readonly unknown[])[] = [];
   const segmentNumbers: number[] = [];
   let segment = newest;
   let frames = newest.frames;
   for (;;) {
-    parts.unshift(recordsOf(segment, frames));
+    recordsBySegment.unshift(recordsOf(segment, frames));
     const { number } = segment;
     segmentNumbers.push(number);
-    const hasFile = files.some((file) => file.name === fileName('snapshot', number));
-    const snapshot = hasFile ? await readSnapshot(source, number) : null;
+    const hasSnapshotFile = files.some((file) => file.name === fileName('snapshot', number));
+    const snapshot = hasSnapshotFile ? await readSnapshot(source, number) : null;
     const { previous } = segment.header;
     if (snapshot !== null || previous === null) {
       return {
-        records: [...(snapshot?.records ?? []), ...parts.flat()],
+        records: [...(snapshot?.records ?? []), ...recordsBySegment.flat()],
         snapshotBytes: snapshot?.bytes ?? 0,
         segmentNumbers,
         snapshotNumber: snapshot === null ? 0 : number,
       };
     }
-    segment = await olderSegment(source, files, previous.number);
+    segment = await readPreviousSegment(source, files, previous.number);
     frames = framesUpTo(source, segment, previous);
   }
 };
 
 /**
- * How the next segment must begin. The newest batch may be in the cache of the system alone, and a
- * sync that failed is not told by a later one that succeeds: so it is fenced off and written again.
+ * How the next segment must begin. The newest batch may exist only in the page cache of the operating
+ * system, and a successful sync does not report that an earlier sync failed. The newest batch is
+ * therefore fenced off and written again in the header of the next segment.
  */
-const continuation = (
+const nextSegmentStartOf = (
   newest: Segment,
   hasSnapshot: boolean,
 ): Pick<RecoveredLog, 'previous' | 'carried'> => {
   const { number, header, headerEnd, frames } = newest;
   const newestBatch = frames.at(-1)?.batch;
   if (newestBatch === undefined) {
-    // A snapshot is begun only once the header of its segment is synced.
+    // A snapshot is started only after the header of its segment is synced.
     if (hasSnapshot) return { previous: { number, bytes: headerEnd }, carried: [] };
     return { previous: header.previous, carried: header.carried };
   }
-  const unsure = frames.filter((frame) => frame.batch === newestBatch);
-  const carried = unsure.map((frame) => frame.record);
-  return { previous: { number, bytes: unsure[0]?.start ?? headerEnd }, carried };
+  const uncertainFrames = frames.filter((frame) => frame.batch === newestBatch);
+  const carried = uncertainFrames.map((frame) => frame.record);
+  return { previous: { number, bytes: uncertainFrames[0]?.start ?? headerEnd }, carried };
 };
 
-const incompleteSnapshots = async (
+/** Finds the incomplete snapshots that are newer than the snapshot of the chain. */
+const findIncompleteSnapshots = async (
   source: Source,
   files: readonly LogFile[],
-  baseNumber: number,
+  snapshotNumber: number,
 ): Promise<readonly string[]> => {
   const names: string[] = [];
-  const newer = files.filter((file) => file.kind === 'snapshot' && file.number > baseNumber);
-  for (const { number, name } of newer) {
+  const newerSnapshots = files.filter(
+    (file) => file.kind === 'snapshot' && file.number > snapshotNumber,
+  );
+  for (const { number, name } of newerSnapshots) {
     if ((await readSnapshot(source, number)) === null) names.push(name);
   }
   return names;
 };
 
-/** Segments that the next one neither continues nor refers to through others. */
-const unreferencedSegments = (
+/** Finds the segments that the next segment refers to neither directly nor through others. */
+const findUnreferencedSegments = (
   files: readonly LogFile[],
   chain: Chain,
   previous: SegmentEnd | null,
 ): readonly string[] => {
-  const kept = chain.segmentNumbers.filter((number) => number <= (previous?.number ?? 0));
+  const referencedNumbers = chain.segmentNumbers.filter(
+    (number) => number <= (previous?.number ?? 0),
+  );
   return files
     .filter(({ kind, number }) => kind === 'segment' && number > chain.snapshotNumber)
-    .filter(({ number }) => !kept.includes(number))
+    .filter(({ number }) => !referencedNumbers.includes(number))
     .map(({ name }) => name);
 };
 
 /**
- * Reads the log in a folder; throws a `damaged` error if something that was synced is missing.
+ * Reads the log in a folder; throws a `damaged` error if synced data is missing.
  *
  * @example
- * (await recoverLog(nodeFileSystem(folder), folder)).records // [] for a folder that is not there
+ * (await recoverLog(nodeFileSystem(folder), folder)).records // [] if the folder does not exist
  */
 export const recoverLog = async (files: LogFileSystem, folder: string): Promise<RecoveredLog> => {
-  const present = logFilesOf(await files.list());
-  const sizes = new Map<string, number>();
+  const logFiles = logFilesOf(await files.list());
+  const bytesByName = new Map<string, number>();
   const scan = async (kind: FileKind, number: number): Promise<ScanResult> => {
     const name = fileName(kind, number);
     const bytes = await files.read(name);
-    sizes.set(name, bytes.length);
+    bytesByName.set(name, bytes.length);
     return scanFrames(bytes, fileIdOf(kind, number));
   };
   const source: Source = { folder, scan };
-  const highestNumber = present.at(-1)?.number ?? 0;
-  const newest = await newestSegment(source, present);
+  const highestFileNumber = logFiles.at(-1)?.number ?? 0;
+  const newest = await findNewestSegment(source, logFiles);
   if (newest === null) {
-    const nothing = { records: [], previous: null, carried: [], snapshotBytes: 0, otherBytes: 0 };
-    const unreferenced = present.map(({ name }) => name);
+    const emptyLog = {
+      records: [],
+      previous: null,
+      carried: [],
+      snapshotBytes: 0,
+      replaceableBytes: 0,
+    };
+    const unreferenced = logFiles.map(({ name }) => name);
     return {
-      ...nothing,
-      highestFileNumber: highestNumber,
+      ...emptyLog,
+      highestFileNumber,
       segmentCount: 0,
       incompleteSnapshots: [],
       unreferencedSegments: unreferenced,
     };
   }
-  const chain = await readChain(source, present, newest);
-  const incomplete = await incompleteSnapshots(source, present, chain.snapshotNumber);
-  const allBytes = [...sizes.values()].reduce((sum, size) => sum + size, 0);
-  const next = continuation(newest, chain.snapshotNumber === newest.number);
+  const chain = await readChain(source, logFiles, newest);
+  const incomplete = await findIncompleteSnapshots(source, logFiles, chain.snapshotNumber);
+  const totalBytes = [...bytesByName.values()].reduce((sum, bytes) => sum + bytes, 0);
+  const nextSegmentStart = nextSegmentStartOf(newest, chain.snapshotNumber === newest.number);
   return {
     records: chain.records,
-    ...next,
-    highestFileNumber: highestNumber,
+    ...nextSegmentStart,
+    highestFileNumber,
     snapshotBytes: chain.snapshotBytes,
-    otherBytes: allBytes - chain.snapshotBytes,
+    replaceableBytes: totalBytes - chain.snapshotBytes,
     segmentCount: chain.segmentNumbers.length,
     incompleteSnapshots: incomplete,
-    unreferencedSegments: unreferencedSegments(present, chain, next.previous),
+    unreferencedSegments: findUnreferencedSegments(logFiles, chain, nextSegmentStart.previous),
   };
 };
--- a/packages/write-ahead-log/src/snapshot-writer.ts
+++ b/packages/write-ahead-log/src/snapshot-writer.ts
@@ -1,44 +1,46 @@
-/** Writes a whole state as one new file, some records at a time, so that appends get their turn. */
+/** Writes the complete state to a new file in chunks, so that appends can run between chunks. */
 import type { LogFileSystem, WritableFile } from './file-system.js';
 import { encodeSnapshotFrame, fileName, type SnapshotEnd } from './layout.js';
 
 /**
- * Bytes that are framed at once: a few milliseconds of work between two turns of the event loop.
+ * Size from which a chunk is written out, in bytes. Encoding a chunk blocks the event loop for a few
+ * milliseconds.
  */
 const chunkBytes = 64 * 1024;
 
-/** Writes all of the bytes, however few the file takes at a time. */
+/** Writes all bytes, repeating the write when the file accepts only a part of them. */
 export const writeFully = async (file: WritableFile, bytes: Buffer): Promise<void> => {
-  let written = 0;
-  while (written < bytes.length) {
-    const taken = await file.write(bytes.subarray(written));
-    if (taken === 0) throw Object.assign(new Error('the disk took no bytes'), { code: 'ENOSPC' });
-    written += taken;
+  let totalWritten = 0;
+  while (totalWritten < bytes.length) {
+    const written = await file.write(bytes.subarray(totalWritten));
+    if (written === 0)
+      throw Object.assign(new Error('the disk accepted no bytes'), { code: 'ENOSPC' });
+    totalWritten += written;
   }
 };
 
-/** Frames of a snapshot in chunks, the last of which ends it. */
+/** Encodes a snapshot in chunks; the last chunk contains the record that ends the snapshot. */
 function* snapshotChunks(number: number, state: Iterable<unknown>): Iterable<Buffer> {
   let frames: Buffer[] = [];
-  let size = 0;
-  let records = 0;
+  let sizeBytes = 0;
+  let recordCount = 0;
   for (const record of state) {
     const frame = encodeSnapshotFrame(number, record, false);
     frames.push(frame);
-    size += frame.length;
-    records += 1;
-    if (size < chunkBytes) continue;
+    sizeBytes += frame.length;
+    recordCount += 1;
+    if (sizeBytes < chunkBytes) continue;
     yield Buffer.concat(frames);
     frames = [];
-    size = 0;
+    sizeBytes = 0;
   }
-  const end: SnapshotEnd = { records };
+  const end: SnapshotEnd = { records: recordCount };
   yield Buffer.concat([...frames, encodeSnapshotFrame(number, end, true)]);
 }
 
 /**
- * Writes and syncs `snapshot-NUMBER`; tells its size. What a failure leaves is removed if it can
- * be.
+ * Writes and syncs `snapshot-NUMBER`; resolves with its size in bytes. After a failure, the partial
+ * file is removed if the disk allows that.
  */
 export const writeSnapshot = async (
   files: LogFileSystem,
@@ -47,12 +49,12 @@
 ): Promise<number> => {
   const name = fileName('snapshot', number);
   const file = await files.create(name);
-  let size = 0;
+  let sizeBytes = 0;
   try {
     try {
       for (const chunk of snapshotChunks(number, state)) {
         await writeFully(file, chunk);
-        size += chunk.length;
+        sizeBytes += chunk.length;
       }
       await file.sync();
     } finally {
@@ -63,5 +65,5 @@
     await files.remove(name).catch(() => undefined);
     throw thrown;
   }
-  return size;
+  return sizeBytes;
 };
