--- a/packages/write-ahead-log/src/model-disk.ts
+++ b/packages/write-ahead-log/src/model-disk.ts
@@ -1,10 +1,10 @@
 /**
- * A disk in memory for tests. It tells apart what was written, what was synced and which names are
- * durable, gives every state that a loss of power can leave, and fails or holds up any operation on
- * demand.
+ * An in-memory disk for tests. The disk distinguishes written data, synced data and durable names,
+ * yields every state that a power loss can leave, and fails or delays any operation on demand.
  */
 import type { LogFileSystem, WritableFile } from './file-system.js';
 
+/** The operations for which the disk calls its hook. */
 export type DiskOperation =
   | 'createFolder'
   | 'list'
@@ -16,16 +16,16 @@
   | 'remove'
   | 'syncFolder';
 
-/** What happens to one operation. */
+/** A fault that is injected into one operation. */
 export type DiskFault =
-  /** It fails and changes nothing. */
+  /** The operation fails and changes nothing. */
   | { readonly kind: 'fail'; readonly code: string }
-  /** A write takes so many bytes and no more. */
+  /** A write accepts at most this many bytes. */
   | { readonly kind: 'short'; readonly bytes: number }
-  /** It fails though it was done: an answer that was lost, a sync that failed in part. */
+  /** The operation takes effect but fails, like a lost reply or a partly failed sync. */
   | { readonly kind: 'failAfter'; readonly code: string };
 
-/** Called before each operation; the answer decides what becomes of it. */
+/** Called before each operation; returns the fault to inject, or null. */
 export type DiskHook = (
   operation: DiskOperation,
   name: string,
@@ -33,70 +33,78 @@
 
 type UnsyncedWrite = { readonly offset: number; readonly bytes: Buffer };
 type ModelFile = { synced: Buffer; writes: UnsyncedWrite[] };
-type NameChange = { readonly kind: 'made' | 'removed'; readonly name: string; readonly id: number };
+type NameChange = {
+  readonly kind: 'created' | 'removed';
+  readonly name: string;
+  readonly id: number;
+};
 
-/** What a loss of power leaves of one write that was not synced. */
-type WriteFate = 'there' | 'missing' | 'start' | 'end';
-const writeFates: readonly WriteFate[] = ['there', 'missing', 'start', 'end'];
+/** The part of an unsynced write that survives a power loss. */
+type WriteFate = 'complete' | 'missing' | 'start' | 'end';
+const writeFates: readonly WriteFate[] = ['complete', 'missing', 'start', 'end'];
 
 const systemError = (code: string): Error =>
   Object.assign(new Error(`model disk: ${code}`), { code });
 
-/** All ways to choose one of the options for each of so many things. */
-function* choices<Option>(count: number, options: readonly Option[]): Iterable<readonly Option[]> {
+/** Yields every sequence of `count` options. */
+function* optionSequences<Option>(
+  count: number,
+  options: readonly Option[],
+): Iterable<readonly Option[]> {
   if (count === 0) {
     yield [];
     return;
   }
-  for (const rest of choices(count - 1, options)) {
-    for (const option of options) yield [...rest, option];
+  for (const prefix of optionSequences(count - 1, options)) {
+    for (const option of options) yield [...prefix, option];
   }
 }
 
-const overwritten = (content: Buffer, offset: number, bytes: Buffer): Buffer => {
+const overwrite = (content: Buffer, offset: number, bytes: Buffer): Buffer => {
   const result = Buffer.alloc(Math.max(content.length, offset + bytes.length));
   content.copy(result);
   bytes.copy(result, offset);
   return result;
 };
 
-const afterPowerLoss = (file: ModelFile, fates: readonly WriteFate[]): Buffer => {
+const contentAfterPowerLoss = (file: ModelFile, fates: readonly WriteFate[]): Buffer => {
   let content = file.synced;
   file.writes.forEach(({ offset, bytes }, index) => {
-    const half = Math.ceil(bytes.length / 2);
+    const halfBytes = Math.ceil(bytes.length / 2);
     const fate = fates[index];
-    if (fate === 'there') content = overwritten(content, offset, bytes);
-    if (fate === 'start') content = overwritten(content, offset, bytes.subarray(0, half));
-    if (fate === 'end') content = overwritten(content, offset + half, bytes.subarray(half));
+    if (fate === 'complete') content = overwrite(content, offset, bytes);
+    if (fate === 'start') content = overwrite(content, offset, bytes.subarray(0, halfBytes));
+    if (fate === 'end') content = overwrite(content, offset + halfBytes, bytes.subarray(halfBytes));
   });
   return content;
 };
 
+/** A simulated disk with one folder, which tests can copy, fail and restart after a power loss. */
 export class ModelDisk {
   readonly #contents: Map<number, ModelFile>;
   readonly #names: Map<string, number>;
-  /** Names as a loss of power keeps them at least, without the changes since. */
+  /** The names on disk, without the changes in `#nameChanges` that a power loss may undo. */
   readonly #durableNames: Map<string, number>;
   #nameChanges: NameChange[];
   #nextId: number;
   hook: DiskHook = () => null;
-  /** Bytes that fit on it; a write takes what still fits. */
+  /** Bytes that fit on the disk; a write accepts as many bytes as still fit. */
   capacity = Infinity;
 
-  constructor(from?: ModelDisk) {
+  constructor(source?: ModelDisk) {
     this.#contents = new Map(
-      [...(from === undefined ? [] : from.#contents)].map(([id, file]) => [
+      [...(source === undefined ? [] : source.#contents)].map(([id, file]) => [
         id,
         { synced: file.synced, writes: [...file.writes] },
       ]),
     );
-    this.#names = new Map(from === undefined ? [] : from.#names);
-    this.#durableNames = new Map(from === undefined ? [] : from.#durableNames);
-    this.#nameChanges = [...(from === undefined ? [] : from.#nameChanges)];
-    this.#nextId = from === undefined ? 1 : from.#nextId;
+    this.#names = new Map(source === undefined ? [] : source.#names);
+    this.#durableNames = new Map(source === undefined ? [] : source.#durableNames);
+    this.#nameChanges = [...(source === undefined ? [] : source.#nameChanges)];
+    this.#nextId = source === undefined ? 1 : source.#nextId;
   }
 
-  /** A disk with these files, all of them durable. */
+  /** Creates a disk that contains these files, all of them durable. */
   static of(files: ReadonlyMap<string, Buffer>): ModelDisk {
     const disk = new ModelDisk();
     for (const [name, bytes] of files) {
@@ -107,12 +115,12 @@
     return disk;
   }
 
-  /** The disk as another process finds it while the power is on: also what was not synced. */
+  /** Copies the disk with its unsynced data, as a new process sees the disk while power is on. */
   copy(): ModelDisk {
     return new ModelDisk(this);
   }
 
-  /** What processes read now. */
+  /** The files as processes read them now, with unsynced writes. */
   files(): ReadonlyMap<string, Buffer> {
     return new Map([...this.#names].map(([name, id]) => [name, this.#contentOf(id)]));
   }
@@ -121,15 +129,15 @@
     return [...this.files().values()].reduce((sum, bytes) => sum + bytes.length, 0);
   }
 
-  /** Every state that a loss of power can leave now. */
+  /** Yields every state that a power loss can leave now, without duplicates. */
   *statesAfterPowerLoss(): Iterable<ModelDisk> {
-    const seen = new Set<string>();
-    const unsynced = [...this.#contents].filter(([, file]) => file.writes.length > 0);
-    const writes = unsynced.reduce((sum, [, file]) => sum + file.writes.length, 0);
-    for (const kept of choices(this.#nameChanges.length, [true, false])) {
-      const names = this.#namesAfterPowerLoss(kept);
-      for (const fates of choices(writes, writeFates)) {
-        const contents = this.#contentsAfterPowerLoss(unsynced, fates);
+    const seenStates = new Set<string>();
+    const unsyncedFiles = [...this.#contents].filter(([, file]) => file.writes.length > 0);
+    const writeCount = unsyncedFiles.reduce((sum, [, file]) => sum + file.writes.length, 0);
+    for (const keptChanges of optionSequences(this.#nameChanges.length, [true, false])) {
+      const names = this.#namesAfterPowerLoss(keptChanges);
+      for (const fates of optionSequences(writeCount, writeFates)) {
+        const contents = this.#contentsAfterPowerLoss(unsyncedFiles, fates);
         const files = new Map(
           [...names].map(([name, id]) => [
             name,
@@ -139,8 +147,8 @@
         const key = JSON.stringify(
           [...files].map(([name, bytes]) => [name, bytes.toString('latin1')]).sort(),
         );
-        if (seen.has(key)) continue;
-        seen.add(key);
+        if (seenStates.has(key)) continue;
+        seenStates.add(key);
         yield ModelDisk.of(files);
       }
     }
@@ -160,11 +168,11 @@
   async #perform<Result>(
     operation: DiskOperation,
     name: string,
-    act: () => Result,
+    execute: () => Result,
   ): Promise<Result> {
     const fault = await this.hook(operation, name);
     if (fault?.kind === 'fail') throw systemError(fault.code);
-    const result = act();
+    const result = execute();
     if (fault?.kind === 'failAfter') throw systemError(fault.code);
     return result;
   }
@@ -173,7 +181,7 @@
     if (this.#names.has(name)) throw systemError('EEXIST');
     const id = this.#makeFile(Buffer.alloc(0));
     this.#names.set(name, id);
-    this.#nameChanges.push({ kind: 'made', name, id });
+    this.#nameChanges.push({ kind: 'created', name, id });
     return {
       write: (bytes) => this.#write(name, id, bytes),
       sync: () => this.#perform('sync', name, () => this.#sync(id)),
@@ -184,26 +192,26 @@
   async #write(name: string, id: number, bytes: Buffer): Promise<number> {
     const fault = await this.hook('write', name);
     if (fault?.kind === 'fail') throw systemError(fault.code);
-    const room = this.capacity === Infinity ? Infinity : this.capacity - this.totalBytes();
-    if (room <= 0) throw systemError('ENOSPC');
-    const most = Math.min(room, fault?.kind === 'short' ? fault.bytes : bytes.length);
-    const taken = bytes.subarray(0, most);
+    const freeBytes = this.capacity === Infinity ? Infinity : this.capacity - this.totalBytes();
+    if (freeBytes <= 0) throw systemError('ENOSPC');
+    const maxBytes = Math.min(freeBytes, fault?.kind === 'short' ? fault.bytes : bytes.length);
+    const accepted = bytes.subarray(0, maxBytes);
     const offset = this.#contentOf(id).length;
-    if (taken.length > 0) this.#fileOf(id).writes.push({ offset, bytes: Buffer.from(taken) });
+    if (accepted.length > 0) this.#fileOf(id).writes.push({ offset, bytes: Buffer.from(accepted) });
     if (fault?.kind === 'failAfter') throw systemError(fault.code);
-    return taken.length;
+    return accepted.length;
   }
 
-  /** A file is durable through its own sync, also if it is new. */
+  /** Makes the content of a file durable, and also its name if the file is new. */
   #sync(id: number): void {
     const file = this.#fileOf(id);
     file.synced = this.#contentOf(id);
     file.writes = [];
     for (const change of this.#nameChanges) {
-      if (change.id === id && change.kind === 'made') this.#durableNames.set(change.name, id);
+      if (change.id === id && change.kind === 'created') this.#durableNames.set(change.name, id);
     }
     this.#nameChanges = this.#nameChanges.filter(
-      (change) => change.id !== id || change.kind !== 'made',
+      (change) => change.id !== id || change.kind !== 'created',
     );
   }
 
@@ -220,25 +228,28 @@
     for (const [name, id] of this.#names) this.#durableNames.set(name, id);
   }
 
-  #namesAfterPowerLoss(kept: readonly boolean[]): ReadonlyMap<string, number> {
+  #namesAfterPowerLoss(keptChanges: readonly boolean[]): ReadonlyMap<string, number> {
     const names = new Map(this.#durableNames);
     this.#nameChanges.forEach((change, index) => {
-      if (kept[index] !== true) return;
-      if (change.kind === 'made') names.set(change.name, change.id);
+      if (keptChanges[index] !== true) return;
+      if (change.kind === 'created') names.set(change.name, change.id);
       else names.delete(change.name);
     });
     return names;
   }
 
   #contentsAfterPowerLoss(
-    unsynced: readonly (readonly [number, ModelFile])[],
+    unsyncedFiles: readonly (readonly [number, ModelFile])[],
     fates: readonly WriteFate[],
   ): ReadonlyMap<number, Buffer> {
-    let used = 0;
+    let fateIndex = 0;
     const contents = new Map<number, Buffer>();
-    for (const [id, file] of unsynced) {
-      contents.set(id, afterPowerLoss(file, fates.slice(used, used + file.writes.length)));
-      used += file.writes.length;
+    for (const [id, file] of unsyncedFiles) {
+      contents.set(
+        id,
+        contentAfterPowerLoss(file, fates.slice(fateIndex, fateIndex + file.writes.length)),
+      );
+      fateIndex += file.writes.length;
     }
     return contents;
   }
@@ -258,9 +269,9 @@
 
   #contentOf(id: number): Buffer {
     const file = this.#fileOf(id);
-    return afterPowerLoss(
+    return contentAfterPowerLoss(
       file,
-      file.writes.map(() => 'there'),
+      file.writes.map(() => 'complete'),
     );
   }
 
