--- a/packages/write-ahead-log/src/disk-faults.test.ts
+++ b/packages/write-ahead-log/src/disk-faults.test.ts
@@ -1,12 +1,12 @@
-// A disk that is full or refuses, at every operation of the log.
+// Injects faults of a full or failing disk into every operation of the log.
 import test, { type ExecutionContext } from 'ava';
 import { WriteAheadLogError, openWriteAheadLog, type WriteAheadLog } from './index.js';
 import { ModelDisk, type DiskFault, type DiskOperation } from './model-disk.js';
 
 const folder = 'model';
 
-/** Operations that a disk without room, or a failing one, refuses. */
-const refusable: ReadonlySet<DiskOperation> = new Set([
+/** Operations that fail on a full or failing disk. */
+const failableOperations: ReadonlySet<DiskOperation> = new Set([
   'createFolder',
   'create',
   'write',
@@ -23,26 +23,30 @@
   { kind: 'short', bytes: 0 },
 ];
 
-/** Refuses so many operations from one on, then all is well again. */
-const faultAt = (
+/**
+ * Injects the fault into `count` consecutive operations after the first `first` ones. Returns a
+ * function that returns the number of operations so far.
+ */
+const injectFaults = (
   disk: ModelDisk,
   first: number,
   count: number,
   fault: DiskFault,
 ): (() => number) => {
-  let seen = 0;
+  let operationCount = 0;
   disk.hook = (operation) => {
-    if (!refusable.has(operation)) return null;
-    seen += 1;
-    return seen > first && seen <= first + count ? fault : null;
+    if (!failableOperations.has(operation)) return null;
+    operationCount += 1;
+    return operationCount > first && operationCount <= first + count ? fault : null;
   };
-  return () => seen;
+  return () => operationCount;
 };
 
+/** The records passed to `append`, and those that the log acknowledged or rejected. */
 type History = {
   readonly issued: number[];
   readonly acknowledged: number[];
-  readonly refused: Set<number>;
+  readonly rejected: Set<number>;
 };
 
 const append = async (log: WriteAheadLog, history: History, record: number): Promise<void> => {
@@ -52,13 +56,13 @@
     history.acknowledged.push(record);
   } catch (thrown) {
     if (!(thrown instanceof WriteAheadLogError)) throw thrown;
-    history.refused.add(record);
+    history.rejected.add(record);
   }
 };
 
-/** As its user does: recovers after a failure, and snapshots just what was acknowledged. */
-const play = async (log: WriteAheadLog, history: History, from: number): Promise<void> => {
-  for (let record = from; record < from + 8; record += 1) {
+/** Uses the log like a replica: recovers after a failure, and compacts the acknowledged records. */
+const play = async (log: WriteAheadLog, history: History, firstRecord: number): Promise<void> => {
+  for (let record = firstRecord; record < firstRecord + 8; record += 1) {
     if (!log.available()) await log.recover().catch(() => undefined);
     await append(log, history, record);
     if (record % 3 !== 0) continue;
@@ -70,46 +74,47 @@
 };
 
 /**
- * What was acknowledged is there, in order; what was refused is not there before anything
- * acknowledged.
+ * Asserts that the records start with all acknowledged records, in order, and that only rejected
+ * records follow.
  */
-const check = (
+const assertRecords = (
   t: ExecutionContext,
   records: readonly unknown[],
   history: History,
-  what: string,
+  faultDescription: string,
 ): void => {
-  const { acknowledged, refused } = history;
-  t.deepEqual(records.slice(0, acknowledged.length), acknowledged, what);
+  const { acknowledged, rejected } = history;
+  t.deepEqual(records.slice(0, acknowledged.length), acknowledged, faultDescription);
   for (const record of records.slice(acknowledged.length))
-    t.true(refused.has(record as number), what);
+    t.true(rejected.has(record as number), faultDescription);
 };
 
 const reopen = async (disk: ModelDisk): Promise<readonly unknown[]> =>
   (await openWriteAheadLog(folder, disk.fileSystem)).records;
 
-test('a disk that refuses any operations, for long or short, loses nothing that was acknowledged', async (t) => {
+test('no acknowledged record is lost when one, a few or all disk operations fail from any point on', async (t) => {
   let runs = 0;
   for (const fault of faults) {
     for (const count of [1, 3, 1_000]) {
       let operations = Infinity;
       for (let first = 0; first < operations; first += 1) {
-        const what = `${JSON.stringify(fault)} ${first}+${count}`;
+        const faultDescription = `${JSON.stringify(fault)} ${first}+${count}`;
         const disk = new ModelDisk();
-        const history: History = { issued: [], acknowledged: [], refused: new Set() };
-        const seen = faultAt(disk, first, count, fault);
+        const history: History = { issued: [], acknowledged: [], rejected: new Set() };
+        const countOperations = injectFaults(disk, first, count, fault);
         const log = await openWriteAheadLog(folder, disk.fileSystem);
         await play(log, history, 1);
-        operations = seen();
-        // The process ends while the power stays on, and the power fails.
-        check(t, await reopen(disk.copy()), history, what);
-        for (const left of disk.statesAfterPowerLoss()) check(t, await reopen(left), history, what);
-        // The disk is well again.
+        operations = countOperations();
+        // The process ends while the power stays on, or the power fails.
+        assertRecords(t, await reopen(disk.copy()), history, faultDescription);
+        for (const diskAfterLoss of disk.statesAfterPowerLoss())
+          assertRecords(t, await reopen(diskAfterLoss), history, faultDescription);
+        // The disk works again.
         disk.hook = () => null;
         if (!log.available()) await log.recover();
         await append(log, history, 50);
-        t.is(history.acknowledged.at(-1), 50, what);
-        t.deepEqual(await reopen(disk.copy()), history.acknowledged, what);
+        t.is(history.acknowledged.at(-1), 50, faultDescription);
+        t.deepEqual(await reopen(disk.copy()), history.acknowledged, faultDescription);
         runs += 1;
       }
     }
@@ -117,31 +122,33 @@
   t.true(runs > 500, `${runs} runs`);
 });
 
-test('a log opens with a disk that takes nothing, shows what is there, and goes on once it does', async (t) => {
+test('a log on a disk that accepts no writes opens with its records and accepts appends after recovery', async (t) => {
   const disk = new ModelDisk();
-  const history: History = { issued: [], acknowledged: [], refused: new Set() };
+  const history: History = { issued: [], acknowledged: [], rejected: new Set() };
   await play(await openWriteAheadLog(folder, disk.fileSystem), history, 1);
-  const before = disk.files();
+  const filesBefore = disk.files();
   for (const code of ['ENOSPC', 'EDQUOT', 'EIO', 'EROFS']) {
-    const full = ModelDisk.of(before);
-    full.hook = (operation) => (refusable.has(operation) ? { kind: 'fail', code } : null);
-    const log = await openWriteAheadLog(folder, full.fileSystem);
+    const failingDisk = ModelDisk.of(filesBefore);
+    failingDisk.hook = (operation) =>
+      failableOperations.has(operation) ? { kind: 'fail', code } : null;
+    const log = await openWriteAheadLog(folder, failingDisk.fileSystem);
     t.false(log.available());
     t.is(log.failure()?.code, code === 'ENOSPC' || code === 'EDQUOT' ? 'full' : 'disk');
     t.deepEqual(log.records, history.acknowledged);
     await t.throwsAsync(log.append([1]), { instanceOf: WriteAheadLogError });
     await t.throwsAsync(log.recover(), { instanceOf: WriteAheadLogError });
-    t.deepEqual(full.files(), before);
-    full.hook = () => null;
+    t.deepEqual(failingDisk.files(), filesBefore);
+    failingDisk.hook = () => null;
     await log.recover();
     await log.append([60]);
-    t.deepEqual(await reopen(full), [...history.acknowledged, 60]);
+    t.deepEqual(await reopen(failingDisk), [...history.acknowledged, 60]);
   }
 });
 
-test('a first start with a full disk opens an empty log', async (t) => {
+test('the first start on a full disk opens an empty log that recovers once the disk has space', async (t) => {
   const disk = new ModelDisk();
-  disk.hook = (operation) => (refusable.has(operation) ? { kind: 'fail', code: 'ENOSPC' } : null);
+  disk.hook = (operation) =>
+    failableOperations.has(operation) ? { kind: 'fail', code: 'ENOSPC' } : null;
   const log = await openWriteAheadLog(folder, disk.fileSystem);
   t.deepEqual([log.records, log.available()], [[], false]);
   disk.hook = () => null;
@@ -150,22 +157,22 @@
   t.deepEqual(await reopen(disk), ['a']);
 });
 
-test('a sync that fails is never tried again on the same file', async (t) => {
+test('a failed sync is never repeated on the same file', async (t) => {
   const disk = new ModelDisk();
   const log = await openWriteAheadLog(folder, disk.fileSystem);
   await log.append([1]);
-  const touched: string[] = [];
-  let failing = true;
+  const writesAndSyncs: string[] = [];
+  let isSyncFailing = true;
   disk.hook = (operation, name) => {
-    if (operation === 'write' || operation === 'sync') touched.push(`${operation} ${name}`);
-    return failing && operation === 'sync' ? { kind: 'fail', code: 'EIO' } : null;
+    if (operation === 'write' || operation === 'sync') writesAndSyncs.push(`${operation} ${name}`);
+    return isSyncFailing && operation === 'sync' ? { kind: 'fail', code: 'EIO' } : null;
   };
   await t.throwsAsync(log.append([2]));
   await t.throwsAsync(log.append([3]));
-  failing = false;
+  isSyncFailing = false;
   await log.recover();
   await log.append([4]);
-  t.deepEqual(touched, [
+  t.deepEqual(writesAndSyncs, [
     'write segment-00000001',
     'sync segment-00000001',
     'write segment-00000002',
@@ -176,13 +183,13 @@
   t.deepEqual(await reopen(disk), [1, 4]);
 });
 
-test('a snapshot that finds no room is removed, appends go on, and the next one takes its place', async (t) => {
+test('a snapshot that does not fit on the disk is removed, and appends and later snapshots succeed', async (t) => {
   const disk = new ModelDisk();
   const log = await openWriteAheadLog(folder, disk.fileSystem);
   await log.append([1, 2, 3]);
-  const refuse = (operation: DiskOperation, name: string): DiskFault | null =>
+  const failSnapshotWrites = (operation: DiskOperation, name: string): DiskFault | null =>
     operation === 'write' && name.startsWith('snapshot') ? { kind: 'fail', code: 'ENOSPC' } : null;
-  disk.hook = refuse;
+  disk.hook = failSnapshotWrites;
   const error = await t.throwsAsync(
     log.compact(() => [1, 2, 3]),
     { instanceOf: WriteAheadLogError },
@@ -201,14 +208,14 @@
   t.deepEqual(await reopen(disk), [1, 2, 3, 4]);
 });
 
-test('while a sync hangs, a later append waits with it and none is acknowledged', async (t) => {
+test('while a sync hangs, neither the first nor a later append is acknowledged', async (t) => {
   const disk = new ModelDisk();
   const log = await openWriteAheadLog(folder, disk.fileSystem);
-  let release: (() => void) | null = null;
+  let releaseSync: (() => void) | null = null;
   disk.hook = (operation) =>
     operation === 'sync'
       ? new Promise((resolve) => {
-          release = () => resolve(null);
+          releaseSync = () => resolve(null);
         })
       : null;
   const acknowledged: number[] = [];
@@ -218,12 +225,12 @@
   await new Promise((resolve) => setImmediate(resolve));
   t.deepEqual(acknowledged, []);
   disk.hook = () => null;
-  (release as (() => void) | null)?.();
+  (releaseSync as (() => void) | null)?.();
   await Promise.all(appends);
   t.deepEqual(acknowledged, [1, 2]);
 });
 
-test('restarts without appends leave no more files, and many with a few make a snapshot due', async (t) => {
+test('restarts without appends add no files, and many restarts with appends make a snapshot due', async (t) => {
   const disk = new ModelDisk();
   await (await openWriteAheadLog(folder, disk.fileSystem)).append(['kept']);
   for (let start = 0; start < 10; start += 1) {
--- a/packages/write-ahead-log/src/power-loss.test.ts
+++ b/packages/write-ahead-log/src/power-loss.test.ts
@@ -1,13 +1,14 @@
-// Every state that a loss of power, or the end of the process, can leave at every operation of the
-// log.
+// Reopens the log from every state that a power loss or a process exit can leave at every operation
+// of the log.
 import test, { type ExecutionContext } from 'ava';
 import { openWriteAheadLog, type WriteAheadLog } from './index.js';
 import { ModelDisk, type DiskOperation } from './model-disk.js';
 
 const folder = 'model';
 
-/** What was handed to the log and what it acknowledged, up to some moment. */
+/** The records passed to the log, and those that the log acknowledged, up to some moment. */
 type History = { readonly issued: number[]; readonly acknowledged: number[] };
+/** A copy of the disk and the history at one moment. */
 type Moment = { readonly disk: ModelDisk; readonly history: History };
 
 const copyOf = ({ issued, acknowledged }: History): History => ({
@@ -16,7 +17,8 @@
 });
 
 /**
- * A log whose records are numbers, with a copy of disk and history before and after each operation.
+ * Records a copy of the disk and the history before each disk operation and after each append and
+ * compaction. The log's records are numbers.
  */
 class Recorder {
   readonly moments: Moment[] = [];
@@ -26,12 +28,12 @@
     readonly history: History,
   ) {
     disk.hook = (operation: DiskOperation) => {
-      if (operation !== 'list' && operation !== 'read') this.mark();
+      if (operation !== 'list' && operation !== 'read') this.recordMoment();
       return null;
     };
   }
 
-  mark(): void {
+  recordMoment(): void {
     this.moments.push({ disk: this.disk.copy(), history: copyOf(this.history) });
   }
 
@@ -43,67 +45,74 @@
     this.history.issued.push(...records);
     await log.append(records);
     this.history.acknowledged.push(...records);
-    this.mark();
+    this.recordMoment();
   }
 
   async compact(log: WriteAheadLog): Promise<void> {
     await log.compact(() => [...this.history.acknowledged]);
-    this.mark();
+    this.recordMoment();
   }
 }
 
-/** All that was acknowledged is there, in order, then perhaps more of what was handed in. */
-const checkRecords = (t: ExecutionContext, records: readonly unknown[], history: History): void => {
+/** Asserts that the records are a prefix of the issued ones and include all acknowledged ones. */
+const assertRecords = (
+  t: ExecutionContext,
+  records: readonly unknown[],
+  history: History,
+): void => {
   const { issued, acknowledged } = history;
-  const wanted = issued.slice(0, Math.max(records.length, acknowledged.length));
-  t.deepEqual(records, wanted);
+  const expected = issued.slice(0, Math.max(records.length, acknowledged.length));
+  t.deepEqual(records, expected);
 };
 
 const reopen = async (disk: ModelDisk): Promise<readonly unknown[]> =>
   (await openWriteAheadLog(folder, disk.fileSystem)).records;
 
-/** Opens, appends, compacts with appends meanwhile, ends, and opens again. */
-const play = async (recorder: Recorder, first: number): Promise<void> => {
+/** Opens the log, appends, and compacts twice, the first time with a concurrent append. */
+const play = async (recorder: Recorder, firstRecord: number): Promise<void> => {
   const log = await recorder.open();
-  await recorder.append(log, first);
-  await Promise.all([recorder.append(log, first + 1, first + 2), recorder.append(log, first + 3)]);
-  await Promise.all([recorder.compact(log), recorder.append(log, first + 4)]);
-  await recorder.append(log, first + 5);
+  await recorder.append(log, firstRecord);
+  await Promise.all([
+    recorder.append(log, firstRecord + 1, firstRecord + 2),
+    recorder.append(log, firstRecord + 3),
+  ]);
+  await Promise.all([recorder.compact(log), recorder.append(log, firstRecord + 4)]);
+  await recorder.append(log, firstRecord + 5);
   await recorder.compact(log);
 };
 
-test('after any loss of power all that was acknowledged is there, and the log opens', async (t) => {
+test('after any power loss the log opens with all acknowledged records', async (t) => {
   const recorder = new Recorder(new ModelDisk(), { issued: [], acknowledged: [] });
   await play(recorder, 1);
   await play(recorder, 7);
   let states = 0;
   for (const { disk, history } of recorder.moments) {
-    for (const left of disk.statesAfterPowerLoss()) {
-      checkRecords(t, await reopen(left), history);
+    for (const diskAfterLoss of disk.statesAfterPowerLoss()) {
+      assertRecords(t, await reopen(diskAfterLoss), history);
       states += 1;
     }
   }
   t.true(states > 300, `${states} states`);
 });
 
-test('a second loss of power, at any operation after any first one, loses nothing either', async (t) => {
+test('after a second power loss at any operation the log opens with all acknowledged records', async (t) => {
   const recorder = new Recorder(new ModelDisk(), { issued: [], acknowledged: [] });
   await play(recorder, 1);
   let states = 0;
   for (const { disk, history } of recorder.moments) {
-    for (const left of disk.statesAfterPowerLoss()) {
-      const records = (await reopen(left.copy())) as number[];
-      const second = new Recorder(left, {
+    for (const diskAfterLoss of disk.statesAfterPowerLoss()) {
+      const records = (await reopen(diskAfterLoss.copy())) as number[];
+      const secondRecorder = new Recorder(diskAfterLoss, {
         issued: [...records],
         acknowledged: [...history.acknowledged],
       });
-      const log = await second.open();
-      second.history.acknowledged.splice(0, Infinity, ...records);
-      await second.append(log, 100);
-      await second.compact(log);
-      for (const moment of second.moments) {
-        for (const again of moment.disk.statesAfterPowerLoss()) {
-          checkRecords(t, await reopen(again), moment.history);
+      const log = await secondRecorder.open();
+      secondRecorder.history.acknowledged.splice(0, Infinity, ...records);
+      await secondRecorder.append(log, 100);
+      await secondRecorder.compact(log);
+      for (const moment of secondRecorder.moments) {
+        for (const diskAfterSecondLoss of moment.disk.statesAfterPowerLoss()) {
+          assertRecords(t, await reopen(diskAfterSecondLoss), moment.history);
           states += 1;
         }
       }
@@ -112,25 +121,25 @@
   t.true(states > 3_000, `${states} states`);
 });
 
-test('what a killed process left unsynced is made durable before it is shown', async (t) => {
+test('unsynced records of a killed process are durable before the reopened log returns them', async (t) => {
   const recorder = new Recorder(new ModelDisk(), { issued: [], acknowledged: [] });
   await play(recorder, 1);
   let states = 0;
   for (const { disk, history } of recorder.moments) {
-    // The process ends here; the power stays on until the next one has opened the log.
-    const opened = new Recorder(disk.copy(), copyOf(history));
-    const log = await opened.open();
+    // The process ends here; the power stays on until the next process has opened the log.
+    const nextRecorder = new Recorder(disk.copy(), copyOf(history));
+    const log = await nextRecorder.open();
     t.true(log.available());
-    const shown = log.records as number[];
-    checkRecords(t, shown, history);
-    for (const left of opened.disk.statesAfterPowerLoss()) {
-      t.deepEqual(await reopen(left), shown);
+    const returnedRecords = log.records as number[];
+    assertRecords(t, returnedRecords, history);
+    for (const diskAfterLoss of nextRecorder.disk.statesAfterPowerLoss()) {
+      t.deepEqual(await reopen(diskAfterLoss), returnedRecords);
       states += 1;
     }
-    // The power fails while the next one opens it: nothing was shown yet.
-    for (const moment of opened.moments) {
-      for (const left of moment.disk.statesAfterPowerLoss()) {
-        checkRecords(t, await reopen(left), history);
+    // The power fails while the next process opens the log: no records were returned yet.
+    for (const moment of nextRecorder.moments) {
+      for (const diskAfterLoss of moment.disk.statesAfterPowerLoss()) {
+        assertRecords(t, await reopen(diskAfterLoss), history);
         states += 1;
       }
     }
@@ -138,7 +147,8 @@
   t.true(states > 300, `${states} states`);
 });
 
-const durableFiles = async (): Promise<{
+/** The files of a log with a snapshot of records 1 to 3 and a segment with records 4 to 6. */
+const createDurableFiles = async (): Promise<{
   readonly files: ReadonlyMap<string, Buffer>;
   readonly records: readonly number[];
 }> => {
@@ -152,116 +162,116 @@
   return { files: disk.files(), records: recorder.history.acknowledged };
 };
 
-test('a gap in what was synced is refused, wherever it is and however long', async (t) => {
-  const { files } = await durableFiles();
+test('opening fails on a gap of any length anywhere in the synced data', async (t) => {
+  const { files } = await createDurableFiles();
   const gapLengths = [1, 7, 40];
-  const newestFrame = 24 + 3;
+  const newestFrameBytes = 24 + 3;
   for (const [name, bytes] of files) {
-    const end = name.startsWith('segment') ? bytes.length - newestFrame : bytes.length;
+    const end = name.startsWith('segment') ? bytes.length - newestFrameBytes : bytes.length;
     for (const length of gapLengths) {
-      for (let at = 0; at + length <= end; at += 1) {
-        const broken = Buffer.from(bytes);
-        for (let each = at; each < at + length; each += 1) {
-          broken.writeUInt8(broken.readUInt8(each) ^ 0xa5, each);
+      for (let start = 0; start + length <= end; start += 1) {
+        const corrupted = Buffer.from(bytes);
+        for (let offset = start; offset < start + length; offset += 1) {
+          corrupted.writeUInt8(corrupted.readUInt8(offset) ^ 0xa5, offset);
         }
-        const disk = ModelDisk.of(new Map([...files, [name, broken]]));
-        const error = await t.throwsAsync(reopen(disk), undefined, `${name} ${at} ${length}`);
+        const disk = ModelDisk.of(new Map([...files, [name, corrupted]]));
+        const error = await t.throwsAsync(reopen(disk), undefined, `${name} ${start} ${length}`);
         t.regex(error?.message ?? '', /restore the file or wipe/);
       }
     }
   }
 });
 
-test('a gap in any segment before the newest is refused, up to where the next one fences it', async (t) => {
+test('opening fails on a gap in an older segment before the end that the next segment fences', async (t) => {
   const disk = new ModelDisk();
   const recorder = new Recorder(disk, { issued: [], acknowledged: [] });
   for (let start = 0; start < 3; start += 1) {
     const log = await recorder.open();
-    for (let each = 1; each <= 3; each += 1) await recorder.append(log, start * 3 + each);
+    for (let index = 1; index <= 3; index += 1) await recorder.append(log, start * 3 + index);
     await log.close();
   }
   const files = disk.files();
-  const older = [...files.keys()].sort().slice(0, -1);
-  t.is(older.length, 2);
-  // The last batch of each is carried in the next segment's header.
-  const newestFrame = 24 + 3;
-  for (const name of older) {
+  const olderNames = [...files.keys()].sort().slice(0, -1);
+  t.is(olderNames.length, 2);
+  // The header of the next segment carries the last batch of each older segment.
+  const newestFrameBytes = 24 + 3;
+  for (const name of olderNames) {
     const bytes = files.get(name) ?? Buffer.alloc(0);
-    for (let at = 0; at < bytes.length; at += 1) {
-      const broken = Buffer.from(bytes);
-      broken.writeUInt8(broken.readUInt8(at) ^ 0xa5, at);
-      const left = ModelDisk.of(new Map([...files, [name, broken]]));
-      if (at < bytes.length - newestFrame)
-        await t.throwsAsync(reopen(left), undefined, `${name} ${at}`);
-      else t.deepEqual(await reopen(left), recorder.history.acknowledged);
+    for (let offset = 0; offset < bytes.length; offset += 1) {
+      const corrupted = Buffer.from(bytes);
+      corrupted.writeUInt8(corrupted.readUInt8(offset) ^ 0xa5, offset);
+      const corruptedDisk = ModelDisk.of(new Map([...files, [name, corrupted]]));
+      if (offset < bytes.length - newestFrameBytes)
+        await t.throwsAsync(reopen(corruptedDisk), undefined, `${name} ${offset}`);
+      else t.deepEqual(await reopen(corruptedDisk), recorder.history.acknowledged);
     }
   }
 });
 
-test('a record that looks like the end of a snapshot does not end one', async (t) => {
+test('a truncated snapshot is ignored even if a state record looks like the end record', async (t) => {
   const disk = new ModelDisk();
   const log = await openWriteAheadLog(folder, disk.fileSystem);
   await log.append(['a']);
   await log.compact(() => [{ records: 0 }, 'b']);
-  const written = disk.files().get('snapshot-00000002') ?? Buffer.alloc(0);
-  const before = new ModelDisk();
-  const again = await openWriteAheadLog(folder, before.fileSystem);
-  await again.append(['a']);
+  const snapshot = disk.files().get('snapshot-00000002') ?? Buffer.alloc(0);
+  const secondDisk = new ModelDisk();
+  const secondLog = await openWriteAheadLog(folder, secondDisk.fileSystem);
+  await secondLog.append(['a']);
   const images: ModelDisk[] = [];
-  before.hook = (operation) => {
-    if (operation === 'sync') images.push(before.copy());
+  secondDisk.hook = (operation) => {
+    if (operation === 'sync') images.push(secondDisk.copy());
     return null;
   };
-  await again.compact(() => [{ records: 0 }, 'b']);
-  const image = images.find((each) => each.files().has('snapshot-00000002'));
-  for (let cut = 0; cut < written.length; cut += 1) {
+  await secondLog.compact(() => [{ records: 0 }, 'b']);
+  const imageWithSnapshot = images.find((image) => image.files().has('snapshot-00000002'));
+  for (let length = 0; length < snapshot.length; length += 1) {
     const files = new Map([
-      ...(image?.files() ?? []),
-      ['snapshot-00000002', written.subarray(0, cut)],
+      ...(imageWithSnapshot?.files() ?? []),
+      ['snapshot-00000002', snapshot.subarray(0, length)],
     ]);
-    t.deepEqual(await reopen(ModelDisk.of(files)), ['a'], `cut at ${cut}`);
+    t.deepEqual(await reopen(ModelDisk.of(files)), ['a'], `truncated to ${length} bytes`);
   }
 });
 
-test('a file whose sync is certain and that is missing is refused', async (t) => {
-  const { files } = await durableFiles();
+test('opening fails if a synced file is missing', async (t) => {
+  const { files } = await createDurableFiles();
   t.is(files.size, 2);
   for (const name of files.keys()) {
-    const others = new Map([...files].filter(([each]) => each !== name));
-    await t.throwsAsync(reopen(ModelDisk.of(others)), { message: /missing/ }, name);
+    const otherFiles = new Map([...files].filter(([otherName]) => otherName !== name));
+    await t.throwsAsync(reopen(ModelDisk.of(otherFiles)), { message: /missing/ }, name);
   }
 });
 
-test('files that were removed and come back by themselves change nothing', async (t) => {
+test('removed files that reappear do not change the recovered records', async (t) => {
   const disk = new ModelDisk();
   const recorder = new Recorder(disk, { issued: [], acknowledged: [] });
-  const seen = new Map<string, Buffer>();
+  const filesSoFar = new Map<string, Buffer>();
   const log = await recorder.open();
   for (let round = 0; round < 3; round += 1) {
     await recorder.append(log, round * 2 + 1);
     await recorder.append(log, round * 2 + 2);
-    for (const [name, bytes] of disk.files()) seen.set(name, bytes);
+    for (const [name, bytes] of disk.files()) filesSoFar.set(name, bytes);
     await recorder.compact(log);
   }
-  const now = disk.files();
-  const removed = [...seen].filter(([name]) => !now.has(name));
-  t.is(removed.length, 5);
-  for (let subset = 0; subset < 2 ** removed.length; subset += 1) {
-    const back = removed.filter((_, index) => (subset & (1 << index)) !== 0);
+  const currentFiles = disk.files();
+  const removedFiles = [...filesSoFar].filter(([name]) => !currentFiles.has(name));
+  t.is(removedFiles.length, 5);
+  for (let subset = 0; subset < 2 ** removedFiles.length; subset += 1) {
+    const reappearedFiles = removedFiles.filter((_, index) => (subset & (1 << index)) !== 0);
     t.deepEqual(
-      await reopen(ModelDisk.of(new Map([...back, ...now]))),
+      await reopen(ModelDisk.of(new Map([...reappearedFiles, ...currentFiles]))),
       recorder.history.acknowledged,
     );
   }
 });
 
-test('blocks that another file left behind are never read as records of this one', async (t) => {
-  const { files, records } = await durableFiles();
+test('data of another file after the end of a segment is never read as records of the segment', async (t) => {
+  const { files, records } = await createDurableFiles();
   for (const [name, bytes] of files) {
-    for (const [otherName, other] of files) {
+    for (const [otherName, otherBytes] of files) {
       if (otherName === name || !name.startsWith('segment')) continue;
-      const mixed = new Map([...files, [name, Buffer.concat([bytes, other])]]);
-      t.deepEqual(await reopen(ModelDisk.of(mixed)), records);
+      const filesWithStaleData = new Map([...files, [name, Buffer.concat([bytes, otherBytes])]]);
+      t.deepEqual(await reopen(ModelDisk.of(filesWithStaleData)), records);
     }
   }
   t.deepEqual([...files.keys()].sort(), ['segment-00000002', 'snapshot-00000002']);
--- a/packages/write-ahead-log/src/write-ahead-log.test.ts
+++ b/packages/write-ahead-log/src/write-ahead-log.test.ts
@@ -1,4 +1,4 @@
-// The log on a real folder.
+// Tests the log on a folder of the real file system.
 import test from 'ava';
 import os from 'node:os';
 import path from 'node:path';
@@ -13,23 +13,23 @@
 import { WriteAheadLogError, openWriteAheadLog } from './index.js';
 import { encodeFrame, encodeRecord, scanFrames } from './frames.js';
 
-const folder = (): string => mkdtempSync(path.join(os.tmpdir(), 'write-ahead-log-'));
+const createFolder = (): string => mkdtempSync(path.join(os.tmpdir(), 'write-ahead-log-'));
 const firstSegment = 'segment-00000001';
 const fileId = 2;
 
-const frameLength = (record: unknown): number =>
-  encodeFrame({ payload: encodeRecord(record), batch: 1, lastOfBatch: true, fileId }).length;
+const frameBytesOf = (record: unknown): number =>
+  encodeFrame({ payload: encodeRecord(record), batch: 1, isLastInBatch: true, fileId }).length;
 
-const folderWith = (bytes: Buffer): string => {
-  const copy = folder();
-  writeFileSync(path.join(copy, firstSegment), bytes);
-  return copy;
+const createFolderWith = (bytes: Buffer): string => {
+  const folder = createFolder();
+  writeFileSync(path.join(folder, firstSegment), bytes);
+  return folder;
 };
 
-test('cut at every byte, a log gives back exactly the records that were whole, and goes on from there', async (t) => {
-  const home = folder();
-  const log = await openWriteAheadLog(home);
-  const header = readFileSync(path.join(home, firstSegment)).length;
+test('a log truncated at any byte opens with exactly its complete records and accepts appends', async (t) => {
+  const folder = createFolder();
+  const log = await openWriteAheadLog(folder);
+  const headerBytes = readFileSync(path.join(folder, firstSegment)).length;
   const records = [
     { kind: 'cell', n: 1 },
     { kind: 'fact', text: 'ü'.repeat(9) },
@@ -37,141 +37,144 @@
   ];
   await log.append(records);
   await log.close();
-  const file = path.join(home, firstSegment);
-  const whole = readFileSync(file);
+  const filePath = path.join(folder, firstSegment);
+  const bytes = readFileSync(filePath);
   const ends = records.reduce<number[]>(
-    (list, record) => [...list, (list.at(-1) ?? header) + frameLength(record)],
+    (list, record) => [...list, (list.at(-1) ?? headerBytes) + frameBytesOf(record)],
     [],
   );
-  t.is(ends.at(-1), whole.length);
-  for (let cut = 0; cut <= whole.length; cut += 1) {
-    const copy = folder();
-    copyFileSync(file, path.join(copy, firstSegment));
-    truncateSync(path.join(copy, firstSegment), cut);
-    const again = await openWriteAheadLog(copy);
-    const kept = records.slice(0, ends.filter((end) => end <= cut).length);
-    t.deepEqual(again.records, kept, `cut at ${cut}`);
-    await again.append(['later']);
-    await again.close();
-    const third = await openWriteAheadLog(copy);
-    t.deepEqual(third.records, [...kept, 'later']);
-    await third.close();
+  t.is(ends.at(-1), bytes.length);
+  for (let length = 0; length <= bytes.length; length += 1) {
+    const folderCopy = createFolder();
+    copyFileSync(filePath, path.join(folderCopy, firstSegment));
+    truncateSync(path.join(folderCopy, firstSegment), length);
+    const secondLog = await openWriteAheadLog(folderCopy);
+    const completeRecords = records.slice(0, ends.filter((end) => end <= length).length);
+    t.deepEqual(secondLog.records, completeRecords, `truncated to ${length} bytes`);
+    await secondLog.append(['later']);
+    await secondLog.close();
+    const thirdLog = await openWriteAheadLog(folderCopy);
+    t.deepEqual(thirdLog.records, [...completeRecords, 'later']);
+    await thirdLog.close();
   }
 });
 
-test('a damaged middle is refused at every byte of it', async (t) => {
-  const home = folder();
-  const log = await openWriteAheadLog(home);
-  // Each is acknowledged before the next: only the last may be what an unsynced write left.
+test('opening fails if any byte before the last batch is corrupted', async (t) => {
+  const folder = createFolder();
+  const log = await openWriteAheadLog(folder);
+  // Each record is acknowledged before the next append: only the last record may be unsynced.
   for (const record of ['first', 'second', 'third']) await log.append([record]);
   await log.close();
-  const whole = readFileSync(path.join(home, firstSegment));
-  const until = whole.length - frameLength('third');
-  for (let at = 0; at < until; at += 1) {
-    const bytes = Buffer.from(whole);
-    bytes.writeUInt8(bytes.readUInt8(at) ^ 0x20, at);
-    const error = await t.throwsAsync(openWriteAheadLog(folderWith(bytes)), {
+  const intact = readFileSync(path.join(folder, firstSegment));
+  const lastBatchStart = intact.length - frameBytesOf('third');
+  for (let offset = 0; offset < lastBatchStart; offset += 1) {
+    const bytes = Buffer.from(intact);
+    bytes.writeUInt8(bytes.readUInt8(offset) ^ 0x20, offset);
+    const error = await t.throwsAsync(openWriteAheadLog(createFolderWith(bytes)), {
       instanceOf: WriteAheadLogError,
     });
-    t.is(error?.code, 'damaged', `byte ${at}`);
+    t.is(error?.code, 'damaged', `byte ${offset}`);
   }
 });
 
-test('a gap at every byte of one unsynced write ends the log there, also with whole records behind it', async (t) => {
-  const home = folder();
-  const log = await openWriteAheadLog(home);
+test('a gap in the last batch ends the log there even if complete records follow', async (t) => {
+  const folder = createFolder();
+  const log = await openWriteAheadLog(folder);
   await log.append(['synced']);
-  const before = readFileSync(path.join(home, firstSegment)).length;
+  const syncedBytes = readFileSync(path.join(folder, firstSegment)).length;
   await log.append(['first', 'second', 'third']);
   await log.close();
-  const whole = readFileSync(path.join(home, firstSegment));
+  const intact = readFileSync(path.join(folder, firstSegment));
   const ends = ['first', 'second', 'third'].reduce<number[]>(
-    (list, record) => [...list, (list.at(-1) ?? before) + frameLength(record)],
+    (list, record) => [...list, (list.at(-1) ?? syncedBytes) + frameBytesOf(record)],
     [],
   );
-  for (let at = before; at < whole.length; at += 1) {
-    const bytes = Buffer.from(whole);
-    bytes.fill(0, at, Math.min(at + 16, bytes.length));
-    const again = await openWriteAheadLog(folderWith(bytes));
-    const kept = ['first', 'second', 'third'].slice(0, ends.filter((end) => end <= at).length);
-    t.deepEqual(again.records, ['synced', ...kept], `byte ${at}`);
-    await again.close();
+  for (let offset = syncedBytes; offset < intact.length; offset += 1) {
+    const bytes = Buffer.from(intact);
+    bytes.fill(0, offset, Math.min(offset + 16, bytes.length));
+    const secondLog = await openWriteAheadLog(createFolderWith(bytes));
+    const recordsBeforeGap = ['first', 'second', 'third'].slice(
+      0,
+      ends.filter((end) => end <= offset).length,
+    );
+    t.deepEqual(secondLog.records, ['synced', ...recordsBeforeGap], `byte ${offset}`);
+    await secondLog.close();
   }
 });
 
-test('zeroes after the last record are a torn tail, not damage', (t) => {
-  const frame = encodeFrame({ payload: encodeRecord('a'), batch: 1, lastOfBatch: true, fileId });
+test('zero bytes after the last record are a torn tail, not damage', (t) => {
+  const frame = encodeFrame({ payload: encodeRecord('a'), batch: 1, isLastInBatch: true, fileId });
   const scan = scanFrames(Buffer.concat([frame, Buffer.alloc(40)]), fileId);
   t.deepEqual(
-    scan.frames.map((each) => each.record),
+    scan.frames.map((scanned) => scanned.record),
     ['a'],
   );
   t.deepEqual([scan.validBytes, scan.highestBatchAfterGap], [frame.length, null]);
 });
 
-test('compaction keeps the state and bounds the files; a snapshot without its end counts for nothing', async (t) => {
-  const home = folder();
-  const log = await openWriteAheadLog(home);
+test('compaction leaves one segment and one snapshot, and an incomplete snapshot is ignored', async (t) => {
+  const folder = createFolder();
+  const log = await openWriteAheadLog(folder);
   for (let n = 0; n < 50; n += 1) await log.append([{ n }]);
   await log.compact(() => [{ state: 49 }]);
   await log.append([{ n: 50 }]);
   await log.close();
   const [segment, snapshot] = ['segment-00000002', 'snapshot-00000002'];
-  t.deepEqual(readdirSync(home).sort(), [segment, snapshot]);
-  const again = await openWriteAheadLog(home);
-  t.deepEqual(again.records, [{ state: 49 }, { n: 50 }]);
-  await again.close();
-  // The next segment was begun, and its snapshot is there in part.
-  const whole = readFileSync(path.join(home, snapshot));
-  for (const cut of [0, 1, Math.floor(whole.length / 2), whole.length - 1]) {
-    const crashed = folder();
-    for (const name of readdirSync(home))
-      copyFileSync(path.join(home, name), path.join(crashed, name));
-    writeFileSync(path.join(crashed, 'snapshot-00000003'), whole.subarray(0, cut));
-    const third = await openWriteAheadLog(crashed);
-    t.deepEqual(third.records, [{ state: 49 }, { n: 50 }]);
-    t.false(readdirSync(crashed).includes('snapshot-00000003'));
-    await third.close();
+  t.deepEqual(readdirSync(folder).sort(), [segment, snapshot]);
+  const secondLog = await openWriteAheadLog(folder);
+  t.deepEqual(secondLog.records, [{ state: 49 }, { n: 50 }]);
+  await secondLog.close();
+  // A crash during a compaction left an incomplete snapshot.
+  const snapshotBytes = readFileSync(path.join(folder, snapshot));
+  for (const length of [0, 1, Math.floor(snapshotBytes.length / 2), snapshotBytes.length - 1]) {
+    const crashedFolder = createFolder();
+    for (const name of readdirSync(folder))
+      copyFileSync(path.join(folder, name), path.join(crashedFolder, name));
+    writeFileSync(path.join(crashedFolder, 'snapshot-00000003'), snapshotBytes.subarray(0, length));
+    const thirdLog = await openWriteAheadLog(crashedFolder);
+    t.deepEqual(thirdLog.records, [{ state: 49 }, { n: 50 }]);
+    t.false(readdirSync(crashedFolder).includes('snapshot-00000003'));
+    await thirdLog.close();
   }
 });
 
-test('a missing segment is refused', async (t) => {
-  const home = folder();
+test('opening fails if any segment but the newest is missing', async (t) => {
+  const folder = createFolder();
   for (const record of ['a', 'b', 'c']) {
-    const log = await openWriteAheadLog(home);
+    const log = await openWriteAheadLog(folder);
     await log.append([record]);
     await log.close();
   }
-  const names = readdirSync(home).sort();
+  const names = readdirSync(folder).sort();
   t.is(names.length, 3);
-  // The newest is told by nothing else; each other one is named by the next.
+  // No file refers to the newest segment; the next segment refers to each of the others.
   for (const missing of names.slice(0, -1)) {
-    const copy = folder();
-    for (const name of names.filter((each) => each !== missing)) {
-      copyFileSync(path.join(home, name), path.join(copy, name));
+    const folderCopy = createFolder();
+    for (const name of names.filter((presentName) => presentName !== missing)) {
+      copyFileSync(path.join(folder, name), path.join(folderCopy, name));
     }
-    await t.throwsAsync(openWriteAheadLog(copy), {
+    await t.throwsAsync(openWriteAheadLog(folderCopy), {
       instanceOf: WriteAheadLogError,
       message: new RegExp(`${missing}: is missing`),
     });
   }
 });
 
-test('while a snapshot is written, appends are synced and kept', async (t) => {
-  const home = folder();
-  const log = await openWriteAheadLog(home);
+test('appends during the writing of a snapshot are synced before the snapshot and recovered', async (t) => {
+  const folder = createFolder();
+  const log = await openWriteAheadLog(folder);
   await log.append(['before']);
   const order: string[] = [];
   let appended = Promise.resolve();
-  // Each record fills a chunk; the append is made when half of them are written.
+  // Each record fills a chunk; the append starts when half of the records are written.
   function* state(): Iterable<unknown> {
-    for (let each = 0; each < 60; each += 1) {
-      if (each === 30) {
+    for (let index = 0; index < 60; index += 1) {
+      if (index === 30) {
         appended = log.append(['meanwhile']).then(() => {
           order.push('append');
         });
       }
-      yield { each, text: 'x'.repeat(70_000) };
+      yield { each: index, text: 'x'.repeat(70_000) };
     }
   }
   await log.compact(state).then(() => {
@@ -181,17 +184,17 @@
   t.deepEqual(order, ['append', 'snapshot']);
   t.true(log.snapshotBytes() > 60 * 70_000);
   await log.close();
-  const again = await openWriteAheadLog(home);
-  t.deepEqual([again.records.length, again.records.at(-1)], [61, 'meanwhile']);
-  await again.close();
+  const secondLog = await openWriteAheadLog(folder);
+  t.deepEqual([secondLog.records.length, secondLog.records.at(-1)], [61, 'meanwhile']);
+  await secondLog.close();
 });
 
-test('as many records as an hour of orders leaves are read at a start', async (t) => {
-  const home = folder();
-  const log = await openWriteAheadLog(home);
+test('a log with 200000 records, an hour of operator commands, opens with all of them', async (t) => {
+  const folder = createFolder();
+  const log = await openWriteAheadLog(folder);
   await log.append(Array.from({ length: 200_000 }, (_, index) => index));
   await log.close();
-  const again = await openWriteAheadLog(home);
-  t.is(again.records.length, 200_000);
-  await again.close();
+  const secondLog = await openWriteAheadLog(folder);
+  t.is(secondLog.records.length, 200_000);
+  await secondLog.close();
 });
