--- a/packages/client-stand-in/src/index.ts
+++ b/packages/client-stand-in/src/index.ts
@@ -1,10 +1,10 @@
-/** Clients for tests. */
+/** Test clients: single requests and generated load. */
 export {
-  type Ask as RequestSpec,
-  feel as sendRequest,
-  type Felt as LoadSummary,
-  type Kind as RequestKind,
-  type Seen as RequestResult,
+  type LoadSummary,
+  type RequestKind,
+  type RequestResult,
+  type RequestSpec,
+  sendRequest,
   startLoad,
-  sumUp as summarizeResults,
+  summarizeResults,
 } from './client-stand-in.js';
--- a/packages/origin-stand-in/src/index.ts
+++ b/packages/origin-stand-in/src/index.ts
@@ -1,9 +1,9 @@
-/** Origins for tests. */
+/** Test origins with switchable faults. */
 export {
-  bodyOf as responseBodyOf,
-  type Mode as OriginMode,
+  type ExecutedRequest,
+  type OriginMode,
   type OriginStandIn,
   type OriginStandInOptions,
-  type Ran as ExecutedRequest,
+  responseBodyOf,
   startOriginStandIn,
 } from './origin-stand-in.js';
--- a/packages/origin-stand-in/src/main.ts
+++ b/packages/origin-stand-in/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts an origin for tests. */
+/** Starts one test origin as a process of its own. */
 import { parseArgs } from 'node:util';
 import http from 'node:http';
 import { openLogger } from '@reedyard/logging';
@@ -48,7 +48,8 @@
 });
 logger.info('started', { address: standIn.address });
 
-// Commands of the bench: POST /become with a part of a mode, /rename, /turn; GET /ran.
+// Control port: POST /become changes the mode given as JSON, /rename the identity, and /turn starts
+// a new generation. Every response, also that to GET /ran, lists executed requests and the mode.
 http
   .createServer((request, response) => {
     let text = '';
--- a/packages/origin-stand-in/src/origin-stand-in.ts
+++ b/packages/origin-stand-in/src/origin-stand-in.ts
@@ -1,34 +1,41 @@
-/** Origins for tests. */
+/**
+ * A test origin: an HTTP server that reports its description to agents and whose faults can be
+ * switched on and off.
+ */
 
 import http from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { createHash } from 'node:crypto';
 
-/** How a stand-in origin behaves; a number is the share of its answers that are so. */
-export type Mode = {
-  /** ms before each answer. */
+/**
+ * Faults and reported state of a test origin. A fault given as a number occurs with this
+ * probability per response.
+ */
+export type OriginMode = {
+  /** Delay before each response, in milliseconds. */
   readonly slowMs: number;
-  /** Runs unsafe requests, then cuts the conn. */
+  /** Executes unsafe requests, then closes the connection without a response. */
   readonly lose: boolean | number;
-  /** Answers with bytes that are no HTTP. */
+  /** Responds with bytes that aren't valid HTTP. */
   readonly garbage: boolean | number;
-  /** Announces a longer body than it sends. */
+  /** Sends a body shorter than its content-length. */
   readonly short: boolean | number;
-  /** Sends a second answer that nobody asked for after each one. */
+  /** Sends a second, unsolicited response after each response. */
   readonly leftover: boolean | number;
-  /** Sends a body that does not match its digest. */
+  /** Sends a content-digest that doesn't match the body. */
   readonly corrupt: boolean;
-  /** s that its answers are already old. */
+  /** Age that responses already have when they are sent, in seconds. */
   readonly aged: number;
-  /** Share of answers too large to be read whole. */
+  /** Probability of a response body of 3 MB, too large to be buffered completely. */
   readonly large: number;
-  /** Describes itself no more. */
+  /** Stops sending descriptions. */
   readonly silent: boolean;
   readonly capacity: number;
   readonly state: 'cold' | 'warm';
   readonly draining: boolean;
 };
 
+/** Identity, address and initial behaviour of a test origin. */
 export type OriginStandInOptions = {
   readonly service: string;
   readonly instance: string;
@@ -38,16 +45,16 @@
   readonly zone: string;
   readonly region: string;
   readonly capacity: number;
-  /** APIs of agents to describe itself to, in turn. */
+  /** Addresses of agents' APIs; each description goes to the next address in turn. */
   readonly agentApis: readonly string[];
   readonly announceIntervalMs: number;
-  readonly mode?: Partial<Mode>;
-  /** s. How long its reports may be kept. */
+  readonly mode?: Partial<OriginMode>;
+  /** `max-age` of cacheable responses, in seconds. */
   readonly maxAge: number;
-  /** Told of each request that it takes, and whether it ran. */
+  /** Called for each request that names this origin's identity, before the response is sent. */
   readonly onRequest?: (
     request: http.IncomingMessage,
-    by: {
+    context: {
       readonly service: string;
       readonly instance: string;
       readonly incarnation: number;
@@ -58,39 +65,41 @@
   ) => void;
 };
 
-/** A run of an unsafe request, by the id that its caller gave it. */
-export type Ran = { readonly id: string; readonly at: number };
+/** An executed unsafe request: the job id that its client sent, and the time in Unix milliseconds. */
+export type ExecutedRequest = { readonly id: string; readonly at: number };
 
-/** A running stand-in origin. */
+/** Controls a running test origin. */
 export type OriginStandIn = {
   readonly address: string;
-  readonly mode: () => Mode;
-  /** Changes its ways; describes itself at once unless told not to. */
-  readonly setMode: (mode: Partial<Mode>, tell?: boolean) => void;
-  /** Takes another identity at the same address. */
+  readonly mode: () => OriginMode;
+  /** Changes faults and state. Sends a description immediately unless `shouldAnnounce` is false. */
+  readonly setMode: (mode: Partial<OriginMode>, shouldAnnounce?: boolean) => void;
+  /** Takes another identity at the same address and closes all connections. */
   readonly rename: (
     identity: Partial<Pick<OriginStandInOptions, 'service' | 'instance' | 'incarnation'>>,
   ) => void;
-  readonly ran: () => readonly Ran[];
+  /** Executed unsafe requests, oldest first. */
+  readonly ran: () => readonly ExecutedRequest[];
+  /** Number of requests received, apart from requests for the identity. */
   readonly requestCount: () => number;
-  /** Header fields of the request heard last. */
+  /** Header fields of the last request. */
   readonly lastRequestHeaders: () => http.IncomingHttpHeaders;
-  /** A new generation of every report. */
+  /** Starts a new generation of every cacheable response body and returns its number. */
   readonly startNewGeneration: () => number;
   readonly announce: () => Promise<void>;
-  /** Describes itself to one node; whether it was taken. */
-  readonly announceTo: (api: string) => Promise<boolean>;
-  /** Goes down as it stands, and comes back at the same address. */
+  /** Sends a description to one node. Resolves to whether the node responded below status 500. */
+  readonly announceTo: (apiAddress: string) => Promise<boolean>;
+  /** Closes the server and all connections immediately; `restart` listens at the same address again. */
   readonly crash: () => void;
   readonly restart: () => void;
   readonly stop: () => Promise<void>;
 };
 
-const describe = (api: string, document: unknown): Promise<boolean> =>
+const postDescription = (apiAddress: string, description: unknown): Promise<boolean> =>
   new Promise((resolve) => {
-    const text = JSON.stringify(document);
+    const text = JSON.stringify(description);
     const request = http.request(
-      `http://${api}/v1/origins`,
+      `http://${apiAddress}/v1/origins`,
       {
         method: 'POST',
         timeout: 2_000,
@@ -107,33 +116,36 @@
   });
 
 /**
- * The body of a report: anyone can tell from it whose it is and of which generation.
+ * The body of a cacheable response. Its head names the service, target, generation and times, so
+ * that tests can check which response a client received.
  *
  * @example
- * bodyOf('store', '/sheets/1', 0, 200).startsWith('store /sheets/1 generation=0 ') // true
+ * responseBodyOf('store', '/sheets/1', 0, 200).startsWith('store /sheets/1 generation=0 ') // true
  */
-export const bodyOf = (
+export const responseBodyOf = (
   service: string,
   target: string,
   generation: number,
   size: number,
-  times = { madeAt: 0, sentAt: 0, maxAgeMs: 0 },
+  times = { generatedAt: 0, sentAt: 0, maxAgeMs: 0 },
 ): string => {
-  const head = `${service} ${target} generation=${generation} made=${times.madeAt} sent=${times.sentAt} life=${times.maxAgeMs} `;
+  const head = `${service} ${target} generation=${generation} made=${times.generatedAt} sent=${times.sentAt} life=${times.maxAgeMs} `;
   return head + 'x'.repeat(Math.max(0, size - head.length));
 };
 
-const happens = (share: boolean | number): boolean =>
-  share === true || (typeof share === 'number' && share > 0 && Math.random() < share);
+/** Draws whether a fault occurs; true is always, a number is its probability. */
+const isTriggered = (probability: boolean | number): boolean =>
+  probability === true ||
+  (typeof probability === 'number' && probability > 0 && Math.random() < probability);
 
-/** Starts a stand-in origin in this process. */
+/** Starts a test origin in this process. */
 export const startOriginStandIn = async (options: OriginStandInOptions): Promise<OriginStandIn> => {
   let identity = {
     service: options.service,
     instance: options.instance,
     incarnation: options.incarnation,
   };
-  let mode: Mode = {
+  let mode: OriginMode = {
     slowMs: 0,
     lose: false,
     garbage: false,
@@ -149,11 +161,11 @@
     ...options.mode,
   };
   let generation = 0;
-  let got = 0;
-  let heard: http.IncomingHttpHeaders = {};
-  const ran: Ran[] = [];
+  let receivedCount = 0;
+  let lastHeaders: http.IncomingHttpHeaders = {};
+  const executedRequests: ExecutedRequest[] = [];
 
-  const answer = (
+  const respond = (
     request: http.IncomingMessage,
     response: http.ServerResponse,
     body: Buffer,
@@ -169,55 +181,61 @@
       response.end(text);
       return;
     }
-    const marks = {
+    const identityHeaders = {
       'reedyard-stamp': stamp,
       'reedyard-attempt': String(request.headers['reedyard-attempt'] ?? ''),
     };
     if (request.headers['reedyard-expect'] !== stamp) {
-      response.writeHead(503, { ...marks, 'reedyard-outcome': 'not-run', 'content-length': 0 });
+      response.writeHead(503, {
+        ...identityHeaders,
+        'reedyard-outcome': 'not-run',
+        'content-length': 0,
+      });
       response.end();
       return;
     }
-    const unsafe = request.method !== 'GET' && request.method !== 'HEAD';
+    const isUnsafe = request.method !== 'GET' && request.method !== 'HEAD';
     options.onRequest?.(request, {
       ...identity,
       zone: options.zone,
       cold: mode.state === 'cold',
-      unsafe,
+      unsafe: isUnsafe,
     });
-    if (unsafe)
-      ran.push({
+    if (isUnsafe)
+      executedRequests.push({
         id: String(request.headers['x-job'] ?? body.toString('utf8').slice(0, 100)),
         at: Date.now(),
       });
-    if (unsafe && happens(mode.lose)) {
+    if (isUnsafe && isTriggered(mode.lose)) {
       request.socket.destroy();
       return;
     }
-    if (happens(mode.garbage)) {
+    if (isTriggered(mode.garbage)) {
       request.socket.end('\u0000\u0001 not an answer\r\n\r\n');
       return;
     }
-    const short = happens(mode.short);
+    const isShort = isTriggered(mode.short);
     const sentAt = Date.now();
-    const size = happens(mode.large) ? 3_000_000 : Number(/size=(\d+)/.exec(target)?.[1] ?? 2_000);
-    const text = unsafe
+    const size = isTriggered(mode.large)
+      ? 3_000_000
+      : Number(/size=(\d+)/.exec(target)?.[1] ?? 2_000);
+    const text = isUnsafe
       ? JSON.stringify({ ran: String(request.headers['x-job'] ?? ''), by: stamp })
-      : bodyOf(identity.service, target, generation, size, {
-          madeAt: sentAt - 1_000 * mode.aged,
+      : responseBodyOf(identity.service, target, generation, size, {
+          generatedAt: sentAt - 1_000 * mode.aged,
           sentAt,
           maxAgeMs: 1_000 * options.maxAge,
         });
-    const tags = [...target.matchAll(/tag-(\w+)/g)].map((found) => found[1]).join(' ');
+    const tags = [...target.matchAll(/tag-(\w+)/g)].map((match) => match[1]).join(' ');
     const headers: Record<string, string | number> = {
-      ...marks,
-      'content-type': unsafe ? 'application/json' : 'text/plain',
-      'content-length': Buffer.byteLength(text) + (short ? 10 : 0),
+      ...identityHeaders,
+      'content-type': isUnsafe ? 'application/json' : 'text/plain',
+      'content-length': Buffer.byteLength(text) + (isShort ? 10 : 0),
       'content-digest': `sha-256=:${createHash('sha256')
         .update(mode.corrupt ? `${text}!` : text)
         .digest('base64')}:`,
       ...(mode.aged > 0 ? { age: mode.aged } : {}),
-      ...(unsafe
+      ...(isUnsafe
         ? { 'cache-control': 'no-store' }
         : {
             'cache-control': `max-age=${options.maxAge}`,
@@ -226,13 +244,13 @@
       ...(tags === '' ? {} : { 'surrogate-key': tags }),
     };
     response.writeHead(200, headers);
-    if (short) {
+    if (isShort) {
       response.write(text);
       setTimeout(() => request.socket.destroy(), 5);
       return;
     }
     response.end(request.method === 'HEAD' ? undefined : text, () => {
-      if (happens(mode.leftover))
+      if (isTriggered(mode.leftover))
         request.socket.write(
           `HTTP/1.1 200 OK\r\nreedyard-stamp: ${stamp}\r\ncontent-length: 7\r\n\r\nforeign`,
         );
@@ -246,14 +264,14 @@
     request.on('error', () => undefined);
     request.on('end', () => {
       if (request.url !== '/.well-known/reedyard-identity') {
-        got += 1;
-        heard = request.headers;
+        receivedCount += 1;
+        lastHeaders = request.headers;
       }
-      const act = (): void => {
-        if (!response.destroyed) answer(request, response, Buffer.concat(chunks));
+      const sendResponse = (): void => {
+        if (!response.destroyed) respond(request, response, Buffer.concat(chunks));
       };
-      if (mode.slowMs > 0) setTimeout(act, mode.slowMs);
-      else act();
+      if (mode.slowMs > 0) setTimeout(sendResponse, mode.slowMs);
+      else sendResponse();
     });
   });
   server.keepAliveTimeout = 60_000;
@@ -268,9 +286,9 @@
   });
   const address = `${options.host}:${(server.address() as AddressInfo).port}`;
 
-  let which = 0;
-  let up = true;
-  const description = (): object => ({
+  let nextApiIndex = 0;
+  let isUp = true;
+  const currentDescription = (): object => ({
     ...identity,
     address,
     region: options.region,
@@ -280,43 +298,43 @@
     draining: mode.draining,
   });
   const announce = async (): Promise<void> => {
-    for (let tries = 0; tries < options.agentApis.length; tries += 1) {
-      const api = options.agentApis[which % options.agentApis.length] ?? '';
-      which += 1;
-      if (await describe(api, description())) return;
+    for (let attempts = 0; attempts < options.agentApis.length; attempts += 1) {
+      const apiAddress = options.agentApis[nextApiIndex % options.agentApis.length] ?? '';
+      nextApiIndex += 1;
+      if (await postDescription(apiAddress, currentDescription())) return;
     }
   };
-  const beat = setInterval(() => {
-    if (!mode.silent && up) void announce();
+  const announceTimer = setInterval(() => {
+    if (!mode.silent && isUp) void announce();
   }, options.announceIntervalMs);
   void announce();
   return {
     address,
     mode: () => mode,
-    setMode: (change, tell = true) => {
+    setMode: (change, shouldAnnounce = true) => {
       mode = { ...mode, ...change };
-      if (tell) void announce();
+      if (shouldAnnounce) void announce();
     },
-    // Whoever takes an address over begins with no conns of the one before.
+    // A new server at an address has no connections of its predecessor.
     rename: (change) => {
       identity = { ...identity, ...change };
       sockets.forEach((socket) => socket.destroy());
-      if (up && !mode.silent) void announce();
+      if (isUp && !mode.silent) void announce();
     },
     crash: () => {
-      up = false;
+      isUp = false;
       server.close();
       sockets.forEach((socket) => socket.destroy());
     },
     restart: () => {
-      up = true;
+      isUp = true;
       server.listen(Number(address.slice(address.lastIndexOf(':') + 1)), options.host);
       void announce();
     },
-    announceTo: async (api) => describe(api, description()),
-    ran: () => ran,
-    requestCount: () => got,
-    lastRequestHeaders: () => heard,
+    announceTo: async (apiAddress) => postDescription(apiAddress, currentDescription()),
+    ran: () => executedRequests,
+    requestCount: () => receivedCount,
+    lastRequestHeaders: () => lastHeaders,
     startNewGeneration: () => {
       generation += 1;
       return generation;
@@ -324,7 +342,7 @@
     announce,
     stop: () =>
       new Promise((resolve) => {
-        clearInterval(beat);
+        clearInterval(announceTimer);
         server.close(() => resolve());
         sockets.forEach((socket) => socket.destroy());
       }),
