--- a/.ci/known-red.mjs
+++ b/.ci/known-red.mjs
@@ -1,45 +1,52 @@
-// Decides after a failed test run whether only tests listed in KNOWN-RED.txt failed: then the run
-// counts as passed. Usage: node .ci/known-red.mjs LOG KNOWN-RED.txt
+// Decides whether a failed test run counts as passed, which it does if every failed test is listed
+// in KNOWN-RED.txt. Usage: node .ci/known-red.mjs LOG KNOWN-RED.txt
 import { existsSync, readFileSync } from 'node:fs';
 import { stripVTControlCharacters } from 'node:util';
 
-const [log = '', list = ''] = process.argv.slice(2);
-const lines = stripVTControlCharacters(readFileSync(log, 'utf8'))
+const [logFile = '', listFile = ''] = process.argv.slice(2);
+const lines = stripVTControlCharacters(readFileSync(logFile, 'utf8'))
   .split('\n')
   .map((line) => line.trim());
-const known = existsSync(list)
-  ? readFileSync(list, 'utf8')
+const listedNames = existsSync(listFile)
+  ? readFileSync(listFile, 'utf8')
       .split('\n')
       .filter((line) => line.includes(' | '))
       .map((line) => line.split(' | ', 1)[0].trim())
   : [];
-const failed = lines
+const failedTitles = lines
   .filter((line) => line.startsWith('✘ [fail]: '))
   .map((line) => line.slice('✘ [fail]: '.length));
-const listed = failed.filter((title) =>
-  known.some((name) => title === name || title.startsWith(`${name} `)),
+const listedFailures = failedTitles.filter((title) =>
+  listedNames.some((name) => title === name || title.startsWith(`${name} `)),
 );
 /**
- * Anything else that ava counts as a failure: files that did not end well, uncaught errors,
- * time-outs, hooks.
+ * Failures that ava reports other than failed tests: files that exit with an error, uncaught
+ * errors, timeouts and hooks.
  */
-const others = lines.filter((line) => line.startsWith('✘ ') && !line.startsWith('✘ [fail]: '));
-const counted = /^(\d+) tests? failed$/.exec(
+const otherFailures = lines.filter(
+  (line) => line.startsWith('✘ ') && !line.startsWith('✘ [fail]: '),
+);
+const failureCount = /^(\d+) tests? failed$/.exec(
   lines.findLast((line) => /^\d+ tests? failed$/.test(line)) ?? '',
 );
-const whole =
-  counted !== null &&
-  Number(counted[1]) === failed.length &&
+const isLogComplete =
+  failureCount !== null &&
+  Number(failureCount[1]) === failedTitles.length &&
   !lines.some((line) =>
     /^\d+ (uncaught exceptions?|unhandled rejections?|known failures?)$/.test(line),
   );
-for (const title of listed) console.log(`KNOWN RED: ${title}`);
-for (const name of known)
-  if (!listed.some((title) => title.startsWith(name)))
+for (const title of listedFailures) console.log(`KNOWN RED: ${title}`);
+for (const name of listedNames)
+  if (!listedFailures.some((title) => title.startsWith(name)))
     console.log(`listed as red, but passed: ${name}`);
-if (failed.length === 0 || !whole || others.length > 0 || listed.length < failed.length) {
+if (
+  failedTitles.length === 0 ||
+  !isLogComplete ||
+  otherFailures.length > 0 ||
+  listedFailures.length < failedTitles.length
+) {
   console.log(
-    `red beside the listed ones: ${[...failed.filter((title) => !listed.includes(title)), ...others].join('; ') || 'the run itself'}`,
+    `failures that are not listed: ${[...failedTitles.filter((title) => !listedFailures.includes(title)), ...otherFailures].join('; ') || 'the run itself'}`,
   );
   process.exit(1);
 }
--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,11 +1,15 @@
-// Bundles each program with all it imports into one file under target/: it starts from that alone.
+// Bundles each program and everything that it imports into one file under target/, which runs on its
+// own.
 import { readdirSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { build } from 'esbuild';
 
 const root = path.resolve(import.meta.dirname, '..');
-/** The sources of each package of the workspace, so that nothing has to be compiled before. */
-const sources = Object.fromEntries(
+/**
+ * Maps each package of the workspace to its TypeScript sources, so that nothing has to be compiled
+ * first.
+ */
+const sourceByPackage = Object.fromEntries(
   readdirSync(path.join(root, 'packages')).map((folder) => {
     const { name } = JSON.parse(
       readFileSync(path.join(root, 'packages', folder, 'package.json'), 'utf8'),
@@ -26,5 +30,5 @@
   minify: true,
   keepNames: true,
   logLevel: 'warning',
-  alias: sources,
+  alias: sourceByPackage,
 });
