--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles each program and everything that it imports into one file under target/, which runs on its
-// own.
+// Bundles each program and everything that it imports into one file under target/. The file runs
+// without node_modules.
 import { readdirSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { build } from 'esbuild';
--- a/packages/client-stand-in/src/client-stand-in.ts
+++ b/packages/client-stand-in/src/client-stand-in.ts
@@ -198,8 +198,8 @@
 };
 
 /**
- * Sends requests at a steady rate, in requests per second, until `stop` is called. Each request goes
- * to the address that `chooseAddress` returns; without an address it is skipped.
+ * Sends requests at a steady rate, in requests per second, until `stop` is called. Each request
+ * goes to the address that `chooseAddress` returns; without an address it is skipped.
  *
  * @example
  * const load = startLoad({ rate: 50, kinds, chooseAddress: () => '127.0.0.1:8080', random: Math.random });
--- a/packages/origin-stand-in/src/origin-stand-in.ts
+++ b/packages/origin-stand-in/src/origin-stand-in.ts
@@ -65,7 +65,7 @@
   ) => void;
 };
 
-/** An executed unsafe request: the job id that its client sent, and the time in Unix milliseconds. */
+/** An executed unsafe request: its job id or the start of its body, and the time of execution. */
 export type ExecutedRequest = { readonly id: string; readonly at: number };
 
 /** Controls a running test origin. */
@@ -89,8 +89,9 @@
   readonly announce: () => Promise<void>;
   /** Sends a description to one node. Resolves to whether the node responded below status 500. */
   readonly announceTo: (apiAddress: string) => Promise<boolean>;
-  /** Closes the server and all connections immediately; `restart` listens at the same address again. */
+  /** Closes the server and all connections immediately. */
   readonly crash: () => void;
+  /** Listens at the same address again after a crash. */
   readonly restart: () => void;
   readonly stop: () => Promise<void>;
 };
