--- a/packages/schemas/src/index.ts
+++ b/packages/schemas/src/index.ts
@@ -1,7 +1,7 @@
-/** Documents of operators and origins: their forms, and how they are checked. */
+/** Schemas and validation of the documents that operators and origins send. */
 export {
-  type Description as OriginDescription,
-  type Fault as DocumentFault,
+  type OriginDescription,
+  type DocumentFault,
   type Policy,
   type Purge,
   type Route,
@@ -10,6 +10,6 @@
   SchemaError,
   Schemas,
   type Service,
-  type Weighted as WeightedService,
+  type WeightedService,
   type ZoneOrder,
 } from './schemas.js';
--- a/packages/schemas/src/schemas.test.ts
+++ b/packages/schemas/src/schemas.test.ts
@@ -2,14 +2,14 @@
 import { Routes, Schemas, SchemaError, type Route } from './index.js';
 
 const service = { ceiling: 10, coldRate: 1 };
-const route = (name: string, path: string, more: object = {}): object => ({
+const route = (name: string, path: string, overrides: object = {}): object => ({
   name,
   host: 'a.example',
   path,
   service: 's',
-  ...more,
+  ...overrides,
 });
-const faults = (raw: unknown): readonly string[] => {
+const faultPaths = (raw: unknown): readonly string[] => {
   try {
     Schemas.policy(raw);
     return [];
@@ -18,26 +18,30 @@
   }
 };
 
-test('a policy that can not be taken names each fault by its place', (t) => {
-  t.deepEqual(faults({ services: { s: service }, routes: [route('r', '/x/')] }), []);
+test('an invalid document is refused, and each fault of a policy is reported by its path', (t) => {
+  t.deepEqual(faultPaths({ services: { s: service }, routes: [route('r', '/x/')] }), []);
   t.deepEqual(
-    faults({ services: { s: service }, routes: [route('r', '/x/', { service: 'none' })] }),
+    faultPaths({ services: { s: service }, routes: [route('r', '/x/', { service: 'none' })] }),
     ['/routes/0/service'],
   );
   t.deepEqual(
-    faults({ services: { s: service }, routes: [route('r', '/x/'), route('q', '/x/')] }),
+    faultPaths({ services: { s: service }, routes: [route('r', '/x/'), route('q', '/x/')] }),
     ['/routes/1/path'],
   );
   t.deepEqual(
-    faults({ services: { s: service }, routes: [route('r', '/x/'), route('r', '/y/')] }),
+    faultPaths({ services: { s: service }, routes: [route('r', '/x/'), route('r', '/y/')] }),
     ['/routes/1/name'],
   );
-  t.deepEqual(faults({ services: { s: { ...service, ceiling: 0 } }, routes: [] }), [
+  t.deepEqual(faultPaths({ services: { s: { ...service, ceiling: 0 } }, routes: [] }), [
     '/services/s/ceiling',
   ]);
-  t.deepEqual(faults({ services: { s: service }, routes: [route('r', 'x')] }), ['/routes/0/path']);
-  t.deepEqual(faults({ services: { s: { ...service, extra: 1 } }, routes: [] }), ['/services/s']);
-  t.deepEqual(faults([]), ['/']);
+  t.deepEqual(faultPaths({ services: { s: service }, routes: [route('r', 'x')] }), [
+    '/routes/0/path',
+  ]);
+  t.deepEqual(faultPaths({ services: { s: { ...service, extra: 1 } }, routes: [] }), [
+    '/services/s',
+  ]);
+  t.deepEqual(faultPaths([]), ['/']);
   t.throws(
     () =>
       Schemas.description({
@@ -55,7 +59,7 @@
   t.throws(() => Schemas.zoneOrder({ order: 'close' }), { instanceOf: SchemaError });
 });
 
-test('the longest prefix that ends where a segment ends is the route', (t) => {
+test('a request belongs to the longest route prefix that ends at a path segment', (t) => {
   const table = Routes.table(
     Schemas.policy({
       services: { s: service },
@@ -77,50 +81,54 @@
   t.is(find('/', 'c.example'), undefined);
 });
 
-test('a route may be split among services by weight', (t) => {
+test('the requests of a route may be distributed among services by weight', (t) => {
   const services = { s: service, u: {}, v: service };
-  const split = (parts: object, more: object = {}): object => ({
+  const splitRoute = (weightedServices: object, overrides: object = {}): object => ({
     name: 'r',
     host: 'A.example',
     path: '/x/',
-    services: parts,
-    ...more,
+    services: weightedServices,
+    ...overrides,
   });
-  const read = (raw: object): Route => Schemas.policy({ services, routes: [raw] }).routes[0];
-  const parts = [
+  const parseRoute = (raw: object): Route => Schemas.policy({ services, routes: [raw] }).routes[0];
+  const weightedServices = [
     { service: 's', weight: 0 },
     { service: 'u', weight: 2.5 },
     { service: 'v', weight: 1 },
   ];
-  const shared = read(split(parts, { service: 's' }));
-  t.deepEqual(shared.services, parts);
-  t.deepEqual(Routes.services(shared), parts.slice(1));
+  const shared = parseRoute(splitRoute(weightedServices, { service: 's' }));
+  t.deepEqual(shared.services, weightedServices);
+  t.deepEqual(Routes.services(shared), weightedServices.slice(1));
   t.is(Routes.mainService(shared), 'u');
   t.deepEqual(
     ['s', 'u', 'v'].map((name) => Routes.allows(shared, name)),
     [false, true, true],
   );
-  t.deepEqual(Routes.services(read(route('r', '/x/'))), [{ service: 's', weight: 1 }]);
+  t.deepEqual(Routes.services(parseRoute(route('r', '/x/'))), [{ service: 's', weight: 1 }]);
   t.deepEqual(
     Routes.homeRegionsOf(
-      [{ ...shared, homes: ['north'] }, read(route('r', '/x/', { homes: ['west'] }))],
+      [{ ...shared, homes: ['north'] }, parseRoute(route('r', '/x/', { homes: ['west'] }))],
       'v',
     ),
     ['north'],
   );
   t.is(Routes.find(Routes.table([shared]), 'a.EXAMPLE', '/x/1'), shared);
-  const bad = (raw: object): readonly string[] => faults({ services, routes: [raw] });
-  t.deepEqual(bad(split([{ service: 's', weight: 0 }])), ['/routes/0/services']);
-  t.deepEqual(bad(split([{ service: 'none', weight: 1 }])), ['/routes/0/services/0/service']);
-  t.deepEqual(bad(split([{ service: 's', weight: -1 }])), ['/routes/0/services/0/weight']);
-  t.deepEqual(bad({ name: 'r', host: 'a.example', path: '/x/' }), ['/routes/0/service']);
-  t.deepEqual(bad(route('r', '/x/', { service: 'constructor' })), ['/routes/0/service']);
-  t.deepEqual(bad(route('r', '/x/', { cache: { keep: 'always' } })), [
+  const faultsOf = (raw: object): readonly string[] => faultPaths({ services, routes: [raw] });
+  t.deepEqual(faultsOf(splitRoute([{ service: 's', weight: 0 }])), ['/routes/0/services']);
+  t.deepEqual(faultsOf(splitRoute([{ service: 'none', weight: 1 }])), [
+    '/routes/0/services/0/service',
+  ]);
+  t.deepEqual(faultsOf(splitRoute([{ service: 's', weight: -1 }])), [
+    '/routes/0/services/0/weight',
+  ]);
+  t.deepEqual(faultsOf({ name: 'r', host: 'a.example', path: '/x/' }), ['/routes/0/service']);
+  t.deepEqual(faultsOf(route('r', '/x/', { service: 'constructor' })), ['/routes/0/service']);
+  t.deepEqual(faultsOf(route('r', '/x/', { cache: { keep: 'always' } })), [
     '/routes/0/cache/mostSeconds',
   ]);
 });
 
-test('the newer fields of policies, descriptions and orders', (t) => {
+test('optional fields of policies, descriptions and zone orders are parsed', (t) => {
   const document = {
     version: 7,
     notes: { kept: [1, { as: null }] },
@@ -144,8 +152,8 @@
     ],
   };
   t.deepEqual(Schemas.policy(document) as unknown, document);
-  t.deepEqual(faults({ services: {}, routes: [], version: -1 }), ['/version']);
-  const told = {
+  t.deepEqual(faultPaths({ services: {}, routes: [], version: -1 }), ['/version']);
+  const description = {
     service: 's',
     instance: 'i',
     incarnation: 0,
@@ -159,8 +167,10 @@
     sequence: 4,
     release: 'v1',
   };
-  t.deepEqual(Schemas.description(told) as unknown, told);
-  t.throws(() => Schemas.description({ ...told, slots: undefined }), { instanceOf: SchemaError });
+  t.deepEqual(Schemas.description(description) as unknown, description);
+  t.throws(() => Schemas.description({ ...description, slots: undefined }), {
+    instanceOf: SchemaError,
+  });
   t.deepEqual(Schemas.zoneOrder({ order: 'empty' }), { order: 'empty', of: 'all' });
   t.deepEqual(Schemas.zoneOrder({ order: 'take-back', of: 'origins' }), {
     order: 'take-back',
--- a/packages/schemas/src/schemas.ts
+++ b/packages/schemas/src/schemas.ts
@@ -1,98 +1,106 @@
-/** Documents of operators and origins: their forms, and how they are checked. */
+/** Schemas and validation of the documents that operators and origins send. */
 
 import { isIP } from 'node:net';
 import { z } from 'zod';
 import { CodedError } from '@reedyard/logging';
 
-/** One fault of a document: where, and what is wrong. */
-export type Fault = { readonly path: string; readonly message: string };
+/** A fault in a document: the path of the invalid part, and a message for people. */
+export type DocumentFault = { readonly path: string; readonly message: string };
 
-/** A document that can't be taken. */
+/** Thrown for an invalid document; lists every fault in it. */
 export class SchemaError extends CodedError {
-  constructor(readonly faults: readonly Fault[]) {
+  constructor(readonly faults: readonly DocumentFault[]) {
     super('document', faults.map((fault) => `${fault.path}: ${fault.message}`).join('; '));
   }
 }
 
-/** Characters of a route's path at most; no longer part of a target is looked for. */
-const longestPath = 2_048;
+/** Maximum characters of a route's path; only this much of a request target is matched. */
+const maxPathLength = 2_048;
 
-const name = z
+const nameSchema = z
   .string()
   .regex(
     /^[a-z0-9][a-z0-9._-]{0,62}$/i,
-    'wanted a name of letters, digits, dots, dashes and underscores',
+    'expected a name of letters, digits, dots, dashes and underscores',
   );
-const address = z.string().refine((text) => {
-  const cut = text.lastIndexOf(':');
+const addressSchema = z.string().refine((text) => {
+  const colon = text.lastIndexOf(':');
   return (
-    cut > 0 &&
-    isIP(text.slice(0, cut)) !== 0 &&
-    /^[1-9]\d{0,4}$/.test(text.slice(cut + 1)) &&
-    Number(text.slice(cut + 1)) <= 65_535
+    colon > 0 &&
+    isIP(text.slice(0, colon)) !== 0 &&
+    /^[1-9]\d{0,4}$/.test(text.slice(colon + 1)) &&
+    Number(text.slice(colon + 1)) <= 65_535
   );
-}, 'wanted IP:PORT');
+}, 'expected IP:PORT');
 
 const methods = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
 
-/** Kept for the operator and given back as it came; nothing here reads it. */
-const notes = z.record(z.string(), z.json()).optional();
+/** The operator's own data: stored and returned unchanged, never interpreted. */
+const notesSchema = z.record(z.string(), z.json()).optional();
 
-const service = z.strictObject({
+const serviceSchema = z.strictObject({
   /**
-   * Requests a second that the whole service may get; left out, what its instances say they carry.
+   * Rate limit of the service, in requests per second; if omitted, the sum of the capacities of its
+   * instances.
    */
   ceiling: z.number().positive().max(1e7).optional(),
   /**
-   * Requests a second that one cold instance bears; left out, a cold one gets what a warm one gets.
+   * Rate limit of one instance that is warming up, in requests per second; if omitted, such an
+   * instance gets as much as a warm instance.
    */
   coldRate: z.number().positive().max(1e7).optional(),
-  /** How long an instance is cold after its start, as a rule. */
+  /** How long an instance usually warms up after its start, in seconds. */
   coldSeconds: z.number().nonnegative().max(86_400).optional(),
-  /** Connections that one instance accepts from all nodes together. */
+  /** Maximum connections that one instance accepts from all nodes together. */
   instanceConns: z.number().int().positive().max(1_000_000).optional(),
-  /** Where an instance tells whether it is well. */
+  /** Path of an instance's health check. */
   probePath: z
     .string()
-    .max(longestPath)
-    .regex(/^\/[^#\s]*$/, 'wanted a path that begins with /')
+    .max(maxPathLength)
+    .regex(/^\/[^#\s]*$/, 'expected a path that begins with /')
     .optional(),
-  /** Instances that may register; left out, any may. */
-  instances: z.array(name).min(1).max(10_000).optional(),
-  notes,
+  /** Names of the instances that may register; if omitted, any instance may. */
+  instances: z.array(nameSchema).min(1).max(10_000).optional(),
+  notes: notesSchema,
 });
 
-const weighted = z.strictObject({ service: name, weight: z.number().nonnegative().max(1e9) });
+const weightedServiceSchema = z.strictObject({
+  service: nameSchema,
+  weight: z.number().nonnegative().max(1e9),
+});
 
-const route = z.strictObject({
+const routeSchema = z.strictObject({
   name: z
     .string()
     .min(1)
     .max(255)
-    .regex(/^\P{Cc}*$/u, 'wanted a name without control characters'),
-  /** Host names are the same in small and in capital letters. */
+    .regex(/^\P{Cc}*$/u, 'expected a name without control characters'),
+  /** Host names are compared without regard to case. */
   host: z
     .string()
     .min(1)
     .max(253)
-    .regex(/^[a-z0-9._-]+$/i, 'wanted a host name without a port'),
+    .regex(/^[a-z0-9._-]+$/i, 'expected a host name without a port'),
   path: z
     .string()
-    .max(longestPath)
-    .regex(/^\/[^?#\s]*$/, 'wanted a path prefix that begins with /'),
-  /** Where its requests go; may be left out if `services` is given. */
-  service: name.optional(),
-  /** Its requests are split among these by chance, by weight. Goes before `service`. */
-  services: z.array(weighted).min(1).max(1_000).optional(),
+    .max(maxPathLength)
+    .regex(/^\/[^?#\s]*$/, 'expected a path prefix that begins with /'),
+  /** The service that receives the route's requests; optional if `services` is given. */
+  service: nameSchema.optional(),
+  /**
+   * The route's requests are distributed among these services at random, in proportion to the
+   * weights. Takes precedence over `service`.
+   */
+  services: z.array(weightedServiceSchema).min(1).max(1_000).optional(),
   methods: z.array(z.enum(methods)).min(1).default(['GET', 'HEAD']),
   /**
-   * Which requests may be sent to a second origin though the first may have run them: those of safe
-   * methods, all, none.
+   * Which requests may be sent to a second origin although the first may have executed them:
+   * `by-method` (the default) those with a safe method, `safe` all, `never` none.
    */
   repeat: z.enum(['by-method', 'safe', 'never']).optional(),
   /**
-   * Whether copies are kept: as the origin's headers say, never, or always for `mostSeconds`; and
-   * for at most so long.
+   * Whether responses are cached: as the origin's headers say, never, or always for `mostSeconds`.
+   * A cached response is never used for longer than `mostSeconds`.
    */
   cache: z
     .strictObject({
@@ -100,8 +108,8 @@
       mostSeconds: z.number().positive().max(31_536_000).optional(),
     })
     .default({ keep: 'origin' }),
-  /** Regions in which alone its reports may be fetched and kept; left out, anywhere. */
-  homes: z.array(name).min(1).optional(),
+  /** The only regions in which the route's objects may be fetched and cached; if omitted, any. */
+  homes: z.array(nameSchema).min(1).optional(),
   limits: z
     .strictObject({
       bodyBytes: z
@@ -112,33 +120,33 @@
         .optional(),
       requestMs: z.number().int().positive().max(3_600_000).optional(),
       attemptMs: z.number().int().positive().max(60_000).optional(),
-      /** Origins that one request may be sent to. */
+      /** Maximum number of origins that one request may be sent to. */
       attempts: z.number().int().positive().max(1_000).optional(),
     })
     .default({}),
-  /** Time within which an answer is worth most. */
+  /** Target response time, in milliseconds: a response within this time is worth the most. */
   targetMs: z.number().nonnegative().max(3_600_000).optional(),
-  /** Its rank where not all can be served; 0 is the highest. */
+  /** Priority of the route when not all requests can be served; 0 is the highest. */
   priority: z.number().int().nonnegative().max(1_000_000).optional(),
   /**
-   * `required`: an unsafe request without an Idempotency-Key is refused, since a repeat of it can't
-   * be told.
+   * `required`: an unsafe request without an Idempotency-Key is refused, since a repetition of it
+   * can't be recognized.
    */
   key: z.enum(['required', 'optional']).optional(),
-  /** Response header that carries the purge tags of an object, separated by spaces or commas. */
+  /** Response header with the purge tags of an object, separated by spaces or commas. */
   tagsHeader: z
     .string()
     .regex(/^[a-z0-9-]+$/)
     .default('surrogate-key'),
-  notes,
+  notes: notesSchema,
 });
 
-const policy = z.strictObject({
-  /** Of two documents with a version the higher one holds. */
+const policySchema = z.strictObject({
+  /** If two documents carry a version, the document with the higher version wins. */
   version: z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER).optional(),
-  services: z.record(name, service),
-  routes: z.array(route).max(50_000),
-  /** What callers may send, and how long they may take over a head or stay idle. */
+  services: z.record(nameSchema, serviceSchema),
+  routes: z.array(routeSchema).max(50_000),
+  /** Limits on clients: sizes of head and body, time to send a head, idle time of a connection. */
   callers: z
     .strictObject({
       headBytes: z.number().int().positive().max(1_048_576).optional(),
@@ -152,208 +160,229 @@
       idleMs: z.number().positive().max(3_600_000).optional(),
     })
     .optional(),
-  notes,
+  notes: notesSchema,
 });
 
-export type Service = z.infer<typeof service>;
-export type Route = z.infer<typeof route>;
-/** One part of a split: a service, and its weight among the others. */
-export type Weighted = z.infer<typeof weighted>;
-/** The whole desired state that an operator sends. */
-export type Policy = z.infer<typeof policy>;
+/** A service of the policy and its limits. */
+export type Service = z.infer<typeof serviceSchema>;
+/** A route: which requests belong to it, their services, and how responses are cached. */
+export type Route = z.infer<typeof routeSchema>;
+/** A service of a route, with its weight among the route's services. */
+export type WeightedService = z.infer<typeof weightedServiceSchema>;
+/** The complete desired state that an operator sends. */
+export type Policy = z.infer<typeof policySchema>;
 
-const description = z
+const descriptionSchema = z
   .strictObject({
-    service: name,
-    instance: name,
-    /** Grows with each start of the instance. */
+    service: nameSchema,
+    instance: nameSchema,
+    /** Increases with each start of the instance. */
     incarnation: z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER),
-    address,
-    region: name,
-    zone: name,
-    /** Requests a second that it carries; may be left out if `slots` is given. */
+    address: addressSchema,
+    region: nameSchema,
+    zone: nameSchema,
+    /** Requests per second that the instance can serve; optional if `slots` is given. */
     capacity: z.number().positive().max(1e7).optional(),
-    /** Requests that it works on at once. */
+    /** Number of requests that the instance processes concurrently. */
     slots: z.number().int().positive().max(1_000_000).optional(),
     state: z.enum(['cold', 'warm']).default('warm'),
-    /** How much longer it is cold. */
+    /** How much longer the instance warms up, in milliseconds. */
     coldMs: z.number().nonnegative().max(86_400_000).optional(),
     draining: z.boolean().default(false),
-    /** Grows with each telling of one incarnation; an older one than is known changes nothing. */
+    /**
+     * Increases with each description that an incarnation sends; a description with a lower number
+     * than the known description changes nothing.
+     */
     sequence: z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER).optional(),
-    /** Version of its software. */
+    /** Version of the instance's software. */
     release: z.string().max(255).optional(),
   })
-  .refine((told) => told.capacity !== undefined || told.slots !== undefined, {
+  .refine((sent) => sent.capacity !== undefined || sent.slots !== undefined, {
     path: ['capacity'],
-    message: 'wanted a capacity or slots',
+    message: 'expected a capacity or slots',
   });
 
-/** What an origin says of itself. */
-export type Description = z.infer<typeof description>;
+/** The self-description that an origin sends. */
+export type OriginDescription = z.infer<typeof descriptionSchema>;
 
-const purge = z
+const purgeSchema = z
   .strictObject({
-    /** Objects as http://host/path or host/path, with their query. */
+    /** URLs of objects, as http://host/path or host/path, with their query. */
     objects: z.array(z.string().min(3).max(8_192)).max(4_096).default([]),
     tags: z.array(z.string().min(1).max(256)).max(4_096).default([]),
   })
-  .refine((all) => all.objects.length + all.tags.length > 0, 'wanted at least one object or tag');
-export type Purge = z.infer<typeof purge>;
+  .refine(
+    (sent) => sent.objects.length + sent.tags.length > 0,
+    'expected at least one object or tag',
+  );
+/** The objects and tags that an operator purges from the caches. */
+export type Purge = z.infer<typeof purgeSchema>;
 
-const zoneOrder = z.strictObject({
+const zoneOrderSchema = z.strictObject({
   order: z.enum(['empty', 'take-back']),
-  /** `origins`: nothing more is sent to its origins, but its nodes go on taking callers. */
+  /** `origins`: the zone's origins get no more requests, but its nodes still serve clients. */
   of: z.enum(['all', 'origins']).default('all'),
 });
-export type ZoneOrder = z.infer<typeof zoneOrder>;
+/** An operator's order to evacuate a zone or to restore it. */
+export type ZoneOrder = z.infer<typeof zoneOrderSchema>;
 
-const checked =
+const parserOf =
   <T>(schema: z.ZodType<T>) =>
   (raw: unknown): T => {
-    const read = schema.safeParse(raw);
-    if (read.success) return read.data;
+    const parsed = schema.safeParse(raw);
+    if (parsed.success) return parsed.data;
     throw new SchemaError(
-      read.error.issues.map((issue) => ({
+      parsed.error.issues.map((issue) => ({
         path: `/${issue.path.join('/')}`,
         message: issue.message,
       })),
     );
   };
 
-const crossChecked = (document: Policy): Policy => {
-  const faults: Fault[] = [];
-  const names = new Map<string, number>();
-  const places = new Map<string, number>();
-  document.routes.forEach((each, index) => {
-    const known = (service: string): boolean => Object.hasOwn(document.services, service);
-    if (each.service === undefined && each.services === undefined)
+/** Checks the references and duplicates that the schema can't express. */
+const checkConsistency = (document: Policy): Policy => {
+  const faults: DocumentFault[] = [];
+  const indexByName = new Map<string, number>();
+  const indexByHostAndPath = new Map<string, number>();
+  document.routes.forEach((route, index) => {
+    const isDefined = (service: string): boolean => Object.hasOwn(document.services, service);
+    if (route.service === undefined && route.services === undefined)
       faults.push({
         path: `/routes/${index}/service`,
-        message: 'wanted a service, or services with weights',
+        message: 'expected a service, or services with weights',
       });
-    if (each.service !== undefined && !known(each.service))
+    if (route.service !== undefined && !isDefined(route.service))
       faults.push({
         path: `/routes/${index}/service`,
-        message: `no service is named ${each.service}`,
+        message: `no service is named ${route.service}`,
       });
-    each.services?.forEach((part, at) => {
-      if (!known(part.service))
+    route.services?.forEach((weighted, position) => {
+      if (!isDefined(weighted.service))
         faults.push({
-          path: `/routes/${index}/services/${at}/service`,
-          message: `no service is named ${part.service}`,
+          path: `/routes/${index}/services/${position}/service`,
+          message: `no service is named ${weighted.service}`,
         });
     });
-    if (each.services !== undefined && each.services.every((part) => part.weight === 0))
+    if (route.services !== undefined && route.services.every((weighted) => weighted.weight === 0))
       faults.push({ path: `/routes/${index}/services`, message: 'the weights add up to 0' });
-    if (each.cache.keep === 'always' && each.cache.mostSeconds === undefined)
+    if (route.cache.keep === 'always' && route.cache.mostSeconds === undefined)
       faults.push({
         path: `/routes/${index}/cache/mostSeconds`,
-        message: 'wanted with keep: always',
+        message: 'required with keep: always',
       });
-    const sameName = names.get(each.name);
-    if (sameName !== undefined)
+    const sameNameIndex = indexByName.get(route.name);
+    if (sameNameIndex !== undefined)
       faults.push({
         path: `/routes/${index}/name`,
-        message: `the name of /routes/${sameName} too`,
+        message: `already the name of /routes/${sameNameIndex}`,
       });
-    names.set(each.name, index);
-    const place = `${each.host.toLowerCase()}${each.path}`;
-    const samePlace = places.get(place);
-    if (samePlace !== undefined)
+    indexByName.set(route.name, index);
+    const hostAndPath = `${route.host.toLowerCase()}${route.path}`;
+    const samePathIndex = indexByHostAndPath.get(hostAndPath);
+    if (samePathIndex !== undefined)
       faults.push({
         path: `/routes/${index}/path`,
-        message: `clashes with /routes/${samePlace}: the same host and path`,
+        message: `clashes with /routes/${samePathIndex}: the same host and path`,
       });
-    places.set(place, index);
+    indexByHostAndPath.set(hostAndPath, index);
   });
   if (faults.length > 0) throw new SchemaError(faults);
   return document;
 };
 
+/** Parses documents; each parser throws a SchemaError for an invalid document. */
 export const Schemas = {
   /** @example Schemas.policy({ services: {}, routes: [] }).routes // [] */
-  policy: (raw: unknown): Policy => crossChecked(checked(policy as z.ZodType<Policy>)(raw)),
-  /** @example Schemas.description({ service: 'store' }) // throws, naming what lacks */
-  description: checked(description as z.ZodType<Description>),
+  policy: (raw: unknown): Policy =>
+    checkConsistency(parserOf(policySchema as z.ZodType<Policy>)(raw)),
+  /** @example Schemas.description({ service: 'store' }) // throws: instance, address, … are missing */
+  description: parserOf(descriptionSchema as z.ZodType<OriginDescription>),
   /** @example Schemas.purge({ tags: ['depot-7'] }).tags // ['depot-7'] */
-  purge: checked(purge as z.ZodType<Purge>),
+  purge: parserOf(purgeSchema as z.ZodType<Purge>),
   /** @example Schemas.zoneOrder({ order: 'empty' }).order // 'empty' */
-  zoneOrder: checked(zoneOrder as z.ZodType<ZoneOrder>),
+  zoneOrder: parserOf(zoneOrderSchema as z.ZodType<ZoneOrder>),
 } as const;
 
-/** Routes by host and path. */
+/** Routes by lower-case host name, then by path. */
 export type RouteTable = ReadonlyMap<string, ReadonlyMap<string, Route>>;
 
-/**
- * Of each route, the services that it may go to: looked up with every request, so made but once.
- */
-const splits = new WeakMap<Route, readonly Weighted[]>();
+/** The result of `Routes.services` for each route, cached because every request needs it. */
+const weightedServicesCache = new WeakMap<Route, readonly WeightedService[]>();
 
+/** Lookups of routes and of their services. */
 export const Routes = {
   /**
-   * The services that a route's requests are split among, by weight; one without weight gets none.
+   * The services that a route's requests are distributed among, with their weights; a service with
+   * weight 0 gets no requests.
    *
    * @example
    * Routes.services({ ...route, service: 'store' }) // [{ service: 'store', weight: 1 }]
    */
-  services: (route: Route): readonly Weighted[] => {
-    const known = splits.get(route);
-    if (known !== undefined) return known;
-    const made =
-      route.services?.filter((part) => part.weight > 0) ??
+  services: (route: Route): readonly WeightedService[] => {
+    const cached = weightedServicesCache.get(route);
+    if (cached !== undefined) return cached;
+    const services =
+      route.services?.filter((weighted) => weighted.weight > 0) ??
       (route.service === undefined ? [] : [{ service: route.service, weight: 1 }]);
-    splits.set(route, made);
-    return made;
+    weightedServicesCache.set(route, services);
+    return services;
   },
 
   /** Whether a route's requests may go to a service. @example Routes.allows(route, 'store') // true */
   allows: (route: Route, service: string): boolean =>
-    Routes.services(route).some((part) => part.service === service),
+    Routes.services(route).some((weighted) => weighted.service === service),
 
   /** The first of a route's services. @example Routes.mainService(route) // 'store' */
   mainService: (route: Route): string => Routes.services(route)[0]?.service ?? '',
 
-  /** Regions that any of a service's routes may be served in; undefined where one may be served anywhere. @example Routes.homesOf(policy.routes, 'store') */
+  /**
+   * The home regions of all routes of a service together; undefined if the service has no route, or
+   * one without home regions.
+   *
+   * @example
+   * Routes.homeRegionsOf(policy.routes, 'store') // ['north', 'west']
+   */
   homeRegionsOf: (routes: readonly Route[], service: string): readonly string[] | undefined => {
-    const own = routes.filter((each) => Routes.allows(each, service)).map((each) => each.homes);
-    return own.length === 0 || own.includes(undefined)
+    const homesByRoute = routes
+      .filter((route) => Routes.allows(route, service))
+      .map((route) => route.homes);
+    return homesByRoute.length === 0 || homesByRoute.includes(undefined)
       ? undefined
-      : [...new Set(own.flatMap((homes) => homes ?? []))];
+      : [...new Set(homesByRoute.flatMap((homes) => homes ?? []))];
   },
 
-  /** @example Routes.table(policy.routes).get('a.example')?.get('/sheets/') */
+  /** Indexes routes for `find`. @example Routes.table(policy.routes).get('a.example')?.get('/sheets/') */
   table: (routes: readonly Route[]): RouteTable => {
     const byHost = new Map<string, Map<string, Route>>();
-    for (const each of routes) {
-      const rows = byHost.get(each.host.toLowerCase()) ?? new Map<string, Route>();
-      rows.set(each.path, each);
-      byHost.set(each.host.toLowerCase(), rows);
+    for (const route of routes) {
+      const byPath = byHost.get(route.host.toLowerCase()) ?? new Map<string, Route>();
+      byPath.set(route.path, route);
+      byHost.set(route.host.toLowerCase(), byPath);
     }
     return byHost;
   },
 
   /**
-   * The route of a request: its host, and the longest prefix that ends where a path segment ends.
-   * Looks up each such prefix, so that its cost follows the depth of the path and not the number of
-   * routes.
+   * Finds the route of a request: the longest matching path prefix of its host. A prefix must end at
+   * the end of a path segment. Each such prefix is looked up, so the cost depends on the depth of the
+   * path and not on the number of routes.
    *
    * @example
    * Routes.find(table, 'a.example:80', '/sheets/7?x=1')?.name // 'sheets' for the prefix /sheets
    */
   find: (table: RouteTable, host: string, target: string): Route | undefined => {
-    const rows = table.get(host.replace(/:\d+$/, '').toLowerCase());
-    if (rows === undefined) return undefined;
+    const byPath = table.get(host.replace(/:\d+$/, '').toLowerCase());
+    if (byPath === undefined) return undefined;
     const path = target.split('?', 1)[0] ?? '/';
-    const whole = path.length <= longestPath ? rows.get(path) : undefined;
-    if (whole !== undefined) return whole;
+    const exactMatch = path.length <= maxPathLength ? byPath.get(path) : undefined;
+    if (exactMatch !== undefined) return exactMatch;
     for (
-      let cut = path.lastIndexOf('/', longestPath);
-      cut >= 0;
-      cut = cut === 0 ? -1 : path.lastIndexOf('/', cut - 1)
+      let slash = path.lastIndexOf('/', maxPathLength);
+      slash >= 0;
+      slash = slash === 0 ? -1 : path.lastIndexOf('/', slash - 1)
     ) {
-      const found = rows.get(path.slice(0, cut + 1)) ?? rows.get(path.slice(0, cut));
-      if (found !== undefined) return found;
+      const prefixMatch = byPath.get(path.slice(0, slash + 1)) ?? byPath.get(path.slice(0, slash));
+      if (prefixMatch !== undefined) return prefixMatch;
     }
     return undefined;
   },
