--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of a machine's programs. */
+/** The settings of the programs that run on a machine. */
 
 import { readFileSync } from 'node:fs';
 import { isIP } from 'node:net';
@@ -7,79 +7,82 @@
 import { CodedError, errorMessage } from '@reedyard/logging';
 
 /**
- * Settings that can't be used; the text names the file, the field, what was found and what is
- * wanted.
+ * Thrown for invalid settings; the message states the file, the field, the value found and what is
+ * expected.
  */
 export class SettingsError extends CodedError {}
 
-const name = z
+const nameSchema = z
   .string()
-  .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'wanted a name of small letters, digits and dashes');
-const host = z.string().refine((text) => isIP(text) !== 0, 'wanted an IP number');
-const port = z.number().int('wanted a whole number').min(0).max(65_535);
-const address = z.string().refine((text) => {
-  const cut = text.lastIndexOf(':');
+  .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'expected a name of lower-case letters, digits and dashes');
+const hostSchema = z.string().refine((text) => isIP(text) !== 0, 'expected an IP address');
+const portSchema = z.number().int('expected an integer').min(0).max(65_535);
+const addressSchema = z.string().refine((text) => {
+  const colon = text.lastIndexOf(':');
   return (
-    cut > 0 &&
-    isIP(text.slice(0, cut)) !== 0 &&
-    /^\d{1,5}$/.test(text.slice(cut + 1)) &&
-    Number(text.slice(cut + 1)) <= 65_535
+    colon > 0 &&
+    isIP(text.slice(0, colon)) !== 0 &&
+    /^\d{1,5}$/.test(text.slice(colon + 1)) &&
+    Number(text.slice(colon + 1)) <= 65_535
   );
-}, 'wanted IP:PORT');
+}, 'expected IP:PORT');
 
-const schema = z
+const settingsSchema = z
   .strictObject({
-    name,
-    /** The address that others reach this machine at, and that it speaks from. */
-    host,
-    /** The address to listen on, where it is another. */
-    listen: host.optional(),
-    zone: name,
-    region: name,
-    /** Agents to begin with; any three that are likely up. */
-    seeds: z.array(address).min(1, 'wanted at least one seed').max(9),
+    name: nameSchema,
+    /** The IP address at which others reach this machine, and from which it connects. */
+    host: hostSchema,
+    /** The IP address to listen on, if it differs from `host`. */
+    listen: hostSchema.optional(),
+    zone: nameSchema,
+    region: nameSchema,
+    /** Agents to contact first after a start; any three that are likely to run. */
+    seeds: z.array(addressSchema).min(1, 'expected at least one seed').max(9),
     /**
-     * What a node does that provably can't reach a majority: refuse, or serve on by what it last
-     * knew.
+     * What a node does when it provably can't reach a majority: refuse requests, or continue to
+     * serve by the state that it last knew.
      */
     cutOff: z.enum(['refuse', 'serve']).default('refuse'),
     dataFolder: z.string().min(1).default('data'),
-    /** The replicas that founded the state: name and address. The same on every machine. */
+    /** Names and addresses of the replicas that founded the state; the same on every machine. */
     founders: z
-      .record(name, address)
-      .refine((all) => Object.keys(all).length > 0, 'wanted at least one founder')
+      .record(nameSchema, addressSchema)
+      .refine((founders) => Object.keys(founders).length > 0, 'expected at least one founder')
       .optional(),
-    /** Instead of the founders: members found themselves from seeds, and change by proposals. */
+    /**
+     * A changeable membership instead of founders: the replicas on the seed machines found it, and
+     * proposals change it.
+     */
     voting: z
       .strictObject({
-        /** Lost disks that must be borne: 2 × losses + 1 replicas vote. */
-        losses: z.number().int('wanted a whole number').min(0).max(4),
-        /** True only when the whole system starts for the very first time. */
+        /** Number of lost disks to tolerate: 2 × losses + 1 replicas vote. */
+        losses: z.number().int('expected an integer').min(0).max(4),
+        /** True only for the very first start of the system. */
         firstStart: z.boolean(),
         /**
-         * ms. How long a machine that takes another's place may need, from its start, until one
-         * more loss must be borne.
+         * How long a machine that replaces a member may take, from its start, until one more loss
+         * must be tolerated, in milliseconds.
          */
         catchUpMs: z.number().positive().max(600_000).optional(),
-        /** Replicas of the seeds' machines. */
+        /** Addresses of the replicas on the seed machines. */
         seeds: z
-          .array(address)
-          .min(1, 'wanted at least one seed')
+          .array(addressSchema)
+          .min(1, 'expected at least one seed')
           .max(9)
-          .refine((all) => new Set(all).size === all.length, 'wanted each seed once'),
+          .refine((seeds) => new Set(seeds).size === seeds.length, 'expected each seed once'),
       })
       .optional(),
-    agent: z.strictObject({ port, apiPort: port, feedPort: port }),
+    agent: z.strictObject({ port: portSchema, apiPort: portSchema, feedPort: portSchema }),
     proxy: z
       .strictObject({
-        port,
-        peerPort: port,
+        port: portSchema,
+        peerPort: portSchema,
         capacityBps: z.number().positive(),
-        /** Where readiness is told, if not beside callers. */
-        readyPort: port.optional(),
+        /** Port of the readiness check, if it is not the port for clients. */
+        readyPort: portSchema.optional(),
         /**
-         * From the warning to stop: how long it still serves who comes, and when it is gone at the
-         * latest.
+         * Graceful shutdown, counted from the signal to stop: the minimum time during which the
+         * proxy still accepts requests, and the maximum time until it exits, in milliseconds.
          */
         leave: z
           .strictObject({
@@ -87,49 +90,51 @@
             mostMs: z.number().int().positive(),
           })
           .optional(),
-        /** Logs every move, for tests. */ trace: z.boolean().optional(),
+        /** Logs every step of the proxy, for tests. */
+        trace: z.boolean().optional(),
       })
       .optional(),
-    replica: z.strictObject({ port }).optional(),
+    replica: z.strictObject({ port: portSchema }).optional(),
   })
-  .superRefine((all, context) => {
-    if (all.founders === undefined && all.voting === undefined)
+  .superRefine((settings, context) => {
+    if (settings.founders === undefined && settings.voting === undefined)
       context.addIssue({
         code: 'custom',
         path: ['founders'],
-        message: 'wanted the founders, or voting instead',
+        message: 'expected the founders, or voting instead',
       });
-    if (all.founders !== undefined && all.voting !== undefined)
+    if (settings.founders !== undefined && settings.voting !== undefined)
       context.addIssue({
         code: 'custom',
         path: ['voting'],
-        message: 'wanted either founders or voting, not both',
+        message: 'expected either founders or voting, not both',
       });
     if (
-      all.replica !== undefined &&
-      all.founders !== undefined &&
-      all.founders[all.name] === undefined
+      settings.replica !== undefined &&
+      settings.founders !== undefined &&
+      settings.founders[settings.name] === undefined
     ) {
       context.addIssue({
         code: 'custom',
         path: ['founders'],
-        message: `wanted the founders to name ${all.name}, since it has a replica`,
+        message: `expected ${settings.name} among the founders, since it has a replica`,
       });
     }
   });
 
-export type Settings = z.infer<typeof schema>;
+/** The settings of one machine: shared fields, and a section for each program that runs on it. */
+export type Settings = z.infer<typeof settingsSchema>;
 
-const at = (value: unknown, path: readonly PropertyKey[]): unknown =>
+const valueAt = (root: unknown, path: readonly PropertyKey[]): unknown =>
   path.reduce<unknown>(
     (inner, key) =>
       typeof inner === 'object' && inner !== null
         ? (inner as Record<PropertyKey, unknown>)[key]
         : undefined,
-    value,
+    root,
   );
 
-/** A tree with one field set, by a dotted path; numbers and lists are read as JSON. */
+/** Returns the tree with one field set, by a dotted path; the text is read as JSON if it parses. */
 const withField = (
   tree: Readonly<Record<string, unknown>>,
   dotted: string,
@@ -157,30 +162,31 @@
   };
 };
 
+/** Reads and validates settings. */
 export const SettingsReader = {
   /**
    * Checks settings; throws a SettingsError that lists every fault.
    *
    * @example
-   * SettingsReader.check({ name: 'Front 1' }, 'front-1.json') // throws: front-1.json: name: found "Front 1", wanted …
+   * SettingsReader.check({ name: 'Front 1' }, 'front-1.json') // throws: front-1.json: name: found "Front 1"; expected …
    */
   check: (raw: unknown, source: string): Settings => {
-    const read = schema.safeParse(raw);
-    if (read.success) return read.data;
-    const faults = read.error.issues.map((issue) => {
-      const found = at(raw, issue.path);
-      return `${source}: ${issue.path.join('.') || '(whole file)'}: found ${found === undefined ? 'nothing' : JSON.stringify(found)}; ${issue.message}`;
+    const parsed = settingsSchema.safeParse(raw);
+    if (parsed.success) return parsed.data;
+    const faults = parsed.error.issues.map((issue) => {
+      const found = valueAt(raw, issue.path);
+      return `${source}: ${issue.path.join('.') || '(entire file)'}: found ${found === undefined ? 'nothing' : JSON.stringify(found)}; ${issue.message}`;
     });
     throw new SettingsError('settings', faults.join('\n'));
   },
 
   /**
-   * Reads a settings file and lays `--set field=value` over it.
+   * Reads a settings file and overrides fields of it by `--set FIELD=VALUE` flags.
    *
    * @example
    * SettingsReader.read('front-1.json', ['agent.port=7001']).agent.port // 7001
    */
-  read: (file: string | undefined, sets: readonly string[]): Settings => {
+  read: (file: string | undefined, overrides: readonly string[]): Settings => {
     let tree: Readonly<Record<string, unknown>> = {};
     if (file !== undefined) {
       try {
@@ -188,30 +194,31 @@
       } catch (thrown) {
         throw new SettingsError(
           'file',
-          `${file}: (whole file): ${errorMessage(thrown)}; wanted a readable JSON file`,
+          `${file}: (entire file): ${errorMessage(thrown)}; expected a readable JSON file`,
           { cause: thrown },
         );
       }
     }
-    for (const pair of sets) {
-      const cut = pair.indexOf('=');
-      if (cut < 1) throw new SettingsError('flag', `--set: found "${pair}"; wanted FIELD=VALUE`);
-      tree = withField(tree, pair.slice(0, cut), pair.slice(cut + 1));
+    for (const override of overrides) {
+      const equals = override.indexOf('=');
+      if (equals < 1)
+        throw new SettingsError('flag', `--set: found "${override}"; expected FIELD=VALUE`);
+      tree = withField(tree, override.slice(0, equals), override.slice(equals + 1));
     }
     return SettingsReader.check(tree, file ?? '(flags)');
   },
 
   /**
-   * What every daemon does first: flags, settings, `--check`, `--help`. Exit code 2 on a fault.
-   * The part of the file for this program must be there.
+   * Reads a daemon's settings from its command line; `--check` and `--help` exit the process. Faults
+   * are printed and exit with code 2. The settings must have a section for the program.
    *
    * @example
    * const settings = SettingsReader.start('agent', process.argv.slice(2));
    */
-  start: <P extends 'agent' | 'proxy' | 'replica'>(
-    program: P,
+  start: <Program extends 'agent' | 'proxy' | 'replica'>(
+    program: Program,
     argv: readonly string[],
-  ): Settings & { readonly [K in P]: NonNullable<Settings[K]> } => {
+  ): Settings & { readonly [K in Program]: NonNullable<Settings[K]> } => {
     try {
       const { values } = parseArgs({
         args: [...argv],
@@ -224,7 +231,7 @@
       });
       if (values.help === true) {
         process.stdout.write(
-          `${program} --settings FILE [--set FIELD=VALUE …] [--check]\n\n  --settings FILE      the machine's settings (see docs/config.md)\n  --set FIELD=VALUE    one field over the file's, such as agent.port=7001\n  --check              check the settings and stop: 0 good, 2 not\n`,
+          `${program} --settings FILE [--set FIELD=VALUE …] [--check]\n\n  --settings FILE      the machine's settings (see docs/config.md)\n  --set FIELD=VALUE    overrides one field of the file, such as agent.port=7001\n  --check              check the settings and exit: 0 valid, 2 invalid\n`,
         );
         process.exit(0);
       }
@@ -232,13 +239,13 @@
       if (settings[program] === undefined)
         throw new SettingsError(
           'settings',
-          `${values.settings ?? '(flags)'}: ${program}: found nothing; wanted the settings of this program`,
+          `${values.settings ?? '(flags)'}: ${program}: found nothing; expected the settings of this program`,
         );
       if (values.check === true) {
-        process.stdout.write('settings are good\n');
+        process.stdout.write('settings are valid\n');
         process.exit(0);
       }
-      return settings as Settings & { readonly [K in P]: NonNullable<Settings[K]> };
+      return settings as Settings & { readonly [K in Program]: NonNullable<Settings[K]> };
     } catch (thrown) {
       process.stderr.write(`${errorMessage(thrown)}\n`);
       return process.exit(2);
--- a/packages/settings/src/shutdown.ts
+++ b/packages/settings/src/shutdown.ts
@@ -1,4 +1,4 @@
-/** The time that every process has to shut down. */
+/** The time limit for a graceful shutdown. */
 
-/** ms. SIGTERM to exit, at most. */
+/** Maximum time from SIGTERM to the exit of a process, in milliseconds. */
 export const shutdownTimeoutMs = 4_000;
