--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls between the project's own processes. */
+/** Remote procedure calls between the processes of the project. */
 export {
   type Address,
   call,
--- a/packages/rpc/src/limits.ts
+++ b/packages/rpc/src/limits.ts
@@ -1,7 +1,7 @@
-/** Limits of calls between the project's own processes. */
+/** Limits of remote procedure calls between the processes of the project. */
 
-/** ms. One call between processes before it counts as lost. */
+/** Timeout of one call, in milliseconds; a call without a reply by then counts as lost. */
 export const callTimeoutMs = 1_000;
 
-/** bytes. One call between processes. */
+/** Maximum size of the body of a request or a reply, in bytes. */
 export const maxCallBytes = 32 * 1024 * 1024;
--- a/packages/rpc/src/rpc.ts
+++ b/packages/rpc/src/rpc.ts
@@ -1,4 +1,4 @@
-/** Calls between the project's own processes. */
+/** Remote procedure calls between the processes of the project. */
 
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -6,7 +6,7 @@
 import { CodedError, errorMessage } from '@reedyard/logging';
 import { callTimeoutMs, maxCallBytes } from './limits.js';
 
-/** A call that brought no answer, or a refused one. */
+/** Thrown for a call that got no reply or a refusal, and for a server that can't listen. */
 export class RpcError extends CodedError {}
 
 /** Address of a process: an IP number and a port, as `127.0.0.1:7001`. */
@@ -20,21 +20,22 @@
       size += chunk.length;
       if (size > maxBytes) {
         stream.destroy();
-        reject(new RpcError('too-large', `a call of over ${maxBytes} bytes`));
+        reject(new RpcError('too-large', `the body exceeds ${maxBytes} bytes`));
       } else chunks.push(chunk);
     });
     stream.on('end', () => resolve(Buffer.concat(chunks).toString('utf8')));
     stream.on('error', reject);
-    stream.on('close', () => reject(new RpcError('cut', 'the conn closed inside a call')));
+    stream.on('close', () => reject(new RpcError('cut', 'the connection closed during a call')));
   });
 
 let agent = new http.Agent({ keepAlive: true, maxSockets: 32, keepAliveMsecs: 5_000 });
 
 /**
- * Sets the address that calls go out from: on a machine with several, the one that others know.
+ * Sets the local address of outgoing calls: on a machine with several addresses, the address that
+ * other processes know.
  *
  * @example
- * speakFrom('10.0.0.7');
+ * setLocalAddress('10.0.0.7');
  */
 export const setLocalAddress = (host: string): void => {
   agent.destroy();
@@ -47,7 +48,7 @@
 };
 
 /**
- * Calls another process of the project and waits for its answer.
+ * Calls another process of the project and waits for its reply.
  *
  * @example
  * const reply = await call('127.0.0.1:7101', '/replica', { kind: 'pull' });
@@ -56,7 +57,7 @@
   address: Address,
   path: string,
   body: unknown,
-  limitMs: number = callTimeoutMs,
+  timeoutMs: number = callTimeoutMs,
 ): Promise<unknown> =>
   new Promise((resolve, reject) => {
     const [host, port] = [
@@ -87,14 +88,14 @@
           .then((text) => {
             clearTimeout(timeout);
             if (response.statusCode === 200) resolve(parse(text));
-            else fail(new Error(`answered ${response.statusCode}`));
+            else fail(new Error(`status ${response.statusCode}`));
           })
           .catch(fail);
       },
     );
     const timeout = setTimeout(
-      () => request.destroy(new Error(`no answer in ${limitMs} ms`)),
-      limitMs,
+      () => request.destroy(new Error(`no reply in ${timeoutMs} ms`)),
+      timeoutMs,
     );
     request.on('error', (error) => {
       clearTimeout(timeout);
@@ -103,22 +104,22 @@
     request.end(payload);
   });
 
-/** A listening side of calls. */
+/** A server that listens for calls. */
 export type RpcServer = { readonly port: number; readonly close: () => Promise<void> };
 
 /**
  * Serves calls of other processes of the project.
  *
  * @example
- * const listening = await serveCalls({ host: '127.0.0.1', port: 0 }, { '/echo': async (body) => body });
+ * const server = await serveCalls({ host: '127.0.0.1', port: 0 }, { '/echo': async (body) => body });
  */
 export const serveCalls = (
-  at: { readonly host: string; readonly port: number },
+  listenAddress: { readonly host: string; readonly port: number },
   handlers: Readonly<Record<string, (body: unknown) => Promise<unknown>>>,
 ): Promise<RpcServer> =>
   new Promise((resolve, reject) => {
     const server = http.createServer((request, response) => {
-      const answer = (status: number, text: string): void => {
+      const sendReply = (status: number, text: string): void => {
         if (!response.headersSent)
           response.writeHead(status, { 'content-length': Buffer.byteLength(text) });
         response.end(text);
@@ -126,26 +127,30 @@
       const handler = handlers[request.url ?? ''];
       if (handler === undefined) {
         request.resume();
-        answer(404, '');
+        sendReply(404, '');
         return;
       }
       readBody(request, maxCallBytes)
         .then((text) => handler(parse(text)))
-        .then((reply) => answer(200, stringify(reply)))
-        .catch((thrown: unknown) => answer(500, errorMessage(thrown)));
+        .then((reply) => sendReply(200, stringify(reply)))
+        .catch((thrown: unknown) => sendReply(500, errorMessage(thrown)));
     });
     server.keepAliveTimeout = 30_000;
     server.on('error', (error) =>
       reject(
-        new RpcError('listen', `${at.host}:${at.port}: ${errorMessage(error)}`, { cause: error }),
+        new RpcError(
+          'listen',
+          `${listenAddress.host}:${listenAddress.port}: ${errorMessage(error)}`,
+          { cause: error },
+        ),
       ),
     );
-    server.listen(at.port, at.host, () =>
+    server.listen(listenAddress.port, listenAddress.host, () =>
       resolve({
         port: (server.address() as AddressInfo).port,
         close: () =>
-          new Promise((done) => {
-            server.close(() => done());
+          new Promise((resolveClosed) => {
+            server.close(() => resolveClosed());
             server.closeAllConnections();
           }),
       }),
