--- a/packages/logging/src/index.ts
+++ b/packages/logging/src/index.ts
@@ -1,9 +1,9 @@
-/** Logs of key=value lines, and errors with codes. */
+/** Logs key=value lines, and defines errors with codes. */
 export {
   CodedError,
   errorMessage,
-  type Fields as LogFields,
-  formatLine as formatLogLine,
+  type LogFields,
+  formatLogLine,
   type Logger,
   openLogger,
 } from './logging.js';
--- a/packages/logging/src/logging.ts
+++ b/packages/logging/src/logging.ts
@@ -1,9 +1,9 @@
-/** Logs of key=value lines, and errors with codes. */
+/** Logs key=value lines, and defines errors with codes. */
 
 import { Logger as TransportLogger } from 'tslog';
 
-/** Values a log line may carry. */
-export type Fields = Readonly<Record<string, string | number | boolean | undefined | null>>;
+/** The fields of a log line; undefined and null values are left out. */
+export type LogFields = Readonly<Record<string, string | number | boolean | undefined | null>>;
 
 const quoteValue = (value: string | number | boolean): string => {
   const text = String(value);
@@ -11,12 +11,12 @@
 };
 
 /**
- * One event as one line of key=value pairs.
+ * Formats an event as one line of key=value pairs.
  *
  * @example
- * line('policy.applied', { revision: 7, by: 'agent' }) // 'event=policy.applied revision=7 by=agent'
+ * formatLogLine('policy.applied', { revision: 7, by: 'agent' }) // 'event=policy.applied revision=7 by=agent'
  */
-export const formatLine = (event: string, fields: Fields): string =>
+export const formatLogLine = (event: string, fields: LogFields): string =>
   [
     `event=${quoteValue(event)}`,
     ...Object.entries(fields).flatMap(([key, value]) =>
@@ -24,24 +24,24 @@
     ),
   ].join(' ');
 
-/** A log bound to one process. */
+/** Writes log lines with the common fields of one process. */
 export type Logger = {
-  readonly info: (event: string, fields?: Fields) => void;
-  readonly warn: (event: string, fields?: Fields) => void;
-  readonly error: (event: string, fields?: Fields) => void;
+  readonly info: (event: string, fields?: LogFields) => void;
+  readonly warn: (event: string, fields?: LogFields) => void;
+  readonly error: (event: string, fields?: LogFields) => void;
 };
 
 /**
- * Opens the log of a process on standard error.
+ * Opens a logger that writes to standard error.
  *
  * @example
- * const scribe = openScribe({ program: 'agent', node: 'front-1' });
- * scribe.info('started', { port: 7001 }); // time=… level=INFO program=agent node=front-1 event=started port=7001
+ * const logger = openLogger({ program: 'agent', node: 'front-1' });
+ * logger.info('started', { port: 7001 }); // time=… level=INFO program=agent node=front-1 event=started port=7001
  */
-export const openLogger = (fixed: Fields): Logger => {
+export const openLogger = (commonFields: LogFields): Logger => {
   const logger = new TransportLogger({
     type: 'hidden',
-    // Where a line was logged from is not told, and finding it out costs a stack trace each.
+    // The lines don't state their code position; determining it costs a stack trace per line.
     hideLogPositionForProduction: true,
     attachedTransports: [
       (entry) => {
@@ -52,19 +52,20 @@
       },
     ],
   });
-  const lead = Object.entries(fixed)
+  const prefix = Object.entries(commonFields)
     .map(([key, value]) => `${key}=${quoteValue(value ?? '')}`)
     .join(' ');
   const write =
     (level: 'info' | 'warn' | 'error') =>
-    (event: string, fields: Fields = {}): void => {
-      logger[level](`${lead} ${formatLine(event, fields)}`);
+    (event: string, fields: LogFields = {}): void => {
+      logger[level](`${prefix} ${formatLogLine(event, fields)}`);
     };
   return { info: write('info'), warn: write('warn'), error: write('error') };
 };
 
 /**
- * The base of every layer's errors: a code for programs, a text for people, the cause from below.
+ * Base class of the project's errors: a code for programs, a message for people, and the underlying
+ * cause.
  */
 export class CodedError extends Error {
   constructor(
@@ -78,10 +79,10 @@
 }
 
 /**
- * The text of anything thrown.
+ * Returns the message of a thrown value.
  *
  * @example
- * textOf(new Error('no')) // 'no'
+ * errorMessage(new Error('no')) // 'no'
  */
 export const errorMessage = (thrown: unknown): string =>
   thrown instanceof Error ? thrown.message : String(thrown);
