--- a/packages/task-loop/src/task.ts
+++ b/packages/task-loop/src/task.ts
@@ -2,43 +2,46 @@
 
 import csp from 'js-csp';
 
-/** events waiting for one task. */
+/** Maximum number of events in the queue of one task. */
 export const maxQueuedEvents = 65_536;
 
-/** What a reducer returns: the next state and what is to be done outside. */
-export type Step<S, F> = { readonly state: S; readonly effects: readonly F[] };
+/** The result of a reducer: the next state, and the effects to perform outside the reducer. */
+export type Step<State, Effect> = {
+  readonly state: State;
+  readonly effects: readonly Effect[];
+};
 
-/** A reducer: pure, with time and chance inside the events. */
-export type Reducer<S, E, F> = (state: S, event: E) => Step<S, F>;
+/** A pure function; events carry the time and the random numbers that it needs. */
+export type Reducer<State, Event, Effect> = (state: State, event: Event) => Step<State, Effect>;
 
-/** A channel of one kind of event. */
-export type EventQueue<E> = {
-  /** Hands an event in; false once the inbox is full or closed. */
-  readonly put: (event: E) => boolean;
+/** The queue of events of one task. */
+export type EventQueue<Event> = {
+  /** Adds an event; returns false if the queue is full or closed. */
+  readonly put: (event: Event) => boolean;
   readonly close: () => void;
 };
 
 /**
- * Runs a task: it alone owns its state, takes events from its inbox one by one, reduces them and
- * performs the effects in order.
+ * Runs a task, which alone owns its state: takes the events from the queue one after another, applies
+ * the reducer and performs the effects in order.
  *
  * @example
- * const counter = Task.run({ initial: 0, reduce: (n, add: number) => ({ state: n + add, effects: [n + add] }), perform: console.log });
+ * const counter = Task.run({ initial: 0, reduce: (sum, increment: number) => ({ state: sum + increment, effects: [sum + increment] }), perform: console.log });
  * counter.put(2); // logs 2
  */
 export const Task = {
-  run: <S, E, F>(parts: {
-    readonly initial: S;
-    readonly reduce: Reducer<S, E, F>;
-    readonly perform: (effect: F, put: (event: E) => boolean) => void;
-  }): EventQueue<E> & { readonly peek: () => S } => {
+  run: <State, Event, Effect>(options: {
+    readonly initial: State;
+    readonly reduce: Reducer<State, Event, Effect>;
+    readonly perform: (effect: Effect, put: (event: Event) => boolean) => void;
+  }): EventQueue<Event> & { readonly peek: () => State } => {
     const channel = csp.chan(csp.buffers.fixed(maxQueuedEvents));
-    let state = parts.initial;
-    let waiting = 0;
-    let open = true;
-    const put = (event: E): boolean => {
-      if (!open || waiting >= maxQueuedEvents) return false;
-      waiting += 1;
+    let state = options.initial;
+    let queuedCount = 0;
+    let isOpen = true;
+    const put = (event: Event): boolean => {
+      if (!isOpen || queuedCount >= maxQueuedEvents) return false;
+      queuedCount += 1;
       csp.putAsync(channel, event);
       return true;
     };
@@ -46,17 +49,17 @@
       for (;;) {
         const event = yield csp.take(channel);
         if (event === csp.CLOSED) return;
-        waiting -= 1;
-        const step = parts.reduce(state, event as E);
+        queuedCount -= 1;
+        const step = options.reduce(state, event as Event);
         state = step.state;
-        for (const effect of step.effects) parts.perform(effect, put);
+        for (const effect of step.effects) options.perform(effect, put);
       }
     });
     return {
       put,
       peek: () => state,
       close: () => {
-        open = false;
+        isOpen = false;
         channel.close();
       },
     };
