--- a/packages/topology/src/topology.ts
+++ b/packages/topology/src/topology.ts
@@ -1,6 +1,6 @@
 /** The example deployments that tests run on. */
 
-/** A machine of a deployment; `capacityBps` bounds what its proxy serves, in bits a second. */
+/** A machine of a deployment; `capacityBps` limits what its proxy serves, in bits per second. */
 export type Machine = {
   readonly name: string;
   readonly zone: string;
@@ -8,7 +8,7 @@
   readonly kind: 'front' | 'store' | 'core';
   readonly capacityBps?: number;
 };
-/** An origin; `capacity` in requests a second, `maxAge` of its answers in seconds. */
+/** An origin; `capacity` in requests per second, `maxAge` of its responses in seconds. */
 export type Origin = {
   readonly service: string;
   readonly instance: string;
@@ -18,7 +18,7 @@
   readonly maxAge?: number;
 };
 
-/** A deployment as the examples describe it. */
+/** A named set of machines and origins, as the examples describe it. */
 export type Deployment = {
   readonly name: string;
   readonly machines: readonly Machine[];
