--- a/packages/config-templates/src/config-templates.test.ts
+++ b/packages/config-templates/src/config-templates.test.ts
@@ -6,7 +6,7 @@
   routes: [{ name: 'sheets', host: 'www.{{domain}}', path: '/s/', service: 'store' }],
 };
 
-test('parameters keep their type, defaults hold, and what lacks or is unknown is refused by name', (t) => {
+test('parameters keep their type, defaults apply, and missing or unknown parameters are refused by name', (t) => {
   t.deepEqual(resolveTemplate(template, parseParameters(['cold=5', 'domain=a.example']), []), {
     services: { store: { ceiling: 400, coldRate: 5 } },
     routes: [{ name: 'sheets', host: 'www.a.example', path: '/s/', service: 'store' }],
@@ -23,7 +23,7 @@
   t.throws(() => parseParameters(['nonsense']), { instanceOf: TemplateError });
 });
 
-test('overlays change, add and remove, in their order, and leave what they were given as it was', (t) => {
+test('overlays change, add and remove entries in order, and do not modify the template', (t) => {
   const base = {
     services: { store: { ceiling: 1 } },
     routes: [
--- a/packages/config-templates/src/config-templates.ts
+++ b/packages/config-templates/src/config-templates.ts
@@ -1,47 +1,47 @@
 /** Configuration documents from templates and overlays. */
 
-import patches from 'json-merge-patch';
-import parse from 'json-templates';
+import jsonMergePatch from 'json-merge-patch';
+import parseTemplate from 'json-templates';
 import { CodedError } from '@reedyard/logging';
 
-/** A template that can't be resolved. */
+/** Thrown for parameters that don't fit a template or can't be read. */
 export class TemplateError extends CodedError {}
 
 const clone = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
 /**
- * A list in a policy is a list of named things; in an overlay it may be written as an object by
- * name, which then changes, adds (or with null removes) single ones instead of the whole list.
+ * Turns a list of routes into an object by route name. An overlay may give the routes as such an
+ * object to change, add or (with null) remove single routes instead of replacing the list.
  */
-const byName = (list: unknown): unknown =>
+const indexByName = (list: unknown): unknown =>
   Array.isArray(list)
     ? Object.fromEntries(
-        list.map((each: { name?: string }, index) => [each.name ?? String(index), each]),
+        list.map((item: { name?: string }, index) => [item.name ?? String(index), item]),
       )
     : list;
 
 /**
- * Resolves a template: parameters first (`{{name}}` or `{{name:default}}`; a value that is one
- * placeholder keeps the parameter's type), then overlays in order, as JSON merge patches (RFC
- * 7396).
+ * Resolves a template. Substitutes the parameters first (`{{name}}` or `{{name:default}}`; a value
+ * that is a single placeholder keeps the parameter's type), then applies the overlays in order as
+ * JSON merge patches (RFC 7396).
  *
  * @example
- * resolve({ services: { store: { ceiling: '{{ceiling:400}}' } } }, { ceiling: 90 }, [{ services: { store: { coldRate: 5 } } }])
+ * resolveTemplate({ services: { store: { ceiling: '{{ceiling:400}}' } } }, { ceiling: 90 }, [{ services: { store: { coldRate: 5 } } }])
  * // { services: { store: { ceiling: 90, coldRate: 5 } } }
  */
-export const resolve = (
+export const resolveTemplate = (
   template: unknown,
   parameters: Readonly<Record<string, unknown>>,
   overlays: readonly unknown[],
 ): unknown => {
-  const parsed = parse(template);
-  const lacking = parsed.parameters
+  const parsed = parseTemplate(template);
+  const missing = parsed.parameters
     .filter(({ key, defaultValue }) => parameters[key] === undefined && defaultValue === undefined)
     .map(({ key }) => key);
-  if (lacking.length > 0)
-    throw new TemplateError('parameters', `parameters without a value: ${lacking.join(', ')}`);
+  if (missing.length > 0)
+    throw new TemplateError('parameters', `parameters without a value: ${missing.join(', ')}`);
   const unused = Object.keys(parameters).filter(
-    (key) => !parsed.parameters.some((each) => each.key === key),
+    (key) => !parsed.parameters.some((parameter) => parameter.key === key),
   );
   if (unused.length > 0)
     throw new TemplateError('parameters', `the template has no parameter ${unused.join(', ')}`);
@@ -52,7 +52,9 @@
         : [
             [
               key,
-              typed(typeof defaultValue === 'string' ? defaultValue : JSON.stringify(defaultValue)),
+              parseJsonOrText(
+                typeof defaultValue === 'string' ? defaultValue : JSON.stringify(defaultValue),
+              ),
             ],
           ],
     ),
@@ -61,11 +63,11 @@
     (document, overlay) => {
       const routes = (overlay as { routes?: unknown }).routes;
       if (routes === undefined || Array.isArray(routes))
-        return patches.apply(clone(document), clone(overlay));
-      const merged = patches.apply(
+        return jsonMergePatch.apply(clone(document), clone(overlay));
+      const merged = jsonMergePatch.apply(
         {
           ...(clone(document) as object),
-          routes: byName((document as { routes?: unknown }).routes),
+          routes: indexByName((document as { routes?: unknown }).routes),
         },
         clone(overlay),
       ) as { routes: Record<string, object> };
@@ -78,7 +80,7 @@
   );
 };
 
-const typed = (text: string): unknown => {
+const parseJsonOrText = (text: string): unknown => {
   try {
     return JSON.parse(text) as unknown;
   } catch {
@@ -86,12 +88,17 @@
   }
 };
 
-/** Parameters from `name=value` pairs; a value that reads as JSON keeps its type. @example parametersOf(['ceiling=90']) // { ceiling: 90 } */
-export const parametersOf = (pairs: readonly string[]): Readonly<Record<string, unknown>> =>
+/**
+ * Parses `NAME=VALUE` pairs; a value that is valid JSON keeps its type.
+ *
+ * @example
+ * parseParameters(['ceiling=90']) // { ceiling: 90 }
+ */
+export const parseParameters = (pairs: readonly string[]): Readonly<Record<string, unknown>> =>
   Object.fromEntries(
     pairs.map((pair) => {
-      const cut = pair.indexOf('=');
-      if (cut < 1) throw new TemplateError('parameters', `found "${pair}"; wanted NAME=VALUE`);
-      return [pair.slice(0, cut), typed(pair.slice(cut + 1))];
+      const equals = pair.indexOf('=');
+      if (equals < 1) throw new TemplateError('parameters', `found "${pair}"; expected NAME=VALUE`);
+      return [pair.slice(0, equals), parseJsonOrText(pair.slice(equals + 1))];
     }),
   );
--- a/packages/config-templates/src/index.ts
+++ b/packages/config-templates/src/index.ts
@@ -1,6 +1,2 @@
 /** Configuration documents from templates and overlays. */
-export {
-  parametersOf as parseParameters,
-  resolve as resolveTemplate,
-  TemplateError,
-} from './config-templates.js';
+export { parseParameters, resolveTemplate, TemplateError } from './config-templates.js';
