--- a/packages/planner/src/index.ts
+++ b/packages/planner/src/index.ts
@@ -1,7 +1,2 @@
-/** What an order would move, before it is sent. */
-export {
-  type Intent as IntendedChange,
-  type Known as SystemState,
-  type Moves as ChangePlan,
-  plan,
-} from './planner.js';
+/** Predicts the effects of a config change or a zone order before it is sent. */
+export { type IntendedChange, type SystemState, type ChangePlan, plan } from './planner.js';
--- a/packages/planner/src/planner.test.ts
+++ b/packages/planner/src/planner.test.ts
@@ -3,7 +3,7 @@
 import { Schemas, type OriginDescription } from '@reedyard/schemas';
 import { plan, type SystemState } from './index.js';
 
-const node = (id: string, zone: string, region: string, want: number): NodeRecord => ({
+const node = (id: string, zone: string, region: string, demand: number): NodeRecord => ({
   id,
   zone,
   region,
@@ -13,7 +13,7 @@
   ready: true,
   staying: true,
   proxyLife: '',
-  wants: { store: want },
+  wants: { store: demand },
 });
 const origin = (instance: string, zone: string): OriginDescription => ({
   service: 'store',
@@ -30,43 +30,43 @@
   services: { store: { ceiling: 100, coldRate: 5 } },
   routes: [{ name: 'sheets', host: 'a.example', path: '/sheets/', service: 'store' }],
 });
-const known: SystemState = {
+const current: SystemState = {
   policy,
-  emptied: [],
+  evacuatedZones: [],
   nodes: [node('a', 'west', 'r', 10), node('b', 'west', 'r', 10), node('c', 'north', 'r', 10)],
   origins: [origin('o1', 'west'), origin('o2', 'north')],
-  slices: { store: { a: 33, b: 33, c: 33 } },
+  quotaRates: { store: { a: 33, b: 33, c: 33 } },
 };
 
-test('emptying a zone: its nodes and origins stop, its load goes to those left', (t) => {
-  const moves = plan(known, { empty: ['west'] });
+test('evacuating a zone stops its nodes and origins and moves its load to the remaining nodes', (t) => {
+  const changes = plan(current, { evacuate: ['west'] });
   t.deepEqual(
-    moves.nodes.map((each) => `${each.node} ${each.before} ${each.after}`),
+    changes.nodes.map((change) => `${change.node} ${change.before} ${change.after}`),
     ['a serves emptied', 'b serves emptied'],
   );
-  t.deepEqual(moves.origins, [
+  t.deepEqual(changes.origins, [
     { origin: 'store/o1', before: 'takes work', after: 'its zone is emptied' },
   ]);
   t.deepEqual(
-    moves.load.map((each) => [each.node, Math.round(each.after)]),
+    changes.load.map((load) => [load.node, Math.round(load.after)]),
     [
       ['a', 0],
       ['b', 0],
       ['c', 30],
     ],
   );
-  // One instance is left, and carries less than the ceiling.
-  t.is(Math.round(moves.shares.find((each) => each.node === 'c')?.after ?? 0), 60);
-  t.deepEqual(moves.warnings, []);
+  // One instance remains, with a capacity below the ceiling.
+  t.is(Math.round(changes.shares.find((share) => share.node === 'c')?.after ?? 0), 60);
+  t.deepEqual(changes.warnings, []);
   t.true(
-    plan(known, { empty: ['west', 'north'] }).warnings.includes(
-      'no node would be left to serve callers',
+    plan(current, { evacuate: ['west', 'north'] }).warnings.includes(
+      'no node would remain to serve clients',
     ),
   );
 });
 
-test('a policy: routes, services, and what would lack', (t) => {
-  const next = Schemas.policy({
+test('a new policy is compared by route and service, and missing nodes or instances are warned about', (t) => {
+  const nextPolicy = Schemas.policy({
     services: {
       store: { ceiling: 20, coldRate: 5, instances: ['o2'] },
       news: { ceiling: 5, coldRate: 1 },
@@ -82,19 +82,21 @@
       { name: 'news', host: 'a.example', path: '/news/', service: 'news' },
     ],
   });
-  const moves = plan(known, { policy: next });
-  t.deepEqual(moves.routes, {
+  const changes = plan(current, { policy: nextPolicy });
+  t.deepEqual(changes.routes, {
     added: ['news'],
     removed: [],
     changed: [{ route: 'sheets', fields: ['homes'] }],
   });
   t.deepEqual(
-    moves.services.map((each) => `${each.service} ${each.change} ${each.ceiling.join(' ')}`),
+    changes.services.map(
+      (service) => `${service.service} ${service.change} ${service.ceiling.join(' ')}`,
+    ),
     ['news added  5', 'store changed 100 20'],
   );
-  t.deepEqual(moves.origins, [
+  t.deepEqual(changes.origins, [
     { origin: 'store/o1', before: 'takes work', after: 'the policy does not name this instance' },
   ]);
-  t.is(moves.warnings.length, 3);
-  t.deepEqual(plan(known, { policy }).routes, { added: [], removed: [], changed: [] });
+  t.is(changes.warnings.length, 3);
+  t.deepEqual(plan(current, { policy }).routes, { added: [], removed: [], changed: [] });
 });
--- a/packages/planner/src/planner.ts
+++ b/packages/planner/src/planner.ts
@@ -1,4 +1,4 @@
-/** What an order would move, before it is sent. */
+/** Predicts the effects of a config change or a zone order before it is sent. */
 
 import type { NodeRecord } from '@reedyard/agent';
 import {
@@ -10,25 +10,30 @@
 } from '@reedyard/quota-division';
 import { Routes, type OriginDescription, type Policy, type Route } from '@reedyard/schemas';
 
-/** What the fleet is now, as its own API tells it. */
-export type Known = {
+/** The current state of the system, as the API of a node reports it. */
+export type SystemState = {
   readonly policy: Policy;
-  readonly emptied: readonly string[];
-  /** Zones whose origins get nothing, the emptied ones among them. */
-  readonly closedOrigins?: readonly string[];
+  readonly evacuatedZones: readonly string[];
+  /**
+   * Zones whose origins get no requests, including the evacuated zones; if omitted, the evacuated
+   * zones alone.
+   */
+  readonly zonesWithClosedOrigins?: readonly string[];
   readonly nodes: readonly NodeRecord[];
   readonly origins: readonly OriginDescription[];
-  readonly slices: Readonly<Record<string, QuotaShares>>;
+  /** By service and node, the quota in requests per second. */
+  readonly quotaRates: Readonly<Record<string, QuotaShares>>;
 };
 
-/** What is meant to change. */
-export type Intent = {
+/** The change to predict: a new policy, zones to evacuate, and zones to restore. */
+export type IntendedChange = {
   readonly policy?: Policy;
-  readonly empty?: readonly string[];
-  readonly takeBack?: readonly string[];
+  readonly evacuate?: readonly string[];
+  readonly restore?: readonly string[];
 };
 
-export type Moves = {
+/** The predicted effects of a change; `reedyard plan --json` prints them. */
+export type ChangePlan = {
   readonly routes: {
     readonly added: readonly string[];
     readonly removed: readonly string[];
@@ -55,10 +60,7 @@
     readonly before: number;
     readonly after: number;
   }[];
-  /**
-   * Attempts a second that each node's callers would ask for, and what its quotas would let
-   * through.
-   */
+  /** Attempts per second that the clients of each node demand, before and after the change. */
   readonly load: readonly {
     readonly node: string;
     readonly before: number;
@@ -67,171 +69,183 @@
   readonly warnings: readonly string[];
 };
 
-const namesOf = (routes: readonly Route[]): ReadonlyMap<string, Route> =>
+const routesByName = (routes: readonly Route[]): ReadonlyMap<string, Route> =>
   new Map(routes.map((route) => [route.name, route]));
 
-const routeMoves = (before: Policy, after: Policy): Moves['routes'] => {
-  const [old, next] = [namesOf(before.routes), namesOf(after.routes)];
+const compareRoutes = (before: Policy, after: Policy): ChangePlan['routes'] => {
+  const [oldRoutes, newRoutes] = [routesByName(before.routes), routesByName(after.routes)];
   return {
-    added: [...next.keys()].filter((name) => !old.has(name)),
-    removed: [...old.keys()].filter((name) => !next.has(name)),
-    changed: [...next].flatMap(([name, route]) => {
-      const was = old.get(name);
-      if (was === undefined) return [];
-      const fields = [...new Set([...Object.keys(was), ...Object.keys(route)])].filter(
+    added: [...newRoutes.keys()].filter((name) => !oldRoutes.has(name)),
+    removed: [...oldRoutes.keys()].filter((name) => !newRoutes.has(name)),
+    changed: [...newRoutes].flatMap(([name, route]) => {
+      const oldRoute = oldRoutes.get(name);
+      if (oldRoute === undefined) return [];
+      const fields = [...new Set([...Object.keys(oldRoute), ...Object.keys(route)])].filter(
         (field) =>
-          JSON.stringify(was[field as keyof Route]) !== JSON.stringify(route[field as keyof Route]),
+          JSON.stringify(oldRoute[field as keyof Route]) !==
+          JSON.stringify(route[field as keyof Route]),
       );
       return fields.length === 0 ? [] : [{ route: name, fields }];
     }),
   };
 };
 
-const standing = (
+/** Whether an origin gets requests (`takes work`), or the reason why it gets none. */
+const originStateOf = (
   origin: OriginDescription,
   policy: Policy,
-  closed: readonly string[],
-  emptied: readonly string[],
+  zonesWithClosedOrigins: readonly string[],
+  evacuatedZones: readonly string[],
 ): string => {
   const service = policy.services[origin.service];
   if (service === undefined) return 'no policy allows this service';
   if (service.instances !== undefined && !service.instances.includes(origin.instance))
     return 'the policy does not name this instance';
   if (origin.draining) return 'draining';
-  return emptied.includes(origin.zone)
+  return evacuatedZones.includes(origin.zone)
     ? 'its zone is emptied'
-    : closed.includes(origin.zone)
+    : zonesWithClosedOrigins.includes(origin.zone)
       ? 'the origins of its zone get nothing'
       : 'takes work';
 };
 
 /**
- * What an intent would move. The same allocation as the quota leader's is worked out over what the
- * nodes now ask for; callers of an emptied zone count as spread over the nodes that are left.
+ * Predicts the effects of a change. Quotas are allocated as by the quota leader, over the current
+ * demand of the nodes; the clients of an evacuated zone count as evenly spread over the remaining
+ * nodes.
  *
  * @example
- * plan(known, { empty: ['west'] }).nodes // the nodes of west: serves -> emptied
+ * plan(current, { evacuate: ['west'] }).nodes // the nodes of west: serves -> emptied
  */
-export const plan = (known: Known, intent: Intent): Moves => {
-  const policy = intent.policy ?? known.policy;
-  const emptied = [
+export const plan = (current: SystemState, change: IntendedChange): ChangePlan => {
+  const policy = change.policy ?? current.policy;
+  const evacuatedAfter = [
     ...new Set([
-      ...known.emptied.filter((zone) => intent.takeBack?.includes(zone) !== true),
-      ...(intent.empty ?? []),
+      ...current.evacuatedZones.filter((zone) => change.restore?.includes(zone) !== true),
+      ...(change.evacuate ?? []),
     ]),
   ];
-  const wereClosed = known.closedOrigins ?? known.emptied;
-  const closed = [
+  const closedBefore = current.zonesWithClosedOrigins ?? current.evacuatedZones;
+  const closedAfter = [
     ...new Set([
-      ...wereClosed.filter((zone) => intent.takeBack?.includes(zone) !== true),
-      ...(intent.empty ?? []),
+      ...closedBefore.filter((zone) => change.restore?.includes(zone) !== true),
+      ...(change.evacuate ?? []),
     ]),
   ];
-  const fronts = known.nodes.filter((node) => node.proxy !== null);
-  const left = fronts.filter((node) => !emptied.includes(node.zone));
-  const seats: readonly QuotaNode[] = left.map((node) => ({
+  const proxyNodes = current.nodes.filter((node) => node.proxy !== null);
+  const remainingNodes = proxyNodes.filter((node) => !evacuatedAfter.includes(node.zone));
+  const quotaNodes: readonly QuotaNode[] = remainingNodes.map((node) => ({
     nodeId: node.id,
     zone: node.zone,
     region: node.region,
   }));
-  const wantOf = (node: NodeRecord, service: string): number => node.wants[service] ?? 0;
-  const displaced = (service: string): number =>
-    fronts
-      .filter((node) => emptied.includes(node.zone))
-      .reduce((sum, node) => sum + wantOf(node, service), 0);
-  const wantsAfter = (service: string): QuotaShares =>
+  const demandOf = (node: NodeRecord, service: string): number => node.wants[service] ?? 0;
+  const displacedDemand = (service: string): number =>
+    proxyNodes
+      .filter((node) => evacuatedAfter.includes(node.zone))
+      .reduce((sum, node) => sum + demandOf(node, service), 0);
+  const demandAfter = (service: string): QuotaShares =>
     Object.fromEntries(
-      left.map((node) => [node.id, wantOf(node, service) + displaced(service) / left.length]),
+      remainingNodes.map((node) => [
+        node.id,
+        demandOf(node, service) + displacedDemand(service) / remainingNodes.length,
+      ]),
     );
   const services = [
-    ...new Set([...Object.keys(known.policy.services), ...Object.keys(policy.services)]),
+    ...new Set([...Object.keys(current.policy.services), ...Object.keys(policy.services)]),
   ].sort();
 
-  /** What a service could get then: its ceiling, or less where its instances carry less. */
-  const boundAfter = (service: string): number =>
+  /** Rate limit of a service after the change: its ceiling, or less if its instances serve less. */
+  const rateLimitAfter = (service: string): number =>
     policy.services[service] === undefined
       ? 0
       : rateLimitOf(
           policy.services[service]?.ceiling,
-          known.origins
+          current.origins
             .filter(
               (origin) =>
                 origin.service === service &&
-                standing(origin, policy, closed, emptied) === 'takes work',
+                originStateOf(origin, policy, closedAfter, evacuatedAfter) === 'takes work',
             )
             .map((origin) => origin.capacity ?? Infinity),
         );
 
   const shares = services.flatMap((service) => {
-    const homes = Routes.homeRegionsOf(policy.routes, service);
-    const allowed =
-      homes === undefined ? seats : seats.filter((seat) => homes.includes(seat.region));
-    const bound = boundAfter(service);
-    const after =
-      bound === 0 || allowed.length === 0
+    const homeRegions = Routes.homeRegionsOf(policy.routes, service);
+    const eligibleNodes =
+      homeRegions === undefined
+        ? quotaNodes
+        : quotaNodes.filter((node) => homeRegions.includes(node.region));
+    const rateLimit = rateLimitAfter(service);
+    const sharesAfter =
+      rateLimit === 0 || eligibleNodes.length === 0
         ? {}
-        : allocateQuotas(bound, allowed, wantsAfter(service));
-    return fronts.flatMap((node) => {
-      if (bound === Infinity) return [];
-      const [was, will] = [known.slices[service]?.[node.id] ?? 0, rateOf(after, node.id, bound)];
-      return Math.abs(was - will) > 0.05 * Math.max(was, will)
-        ? [{ service, node: node.id, before: was, after: will }]
+        : allocateQuotas(rateLimit, eligibleNodes, demandAfter(service));
+    return proxyNodes.flatMap((node) => {
+      if (rateLimit === Infinity) return [];
+      const [before, after] = [
+        current.quotaRates[service]?.[node.id] ?? 0,
+        rateOf(sharesAfter, node.id, rateLimit),
+      ];
+      return Math.abs(before - after) > 0.05 * Math.max(before, after)
+        ? [{ service, node: node.id, before, after }]
         : [];
     });
   });
-  const load = fronts.map((node) => ({
+  const load = proxyNodes.map((node) => ({
     node: node.id,
     before: Object.values(node.wants).reduce((sum, rate) => sum + rate, 0),
-    after: emptied.includes(node.zone)
+    after: evacuatedAfter.includes(node.zone)
       ? 0
       : services.reduce(
           (sum, service) =>
             sum +
-            (policy.services[service] === undefined ? 0 : (wantsAfter(service)[node.id] ?? 0)),
+            (policy.services[service] === undefined ? 0 : (demandAfter(service)[node.id] ?? 0)),
           0,
         ),
   }));
-  const homeless = policy.routes.filter(
+  const routesWithoutNodes = policy.routes.filter(
     (route) =>
       route.homes !== undefined &&
-      !left.some((node) => route.homes?.includes(node.region) === true),
+      !remainingNodes.some((node) => route.homes?.includes(node.region) === true),
   );
-  const idle = Object.keys(policy.services).filter(
+  const servicesWithoutInstances = Object.keys(policy.services).filter(
     (service) =>
-      !known.origins.some(
+      !current.origins.some(
         (origin) =>
-          origin.service === service && standing(origin, policy, closed, emptied) === 'takes work',
+          origin.service === service &&
+          originStateOf(origin, policy, closedAfter, evacuatedAfter) === 'takes work',
       ),
   );
-  const starved = services.filter(
+  const overloadedServices = services.filter(
     (service) =>
       policy.services[service] !== undefined &&
-      fronts.reduce((sum, node) => sum + wantOf(node, service), 0) > boundAfter(service),
+      proxyNodes.reduce((sum, node) => sum + demandOf(node, service), 0) > rateLimitAfter(service),
   );
   return {
-    routes: routeMoves(known.policy, policy),
-    services: services.flatMap((service): Moves['services'] => {
-      const [was, will] = [known.policy.services[service], policy.services[service]];
-      if (JSON.stringify(was) === JSON.stringify(will)) return [];
+    routes: compareRoutes(current.policy, policy),
+    services: services.flatMap((service): ChangePlan['services'] => {
+      const [before, after] = [current.policy.services[service], policy.services[service]];
+      if (JSON.stringify(before) === JSON.stringify(after)) return [];
       return [
         {
           service,
-          change: was === undefined ? 'added' : will === undefined ? 'removed' : 'changed',
-          ceiling: [was?.ceiling ?? null, will?.ceiling ?? null],
+          change: before === undefined ? 'added' : after === undefined ? 'removed' : 'changed',
+          ceiling: [before?.ceiling ?? null, after?.ceiling ?? null],
         },
       ];
     }),
-    origins: known.origins.flatMap((origin) => {
+    origins: current.origins.flatMap((origin) => {
       const [before, after] = [
-        standing(origin, known.policy, wereClosed, known.emptied),
-        standing(origin, policy, closed, emptied),
+        originStateOf(origin, current.policy, closedBefore, current.evacuatedZones),
+        originStateOf(origin, policy, closedAfter, evacuatedAfter),
       ];
       return before === after
         ? []
         : [{ origin: `${origin.service}/${origin.instance}`, before, after }];
     }),
-    nodes: fronts.flatMap((node) => {
-      const [before, after] = [known.emptied, emptied].map((zones) =>
+    nodes: proxyNodes.flatMap((node) => {
+      const [before, after] = [current.evacuatedZones, evacuatedAfter].map((zones) =>
         zones.includes(node.zone) ? 'emptied' : 'serves',
       );
       return before === undefined || after === undefined || before === after
@@ -241,15 +255,17 @@
     shares,
     load,
     warnings: [
-      ...(left.length === 0 ? ['no node would be left to serve callers'] : []),
-      ...homeless.map(
+      ...(remainingNodes.length === 0 ? ['no node would remain to serve clients'] : []),
+      ...routesWithoutNodes.map(
         (route) =>
-          `route ${route.name}: no node would be left in its homes ${route.homes?.join(', ') ?? ''}`,
+          `route ${route.name}: no node would remain in its home regions ${route.homes?.join(', ') ?? ''}`,
+      ),
+      ...servicesWithoutInstances.map(
+        (service) => `service ${service}: no instance would get requests`,
       ),
-      ...idle.map((service) => `service ${service}: no instance would take work`),
-      ...starved.map(
+      ...overloadedServices.map(
         (service) =>
-          `service ${service}: more is asked for now than its ceiling and its instances would let through`,
+          `service ${service}: the current demand exceeds its ceiling or the capacity of its instances`,
       ),
     ],
   };
