--- a/packages/reedyard/src/api-client.ts
+++ b/packages/reedyard/src/api-client.ts
@@ -1,21 +1,21 @@
-/** Calls the API, at one node after another until one answers. */
+/** Client of the operator API: sends requests to one node after another, or to several at once. */
 import http from 'node:http';
 import { readFileSync } from 'node:fs';
 import { CodedError, errorMessage } from '@reedyard/logging';
 
-/** Exit codes of `reedyard`; they stay as they are. */
+/** Exit codes of `reedyard`; scripts rely on the numbers, so they must not change. */
 export const exitCodes = {
-  /** The call's words, a file or a document are at fault. */
+  /** The arguments, a file or a document are invalid. */
   usage: 2,
-  /** The document or order was refused. */
+  /** A node refused the document or the command. */
   refused: 3,
-  /** No node answered, or no majority was reached; it may be sent again with the same change id. */
+  /** No node responded, or no majority was reached; a retry with the same change id is safe. */
   unreached: 4,
-  /** Asked whether something is so (ready), and it is not. */
+  /** The queried condition (ready) is false. */
   conditionNotMet: 5,
 } as const;
 
-/** A call that did not bring what was asked. */
+/** Thrown for a command that failed; carries the exit code, and the problem document if any. */
 export class ClientError extends CodedError {
   constructor(
     readonly exit: number,
@@ -27,21 +27,25 @@
   }
 }
 
-export type Reply = { readonly status: number; readonly body: unknown };
+/** A response of the API with its parsed JSON body. */
+export type ApiResponse = { readonly status: number; readonly body: unknown };
 
-/** ms. A node that is asked alone may take this long. */
-const longestAnswer = 10_000;
-/** ms. A node that is asked beside others: what the others said would grow old meanwhile. */
-const longestAnswerBeside = 2_000;
+/** Response timeout of a request to one node, in milliseconds. */
+const responseTimeoutMs = 10_000;
+/**
+ * Response timeout of a request to several nodes at once, in milliseconds: a longer wait for one node
+ * would leave the responses of the others outdated.
+ */
+const parallelResponseTimeoutMs = 2_000;
 
-const once = (
+const sendRequest = (
   node: string,
   method: string,
   target: string,
   text: string,
   headers: Readonly<Record<string, string>>,
-  timeout = longestAnswer,
-): Promise<Reply> =>
+  timeout = responseTimeoutMs,
+): Promise<ApiResponse> =>
   new Promise((resolve, reject) => {
     const request = http.request(
       `http://${node}${target}`,
@@ -72,31 +76,31 @@
         });
       },
     );
-    request.on('timeout', () => request.destroy(new Error(`no answer in ${timeout} ms`)));
+    request.on('timeout', () => request.destroy(new Error(`no response in ${timeout} ms`)));
     request.on('error', reject);
     request.end(text);
   });
 
-const problemText = (reply: Reply): string => {
-  const problem = reply.body as {
+const problemText = (response: ApiResponse): string => {
+  const problem = response.body as {
     title?: string;
     detail?: string;
     faults?: readonly { path: string; message: string }[];
   };
   return [
-    `${reply.status} ${problem.title ?? ''}: ${problem.detail ?? ''}`,
+    `${response.status} ${problem.title ?? ''}: ${problem.detail ?? ''}`,
     ...(problem.faults ?? []).map((fault) => `  ${fault.path}: ${fault.message}`),
   ].join('\n');
 };
 
 /**
- * Asks the nodes one after another until one answers; an answer of any kind ends it, except that
- * another node is tried where one could not reach a majority.
+ * Sends a request to the nodes one after another until one of them responds. After a status of 500
+ * or more, as from a node that can't reach a majority, the next node is tried.
  *
  * @example
- * const status = await ask(['127.0.0.1:7080'], 'GET', '/v1/status');
+ * const status = await requestAnyNode(['127.0.0.1:7080'], 'GET', '/v1/status');
  */
-export const ask = async (
+export const requestAnyNode = async (
   nodes: readonly string[],
   method: string,
   target: string,
@@ -107,11 +111,11 @@
   const failures: string[] = [];
   for (const node of nodes) {
     try {
-      const reply = await once(node, method, target, text, headers);
-      if (reply.status < 400) return reply.body;
-      if (reply.status < 500)
-        throw new ClientError(exitCodes.refused, problemText(reply), reply.body);
-      failures.push(`${node}: ${problemText(reply)}`);
+      const response = await sendRequest(node, method, target, text, headers);
+      if (response.status < 400) return response.body;
+      if (response.status < 500)
+        throw new ClientError(exitCodes.refused, problemText(response), response.body);
+      failures.push(`${node}: ${problemText(response)}`);
     } catch (thrown) {
       if (thrown instanceof ClientError) throw thrown;
       failures.push(`${node}: ${errorMessage(thrown)}`);
@@ -121,28 +125,29 @@
 };
 
 /**
- * Reads one place of every node at once; a node that does not answer, or not well, is left out.
+ * Sends a GET request to all nodes at once and returns the bodies by node. A node that does not
+ * respond, or responds with an error, is left out.
  *
  * @example
- * (await askEach(['127.0.0.1:7080'], '/v1/status')).get('127.0.0.1:7080')
+ * (await getFromAllNodes(['127.0.0.1:7080'], '/v1/status')).get('127.0.0.1:7080')
  */
 export const getFromAllNodes = async (
   nodes: readonly string[],
   target: string,
 ): Promise<ReadonlyMap<string, unknown>> => {
-  const replies = await Promise.allSettled(
-    nodes.map((node) => once(node, 'GET', target, '', {}, longestAnswerBeside)),
+  const results = await Promise.allSettled(
+    nodes.map((node) => sendRequest(node, 'GET', target, '', {}, parallelResponseTimeoutMs)),
   );
   const bodies = new Map<string, unknown>();
-  replies.forEach((reply, index) => {
+  results.forEach((result, index) => {
     const node = nodes[index];
-    if (node === undefined || reply.status === 'rejected' || reply.value.status >= 400) return;
-    bodies.set(node, reply.value.body);
+    if (node === undefined || result.status === 'rejected' || result.value.status >= 400) return;
+    bodies.set(node, result.value.body);
   });
   return bodies;
 };
 
-/** A JSON document from a file, or from standard input for `-`. @example readDocument('policy.json') */
+/** Reads a JSON document from a file, or from standard input for `-`. @example readDocument('policy.json') */
 export const readDocument = (file: string): unknown => {
   try {
     return JSON.parse(readFileSync(file === '-' ? 0 : file, 'utf8'));
--- a/packages/reedyard/src/base-command.ts
+++ b/packages/reedyard/src/base-command.ts
@@ -1,26 +1,28 @@
-/** What the commands of the command line share: flags, calls of the API, output. */
+/** Base classes of the commands: shared flags, API requests and output. */
 import { randomUUID } from 'node:crypto';
 import { Args, Command, Flags } from '@oclif/core';
 import { parseParameters, TemplateError, resolveTemplate } from '@reedyard/config-templates';
 import { Schemas, SchemaError, type Policy } from '@reedyard/schemas';
-import { ask, ClientError, exitCodes, readDocument } from './api-client.js';
+import { requestAnyNode, ClientError, exitCodes, readDocument } from './api-client.js';
 
-/** What every command has: nodes to ask, `--json`, and the exit codes. */
+/** Base class of all commands: the `--node` and `--json` flags, and exit codes for errors. */
 export abstract class BaseCommand extends Command {
   static override enableJsonFlag = true;
   static override baseFlags = {
-    // One text, split here: a list flag takes its environment variable letter by letter.
+    // One string, split in parseAddresses: oclif splits the environment variable of a list flag into
+    // single letters.
     node: Flags.string({
       char: 'n',
       env: 'REEDYARD_NODES',
-      description: 'API of a node, IP:PORT; several, with commas between, are tried in turn',
+      description:
+        'API address of a node, IP:PORT; several, separated by commas, are tried in turn',
       default: '127.0.0.1:7080',
     }),
   };
   static changeIdFlag = Flags.string({
-    description: 'change id: sent again with the same one, a change is made once',
+    description: 'change id; a change that is sent again with the same id is applied only once',
     default: async () => randomUUID(),
-    defaultHelp: async () => 'a random one',
+    defaultHelp: async () => 'a random id',
   });
 
   static templateFlags = {
@@ -31,15 +33,13 @@
     }),
     overlay: Flags.string({
       multiple: true,
-      description: 'overlay laid over the policy, a JSON merge patch; several in their order',
+      description:
+        'overlay for the policy, a file with a JSON merge patch; several are applied in order',
       default: [] as string[],
     }),
   };
 
-  /**
-   * The one whole policy that a file, its parameters and its overlays come to, checked as a node
-   * checks it.
-   */
+  /** Reads a policy from a template file, parameters and overlays, and validates it as a node does. */
   protected readPolicy(
     file: string,
     flags: { readonly param: readonly string[]; readonly overlay: readonly string[] },
@@ -65,7 +65,7 @@
     }
   }
 
-  /** The nodes of the `--node` flag. */
+  /** Splits the value of the `--node` flag into addresses. */
   protected parseAddresses(nodes: string): readonly string[] {
     return nodes
       .split(',')
@@ -73,6 +73,7 @@
       .filter((node) => node !== '');
   }
 
+  /** Sends an API request to the given nodes in turn. */
   protected async call(
     nodes: string,
     method: string,
@@ -80,10 +81,10 @@
     document?: unknown,
     headers: Readonly<Record<string, string>> = {},
   ): Promise<unknown> {
-    return ask(this.parseAddresses(nodes), method, target, document, headers);
+    return requestAnyNode(this.parseAddresses(nodes), method, target, document, headers);
   }
 
-  /** What people see where no `--json` is asked for. */
+  /** Prints a response body for people, unless `--json` is set. */
   protected show(body: unknown): void {
     if (!this.jsonEnabled()) this.log(JSON.stringify(body, null, 2));
   }
@@ -101,7 +102,7 @@
   }
 }
 
-/** A command that reads one place of the API and shows it. */
+/** Base class of commands that print the response to one GET request. */
 export abstract class ReadCommand extends BaseCommand {
   protected abstract readonly target: string;
 
@@ -113,7 +114,7 @@
   }
 }
 
-/** A command that gives one order for a zone. */
+/** Base class of commands that send an order for a zone. */
 export abstract class ZoneCommand extends BaseCommand {
   static override args = { zone: Args.string({ required: true, description: 'name of the zone' }) };
   static override flags = { change: BaseCommand.changeIdFlag };
--- a/packages/reedyard/src/commands/describe.ts
+++ b/packages/reedyard/src/commands/describe.ts
@@ -1,4 +1,4 @@
-/** Command: describes an origin to the fleet. */
+/** Command: sends the self-description of an origin. */
 import { Args } from '@oclif/core';
 import { BaseCommand } from '../base-command.js';
 import { readDocument } from '../api-client.js';
--- a/packages/reedyard/src/commands/policy/check.ts
+++ b/packages/reedyard/src/commands/policy/check.ts
@@ -1,10 +1,10 @@
-/** Command: checks a policy; sends nothing. */
+/** Command: validates a policy locally. */
 import { Args } from '@oclif/core';
 import { BaseCommand } from '../../base-command.js';
 
 export default class PolicyCheck extends BaseCommand {
   static override description =
-    'Resolve and check a policy here, by the same rules as a node, and show it; nothing is sent.';
+    'Resolve a policy, validate it by the same rules as a node, and print it; nothing is sent.';
   static override args = {
     file: Args.string({ required: true, description: 'JSON file, or - for standard input' }),
   };
--- a/packages/reedyard/src/commands/policy/get.ts
+++ b/packages/reedyard/src/commands/policy/get.ts
@@ -3,6 +3,6 @@
 
 export default class PolicyGet extends ReadCommand {
   static override description =
-    'Read the policy through a majority of disks: never older than the newest acknowledged one.';
+    'Read the policy through a majority of disks: never older than the newest acknowledged policy.';
   protected override readonly target = '/v1/policy';
 }
--- a/packages/reedyard/src/commands/policy/put.ts
+++ b/packages/reedyard/src/commands/policy/put.ts
@@ -4,7 +4,7 @@
 
 export default class PolicyPut extends BaseCommand {
   static override description =
-    'Send the whole desired state. It is acknowledged once a majority of disks holds it.';
+    'Send the complete desired state. A node acknowledges it once a majority of disks has stored it.';
   static override examples = [
     '<%= config.bin %> policy put examples/brandlhuber/policy.json --if-revision 3',
     '<%= config.bin %> policy put template.json --param ceiling=90 --overlay night.json',
@@ -14,7 +14,7 @@
   };
   static override flags = {
     'if-revision': Flags.integer({
-      description: 'only if the policy in force still has this revision',
+      description: 'apply only if the policy in force still has this revision',
       min: 0,
     }),
     change: BaseCommand.changeIdFlag,
--- a/packages/reedyard/src/commands/purge.ts
+++ b/packages/reedyard/src/commands/purge.ts
@@ -4,7 +4,8 @@
 import { ClientError, exitCodes } from '../api-client.js';
 
 export default class Purge extends BaseCommand {
-  static override description = 'Take objects, or all objects with a tag, out of every node.';
+  static override description =
+    'Purge objects, or all objects with a tag, from the caches of all nodes.';
   static override examples = [
     '<%= config.bin %> purge --object http://brandlhuber.example/sheets/7',
     '<%= config.bin %> purge --tag depot-7 --tag depot-8',
@@ -12,17 +13,17 @@
   static override flags = {
     object: Flags.string({
       multiple: true,
-      description: 'host and path, with its query',
+      description: 'host and path of an object, with its query',
       default: [],
     }),
-    tag: Flags.string({ multiple: true, description: 'tag of a group', default: [] }),
+    tag: Flags.string({ multiple: true, description: 'tag of a group of objects', default: [] }),
     change: BaseCommand.changeIdFlag,
   };
 
   async run(): Promise<unknown> {
     const { flags } = await this.parse(Purge);
     if (flags.object.length + flags.tag.length === 0)
-      throw new ClientError(exitCodes.usage, 'wanted at least one --object or --tag');
+      throw new ClientError(exitCodes.usage, 'expected at least one --object or --tag');
     const body = await this.call(
       flags.node,
       'POST',
--- a/packages/reedyard/src/commands/ready.ts
+++ b/packages/reedyard/src/commands/ready.ts
@@ -1,9 +1,10 @@
-/** Command: whether a node is ready for clients. */
+/** Command: checks whether a node is ready for clients. */
 import { BaseCommand } from '../base-command.js';
 import { ClientError, exitCodes } from '../api-client.js';
 
 export default class Ready extends BaseCommand {
-  static override description = 'Whether a node takes callers: exit code 0 if it does, 5 if not.';
+  static override description =
+    'Check whether a node is ready for clients: exit code 0 if it is, 5 if not.';
 
   async run(): Promise<unknown> {
     const { flags } = await this.parse(Ready);
--- a/packages/reedyard/src/commands/status.ts
+++ b/packages/reedyard/src/commands/status.ts
@@ -1,11 +1,11 @@
-/** Command: what a node says of itself and of the control state. */
+/** Command: shows the status of a node and of the control state. */
 import type { NodeStatus } from '@reedyard/agent';
 import { ReadCommand } from '../base-command.js';
 import { statusLines } from '../status-text.js';
 
 export default class Status extends ReadCommand {
   static override description =
-    'How a node sees itself and its fleet: lease, members of the control state, config, origins.';
+    'Show how a node sees itself and the system: lease, members of the control state, config, origins.';
   protected override readonly target = '/v1/status';
 
   protected override show(body: unknown): void {
--- a/packages/reedyard/src/commands/zone/empty.ts
+++ b/packages/reedyard/src/commands/zone/empty.ts
@@ -3,6 +3,6 @@
 
 export default class ZoneEmpty extends ZoneCommand {
   static override description =
-    'Empty a zone: its nodes stop being ready, its origins and nodes get no more work.';
+    'Evacuate a zone: its nodes are no longer ready, and its nodes and origins get no more requests.';
   protected override readonly order = 'empty';
 }
--- a/packages/reedyard/src/commands/zone/take-back.ts
+++ b/packages/reedyard/src/commands/zone/take-back.ts
@@ -2,6 +2,6 @@
 import { ZoneCommand } from '../../base-command.js';
 
 export default class ZoneTakeBack extends ZoneCommand {
-  static override description = 'Take an emptied zone back into service.';
+  static override description = 'Restore an evacuated zone to service.';
   protected override readonly order = 'take-back';
 }
--- a/packages/reedyard/src/index.ts
+++ b/packages/reedyard/src/index.ts
@@ -1,8 +1,3 @@
-/** The command line of operators. */
+/** The command line for operators. */
 export { BaseCommand } from './base-command.js';
-export {
-  ask as requestAnyNode,
-  ClientError,
-  exitCodes,
-  type Reply as ApiResponse,
-} from './api-client.js';
+export { requestAnyNode, ClientError, exitCodes, type ApiResponse } from './api-client.js';
--- a/packages/reedyard/src/reedyard.test.ts
+++ b/packages/reedyard/src/reedyard.test.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from 'node:url';
 
 const program = fileURLToPath(new URL('../bin/run.js', import.meta.url));
-const run = (
+const runCommand = (
   args: readonly string[],
   nodes: string,
   input = '',
@@ -21,15 +21,15 @@
     child.stdin?.end(input);
   });
 
-test('the command line: nodes from the environment tried in turn, documents sent, exit codes kept', async (t) => {
-  const heard: { method: string; url: string; change: string; text: string }[] = [];
+test('commands try the nodes of REEDYARD_NODES in turn, send documents, and exit with fixed codes', async (t) => {
+  const receivedRequests: { method: string; url: string; change: string; text: string }[] = [];
   const server = http.createServer((request, response) => {
     let text = '';
     request.on('data', (chunk) => {
       text += String(chunk);
     });
     request.on('end', () => {
-      heard.push({
+      receivedRequests.push({
         method: request.method ?? '',
         url: request.url ?? '',
         change: String(request.headers['reedyard-change-id'] ?? ''),
@@ -66,34 +66,37 @@
     services: { s: { ceiling: '{{c:5}}', coldRate: 1 } },
     routes: [],
   });
-  const put = await run(
+  const putResult = await runCommand(
     ['policy', 'put', '-', '--change', 'c-1', '--param', 'c=9', '--json'],
     nodes,
     policy,
   );
-  t.is(put.code, 0);
-  t.deepEqual(JSON.parse(put.out), { revision: 4 });
-  t.deepEqual(heard[0], {
+  t.is(putResult.code, 0);
+  t.deepEqual(JSON.parse(putResult.out), { revision: 4 });
+  t.deepEqual(receivedRequests[0], {
     method: 'PUT',
     url: '/v1/policy',
     change: 'c-1',
     text: '{"services":{"s":{"ceiling":9,"coldRate":1}},"routes":[]}',
   });
 
-  const refused = await run(['zone', 'empty', 'nowhere'], nodes);
-  t.is(refused.code, 3);
-  t.regex(refused.err, /422 No: because\n {2}\/x: wrong/);
-  t.is((await run(['policy', 'put', '-'], nodes, '{"services":')).code, 2);
-  t.is((await run(['policy', 'check', '-'], nodes, '{"services":{},"routes":[{}]}')).code, 3);
-  t.is((await run(['purge'], nodes)).code, 2);
-  t.is((await run(['nonsense'], nodes)).code, 2);
-  t.is((await run(['ready'], nodes)).code, 5);
-  const unreached = await run(['status', '--json'], '127.0.0.1:1');
-  t.is(unreached.code, 4);
-  t.is((JSON.parse(unreached.out) as { exit: number }).exit, 4);
+  const refusedResult = await runCommand(['zone', 'empty', 'nowhere'], nodes);
+  t.is(refusedResult.code, 3);
+  t.regex(refusedResult.err, /422 No: because\n {2}\/x: wrong/);
+  t.is((await runCommand(['policy', 'put', '-'], nodes, '{"services":')).code, 2);
+  t.is(
+    (await runCommand(['policy', 'check', '-'], nodes, '{"services":{},"routes":[{}]}')).code,
+    3,
+  );
+  t.is((await runCommand(['purge'], nodes)).code, 2);
+  t.is((await runCommand(['nonsense'], nodes)).code, 2);
+  t.is((await runCommand(['ready'], nodes)).code, 5);
+  const unreachedResult = await runCommand(['status', '--json'], '127.0.0.1:1');
+  t.is(unreachedResult.code, 4);
+  t.is((JSON.parse(unreachedResult.out) as { exit: number }).exit, 4);
 });
 
-test('safe-to-stop: asks several nodes, believes the one with a lease, exit codes 0, 1 and 2', async (t) => {
+test('safe-to-stop queries several nodes, trusts a node with a lease, and exits with 0, 1 or 2', async (t) => {
   const member = (name: string, state: string): object => ({
     name,
     node: name,
@@ -131,18 +134,21 @@
     });
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
   };
-  const all = ['answering', 'answering', 'answering'];
-  const [leased, cutOff, worried] = await Promise.all([
-    serve(statusOf(900, all)),
-    serve(statusOf(0, all)),
-    serve(statusOf(900, [...all.slice(1), 'silent'])),
+  const allAnswering = ['answering', 'answering', 'answering'];
+  const [leased, isolated, degraded] = await Promise.all([
+    serve(statusOf(900, allAnswering)),
+    serve(statusOf(0, allAnswering)),
+    serve(statusOf(900, [...allAnswering.slice(1), 'silent'])),
   ]);
-  const safe = await run(['safe-to-stop', 'm-1', '--json'], `127.0.0.1:1,${cutOff},${leased}`);
+  const safe = await runCommand(
+    ['safe-to-stop', 'm-1', '--json'],
+    `127.0.0.1:1,${isolated},${leased}`,
+  );
   t.is(safe.code, 0, safe.err);
   t.is((JSON.parse(safe.out) as { verdict: string }).verdict, 'safe');
-  const unsafe = await run(['safe-to-stop', 'm-1'], `${leased},${worried}`);
+  const unsafe = await runCommand(['safe-to-stop', 'm-1'], `${leased},${degraded}`);
   t.is(unsafe.code, 1);
   t.regex(unsafe.out, /m-2 is silent/);
-  t.is((await run(['safe-to-stop', 'm-1'], cutOff)).code, 2);
-  t.is((await run(['safe-to-stop', 'm-7'], leased)).code, 2);
+  t.is((await runCommand(['safe-to-stop', 'm-1'], isolated)).code, 2);
+  t.is((await runCommand(['safe-to-stop', 'm-7'], leased)).code, 2);
 });
--- a/packages/reedyard/src/safe-to-stop.test.ts
+++ b/packages/reedyard/src/safe-to-stop.test.ts
@@ -22,7 +22,7 @@
 
 const controlOf = (
   states: readonly MemberState[],
-  more: Partial<ControlStatus> = {},
+  overrides: Partial<ControlStatus> = {},
 ): ControlStatus => {
   const members = states.map((state, index) => memberOf(index + 1, state));
   const answering = states.filter((state) => state === 'answering').length;
@@ -30,13 +30,15 @@
   return {
     epoch: 4,
     members,
-    recovering: members.filter((each) => each.state === 'recovering').map((each) => each.name),
+    recovering: members
+      .filter((member) => member.state === 'recovering')
+      .map((member) => member.name),
     quorum,
     lossesBorne: answering - quorum,
     configuredLosses: Math.floor((states.length - 1) / 2),
     wantedMembers: states.length,
     spares: [],
-    ...more,
+    ...overrides,
   };
 };
 
@@ -75,105 +77,126 @@
   machineOf('spare-1', '10.0.2.1', true),
 ];
 
-const judge = (wanted: string, control: ControlStatus, losses: number | null = null): StopVerdict =>
-  safeToStop(wanted, statusOf(control), machines, losses);
+const verdictFor = (
+  nameOrAddress: string,
+  control: ControlStatus,
+  losses: number | null = null,
+): StopVerdict => safeToStop(nameOrAddress, statusOf(control), machines, losses);
 
-const all: readonly MemberState[] = Array.from({ length: 5 }, () => 'answering' as const);
-const oneOf = (state: MemberState): readonly MemberState[] => [...all.slice(0, 4), state];
+const allAnswering: readonly MemberState[] = Array.from({ length: 5 }, () => 'answering' as const);
+const fourAnsweringAnd = (state: MemberState): readonly MemberState[] => [
+  ...allAnswering.slice(0, 4),
+  state,
+];
 
-test('one of five may go while all answer; the losses that are borne after it are told', (t) => {
-  const { verdict, lossesBorneAfter, reasons } = judge('core-2', controlOf(all));
+test('one of five members may stop while all answer; the verdict states the losses tolerated afterwards', (t) => {
+  const { verdict, lossesBorneAfter, reasons } = verdictFor('core-2', controlOf(allAnswering));
   t.deepEqual([verdict, lossesBorneAfter], ['safe', 1]);
   t.regex(reasons.join('\n'), /4 of 5 members would still answer/);
 });
 
-test('one of three may go while all answer, though none is borne after it', (t) => {
-  const { verdict, lossesBorneAfter } = judge('core-2', controlOf(all.slice(0, 3)));
+test('one of three members may stop while all answer, although no loss is tolerated afterwards', (t) => {
+  const { verdict, lossesBorneAfter } = verdictFor('core-2', controlOf(allAnswering.slice(0, 3)));
   t.deepEqual([verdict, lossesBorneAfter], ['safe', 0]);
 });
 
-test('a member may not go while another does not answer, whatever holds that one up', (t) => {
+test('a member may not stop while another member does not answer, for whatever reason', (t) => {
   for (const state of ['silent', 'recovering', 'refusing'] as const) {
-    const { verdict, lossesBorneAfter, reasons } = judge('core-2', controlOf(oneOf(state)));
+    const { verdict, lossesBorneAfter, reasons } = verdictFor(
+      'core-2',
+      controlOf(fourAnsweringAnd(state)),
+    );
     t.deepEqual([verdict, lossesBorneAfter], ['unsafe', 0], state);
     t.regex(reasons.join('\n'), new RegExp(`place-5 is ${state}`));
   }
 });
 
-test('a member that was told to stop counts as gone for the others, though it still answers', (t) => {
-  const control = controlOf(all);
+test('a leaving member counts as unavailable when another member is to stop, although it still answers', (t) => {
+  const control = controlOf(allAnswering);
   const members = control.members.map((member) => ({
     ...member,
     leaving: member.name === 'place-5',
   }));
-  const { verdict, lossesBorneAfter, reasons } = judge('core-2', { ...control, members });
+  const { verdict, lossesBorneAfter, reasons } = verdictFor('core-2', { ...control, members });
   t.deepEqual([verdict, lossesBorneAfter], ['unsafe', 0]);
   t.regex(reasons.join('\n'), /place-5 is leaving/);
-  t.is(judge('core-5', { ...control, members }).verdict, 'safe');
+  t.is(verdictFor('core-5', { ...control, members }).verdict, 'safe');
 });
 
-test('the very member that does not answer may go, and one that leaves no majority may not', (t) => {
-  t.is(judge('core-5', controlOf(oneOf('recovering'))).verdict, 'safe');
-  const two: readonly MemberState[] = ['answering', 'answering', 'silent'];
-  const last = judge('core-1', controlOf(two), 0);
-  t.deepEqual([last.verdict, last.lossesBorneAfter], ['unsafe', -1]);
-  t.regex(last.reasons.join('\n'), /no majority of 2 would remain/);
+test('a member that does not answer may stop; a member without which no majority remains may not', (t) => {
+  t.is(verdictFor('core-5', controlOf(fourAnsweringAnd('recovering'))).verdict, 'safe');
+  const twoAnswering: readonly MemberState[] = ['answering', 'answering', 'silent'];
+  const withoutMajority = verdictFor('core-1', controlOf(twoAnswering), 0);
+  t.deepEqual([withoutMajority.verdict, withoutMajority.lossesBorneAfter], ['unsafe', -1]);
+  t.regex(withoutMajority.reasons.join('\n'), /no majority of 2 would remain/);
 });
 
-test('the losses wanted after it may be told, more or fewer', (t) => {
-  t.is(judge('core-2', controlOf(all), 2).verdict, 'unsafe');
-  t.is(judge('core-2', controlOf(oneOf('silent')), 0).verdict, 'safe');
+test('the required number of tolerated losses may be set above or below the default', (t) => {
+  t.is(verdictFor('core-2', controlOf(allAnswering), 2).verdict, 'unsafe');
+  t.is(verdictFor('core-2', controlOf(fourAnsweringAnd('silent')), 0).verdict, 'safe');
 });
 
-test('before all members were found none may go, although a majority would remain', (t) => {
-  const control = controlOf(all.slice(0, 3), { configuredLosses: 2, wantedMembers: 5 });
-  const { verdict, reasons } = judge('core-1', control, 0);
+test('no member may stop before all members are known, even if a majority would remain', (t) => {
+  const control = controlOf(allAnswering.slice(0, 3), { configuredLosses: 2, wantedMembers: 5 });
+  const { verdict, reasons } = verdictFor('core-1', control, 0);
   t.is(verdict, 'unsafe');
   t.regex(reasons.join('\n'), /only 3 of 5 members/);
 });
 
-test('a machine is found by id, member name, address, host, and when only its member is known', (t) => {
-  for (const wanted of ['core-2', 'place-2', '10.0.0.2:7200', '10.0.0.2:7100', '10.0.0.2']) {
-    t.is(judge(wanted, controlOf(all)).lossesBorneAfter, 1, wanted);
+test('a machine is found by id, member name, address or host, also if only its member is known', (t) => {
+  for (const nameOrAddress of ['core-2', 'place-2', '10.0.0.2:7200', '10.0.0.2:7100', '10.0.0.2']) {
+    t.is(verdictFor(nameOrAddress, controlOf(allAnswering)).lossesBorneAfter, 1, nameOrAddress);
   }
-  const gone = safeToStop('place-5', statusOf(controlOf(oneOf('silent'))), coreMachines(4), null);
-  t.deepEqual([gone.verdict, gone.lossesBorneAfter], ['safe', 1]);
+  const unknownMachine = safeToStop(
+    'place-5',
+    statusOf(controlOf(fourAnsweringAnd('silent'))),
+    coreMachines(4),
+    null,
+  );
+  t.deepEqual([unknownMachine.verdict, unknownMachine.lossesBorneAfter], ['safe', 1]);
 });
 
-test('an unknown name, and one that may mean several machines, are unknown', (t) => {
-  t.is(judge('core-9', controlOf(all)).verdict, 'unknown');
-  const shared = [machineOf('a', '127.0.0.1', true), machineOf('b', '127.0.0.1', false)];
-  const { verdict, reasons } = safeToStop('127.0.0.1', statusOf(controlOf(all)), shared, null);
+test('the verdict is unknown for an unknown name and for a name that denotes several machines', (t) => {
+  t.is(verdictFor('core-9', controlOf(allAnswering)).verdict, 'unknown');
+  const machinesOnOneHost = [machineOf('a', '127.0.0.1', true), machineOf('b', '127.0.0.1', false)];
+  const { verdict, reasons } = safeToStop(
+    '127.0.0.1',
+    statusOf(controlOf(allAnswering)),
+    machinesOnOneHost,
+    null,
+  );
   t.is(verdict, 'unknown');
   t.regex(reasons.join('\n'), /a, b/);
 });
 
-test('a machine without a replica may go; the only spare may not while a member is away', (t) => {
+test('a machine without a replica may stop; the only spare may not while a member is unavailable', (t) => {
   const spares = [{ node: 'spare-1', address: '10.0.2.1:7200', zone: 'east' }];
-  t.is(judge('front-1', controlOf(oneOf('silent'))).verdict, 'safe');
-  t.is(judge('spare-1', controlOf(all, { spares })).verdict, 'safe');
-  t.is(judge('spare-1', controlOf(oneOf('silent'), { spares })).verdict, 'unsafe');
+  t.is(verdictFor('front-1', controlOf(fourAnsweringAnd('silent'))).verdict, 'safe');
+  t.is(verdictFor('spare-1', controlOf(allAnswering, { spares })).verdict, 'safe');
+  t.is(verdictFor('spare-1', controlOf(fourAnsweringAnd('silent'), { spares })).verdict, 'unsafe');
 });
 
-test('only a node with a lease is believed: of those the newest epoch, then the least hopeful', (t) => {
-  const hopeful = controlOf(all);
-  const worried = controlOf(oneOf('silent'));
-  const newer = controlOf(oneOf('silent'), { epoch: 5 });
-  t.is(authoritativeStatus([statusOf(hopeful, 0)]), null);
+test('the status of a node with a lease is used: the newest epoch, then the fewest tolerated losses', (t) => {
+  const intact = controlOf(allAnswering);
+  const degraded = controlOf(fourAnsweringAnd('silent'));
+  const newerEpoch = controlOf(fourAnsweringAnd('silent'), { epoch: 5 });
+  t.is(authoritativeStatus([statusOf(intact, 0)]), null);
   t.is(safeToStop('core-2', null, machines, null).verdict, 'unknown');
-  const believed = (...controls: readonly NodeStatus[]): ControlStatus | undefined =>
-    authoritativeStatus(controls)?.control;
-  t.is(believed(statusOf(hopeful), statusOf(worried), statusOf(newer, 0)), worried);
-  t.is(believed(statusOf(hopeful), statusOf(worried), statusOf(newer)), newer);
+  const trustedControl = (...statuses: readonly NodeStatus[]): ControlStatus | undefined =>
+    authoritativeStatus(statuses)?.control;
+  t.is(trustedControl(statusOf(intact), statusOf(degraded), statusOf(newerEpoch, 0)), degraded);
+  t.is(trustedControl(statusOf(intact), statusOf(degraded), statusOf(newerEpoch)), newerEpoch);
 });
 
-test('the status in words: lease, epoch, losses borne, and why a member does not answer', (t) => {
-  const text = statusLines(statusOf(controlOf(oneOf('recovering')))).join('\n');
-  t.regex(text, /lease: 900 ms left/);
-  t.regex(text, /epoch 4, 4 of 5 members answer, quorum 3; 1 more loss is borne/);
+test('the status text shows lease, epoch, tolerated losses, and why a member does not vote', (t) => {
+  const text = statusLines(statusOf(controlOf(fourAnsweringAnd('recovering')))).join('\n');
+  t.regex(text, /lease: 900 ms remaining/);
+  t.regex(text, /epoch 4, 4 of 5 members answer, quorum 3; 1 more loss is tolerated/);
   t.regex(text, /place-5 +core-5 .*recovering/);
   t.regex(text, /recovering: place-5/);
-  const lost = statusLines(statusOf(controlOf(['answering', 'silent', 'silent']), 0)).join('\n');
-  t.regex(lost, /lease: NONE, and no majority of replicas answers/);
-  t.regex(lost, /NO MAJORITY: 1 more must answer/);
+  const withoutMajority = statusLines(
+    statusOf(controlOf(['answering', 'silent', 'silent']), 0),
+  ).join('\n');
+  t.regex(withoutMajority, /lease: NONE, and no majority of replicas answers/);
+  t.regex(withoutMajority, /NO MAJORITY: 1 more must answer/);
 });
--- a/packages/reedyard/src/safe-to-stop.ts
+++ b/packages/reedyard/src/safe-to-stop.ts
@@ -1,16 +1,16 @@
 /**
- * Whether a machine may be taken away now without harm to the control state.
+ * Decides whether a machine may be stopped now without harm to the control state.
  *
- * Pure: it judges the statuses that nodes gave. Only a node that holds a lease is believed, since
- * its view is backed by answers of a majority that are at most a lease old. The verdict holds for
- * the moment of asking: it reserves nothing.
+ * Pure functions over the statuses that nodes reported. Only a node with a lease is trusted, since
+ * its view rests on replies of a majority that are at most one lease duration old. The verdict is
+ * valid for the moment of the query only: nothing is reserved.
  */
 import type { ControlStatus, MemberStatus, NodeStatus } from '@reedyard/agent';
 
-/** Exit codes of `reedyard safe-to-stop`; they stay as they are. */
+/** Exit codes of `reedyard safe-to-stop`; scripts rely on the numbers, so they must not change. */
 export const stopExitCodes = { safe: 0, unsafe: 1, unknown: 2 } as const;
 
-/** A machine that a node has heard of, as `GET /v1/peers` lists it. */
+/** A machine that a node knows by gossip, as `GET /v1/peers` lists it. */
 export type KnownMachine = {
   readonly id: string;
   readonly address: string;
@@ -18,46 +18,54 @@
   readonly proxy: { readonly callers: string } | null;
 };
 
-/** What is to be judged: a machine, and the member of the control state on it, if any. */
+/** The machine to stop, and the member of the control state on it, if any. */
 export type StopTarget = {
   readonly id: string;
   readonly member: MemberStatus | null;
   readonly isSpare: boolean;
 };
 
+/** Whether a machine may be stopped, with the reasons. */
 export type StopVerdict = {
   readonly verdict: 'safe' | 'unsafe' | 'unknown';
-  /** Why; more than one reason may hold. */
+  /** Every reason for the verdict. */
   readonly reasons: readonly string[];
-  /** Further losses that are borne once the machine is away; null where that is not known. */
+  /** Further losses that are tolerated once the machine is stopped; null if unknown. */
   readonly lossesBorneAfter: number | null;
 };
 
-const unknown = (reason: string): StopVerdict => ({
+const unknownVerdict = (reason: string): StopVerdict => ({
   verdict: 'unknown',
   reasons: [reason],
   lossesBorneAfter: null,
 });
 
 /**
- * The status to go by: that of a node with a lease, of the newest epoch, the least hopeful first.
+ * The status to trust: the status of a node with a lease, with the newest epoch, and among those with
+ * the fewest tolerated losses. Null if no node has a lease.
  *
  * @example
- * believedStatus([cutOff, leased]) // leased
+ * authoritativeStatus([isolated, leased]) // leased
  */
 export const authoritativeStatus = (statuses: readonly NodeStatus[]): NodeStatus | null => {
-  const leased = statuses.filter((status) => status.leaseMs > 0);
-  const [best] = [...leased].sort(
-    (a, b) => b.control.epoch - a.control.epoch || a.control.lossesBorne - b.control.lossesBorne,
+  const leasedStatuses = statuses.filter((status) => status.leaseMs > 0);
+  const [best] = [...leasedStatuses].sort(
+    (left, right) =>
+      right.control.epoch - left.control.epoch ||
+      left.control.lossesBorne - right.control.lossesBorne,
   );
   return best ?? null;
 };
 
 const hostOf = (address: string): string => address.slice(0, address.lastIndexOf(':'));
 
-const isNamed = (wanted: string, names: readonly string[], addresses: readonly string[]): boolean =>
-  names.includes(wanted) ||
-  addresses.some((address) => address === wanted || hostOf(address) === wanted);
+const isDenotedBy = (
+  nameOrAddress: string,
+  names: readonly string[],
+  addresses: readonly string[],
+): boolean =>
+  names.includes(nameOrAddress) ||
+  addresses.some((address) => address === nameOrAddress || hostOf(address) === nameOrAddress);
 
 const addressesOf = (machine: KnownMachine): readonly string[] => [
   machine.address,
@@ -66,28 +74,32 @@
 ];
 
 /**
- * Every machine that a name or an address may mean. A member whose machine gossip no longer
- * tells of is still found, by the member's own name or address.
+ * Every machine that a name or an address may denote. A member whose machine is no longer known by
+ * gossip is still found by the member's own name or address.
  *
  * @example
  * findTargets('core-1', status.control, machines)[0]?.member?.state // 'answering'
  */
 const findTargets = (
-  wanted: string,
+  nameOrAddress: string,
   control: ControlStatus,
   machines: readonly KnownMachine[],
 ): readonly StopTarget[] => {
-  const named = machines.filter((machine) => isNamed(wanted, [machine.id], addressesOf(machine)));
-  const heard = named.map((machine) => ({
+  const matchingMachines = machines.filter((machine) =>
+    isDenotedBy(nameOrAddress, [machine.id], addressesOf(machine)),
+  );
+  const targetsKnownByGossip = matchingMachines.map((machine) => ({
     id: machine.id,
     member: control.members.find((member) => member.node === machine.id) ?? null,
     isSpare: control.spares.some((spare) => spare.node === machine.id),
   }));
-  const unheard = control.members
-    .filter((member) => !heard.some((target) => target.member === member))
-    .filter((member) => isNamed(wanted, [member.name, member.node ?? ''], [member.address]))
+  const otherTargets = control.members
+    .filter((member) => !targetsKnownByGossip.some((target) => target.member === member))
+    .filter((member) =>
+      isDenotedBy(nameOrAddress, [member.name, member.node ?? ''], [member.address]),
+    )
     .map((member) => ({ id: member.node ?? member.name, member, isSpare: false }));
-  return [...heard, ...unheard];
+  return [...targetsKnownByGossip, ...otherTargets];
 };
 
 const describeMembers = (members: readonly MemberStatus[]): string =>
@@ -95,95 +107,120 @@
     .map((member) => `${member.name} is ${member.leaving ? 'leaving' : member.state}`)
     .join(', ');
 
-const isStaying = (member: MemberStatus): boolean =>
+const isAvailable = (member: MemberStatus): boolean =>
   member.state === 'answering' && !member.leaving;
 
-/** Members that don't vote, or that will soon have gone. */
-const absentOf = (control: ControlStatus): readonly MemberStatus[] =>
-  control.members.filter((member) => !isStaying(member));
+/** Members that don't vote, or that are about to leave. */
+const unavailableMembersOf = (control: ControlStatus): readonly MemberStatus[] =>
+  control.members.filter((member) => !isAvailable(member));
 
-/** What speaks against the loss of one more answer, whoever's it is. */
-const objections = (
+/** The reasons against stopping a member. */
+const reasonsAgainstStop = (
   control: ControlStatus,
   target: StopTarget,
-  after: number,
-  wanted: number,
+  toleratedLossesAfter: number,
+  requiredLosses: number,
 ): readonly string[] => {
-  const others = absentOf(control).filter((member) => member !== target.member);
-  const missing = control.wantedMembers - control.members.length;
-  const absence = others.length === 0 ? '' : ` (${describeMembers(others)})`;
+  const otherUnavailable = unavailableMembersOf(control).filter(
+    (member) => member !== target.member,
+  );
+  const missingCount = control.wantedMembers - control.members.length;
+  const unavailableText =
+    otherUnavailable.length === 0 ? '' : ` (${describeMembers(otherUnavailable)})`;
   return [
-    ...(missing > 0
-      ? [`only ${control.members.length} of ${control.wantedMembers} members were found so far`]
+    ...(missingCount > 0
+      ? [`only ${control.members.length} of ${control.wantedMembers} members are known so far`]
       : []),
-    ...(after < 0 ? [`no majority of ${control.quorum} would remain${absence}`] : []),
-    ...(after >= 0 && after < wanted
-      ? [`${after} further losses would be borne, ${wanted} are wanted${absence}`]
+    ...(toleratedLossesAfter < 0
+      ? [`no majority of ${control.quorum} would remain${unavailableText}`]
+      : []),
+    ...(toleratedLossesAfter >= 0 && toleratedLossesAfter < requiredLosses
+      ? [
+          `${toleratedLossesAfter} further losses would be tolerated, ${requiredLosses} are required${unavailableText}`,
+        ]
       : []),
   ];
 };
 
-const judgeMember = (control: ControlStatus, target: StopTarget, wanted: number): StopVerdict => {
-  const staying = control.members.filter((member) => member !== target.member && isStaying(member));
-  const after = staying.length - control.quorum;
-  const reasons = objections(control, target, after, wanted);
-  if (reasons.length > 0) return { verdict: 'unsafe', reasons, lossesBorneAfter: after };
-  const answering = control.quorum + after;
+const assessMember = (
+  control: ControlStatus,
+  target: StopTarget,
+  requiredLosses: number,
+): StopVerdict => {
+  const remainingMembers = control.members.filter(
+    (member) => member !== target.member && isAvailable(member),
+  );
+  const toleratedLossesAfter = remainingMembers.length - control.quorum;
+  const reasons = reasonsAgainstStop(control, target, toleratedLossesAfter, requiredLosses);
+  if (reasons.length > 0)
+    return { verdict: 'unsafe', reasons, lossesBorneAfter: toleratedLossesAfter };
+  const answeringCount = control.quorum + toleratedLossesAfter;
   const text =
-    `${answering} of ${control.members.length} members would still answer, the quorum is ` +
-    `${control.quorum}: further losses that are then borne: ${after}`;
-  return { verdict: 'safe', reasons: [text], lossesBorneAfter: after };
+    `${answeringCount} of ${control.members.length} members would still answer, the quorum is ` +
+    `${control.quorum}; further losses tolerated afterwards: ${toleratedLossesAfter}`;
+  return { verdict: 'safe', reasons: [text], lossesBorneAfter: toleratedLossesAfter };
 };
 
-const judgeSpare = (control: ControlStatus): StopVerdict => {
-  const absent = absentOf(control);
-  const after = control.lossesBorne;
-  if (absent.length > 0 && control.spares.length === 1) {
-    const text = `it is the only spare disk, and may be wanted: ${describeMembers(absent)}`;
-    return { verdict: 'unsafe', reasons: [text], lossesBorneAfter: after };
+const assessSpare = (control: ControlStatus): StopVerdict => {
+  const unavailable = unavailableMembersOf(control);
+  const toleratedLossesAfter = control.lossesBorne;
+  if (unavailable.length > 0 && control.spares.length === 1) {
+    const text = `its disk is the only spare and may be needed: ${describeMembers(unavailable)}`;
+    return { verdict: 'unsafe', reasons: [text], lossesBorneAfter: toleratedLossesAfter };
   }
-  return { verdict: 'safe', reasons: ['its disk is a spare'], lossesBorneAfter: after };
+  return {
+    verdict: 'safe',
+    reasons: ['its disk is a spare'],
+    lossesBorneAfter: toleratedLossesAfter,
+  };
 };
 
 /**
- * Judges one machine. By default as many losses must be borne after it as the settings want, less
- * the one that taking it away is itself.
+ * Assesses one machine. By default the number of losses that must be tolerated afterwards is the
+ * configured number minus one, since stopping the machine is itself one of those losses.
  *
  * @example
- * judgeStop(status, target, null).verdict // 'safe'
+ * assessStop(status, target, null).verdict // 'safe'
  */
-const judgeStop = (
+const assessStop = (
   status: NodeStatus,
   target: StopTarget,
-  wantedLosses: number | null,
+  requiredLosses: number | null,
 ): StopVerdict => {
   const { control } = status;
   if (target.member !== null) {
-    return judgeMember(control, target, wantedLosses ?? Math.max(0, control.configuredLosses - 1));
+    return assessMember(
+      control,
+      target,
+      requiredLosses ?? Math.max(0, control.configuredLosses - 1),
+    );
   }
-  if (target.isSpare) return judgeSpare(control);
-  const reasons = ['it holds no part of the control state'];
+  if (target.isSpare) return assessSpare(control);
+  const reasons = ['it stores no part of the control state'];
   return { verdict: 'safe', reasons, lossesBorneAfter: control.lossesBorne };
 };
 
 /**
- * The whole judgement, from a name and what was heard.
+ * Decides whether the machine with a given name or address may be stopped.
  *
  * @example
  * safeToStop('core-1', leased, machines, null).verdict // 'safe'
  */
 export const safeToStop = (
-  wanted: string,
+  nameOrAddress: string,
   status: NodeStatus | null,
   machines: readonly KnownMachine[],
-  wantedLosses: number | null,
+  requiredLosses: number | null,
 ): StopVerdict => {
-  if (status === null) return unknown('no node that was asked has a lease: no majority is known');
-  const targets = findTargets(wanted, status.control, machines);
+  if (status === null)
+    return unknownVerdict('none of the queried nodes has a lease, so no majority is known');
+  const targets = findTargets(nameOrAddress, status.control, machines);
   const [target] = targets;
-  if (target === undefined) return unknown(`no machine is known as ${wanted}`);
+  if (target === undefined) return unknownVerdict(`no machine is known as ${nameOrAddress}`);
   if (targets.length > 1) {
-    return unknown(`${wanted} may be any of ${targets.map((each) => each.id).join(', ')}`);
+    return unknownVerdict(
+      `${nameOrAddress} may denote any of ${targets.map((candidate) => candidate.id).join(', ')}`,
+    );
   }
-  return judgeStop(status, target, wantedLosses);
+  return assessStop(status, target, requiredLosses);
 };
--- a/packages/reedyard/src/status-text.ts
+++ b/packages/reedyard/src/status-text.ts
@@ -1,10 +1,10 @@
-/** How `reedyard status` shows a node's status to people: plain text in columns. */
+/** Formats a node's status for people, as `reedyard status` prints it: plain text in columns. */
 import type { ControlStatus, MemberStatus, NodeStatus, OriginStatus } from '@reedyard/agent';
 
 const columnGap = '  ';
 const secondMs = 1_000;
 
-const table = (rows: readonly (readonly string[])[]): readonly string[] => {
+const formatTable = (rows: readonly (readonly string[])[]): readonly string[] => {
   const widths = (rows[0] ?? []).map((_cell, column) =>
     Math.max(...rows.map((row) => (row[column] ?? '').length)),
   );
@@ -16,7 +16,7 @@
   );
 };
 
-const listed = (names: readonly string[]): string =>
+const listText = (names: readonly string[]): string =>
   names.length === 0 ? 'none' : names.join(', ');
 
 const ageText = (ageMs: number | null): string =>
@@ -38,49 +38,55 @@
   noteOf(member),
 ];
 
-const memberHeads = ['member', 'node', 'address', 'zone', 'disk', 'answered', 'state', ''];
+const memberHeadings = ['member', 'node', 'address', 'zone', 'disk', 'last answer', 'state', ''];
 
 /**
- * How many more losses are borne, in words.
+ * States in words how many more losses are tolerated.
  *
  * @example
  * lossesText(-1) // 'NO MAJORITY: 1 more must answer'
  */
 const lossesText = (lossesBorne: number): string => {
   if (lossesBorne < 0) return `NO MAJORITY: ${-lossesBorne} more must answer`;
-  if (lossesBorne === 0) return 'NO further loss is borne';
-  return lossesBorne === 1 ? '1 more loss is borne' : `${lossesBorne} more losses are borne`;
+  if (lossesBorne === 0) return 'NO further loss is tolerated';
+  return lossesBorne === 1
+    ? '1 more loss is tolerated'
+    : `${lossesBorne} more losses are tolerated`;
 };
 
 const controlLines = (control: ControlStatus): readonly string[] => {
-  const answering = control.members.filter((member) => member.state === 'answering').length;
-  const missing = control.wantedMembers - control.members.length;
+  const answeringCount = control.members.filter((member) => member.state === 'answering').length;
+  const missingCount = control.wantedMembers - control.members.length;
   return [
-    `control state: epoch ${control.epoch}, ${answering} of ${control.members.length} members answer, ` +
+    `control state: epoch ${control.epoch}, ${answeringCount} of ${control.members.length} members answer, ` +
       `quorum ${control.quorum}; ${lossesText(control.lossesBorne)}`,
-    ...(missing > 0 ? [`  ${missing} more members are needed before changes are taken`] : []),
-    ...table([memberHeads, ...control.members.map(memberRow)]).map((line) => `  ${line}`),
-    `  recovering: ${listed(control.recovering)}`,
-    `  spare disks: ${listed(control.spares.map((spare) => `${spare.node} (${spare.address})`))}`,
+    ...(missingCount > 0
+      ? [`  ${missingCount} more members are needed before changes are accepted`]
+      : []),
+    ...formatTable([memberHeadings, ...control.members.map(memberRow)]).map((line) => `  ${line}`),
+    `  recovering: ${listText(control.recovering)}`,
+    `  spare disks: ${listText(control.spares.map((spare) => `${spare.node} (${spare.address})`))}`,
   ];
 };
 
 const originLines = (origins: readonly OriginStatus[]): readonly string[] => {
-  const kept = origins.filter((origin) => !origin.admitted);
+  const excludedOrigins = origins.filter((origin) => !origin.admitted);
   return [
-    `origins: ${origins.length} known, ${origins.length - kept.length} admitted`,
-    ...kept.map((origin) => `  ${origin.service}/${origin.instance}: ${origin.reason ?? '?'}`),
+    `origins: ${origins.length} known, ${origins.length - excludedOrigins.length} admitted`,
+    ...excludedOrigins.map(
+      (origin) => `  ${origin.service}/${origin.instance}: ${origin.reason ?? '?'}`,
+    ),
   ];
 };
 
 const leaseText = ({ leaseMs, unreachable }: NodeStatus): string => {
-  if (leaseMs > 0) return `${leaseMs} ms left`;
-  const why = unreachable ? 'no majority of replicas answers' : 'it is being renewed';
-  return `NONE, and ${why}: what follows may be out of date`;
+  if (leaseMs > 0) return `${leaseMs} ms remaining`;
+  const reason = unreachable ? 'no majority of replicas answers' : 'it is being renewed';
+  return `NONE, and ${reason}: the information below may be out of date`;
 };
 
 /**
- * A node's status as lines of text.
+ * Formats a node's status as lines of text.
  *
  * @example
  * statusLines(status).join('\n')
@@ -90,8 +96,8 @@
   `lease: ${leaseText(status)}`,
   ...controlLines(status.control),
   `config: revision ${status.policyRevision}`,
-  `evacuated zones: ${listed(status.emptiedZones)}; ` +
-    `zones whose origins are closed: ${listed(status.closedOrigins)}`,
+  `evacuated zones: ${listText(status.emptiedZones)}; ` +
+    `zones whose origins are closed: ${listText(status.closedOrigins)}`,
   status.quotaLeadership === null
     ? 'quota leader: none yet'
     : `quota leader: ${status.quotaLeadership.holder}, term ${status.quotaLeadership.term}`,
