--- a/packages/rpc/src/rpc.ts
+++ b/packages/rpc/src/rpc.ts
@@ -9,7 +9,7 @@
 /** Thrown for a call that got no reply or a refusal, and for a server that can't listen. */
 export class RpcError extends CodedError {}
 
-/** Address of a process: an IP number and a port, as `127.0.0.1:7001`. */
+/** Address of a process: an IP address and a port, as `127.0.0.1:7001`. */
 export type Address = string;
 
 const readBody = (stream: http.IncomingMessage, maxBytes: number): Promise<string> =>
--- a/packages/schemas/src/schemas.ts
+++ b/packages/schemas/src/schemas.ts
@@ -337,7 +337,7 @@
 
   /**
    * The home regions of all routes of a service together; undefined if the service has no route, or
-   * one without home regions.
+   * a route without home regions.
    *
    * @example
    * Routes.homeRegionsOf(policy.routes, 'store') // ['north', 'west']
