--- a/packages/proxy/src/buffering.ts
+++ b/packages/proxy/src/buffering.ts
@@ -1,7 +1,8 @@
-/** Which bodies are buffered whole. */
+/** Which response bodies are buffered completely before they are forwarded. */
 
 /**
- * bytes. A body up to this is read whole before its first byte is passed on, so that a short one
- * becomes a clean 502; a larger one is streamed and never kept.
+ * Maximum size of a buffered body, in bytes. A body up to this size is read completely before its
+ * first byte is forwarded, so that a truncated one becomes a clean 502; a larger body is streamed
+ * and never cached.
  */
 export const maxBufferedBodyBytes = 2 * 1024 * 1024;
--- a/packages/proxy/src/client-limits.ts
+++ b/packages/proxy/src/client-limits.ts
@@ -1,50 +1,51 @@
 /**
- * How much a caller may send and how long it may take, from the configuration in force. A config
- * that leaves a bound out gets a default which turns no ordinary caller away.
+ * Limits on what a client may send and how long it may take, from the configuration in force. A
+ * limit that the configuration omits has a default that rejects no ordinary client.
  */
 import { maxRequestHeadBytes, requestHeadTimeoutMs } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 
-/** bytes. A caller's body, when its route sets no limit. */
+/** Maximum size of a request body, in bytes, when its route sets no limit. */
 const defaultMaxBodyBytes = 1024 * 1024;
 
-/** Bounds on what one caller sends over one connection. */
+/** Limits on one client connection. */
 export type ClientLimits = {
   readonly headBytes: number;
   readonly bodyBytes: number;
-  /** ms from the first byte of a head to its last. */
+  /** Maximum time between the first and the last byte of a request head, in milliseconds. */
   readonly headMs: number;
-  /** ms that a connection without a request may rest. */
+  /** How long a connection without a request stays open, in milliseconds. */
   readonly idleMs: number;
 };
 
-/** ms. Rest of a caller's connection where the config says nothing. */
+/** Idle timeout of a client connection when the configuration sets none, in milliseconds. */
 const defaultIdleMs = 30_000;
 /**
- * ms. A connection is kept this much longer than was told: a request may be on its way by then.
- * Under a second, since Node tells the whole seconds of what it keeps.
+ * How much longer than announced an idle connection stays open, in milliseconds: the client may
+ * have sent a request just before the announced time. It is below one second because Node announces
+ * its keep-alive timeout in whole seconds, rounded down.
  */
 const idleMarginMs = 900;
-/** ms. A whole request with its body must have been read by then. */
+/** Minimum time to receive a complete request with its body, in milliseconds. */
 const minRequestTimeoutMs = 60_000;
 
-/** Bounds on callers, and what a server does to keep them. */
+/** Derives the limits on clients and the timeouts that enforce them. */
 export const ClientLimits = {
-  /** @example CallerBounds.of({ idleMs: 15_000 }).idleMs // 15000 */
-  of: (callers: Policy['callers']): ClientLimits => ({
-    headBytes: callers?.headBytes ?? maxRequestHeadBytes,
-    bodyBytes: callers?.bodyBytes ?? defaultMaxBodyBytes,
-    headMs: callers?.headMs ?? requestHeadTimeoutMs,
-    idleMs: callers?.idleMs ?? defaultIdleMs,
+  /** @example ClientLimits.of({ idleMs: 15_000 }).idleMs // 15000 */
+  of: (limits: Policy['callers']): ClientLimits => ({
+    headBytes: limits?.headBytes ?? maxRequestHeadBytes,
+    bodyBytes: limits?.bodyBytes ?? defaultMaxBodyBytes,
+    headMs: limits?.headMs ?? requestHeadTimeoutMs,
+    idleMs: limits?.idleMs ?? defaultIdleMs,
   }),
 
-  /** Seconds told in `Keep-Alive`: whole ones, never less than the bound. */
+  /** The idle timeout that `Keep-Alive` announces, in seconds: the limit, rounded up. */
   keepAliveSeconds: ({ idleMs }: ClientLimits): number => Math.ceil(idleMs / 1_000),
 
-  /** ms that a resting connection is kept: what was told, and a margin. */
-  keepAliveTimeoutMs: (bounds: ClientLimits): number =>
-    ClientLimits.keepAliveSeconds(bounds) * 1_000 + idleMarginMs,
+  /** How long an idle connection stays open: the announced time plus a margin. */
+  keepAliveTimeoutMs: (limits: ClientLimits): number =>
+    ClientLimits.keepAliveSeconds(limits) * 1_000 + idleMarginMs,
 
-  /** ms from the first byte of a request to the last of its body. */
+  /** Maximum time between the first byte of a request and the last byte of its body. */
   requestMs: ({ headMs }: ClientLimits): number => Math.max(minRequestTimeoutMs, 2 * headMs),
 } as const;
--- a/packages/proxy/src/client-request-reader.ts
+++ b/packages/proxy/src/client-request-reader.ts
@@ -1,11 +1,11 @@
-/** Reads a client's or a peer's request: its body up to a bound, and what the reducer needs of it. */
+/** Reads a request of a client or a peer: its body up to a limit, and the parts for the reducer. */
 import { createHash } from 'node:crypto';
 import type http from 'node:http';
 import type { WireFormat } from './wire-format.js';
 import { forwardableHeaders } from './response-reader.js';
 import type { ClientRequest } from './state.js';
 
-/** Reads a body; calls `onEnd` with all of it, or `onTooLarge` once it passes the bound. */
+/** Reads a body; calls `onEnd` with the complete body, or `onTooLarge` once it exceeds the limit. */
 export const readBody = (
   request: http.IncomingMessage,
   maxBytes: number,
@@ -34,18 +34,18 @@
   return target.startsWith('/') && !/\/(?:\.|%2e){1,2}(?:\/|$)/i.test(path);
 };
 
-/** A whole number in a field, or null. */
-const countOf = (field: string | string[] | undefined): number | null =>
+/** The number in a field of up to four digits; null for any other value. */
+const attemptCountOf = (field: string | string[] | undefined): number | null =>
   typeof field === 'string' && /^\d{1,4}$/.test(field) ? Number(field) : null;
 
-/** Tells apart requests that bear the same idempotency key. */
+/** Distinguishes requests with the same idempotency key. */
 const digestOf = (method: string, target: string, body: Buffer): string =>
   createHash('sha256')
     .update(JSON.stringify([method, target]))
     .update(body)
     .digest('base64');
 
-/** A request as the reducer decides on it. Peers hand on what they were asked for. */
+/** A request in the form that the reducer decides on; a peer's request was forwarded by that peer. */
 export const clientRequestOf = (
   request: http.IncomingMessage,
   body: Buffer,
@@ -64,6 +64,6 @@
     bodyBytes: body.length,
     digest: hasDigest ? digestOf(method, target, body) : null,
     deadlineMs: wireFormat.deadlineMs(headers),
-    attempts: isFromPeer ? countOf(headers['reedyard-attempts-left']) : null,
+    attempts: isFromPeer ? attemptCountOf(headers['reedyard-attempts-left']) : null,
   };
 };
--- a/packages/proxy/src/connection-timing.ts
+++ b/packages/proxy/src/connection-timing.ts
@@ -1,16 +1,20 @@
 /** Time limits of connections to origins and peers. */
 
-/** ms. Opening a conn and proving who is at its other end. */
+/** Timeout for opening a connection and verifying the origin at its other end, in milliseconds. */
 export const connectTimeoutMs = 1_000;
 
-/** ms. An idle conn to an origin is closed after this. */
+/** How long an idle connection to an origin stays open, in milliseconds. */
 export const idleConnectionMs = 10_000;
 
-/** ms. A conn whose other end told when it will close it is left alone this much sooner. */
+/**
+ * How long before the announced keep-alive timeout of the other end an idle connection is no longer
+ * used, in milliseconds.
+ */
 export const idleCloseMarginMs = 1_000;
 
 /**
- * ms. Opening a conn where nothing has to be proved first: regions are some 35 ms apart, and a
- * silent end must leave time for another within a caller's deadline.
+ * Timeout for opening a connection whose other end needs no verification, in milliseconds. Regions
+ * are about 35 ms apart, and an unresponsive endpoint must leave time for another attempt within
+ * the client's deadline.
  */
 export const plainConnectTimeoutMs = 250;
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,4 +1,4 @@
-/** The caching proxy: the reducer, its host, and the process. */
+/** The caching proxy: its reducer, its wire formats, and its process. */
 export { ProxyCore } from './core.js';
 export * from './state.js';
 export {
--- a/packages/proxy/src/local-responses.ts
+++ b/packages/proxy/src/local-responses.ts
@@ -1,33 +1,33 @@
-/** Responses that the proxy gives itself, of a request that was never begun. */
+/** Responses that the proxy itself sends to requests that were never started. */
 import type http from 'node:http';
 import { retryAfterSeconds } from '@reedyard/agent';
 import type { RequestTurn } from './inbound-server.js';
 
-/** Why a request is rejected. */
+/** The status and the texts with which a request is rejected. */
 export type Rejection = {
   readonly status: number;
   readonly title: string;
   readonly detail: string;
 };
 
-/** Rejects a request: nothing of it was executed. */
+/** Rejects a request of which nothing was executed. */
 export const writeRejection = (
   response: http.ServerResponse,
   turn: RequestTurn | null,
   { status, title, detail }: Rejection,
 ): void => {
   const text = JSON.stringify({ type: 'about:blank', title, status, detail, outcome: 'not-run' });
-  const closes = turn === null || turn.startResponse(true);
+  const closesConnection = turn === null || turn.startResponse(true);
   response.writeHead(status, {
     'content-type': 'application/problem+json',
     'content-length': Buffer.byteLength(text),
     'reedyard-outcome': 'not-run',
-    ...(closes ? { connection: 'close' } : {}),
+    ...(closesConnection ? { connection: 'close' } : {}),
   });
   response.end(text);
 };
 
-/** Rejects a request of which perhaps not all was read, once it is its connection's turn. */
+/** Rejects a request that may not have been read completely, if its connection still starts requests. */
 export const rejectUnread = (
   response: http.ServerResponse,
   turn: RequestTurn,
@@ -36,7 +36,7 @@
   if (turn.begin(() => undefined)) writeRejection(response, turn, rejection);
 };
 
-/** Answers a health check. */
+/** Responds to a health check. */
 export const writeHealth = (response: http.ServerResponse, isHealthy: boolean): void => {
   const text = JSON.stringify({ ready: isHealthy });
   response.writeHead(isHealthy ? 200 : 503, {
--- a/packages/proxy/src/outgoing-request.ts
+++ b/packages/proxy/src/outgoing-request.ts
@@ -1,29 +1,32 @@
-/** The request that goes to an origin or a peer, made of the client's. */
+/** Builds the request to an origin or a peer from the client's request. */
 import type http from 'node:http';
 import type { OutgoingRequest } from './exchange.js';
 import type { WireFormat } from './wire-format.js';
 import { forwardableHeaders } from './response-reader.js';
 import type { ClientRequest, ProxyEffect } from './state.js';
 
-/** What is known of the client's request when an attempt is sent. */
+/** The parts of the client's request from which an attempt is built. */
 export type IncomingParts = {
   readonly request: http.IncomingMessage;
   readonly clientRequest: ClientRequest;
   readonly body: Buffer;
 };
 
-/** How this proxy names itself to the next hop. */
+/** The names by which this proxy identifies itself to the next hop. */
 export type ProxyName = {
   /** The value of its `Via` field. */
   readonly via: string;
-  /** The node's name, told to peers. */
+  /** The node's name, sent to peers. */
   readonly node: string;
 };
 
 type SendAttempt = Extract<ProxyEffect, { kind: 'send-attempt' }>;
 type OutgoingHeaders = Record<string, string | string[]>;
 
-/** Fields of a request for a part or a change of a copy; a copy is fetched complete. */
+/**
+ * Fields of conditional and range requests, which are removed from a cacheable request: a response
+ * to be cached is fetched completely.
+ */
 const conditionalFields = ['range', 'if-range', 'if-none-match', 'if-modified-since'] as const;
 
 const methodsWithoutBody: readonly string[] = ['GET', 'HEAD', 'OPTIONS'];
@@ -31,10 +34,10 @@
 const isDefined = <Value>(value: Value | undefined): value is Value => value !== undefined;
 
 const forwardedFor = ({ request, clientRequest }: IncomingParts): string => {
-  const given = request.headers['x-forwarded-for'];
-  if (clientRequest.via !== null && typeof given === 'string') return given;
+  const received = request.headers['x-forwarded-for'];
+  if (clientRequest.via !== null && typeof received === 'string') return received;
   const client = request.socket.remoteAddress ?? '';
-  return [given, client].flat().filter(isDefined).join(', ');
+  return [received, client].flat().filter(isDefined).join(', ');
 };
 
 const peerFields = (
@@ -71,7 +74,7 @@
   return headers;
 };
 
-/** The request as it goes out; fields that only an origin gets are added by the caller. */
+/** Builds the outgoing request, without the fields that only origins receive. */
 export const outgoingRequest = (
   incoming: IncomingParts,
   effect: SendAttempt,
--- a/packages/proxy/src/run.ts
+++ b/packages/proxy/src/run.ts
@@ -1,4 +1,4 @@
-/** The proxy's process: its ports, its signals and its exit. */
+/** The proxy process: its ports, its signal handlers and its exit. */
 import type http from 'node:http';
 import { performance } from 'node:perf_hooks';
 import { type Logger, openLogger } from '@reedyard/logging';
@@ -12,7 +12,7 @@
 
 const now = (): number => performance.now();
 
-/** Opens the servers for clients, for peers and, where it has a port of its own, for health checks. */
+/** Opens the servers for clients and peers, and for health checks if they have a separate port. */
 const openServers = async (
   proxy: ProxyHost,
   { proxy: { port, peerPort, readyPort } }: ProxySettings,
@@ -22,8 +22,8 @@
   return servers;
 };
 
-/** Warms up beside the start, and only until somebody really asks. */
-const warmUpBeside = (
+/** Warms up in the background, until the first real request is started. */
+const warmUpInBackground = (
   proxy: ProxyHost,
   settings: ProxySettings,
   wireFormat: WireFormat,
@@ -47,8 +47,8 @@
 };
 
 /**
- * Shuts down gracefully: the proxy is not ready first, and clients are still answered until what is
- * in flight has ended, or time is up.
+ * Shuts down gracefully: the proxy first reports that it is not ready, and still serves requests
+ * until the requests in flight have ended or the time limit is reached.
  */
 const shutDownOnSignals = (
   proxy: ProxyHost,
@@ -61,12 +61,12 @@
   const shutDown = (): void => {
     if (isShuttingDown) return;
     isShuttingDown = true;
-    const since = now();
+    const startedAt = now();
     logger.info('stopping', { underWay: proxy.inFlightCount() });
     proxy.stop();
     setInterval(() => {
-      const isDrained = proxy.inFlightCount() === 0 && now() > since + graceMs;
-      if (isDrained || now() > since + mostMs) exit(proxy, servers, logger);
+      const isDrained = proxy.inFlightCount() === 0 && now() > startedAt + graceMs;
+      if (isDrained || now() > startedAt + mostMs) exit(proxy, servers, logger);
     }, feedIntervalMs);
   };
   process.on('SIGTERM', shutDown);
@@ -74,7 +74,7 @@
 };
 
 /**
- * Runs a proxy until it is asked to stop.
+ * Runs a proxy until a signal requests a shutdown.
  *
  * @example
  * await runProxy(SettingsReader.start('proxy', process.argv.slice(2)));
@@ -91,8 +91,8 @@
   });
   const servers = await openServers(proxy, settings);
   logger.info('started', { callers: settings.proxy.port, peers: settings.proxy.peerPort });
-  warmUpBeside(proxy, settings, wireFormat, logger);
-  // A hang-up ends a process by itself; nothing that is in flight may suffer from it.
+  warmUpInBackground(proxy, settings, wireFormat, logger);
+  // Without a handler, SIGHUP would end the process and cut off the requests in flight.
   process.on('SIGHUP', () => logger.info('hangup', { underWay: proxy.inFlightCount() }));
   shutDownOnSignals(proxy, settings, servers, logger);
 };
--- a/packages/proxy/src/wire-format.ts
+++ b/packages/proxy/src/wire-format.ts
@@ -1,13 +1,12 @@
 /**
- * How a proxy is spoken to by clients and speaks to origins: names of header fields and what they
- * mean.
+ * The header fields that proxies exchange with clients and origins: their names and their meaning.
  */
 import type { OriginEndpoint } from '@reedyard/agent';
 import type { Headers } from '@reedyard/cache';
 
 /**
- * What an origin tells of itself with an answer: requests that it works on, that wait, and how many
- * it works on at once.
+ * The load that an origin reports with a response: requests in progress, requests that wait, and
+ * how many it processes concurrently.
  */
 export type OriginLoad = {
   readonly running: number;
@@ -15,18 +14,18 @@
   readonly slots: number;
 };
 
-/** What an origin's answer proves, as far as the next move depends on it. */
+/** What the fields of an origin's response prove, as far as the handling of the attempt needs it. */
 export type OriginEvidence = {
-  /** Why it can't be taken for the answer to this attempt, or null if it is that. */
+  /** Why the response can't belong to this attempt; null if it does. */
   readonly mismatch: string | null;
-  /** It says that the request did not run there. */
+  /** Whether the response states that the origin did not execute the request. */
   readonly notRun: boolean;
-  /** Another one than was meant has the address; nothing ran. */
+  /** Whether another origin than the intended one has the address, so that nothing was executed. */
   readonly isMisdirected: boolean;
   readonly load: OriginLoad | null;
-  /** ms. How much longer it says that it is cold; null where it says nothing. */
+  /** Remaining slow start that the origin reports, in milliseconds; null without a report. */
   readonly coldMs: number | null;
-  /** It names no request: nothing but its place on the connection ties it to this one. */
+  /** Whether no request id is echoed: only its connection ties the response to the attempt. */
   readonly anonymous?: boolean;
 };
 
@@ -34,34 +33,36 @@
 export type OriginAttempt = {
   readonly origin: OriginEndpoint;
   readonly correlationId: string;
-  /** ms that its answer is waited for. */ readonly remainingMs: number;
+  /** How long the proxy waits for the response, in milliseconds. */
+  readonly remainingMs: number;
   readonly headers: Headers;
 };
 
-/** What of an answer its caller is shown. */
+/** The parts of a response from which the fields for its client are derived. */
 export type ResponseToClient = {
   readonly status: number;
   readonly headers: Headers;
+  /** Headers of the client's request. */
   readonly asked: Headers;
-  /** ms after which to come again, where the proxy itself says so. */ readonly retryMs:
-    number | null;
+  /** When to retry, in milliseconds, if the proxy itself sets it; null otherwise. */
+  readonly retryMs: number | null;
 };
 
 /**
- * How a proxy is spoken to by callers and speaks to origins: names of header fields and what they
- * mean. It decides nothing. Peers speak the project's own way whatever the dialect.
+ * Names and meaning of the header fields that a proxy exchanges with clients and origins. It makes
+ * no decisions. Peers always use the project's own format.
  */
 export type WireFormat = {
   /**
-   * Whether an origin proves who it is on each new connection, before anything else, or each
-   * request names the one it is meant for.
+   * How an origin is identified: `asked` queries it on each new connection before anything else is
+   * sent, `named` names the intended origin in each request.
    */
   readonly identity: 'asked' | 'named';
   readonly readyPath: string;
   readonly livePath: string | null;
-  /** ms that a caller will wait; null where it does not say. */
+  /** How long the client waits, in milliseconds; null if the request does not say. */
   readonly deadlineMs: (headers: Headers) => number | null;
-  /** The fields that tell how much of that time is left. */
+  /** The request fields that pass on the remaining part of that time. */
   readonly remainingTimeFields: (ms: number) => Readonly<Record<string, string>>;
   readonly originRequestFields: (attempt: OriginAttempt) => Readonly<Record<string, string>>;
   readonly readOriginResponse: (
@@ -69,12 +70,15 @@
     headers: Headers,
     attempt: OriginAttempt,
   ) => OriginEvidence;
-  readonly clientResponseHeaders: (answer: ResponseToClient) => Headers;
-  /** Fields by which an origin vouches for an answer: shown only with the status that it gave. */
+  readonly clientResponseHeaders: (response: ResponseToClient) => Headers;
+  /**
+   * Fields with which an origin vouches for a response: forwarded only with the status that the
+   * origin sent.
+   */
   readonly stamps: readonly string[];
   /**
-   * Fields of a sample request and of an origin's sound answer to it, to warm up with; left out: no
-   * warming up.
+   * Fields of a sample request and of an origin's valid response to it, used to warm up a proxy;
+   * without a sample there is no warm-up.
    */
   readonly sample?: {
     readonly asked: (number: number) => Readonly<Record<string, string>>;
@@ -82,24 +86,25 @@
   };
 };
 
-const origin = (row: OriginEndpoint): string => `${row.service}/${row.instance}/${row.incarnation}`;
+const originIdOf = (origin: OriginEndpoint): string =>
+  `${origin.service}/${origin.instance}/${origin.incarnation}`;
 
-/** The project's own way (docs/api.md). */
+/** The project's own format (docs/api.md). */
 export const reedyardWireFormat: WireFormat = {
   identity: 'asked',
   readyPath: '/.well-known/reedyard/ready',
   livePath: '/.well-known/reedyard/live',
   deadlineMs: () => null,
   remainingTimeFields: () => ({}),
-  originRequestFields: ({ origin: row, correlationId: mark }) => ({
-    'reedyard-attempt': mark,
-    'reedyard-expect': origin(row),
+  originRequestFields: ({ origin, correlationId }) => ({
+    'reedyard-attempt': correlationId,
+    'reedyard-expect': originIdOf(origin),
   }),
-  readOriginResponse: (status, headers, { origin: row, correlationId: mark }) => ({
+  readOriginResponse: (status, headers, { origin, correlationId }) => ({
     mismatch:
-      headers['reedyard-attempt'] !== mark
+      headers['reedyard-attempt'] !== correlationId
         ? 'foreign'
-        : headers['reedyard-stamp'] !== origin(row)
+        : headers['reedyard-stamp'] !== originIdOf(origin)
           ? 'stamp'
           : null,
     notRun: status === 503 && headers['reedyard-outcome'] === 'not-run',
