--- a/packages/proxy/src/body-limit.test.ts
+++ b/packages/proxy/src/body-limit.test.ts
@@ -2,7 +2,7 @@
 import { validResponse, startScriptedOrigin } from './testing/scripted-origin.js';
 import { originEndpoint, policyOf, RawClient, startHarness } from './testing/proxy-harness.js';
 
-test("a body up to the config's bound on callers is taken where its route sets none", async (t) => {
+test('a body up to the configured limit on clients is accepted if its route sets no limit', async (t) => {
   const origin = await startScriptedOrigin((request, socket) => {
     socket.write(validResponse(request));
   });
@@ -12,8 +12,8 @@
     harness.close();
     await origin.close();
   });
-  const caller = await RawClient.connect(harness.port);
-  caller.send('POST', '/order/1', 'r1', 'x'.repeat(2_000_000));
-  await caller.waitForResponses(1);
-  t.is(caller.responses()[0]?.status, 200);
+  const client = await RawClient.connect(harness.port);
+  client.send('POST', '/order/1', 'r1', 'x'.repeat(2_000_000));
+  await client.waitForResponses(1);
+  t.is(client.responses()[0]?.status, 200);
 });
--- a/packages/proxy/src/client-connection.ts
+++ b/packages/proxy/src/client-connection.ts
@@ -1,54 +1,53 @@
 /**
- * Decides about one connection of a caller: which of the requests read from it are begun, which
- * answer may close it, and what is done once bytes arrive that are no request. The shell
- * (caller-server.ts) reports what it sees and performs the effects; the HTTP parser keeps the
- * answers in the order of their requests.
+ * Decides about one client connection: which of its requests are started, which response may close
+ * it, and how unparsable bytes are handled. The shell (inbound-server.ts) reports the events and
+ * performs the effects; the HTTP parser keeps the responses in the order of their requests.
  *
  * Guarantees:
- * - An answer closes the connection only if no request was read behind it, so that none which was
- *   begun loses its answer.
- * - A request read behind an answer that closes the connection is never begun: its sender counts
+ * - A response closes the connection only if no later request was read, so that no request that was
+ *   started loses its response.
+ * - A request read after a response that closes the connection is never started: the client treats
  *   it as unread and sends it again.
- * - A refusal of bytes that are no request is never written while an answer to an earlier request
- *   is owed: the caller would take it for that answer.
+ * - Unparsable bytes are never rejected while the response to an earlier request is pending: the
+ *   client would mistake the rejection for that response.
  */
 
-/** Status for bytes that are no request, or for a request that was not sent whole in time. */
+/** Status for unparsable bytes, or for a request that was not received completely in time. */
 export type RefusalStatus = 400 | 408 | 431;
 
-/** What is known of one caller's connection. */
+/** The state of one client connection. */
 export type ClientConnection = {
   /** Number of the newest request whose head was read; 0 before the first. */
   readonly newestNumber: number;
-  /** Requests begun whose answers were not yet handed over whole. */
+  /** Requests that were started and whose responses are not completely written to the socket. */
   readonly unanswered: readonly number[];
-  /** Whether an answer that closes the connection was written. */
+  /** Whether a response that closes the connection was written. */
   readonly closing: boolean;
-  /** Why nothing more is read; null while the connection is sound. */
+  /** The status with which further bytes are rejected; null while requests can be read. */
   readonly refusal: RefusalStatus | null;
   readonly closed: boolean;
 };
 
-/** What happens to one caller's connection. */
+/** The events of one client connection. */
 export type ClientConnectionEvent =
   | { readonly kind: 'head-read' }
-  /** The request with this number was read whole, or is answered before it was. */
+  /** The request with this number was read completely, or gets its response earlier. */
   | { readonly kind: 'request-read'; readonly number: number }
   | { readonly kind: 'answer-ready'; readonly number: number; readonly wantsClose: boolean }
   | { readonly kind: 'answer-flushed'; readonly number: number }
-  /** Bytes that are no request, or a request that took too long to come. */
+  /** Unparsable bytes, or a request that took too long to arrive. */
   | { readonly kind: 'unreadable'; readonly status: RefusalStatus }
   | { readonly kind: 'closed' };
 
-/** What the shell has to do. */
+/** What the shell performs. */
 export type ClientConnectionEffect =
   | { readonly kind: 'begin'; readonly number: number }
   | { readonly kind: 'write'; readonly number: number; readonly close: boolean }
   | { readonly kind: 'refuse'; readonly status: RefusalStatus }
-  /** These requests have nobody left who waits for them. */
+  /** The client of these requests closed the connection and no longer waits for them. */
   | { readonly kind: 'left'; readonly numbers: readonly number[] };
 
-/** A step of the connection. */
+/** The result of one event: the next state, and the effects in order. */
 export type ClientConnectionStep = {
   readonly state: ClientConnection;
   readonly effects: readonly ClientConnectionEffect[];
@@ -57,15 +56,15 @@
 const unchanged = (state: ClientConnection): ClientConnectionStep => ({ state, effects: [] });
 
 const requestRead = (state: ClientConnection, number: number): ClientConnectionStep => {
-  const stale = state.closing || state.refusal !== null || state.unanswered.includes(number);
-  if (stale) return unchanged(state);
+  const isIgnored = state.closing || state.refusal !== null || state.unanswered.includes(number);
+  if (isIgnored) return unchanged(state);
   return {
     state: { ...state, unanswered: [...state.unanswered, number] },
     effects: [{ kind: 'begin', number }],
   };
 };
 
-const answerReady = (
+const responseReady = (
   state: ClientConnection,
   number: number,
   wantsClose: boolean,
@@ -78,8 +77,8 @@
   };
 };
 
-const answerFlushed = (state: ClientConnection, number: number): ClientConnectionStep => {
-  const unanswered = state.unanswered.filter((each) => each !== number);
+const responseFlushed = (state: ClientConnection, number: number): ClientConnectionStep => {
+  const unanswered = state.unanswered.filter((candidate) => candidate !== number);
   const next = { ...state, unanswered };
   if (state.refusal === null || state.closing || unanswered.length > 0) return unchanged(next);
   return {
@@ -100,8 +99,9 @@
   effects: state.unanswered.length > 0 ? [{ kind: 'left', numbers: state.unanswered }] : [],
 });
 
-/** The reducer of a caller's connection. */
+/** The reducer of a client connection. */
 export const ClientConnections = {
+  /** A connection that was just accepted. */
   open: {
     newestNumber: 0,
     unanswered: [],
@@ -110,7 +110,7 @@
     closed: false,
   } satisfies ClientConnection as ClientConnection,
 
-  /** @example CallerConnections.reduce(CallerConnections.open, { kind: 'head-read' }).state.newest // 1 */
+  /** @example ClientConnections.reduce(ClientConnections.open, { kind: 'head-read' }).state.newestNumber // 1 */
   reduce: (state: ClientConnection, event: ClientConnectionEvent): ClientConnectionStep => {
     if (state.closed) return unchanged(state);
     switch (event.kind) {
@@ -119,9 +119,9 @@
       case 'request-read':
         return requestRead(state, event.number);
       case 'answer-ready':
-        return answerReady(state, event.number, event.wantsClose);
+        return responseReady(state, event.number, event.wantsClose);
       case 'answer-flushed':
-        return answerFlushed(state, event.number);
+        return responseFlushed(state, event.number);
       case 'unreadable':
         return unreadable(state, event.status);
       case 'closed':
--- a/packages/proxy/src/client-sockets.test.ts
+++ b/packages/proxy/src/client-sockets.test.ts
@@ -20,35 +20,35 @@
   startScriptedOrigin,
 } from './testing/scripted-origin.js';
 
-type Stage = { readonly origin: ScriptedOrigin; readonly harness: Harness };
-type Callers = Parameters<typeof policyOf>[0];
+type TestSetup = { readonly origin: ScriptedOrigin; readonly harness: Harness };
+type ClientLimits = Parameters<typeof policyOf>[0];
 
-/** Holds back answers until the test lets them go, by path. */
-class HeldAnswers {
-  readonly #held = new Map<string, () => void>();
+/** Delays the responses of an origin until the test releases them, by path. */
+class DelayedResponses {
+  readonly #delayed = new Map<string, () => void>();
 
   readonly script: Script = (request, socket) => {
-    this.#held.set(request.path, () => socket.write(validResponse(request)));
+    this.#delayed.set(request.path, () => socket.write(validResponse(request)));
   };
 
   get paths(): readonly string[] {
-    return [...this.#held.keys()];
+    return [...this.#delayed.keys()];
   }
 
   release(path: string): void {
-    this.#held.get(path)?.();
-    this.#held.delete(path);
+    this.#delayed.get(path)?.();
+    this.#delayed.delete(path);
   }
 }
 
-const stage = async (
+const startSetup = async (
   t: ExecutionContext,
   script: Script,
-  callers: Callers = {},
-  limits: object = {},
-): Promise<Stage> => {
+  clientLimits: ClientLimits = {},
+  routeLimits: object = {},
+): Promise<TestSetup> => {
   const origin = await startScriptedOrigin(script);
-  const policy = { revision: 1, document: policyOf(callers, limits) };
+  const policy = { revision: 1, document: policyOf(clientLimits, routeLimits) };
   const harness = await startHarness({ policy, origins: [originEndpoint(origin.port)] });
   t.teardown(async () => {
     harness.close();
@@ -57,72 +57,76 @@
   return { origin, harness };
 };
 
-const statuses = (caller: RawClient): readonly number[] =>
-  caller.responses().map(({ status }) => status);
+const statuses = (client: RawClient): readonly number[] =>
+  client.responses().map(({ status }) => status);
 
-const ended = (caller: RawClient): boolean => caller.ended || caller.closed;
+const hasEnded = (client: RawClient): boolean => client.ended || client.closed;
 
-test('pipelined requests: answers in their order, also where some are refused or time out', async (t) => {
-  const held = new HeldAnswers();
-  const { harness } = await stage(t, held.script);
-  const caller = await RawClient.connect(harness.port);
-  caller.send('GET', '/read/1', 'r1');
-  caller.send('GET', '/nowhere', 'r2');
-  caller.send('GET', '/read/silent', 'r3', '', 'x-left-ms: 300\r\n');
-  caller.send('GET', '/read/4', 'r4');
-  await waitUntil(() => held.paths.length === 3);
-  held.release('/read/4');
-  held.release('/read/1');
-  const answers = await caller.waitForResponses(4);
-  t.deepEqual(statuses(caller), [200, 404, 504, 200]);
-  t.deepEqual([answers[0]?.body, answers[3]?.body], ['/read/1', '/read/4']);
-  t.is(caller.text.match(/x-stamp/g)?.length, 2);
+test('pipelined requests get their responses in order, even if some are rejected or time out', async (t) => {
+  const delayed = new DelayedResponses();
+  const { harness } = await startSetup(t, delayed.script);
+  const client = await RawClient.connect(harness.port);
+  client.send('GET', '/read/1', 'r1');
+  client.send('GET', '/nowhere', 'r2');
+  client.send('GET', '/read/silent', 'r3', '', 'x-left-ms: 300\r\n');
+  client.send('GET', '/read/4', 'r4');
+  await waitUntil(() => delayed.paths.length === 3);
+  delayed.release('/read/4');
+  delayed.release('/read/1');
+  const responses = await client.waitForResponses(4);
+  t.deepEqual(statuses(client), [200, 404, 504, 200]);
+  t.deepEqual([responses[0]?.body, responses[3]?.body], ['/read/1', '/read/4']);
+  t.is(client.text.match(/x-stamp/g)?.length, 2);
 });
 
-test('bytes that are no request, behind one at work, are refused only after its own answer', async (t) => {
+test('unparsable bytes after a request in flight are rejected only after its response', async (t) => {
   const cases = {
     400: 'no request at all\r\n\r\n',
     431: `GET /read/2 HTTP/1.1\r\nhost: a.example\r\nx-long: ${'x'.repeat(maxRequestHeadBytes)}\r\n\r\n`,
   };
   for (const [status, bytes] of Object.entries(cases)) {
-    const held = new HeldAnswers();
-    const { harness } = await stage(t, held.script);
-    const caller = await RawClient.connect(harness.port);
-    caller.send('POST', '/order/1', 'r1', 'pay');
-    caller.socket.write(bytes);
-    await waitUntil(() => held.paths.length === 1);
+    const delayed = new DelayedResponses();
+    const { harness } = await startSetup(t, delayed.script);
+    const client = await RawClient.connect(harness.port);
+    client.send('POST', '/order/1', 'r1', 'pay');
+    client.socket.write(bytes);
+    await waitUntil(() => delayed.paths.length === 1);
     const probe = await RawClient.connect(harness.port);
     probe.socket.write(bytes);
     await probe.waitForResponses(1);
     t.deepEqual(statuses(probe), [Number(status)]);
-    t.deepEqual(statuses(caller), [], `an answer before its own: ${caller.text}`);
-    held.release('/order/1');
-    await waitUntil(() => ended(caller));
-    t.deepEqual(statuses(caller), [200, Number(status)]);
-    t.is(caller.responses()[0]?.body, '/order/1');
+    t.deepEqual(
+      statuses(client),
+      [],
+      `a response before the response to the request: ${client.text}`,
+    );
+    delayed.release('/order/1');
+    await waitUntil(() => hasEnded(client));
+    t.deepEqual(statuses(client), [200, Number(status)]);
+    t.is(client.responses()[0]?.body, '/order/1');
   }
 });
 
-test('a head that is slow to come, behind a request at work, is refused only after its own answer', async (t) => {
-  const held = new HeldAnswers();
-  const { harness } = await stage(t, held.script, { headMs: 50 });
+test('a request head that arrives too slowly after a request in flight is rejected only after its response', async (t) => {
+  const delayed = new DelayedResponses();
+  const { harness } = await startSetup(t, delayed.script, { headMs: 50 });
   await waitUntil(() => harness.server.headersTimeout === 50);
-  const caller = await RawClient.connect(harness.port);
-  caller.send('POST', '/order/1', 'r1', 'pay');
-  caller.socket.write('GET /read/2 HTTP/1.1\r\nhost:');
-  await waitUntil(() => held.paths.length === 1);
+  const client = await RawClient.connect(harness.port);
+  client.send('POST', '/order/1', 'r1', 'pay');
+  client.socket.write('GET /read/2 HTTP/1.1\r\nhost:');
+  await waitUntil(() => delayed.paths.length === 1);
   const probe = await RawClient.connect(harness.port);
   probe.socket.write('GET /read/2 HTTP/1.1\r\nhost:');
   await probe.waitForResponses(1);
   t.deepEqual(statuses(probe), [408]);
-  t.deepEqual(statuses(caller), []);
-  held.release('/order/1');
-  await waitUntil(() => ended(caller));
-  t.deepEqual(statuses(caller), [200, 408]);
+  t.deepEqual(statuses(client), []);
+  delayed.release('/order/1');
+  await waitUntil(() => hasEnded(client));
+  t.deepEqual(statuses(client), [200, 408]);
 });
 
-test('a new connection that rests is not bounded by the time for a head', async (t) => {
-  const { harness } = await stage(
+test('the time limit for a request head does not apply to an idle new connection', async (t) => {
+  const { harness } = await startSetup(
     t,
     (request, socket) => {
       socket.write(validResponse(request));
@@ -130,92 +134,92 @@
     { headMs: 50, idleMs: 60_000 },
   );
   await waitUntil(() => harness.server.headersTimeout === 50);
-  const resting = await RawClient.connect(harness.port);
-  // Once this later one is refused, the resting one was looked at too.
+  const idle = await RawClient.connect(harness.port);
+  // Once this later connection is rejected, the idle one was checked too.
   const slow = await RawClient.connect(harness.port);
   slow.socket.write('GET /read/1 HTTP/1.1\r\n');
   await slow.waitForResponses(1);
   t.deepEqual(statuses(slow), [408]);
-  resting.send('GET', '/read/1', 'r1');
-  await resting.waitForResponses(1);
-  t.deepEqual(statuses(resting), [200]);
+  idle.send('GET', '/read/1', 'r1');
+  await idle.waitForResponses(1);
+  t.deepEqual(statuses(idle), [200]);
 });
 
-test('a caller who leaves takes all its pipelined requests along', async (t) => {
-  const held = new HeldAnswers();
-  const never = { requestMs: 600_000, attemptMs: 600_000 };
-  const { origin, harness } = await stage(t, held.script, {}, never);
-  const caller = await RawClient.connect(harness.port);
-  for (const number of [1, 2, 3]) caller.send('GET', `/read/${number}`, `r${number}`);
-  await waitUntil(() => held.paths.length === 3);
-  caller.socket.destroy();
+test('a client that closes its connection cancels all its pipelined requests', async (t) => {
+  const delayed = new DelayedResponses();
+  const longTimeouts = { requestMs: 600_000, attemptMs: 600_000 };
+  const { origin, harness } = await startSetup(t, delayed.script, {}, longTimeouts);
+  const client = await RawClient.connect(harness.port);
+  for (const number of [1, 2, 3]) client.send('GET', `/read/${number}`, `r${number}`);
+  await waitUntil(() => delayed.paths.length === 3);
+  client.socket.destroy();
   await waitUntil(() => origin.sockets.every((socket) => socket.closed));
   await waitUntil(() => harness.proxy.inFlightCount() === 0);
   t.deepEqual(harness.proxy.task.peek().requests, {});
 });
 
-test('while it stops, each pipelined request at work gets its answer, and the last one closes', async (t) => {
-  const held = new HeldAnswers();
-  const { harness } = await stage(t, held.script);
-  const caller = await RawClient.connect(harness.port);
-  caller.send('GET', '/read/1', 'r1');
-  caller.send('POST', '/order/2', 'r2', 'pay');
-  caller.send('GET', '/read/3', 'r3');
-  await waitUntil(() => held.paths.length === 3);
+test('during shutdown each pipelined request in flight gets its response, and the last response closes the connection', async (t) => {
+  const delayed = new DelayedResponses();
+  const { harness } = await startSetup(t, delayed.script);
+  const client = await RawClient.connect(harness.port);
+  client.send('GET', '/read/1', 'r1');
+  client.send('POST', '/order/2', 'r2', 'pay');
+  client.send('GET', '/read/3', 'r3');
+  await waitUntil(() => delayed.paths.length === 3);
   harness.proxy.stop();
-  held.release('/read/1');
-  await caller.waitForResponses(1);
-  held.release('/order/2');
-  await caller.waitForResponses(2);
-  held.release('/read/3');
-  await waitUntil(() => ended(caller));
-  t.deepEqual(statuses(caller), [200, 200, 200]);
-  const closing = caller.responses().map(({ head }) => /connection: close/i.test(head));
+  delayed.release('/read/1');
+  await client.waitForResponses(1);
+  delayed.release('/order/2');
+  await client.waitForResponses(2);
+  delayed.release('/read/3');
+  await waitUntil(() => hasEnded(client));
+  t.deepEqual(statuses(client), [200, 200, 200]);
+  const closing = client.responses().map(({ head }) => /connection: close/i.test(head));
   t.deepEqual(closing, [false, false, true]);
 });
 
-test('what is sent behind an answer that closes is not begun', async (t) => {
-  const held = new HeldAnswers();
-  const { origin, harness } = await stage(t, held.script);
-  const caller = await RawClient.connect(harness.port);
-  caller.send('GET', '/read/1', 'r1');
-  caller.send('GET', '/read/2', 'r2');
-  await waitUntil(() => held.paths.length === 2);
+test('a request sent after a response that closes the connection is not started', async (t) => {
+  const delayed = new DelayedResponses();
+  const { origin, harness } = await startSetup(t, delayed.script);
+  const client = await RawClient.connect(harness.port);
+  client.send('GET', '/read/1', 'r1');
+  client.send('GET', '/read/2', 'r2');
+  await waitUntil(() => delayed.paths.length === 2);
   harness.proxy.stop();
-  held.release('/read/2');
+  delayed.release('/read/2');
   const { task } = harness.proxy;
   await waitUntil(() => Object.keys(task.peek().requests).length === 1);
-  caller.send('POST', '/order/3', 'r3', 'pay');
-  held.release('/read/1');
-  await waitUntil(() => ended(caller));
-  t.deepEqual(statuses(caller), [200, 200]);
+  client.send('POST', '/order/3', 'r3', 'pay');
+  delayed.release('/read/1');
+  await waitUntil(() => hasEnded(client));
+  t.deepEqual(statuses(client), [200, 200]);
   t.deepEqual(
     origin.requests.map(({ path }) => path),
     ['/read/1', '/read/2'],
   );
 });
 
-test('an answer is under way until its caller has all of it', async (t) => {
+test('a request counts as in flight until its client has received the complete response', async (t) => {
   const size = maxBufferedBodyBytes + 8_000_000;
-  const { harness } = await stage(t, (request, socket) => {
+  const { harness } = await startSetup(t, (request, socket) => {
     const fields = { ...responseFieldsFor(request), 'content-length': String(size) };
     socket.write(responseBytes(200, fields, '') + 'x'.repeat(size));
   });
-  const caller = await RawClient.connect(harness.port);
-  caller.send('GET', '/read/large', 'r1');
-  await waitUntil(() => caller.text.length > 0);
-  caller.socket.pause();
+  const client = await RawClient.connect(harness.port);
+  client.send('GET', '/read/large', 'r1');
+  await waitUntil(() => client.text.length > 0);
+  client.socket.pause();
   await waitUntil(() => Object.keys(harness.proxy.task.peek().requests).length === 0);
   harness.proxy.stop();
   t.is(harness.proxy.inFlightCount(), 1);
-  caller.socket.resume();
-  await caller.waitForResponses(1);
-  t.is(caller.responses()[0]?.body.length, size);
+  client.socket.resume();
+  await client.waitForResponses(1);
+  t.is(client.responses()[0]?.body.length, size);
   await waitUntil(() => harness.proxy.inFlightCount() === 0);
 });
 
-test('resting connections are kept for the time in force, and told no other', async (t) => {
-  const { harness } = await stage(
+test('idle connections are kept for the configured time, which Keep-Alive announces', async (t) => {
+  const { harness } = await startSetup(
     t,
     (request, socket) => {
       socket.write(validResponse(request));
@@ -224,49 +228,54 @@
   );
   const accepted: Socket[] = [];
   harness.server.on('connection', (socket: Socket) => accepted.push(socket));
-  /** What was told of the rest, and whether it is kept that long and at most two seconds longer. */
-  const restOf = async (caller: RawClient, id: string): Promise<readonly [string, boolean]> => {
-    const before = caller.responses().length;
-    caller.send('GET', '/read/1', id);
-    const answers = await caller.waitForResponses(before + 1);
-    const told = /keep-alive: timeout=(\d+)/i.exec(answers[before]?.head ?? '')?.[1];
+  /** The announced idle timeout, and whether the socket timeout exceeds it by 0.5 to 2 seconds. */
+  const idleTimeoutOf = async (
+    client: RawClient,
+    id: string,
+  ): Promise<readonly [string, boolean]> => {
+    const earlierCount = client.responses().length;
+    client.send('GET', '/read/1', id);
+    const responses = await client.waitForResponses(earlierCount + 1);
+    const announcedSeconds = /keep-alive: timeout=(\d+)/i.exec(
+      responses[earlierCount]?.head ?? '',
+    )?.[1];
     await waitUntil(() => accepted[0]?.timeout !== 0);
-    const margin = (accepted[0]?.timeout ?? 0) - 1_000 * Number(told);
-    return [told ?? '', margin >= 500 && margin <= 2_000];
+    const margin = (accepted[0]?.timeout ?? 0) - 1_000 * Number(announcedSeconds);
+    return [announcedSeconds ?? '', margin >= 500 && margin <= 2_000];
   };
-  const caller = await RawClient.connect(harness.port);
+  const client = await RawClient.connect(harness.port);
   await waitUntil(() => accepted.length === 1 && harness.server.keepAliveTimeout === 45_900);
-  t.deepEqual(await restOf(caller, 'r1'), ['45', true]);
-  // A newer config holds for the connections that are there.
+  t.deepEqual(await idleTimeoutOf(client, 'r1'), ['45', true]);
+  // A newer configuration applies to existing connections.
   harness.feed.policy = { revision: 2, document: policyOf({ idleMs: 90_000 }) };
   await waitUntil(() => harness.server.keepAliveTimeout === 90_900);
-  t.deepEqual(await restOf(caller, 'r2'), ['90', true]);
-  // One that says nothing goes back to the default.
+  t.deepEqual(await idleTimeoutOf(client, 'r2'), ['90', true]);
+  // A configuration without a limit restores the default.
   harness.feed.policy = { revision: 3, document: policyOf() };
   await waitUntil(() => harness.server.keepAliveTimeout === 30_900);
-  t.deepEqual(await restOf(caller, 'r3'), ['30', true]);
+  t.deepEqual(await idleTimeoutOf(client, 'r3'), ['30', true]);
 });
 
-test('no bound on rest while a request is at work', async (t) => {
-  const held = new HeldAnswers();
-  const { harness } = await stage(t, held.script, { idleMs: 1 });
+test('the idle timeout does not apply while a request is in flight', async (t) => {
+  const delayed = new DelayedResponses();
+  const { harness } = await startSetup(t, delayed.script, { idleMs: 1 });
   const accepted: Socket[] = [];
   harness.server.on('connection', (socket: Socket) => accepted.push(socket));
-  const caller = await RawClient.connect(harness.port);
-  caller.send('GET', '/read/1', 'r1');
-  caller.send('GET', '/read/2', 'r2');
-  await waitUntil(() => held.paths.length === 2);
+  const client = await RawClient.connect(harness.port);
+  client.send('GET', '/read/1', 'r1');
+  client.send('GET', '/read/2', 'r2');
+  await waitUntil(() => delayed.paths.length === 2);
   t.is(accepted[0]?.timeout, 0);
-  held.release('/read/1');
-  await caller.waitForResponses(1);
+  delayed.release('/read/1');
+  await client.waitForResponses(1);
   t.is(accepted[0]?.timeout, 0);
-  held.release('/read/2');
-  await caller.waitForResponses(2);
-  t.deepEqual(statuses(caller), [200, 200]);
+  delayed.release('/read/2');
+  await client.waitForResponses(2);
+  t.deepEqual(statuses(client), [200, 200]);
 });
 
-test('heads and bodies up to the bounds in force are taken, larger ones refused', async (t) => {
-  const { harness } = await stage(
+test('heads and bodies up to the configured limits are accepted, larger ones are rejected', async (t) => {
+  const { harness } = await startSetup(
     t,
     (request, socket) => {
       socket.write(validResponse(request));
@@ -275,11 +284,11 @@
     { bodyBytes: 5_000_000 },
   );
   const probe = async (headBytes: number, bodyBytes: number): Promise<readonly number[]> => {
-    const caller = await RawClient.connect(harness.port);
-    const more = `x-long: ${'x'.repeat(headBytes)}\r\n`;
-    caller.send('POST', '/order/1', 'r1', 'x'.repeat(bodyBytes), more);
-    await caller.waitForResponses(1);
-    return statuses(caller);
+    const client = await RawClient.connect(harness.port);
+    const extraFields = `x-long: ${'x'.repeat(headBytes)}\r\n`;
+    client.send('POST', '/order/1', 'r1', 'x'.repeat(bodyBytes), extraFields);
+    await client.waitForResponses(1);
+    return statuses(client);
   };
   await waitUntil(
     () => 'maxHeaderSize' in harness.server && harness.server.maxHeaderSize === 40_000,
--- a/packages/proxy/src/inbound-server.ts
+++ b/packages/proxy/src/inbound-server.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP server that callers and peers connect to: keeps the bounds in force, tracks each
- * connection by the reducer in caller-connection.ts, and performs what that decides.
+ * The HTTP server that clients and peers connect to: enforces the configured limits, tracks each
+ * connection with the reducer in client-connection.ts, and performs its effects.
  */
 import http from 'node:http';
 import type { Socket } from 'node:net';
@@ -13,50 +13,53 @@
   type RefusalStatus,
 } from './client-connection.js';
 
-/** ms. How often connections that are slow to send a request are looked for. */
+/** Interval between two checks for connections that are slow to send a request, in milliseconds. */
 const SLOW_REQUEST_CHECK_MS = 1_000;
 
-/** One request's place on its connection. */
+/** The position of one request on its connection. */
 export type RequestTurn = {
-  /** Tells that the request was read; false where it may not be begun. */
-  readonly begin: (left: () => void) => boolean;
-  /** Whether its answer, which is about to be written, closes the connection. */
-  readonly startResponse: (wanted: boolean) => boolean;
+  /**
+   * Reports that the request was read; `onClientLeft` is called if the client closes the connection
+   * before the response is written. Returns false if the request must not be started.
+   */
+  readonly begin: (onClientLeft: () => void) => boolean;
+  /** Reports that the response is about to be written; returns whether it closes the connection. */
+  readonly startResponse: (wantsClose: boolean) => boolean;
 };
 
-/** Serves one request; `turn` says whether it may be begun. */
+/** Serves one request; `turn` says whether it may be started. */
 export type InboundHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
   turn: RequestTurn,
 ) => void;
 
-/** A server whose bounds follow the config. */
+/** A server whose limits follow the configuration. */
 export type InboundServer = {
   readonly server: http.Server;
-  readonly setLimits: (bounds: ClientLimits) => void;
-  /** Answers begun and not yet handed over whole to the callers' connections. */
+  readonly setLimits: (limits: ClientLimits) => void;
+  /** Number of started requests whose responses are not completely written to their sockets. */
   readonly unanswered: () => number;
 };
 
-const reasons: Readonly<Record<RefusalStatus, string>> = {
+const reasonPhrases: Readonly<Record<RefusalStatus, string>> = {
   400: 'Bad Request',
   408: 'Request Timeout',
   431: 'Request Header Fields Too Large',
 };
 
-const refusalOf = (error: NodeJS.ErrnoException): RefusalStatus | null => {
+const refusalStatusOf = (error: NodeJS.ErrnoException): RefusalStatus | null => {
   if (error.code === 'ERR_HTTP_REQUEST_TIMEOUT') return 408;
   if (error.code === 'HPE_HEADER_OVERFLOW') return 431;
   return error.code?.startsWith('HPE_') === true ? 400 : null;
 };
 
-/** One connection: the reducer's state, and those to tell when the caller leaves. */
+/** One connection: the reducer's state, and the callbacks for a client that closes it. */
 class TrackedConnection {
   #state: ClientConnection = ClientConnections.open;
-  /** The request that is being read; let go once it is begun. */
+  /** The request that is being read; released once it is started. */
   #reading: http.IncomingMessage | null = null;
-  readonly #leavers = new Map<number, () => void>();
+  readonly #clientLeftCallbacks = new Map<number, () => void>();
 
   constructor(private readonly socket: Socket) {}
 
@@ -64,8 +67,8 @@
     return this.#state.unanswered.length;
   }
 
-  /** Whether nothing was ever sent over it: it only rests. */
-  get untouched(): boolean {
+  /** Whether the connection has been idle since it was opened. */
+  get isUnused(): boolean {
     return this.socket.bytesRead === 0;
   }
 
@@ -74,39 +77,41 @@
     this.#state = state;
     for (const effect of effects) {
       if (effect.kind === 'refuse') this.#refuse(effect.status);
-      if (effect.kind === 'left') effect.numbers.forEach((number) => this.#leavers.get(number)?.());
+      if (effect.kind === 'left')
+        effect.numbers.forEach((number) => this.#clientLeftCallbacks.get(number)?.());
     }
     return effects;
   }
 
-  /** Bytes came that are no request. One read whole before them is begun first. */
-  unreadable(status: RefusalStatus): void {
+  /** Handles unparsable bytes. A request that was read completely before them is started first. */
+  rejectUnreadable(status: RefusalStatus): void {
     const refuse = (): void => void this.dispatch({ kind: 'unreadable', status });
-    // Its last bytes were parsed, and are handed up before the event loop turns.
+    // The parser has read its last bytes, and emits them before the next turn of the event loop.
     if (this.#reading?.complete === true) setImmediate(refuse);
     else refuse();
   }
 
-  /** A request whose head was read. */
-  turn(request: http.IncomingMessage, response: http.ServerResponse): RequestTurn {
-    // Node bounds the rest after each answer by itself, but not the one before the first request.
+  /** Registers a request whose head was read. */
+  openTurn(request: http.IncomingMessage, response: http.ServerResponse): RequestTurn {
+    // Node limits the idle time after each response, but not before the first request: the server
+    // sets that limit on the socket, and the first request head removes it.
     if (this.#state.newestNumber === 0) this.socket.setTimeout(0);
     this.#reading = request;
     this.dispatch({ kind: 'head-read' });
     const number = this.#state.newestNumber;
     response.once('finish', () => {
-      this.#leavers.delete(number);
+      this.#clientLeftCallbacks.delete(number);
       this.dispatch({ kind: 'answer-flushed', number });
     });
     return {
-      begin: (left) => {
+      begin: (onClientLeft) => {
         if (this.#reading === request) this.#reading = null;
-        const begun = this.dispatch({ kind: 'request-read', number }).length > 0;
-        if (begun) this.#leavers.set(number, left);
-        return begun;
+        const isStarted = this.dispatch({ kind: 'request-read', number }).length > 0;
+        if (isStarted) this.#clientLeftCallbacks.set(number, onClientLeft);
+        return isStarted;
       },
-      startResponse: (wanted) =>
-        this.dispatch({ kind: 'answer-ready', number, wantsClose: wanted }).some(
+      startResponse: (wantsClose) =>
+        this.dispatch({ kind: 'answer-ready', number, wantsClose }).some(
           (effect) => effect.kind === 'write' && effect.close,
         ),
     };
@@ -114,35 +119,38 @@
 
   #refuse(status: RefusalStatus): void {
     if (!this.socket.writable) return;
-    const text = `HTTP/1.1 ${status} ${reasons[status]}\r\n`;
+    const text = `HTTP/1.1 ${status} ${reasonPhrases[status]}\r\n`;
     this.socket.end(`${text}Connection: close\r\nContent-Length: 0\r\n\r\n`);
   }
 }
 
 /**
- * Makes a server for callers; the caller of this function lets it listen.
+ * Creates a server for clients or peers; it does not listen yet.
  *
  * @example
- * const { server } = openCallerServer(CallerBounds.of(undefined), (request, response, turn) => {});
+ * const { server } = openInboundServer(ClientLimits.of(undefined), (request, response, turn) => {});
  */
-export const openInboundServer = (first: ClientLimits, handle: InboundHandler): InboundServer => {
-  let bounds = first;
+export const openInboundServer = (
+  initialLimits: ClientLimits,
+  handle: InboundHandler,
+): InboundServer => {
+  let limits = initialLimits;
   const connections = new Map<Socket, TrackedConnection>();
   const server = http.createServer({ connectionsCheckingInterval: SLOW_REQUEST_CHECK_MS });
-  const setBounds = (next: ClientLimits): void => {
-    bounds = next;
-    // The parser takes this for each new connection; Node's types don't list it as a property.
+  const setLimits = (next: ClientLimits): void => {
+    limits = next;
+    // The parser reads this property for each new connection; Node's types omit it.
     Object.assign(server, { maxHeaderSize: next.headBytes });
     server.headersTimeout = next.headMs;
     server.requestTimeout = ClientLimits.requestMs(next);
-    // Node tells the whole seconds of this in `Keep-Alive`.
+    // Node announces this in `Keep-Alive` as whole seconds, rounded down.
     server.keepAliveTimeout = ClientLimits.keepAliveTimeoutMs(next);
   };
-  setBounds(first);
+  setLimits(initialLimits);
   server.on('connection', (socket: Socket) => {
     const connection = new TrackedConnection(socket);
     connections.set(socket, connection);
-    socket.setTimeout(ClientLimits.keepAliveTimeoutMs(bounds));
+    socket.setTimeout(ClientLimits.keepAliveTimeoutMs(limits));
     socket.once('close', () => {
       connections.delete(socket);
       connection.dispatch({ kind: 'closed' });
@@ -151,20 +159,20 @@
   server.on('request', (request, response) => {
     const { socket } = request;
     const connection = connections.get(socket) ?? new TrackedConnection(socket);
-    handle(request, response, connection.turn(request, response));
+    handle(request, response, connection.openTurn(request, response));
   });
   server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-    const status = refusalOf(error);
+    const status = refusalStatusOf(error);
     const connection = connections.get(socket);
     if (status === null || connection === undefined) {
       socket.destroy();
       return;
     }
-    // A new connection that rests is bounded by the time for resting ones.
-    if (status === 408 && connection.untouched) return;
-    connection.unreadable(status);
+    // An unused connection is subject to the idle timeout, not to the time for a request head.
+    if (status === 408 && connection.isUnused) return;
+    connection.rejectUnreadable(status);
   });
   const unanswered = (): number =>
-    [...connections.values()].reduce((sum, each) => sum + each.unanswered, 0);
-  return { server, setLimits: setBounds, unanswered };
+    [...connections.values()].reduce((sum, connection) => sum + connection.unanswered, 0);
+  return { server, setLimits, unanswered };
 };
--- a/packages/proxy/src/testing/client-connection-model.ts
+++ b/packages/proxy/src/testing/client-connection-model.ts
@@ -1,8 +1,8 @@
 /**
- * A small world around the reducer of a caller's connection, for a search through all its orders of
- * events: pipelined requests that come whole or not, answers that are ready in any order, bytes
- * that are no request, and a caller who leaves. The HTTP parser is modelled as it is: answers leave
- * in the order of their requests, and nothing follows one that closes the connection.
+ * A model of one client connection around its reducer, for a search through all orders of events:
+ * pipelined requests that arrive completely or not, responses that become ready in any order,
+ * unparsable bytes, and a client that closes the connection. Like the HTTP parser, the model sends
+ * responses in the order of their requests, and nothing after one that closes the connection.
  */
 import {
   ClientConnections,
@@ -12,7 +12,7 @@
   type ClientConnectionStep,
 } from '../client-connection.js';
 
-/** A request as it really went. */
+/** What actually happened to a request. */
 type Request = {
   readonly read: boolean;
   readonly begun: boolean;
@@ -21,33 +21,33 @@
   readonly left: boolean;
 };
 
-type World = {
+type Model = {
   readonly state: ClientConnection;
   readonly requests: readonly Request[];
   readonly unreadable: boolean;
   readonly refused: boolean;
   readonly closed: boolean;
-  readonly broken: string | null;
+  readonly violation: string | null;
 };
 
-/** A reducer to search, sound or with a safeguard planted out. */
+/** A reducer to search, correct or with one safeguard removed. */
 export type ClientReduce = (
   state: ClientConnection,
   event: ClientConnectionEvent,
 ) => ClientConnectionStep;
 
-const MOST_REQUESTS = 3;
+const MAX_REQUESTS = 3;
 
-const firstWorld: World = {
+const initialModel: Model = {
   state: ClientConnections.open,
   requests: [],
   unreadable: false,
   refused: false,
   closed: false,
-  broken: null,
+  violation: null,
 };
 
-const unread: Request = {
+const unreadRequest: Request = {
   read: false,
   begun: false,
   written: 'no',
@@ -55,130 +55,134 @@
   left: false,
 };
 
-const breakWith = (world: World, why: string): World =>
-  world.broken === null ? { ...world, broken: why } : world;
+const recordViolation = (model: Model, violation: string): Model =>
+  model.violation === null ? { ...model, violation } : model;
 
-const withRequest = (world: World, number: number, part: Partial<Request>): World => ({
-  ...world,
-  requests: world.requests.map((each, index) =>
-    index === number - 1 ? { ...each, ...part } : each,
+const withRequest = (model: Model, number: number, part: Partial<Request>): Model => ({
+  ...model,
+  requests: model.requests.map((request, index) =>
+    index === number - 1 ? { ...request, ...part } : request,
   ),
 });
 
-const begin = (world: World, number: number): World => {
-  const behind = world.requests.some(({ written }) => written === 'closing');
-  const begun = withRequest(world, number, { begun: true });
-  return behind ? breakWith(begun, 'begun behind an answer that closes') : begun;
+const begin = (model: Model, number: number): Model => {
+  const followsClose = model.requests.some(({ written }) => written === 'closing');
+  const begun = withRequest(model, number, { begun: true });
+  return followsClose ? recordViolation(begun, 'started after a response that closes') : begun;
 };
 
-const write = (world: World, number: number, close: boolean): World => {
-  const behind = world.requests.slice(number).some(({ read, begun }) => read || begun);
-  const written = withRequest(world, number, { written: close ? 'closing' : 'open' });
-  return close && behind ? breakWith(written, 'closed before a request that was read') : written;
+const write = (model: Model, number: number, close: boolean): Model => {
+  const hasLaterRequest = model.requests.slice(number).some(({ read, begun }) => read || begun);
+  const written = withRequest(model, number, { written: close ? 'closing' : 'open' });
+  return close && hasLaterRequest
+    ? recordViolation(written, 'closed although a later request was read')
+    : written;
 };
 
-const refuse = (world: World): World => {
-  const owed = world.requests.some(({ begun, flushed }) => begun && !flushed);
-  const refused = { ...world, refused: true };
-  return owed ? breakWith(refused, 'a refusal in the place of an answer') : refused;
+const refuse = (model: Model): Model => {
+  const isResponsePending = model.requests.some(({ begun, flushed }) => begun && !flushed);
+  const refused = { ...model, refused: true };
+  return isResponsePending
+    ? recordViolation(refused, 'rejected unparsable bytes while a response was pending')
+    : refused;
 };
 
-const perform = (world: World, effect: ClientConnectionEffect): World => {
+const perform = (model: Model, effect: ClientConnectionEffect): Model => {
   switch (effect.kind) {
     case 'begin':
-      return begin(world, effect.number);
+      return begin(model, effect.number);
     case 'write':
-      return write(world, effect.number, effect.close);
+      return write(model, effect.number, effect.close);
     case 'refuse':
-      return refuse(world);
+      return refuse(model);
     case 'left':
       return effect.numbers.reduce(
-        (now, number) => withRequest(now, number, { left: true }),
-        world,
+        (current, number) => withRequest(current, number, { left: true }),
+        model,
       );
   }
 };
 
-const dispatch = (world: World, reduce: ClientReduce, event: ClientConnectionEvent): World => {
-  const { state, effects } = reduce(world.state, event);
-  return effects.reduce(perform, { ...world, state });
+const dispatch = (model: Model, reduce: ClientReduce, event: ClientConnectionEvent): Model => {
+  const { state, effects } = reduce(model.state, event);
+  return effects.reduce(perform, { ...model, state });
 };
 
-const close = (world: World, reduce: ClientReduce): World => {
-  const closed = dispatch({ ...world, closed: true }, reduce, { kind: 'closed' });
-  const forgotten = closed.requests.some(({ begun, flushed, left }) => begun && !flushed && !left);
-  return forgotten ? breakWith(closed, 'a request whose caller left goes on') : closed;
+const close = (model: Model, reduce: ClientReduce): Model => {
+  const closed = dispatch({ ...model, closed: true }, reduce, { kind: 'closed' });
+  const isOrphaned = closed.requests.some(({ begun, flushed, left }) => begun && !flushed && !left);
+  return isOrphaned ? recordViolation(closed, 'a request goes on after its client left') : closed;
 };
 
-const flush = (world: World, reduce: ClientReduce, number: number): World => {
-  const flushed = withRequest(world, number, { flushed: true });
+const flush = (model: Model, reduce: ClientReduce, number: number): Model => {
+  const flushed = withRequest(model, number, { flushed: true });
   const after = dispatch(flushed, reduce, { kind: 'answer-flushed', number });
-  const ends = world.requests[number - 1]?.written === 'closing';
-  return ends ? close(after, reduce) : after;
+  const closesConnection = model.requests[number - 1]?.written === 'closing';
+  return closesConnection ? close(after, reduce) : after;
 };
 
-const answersOf = (world: World, reduce: ClientReduce): readonly World[] =>
-  world.requests.flatMap((request, index) => {
+const responseSteps = (model: Model, reduce: ClientReduce): readonly Model[] =>
+  model.requests.flatMap((request, index) => {
     const number = index + 1;
-    const found: World[] = [];
+    const next: Model[] = [];
     if (request.begun && request.written === 'no') {
       for (const wantsClose of [true, false]) {
-        found.push(dispatch(world, reduce, { kind: 'answer-ready', number, wantsClose }));
+        next.push(dispatch(model, reduce, { kind: 'answer-ready', number, wantsClose }));
       }
     }
-    const earlier = world.requests.slice(0, index).every(({ flushed }) => flushed);
-    if (request.written !== 'no' && !request.flushed && earlier) {
-      found.push(flush(world, reduce, number));
+    const areEarlierFlushed = model.requests.slice(0, index).every(({ flushed }) => flushed);
+    if (request.written !== 'no' && !request.flushed && areEarlierFlushed) {
+      next.push(flush(model, reduce, number));
     }
-    return found;
+    return next;
   });
 
-const nextWorlds = (world: World, reduce: ClientReduce): readonly World[] => {
-  if (world.closed || world.refused) return [];
-  const found: World[] = [...answersOf(world, reduce), close(world, reduce)];
-  const { requests, unreadable } = world;
+const nextModels = (model: Model, reduce: ClientReduce): readonly Model[] => {
+  if (model.closed || model.refused) return [];
+  const next: Model[] = [...responseSteps(model, reduce), close(model, reduce)];
+  const { requests, unreadable } = model;
   const last = requests.at(-1);
-  const whole = last === undefined || last.read;
-  if (!unreadable && whole && requests.length < MOST_REQUESTS) {
-    found.push(
-      dispatch({ ...world, requests: [...requests, unread] }, reduce, { kind: 'head-read' }),
+  const isLastComplete = last === undefined || last.read;
+  if (!unreadable && isLastComplete && requests.length < MAX_REQUESTS) {
+    next.push(
+      dispatch({ ...model, requests: [...requests, unreadRequest] }, reduce, { kind: 'head-read' }),
     );
   }
-  if (!unreadable && !whole) {
+  if (!unreadable && !isLastComplete) {
     const number = requests.length;
-    const read = withRequest(world, number, { read: true });
-    found.push(dispatch(read, reduce, { kind: 'request-read', number }));
+    const read = withRequest(model, number, { read: true });
+    next.push(dispatch(read, reduce, { kind: 'request-read', number }));
   }
   if (!unreadable) {
-    const bad = { ...world, unreadable: true };
-    found.push(dispatch(bad, reduce, { kind: 'unreadable', status: 400 }));
+    const withGarbage = { ...model, unreadable: true };
+    next.push(dispatch(withGarbage, reduce, { kind: 'unreadable', status: 400 }));
   }
-  return found;
+  return next;
 };
 
-/** A world that can go no further owes nothing. */
-const checkEnd = (world: World): string | null => {
-  const owed = world.requests.some(
-    ({ begun, flushed, left }) => begun && !flushed && !left && !world.closed,
+/** Checks that no response is pending in a state without a next event. */
+const checkEnd = (model: Model): string | null => {
+  const isResponsePending = model.requests.some(
+    ({ begun, flushed, left }) => begun && !flushed && !left && !model.closed,
   );
-  return owed ? 'an answer is owed for ever' : null;
+  return isResponsePending ? 'a response stays pending forever' : null;
 };
 
 /**
- * Walks every order of events to its end, or until an invariant is broken.
+ * Searches all orders of events to their end, or until an invariant is violated.
  *
  * @example
- * searchCaller(CallerConnections.reduce).broken // null
+ * searchClientConnection(ClientConnections.reduce).violation // null
  */
 export const searchClientConnection = (
   reduce: ClientReduce,
-): { readonly worlds: number; readonly broken: string | null } => {
+): { readonly stateCount: number; readonly violation: string | null } => {
   const seen = new Set<string>();
-  const frontier: World[] = [firstWorld];
-  for (let world = frontier.pop(); world !== undefined; world = frontier.pop()) {
-    const next = nextWorlds(world, reduce);
-    const broken = world.broken ?? (next.length === 0 ? checkEnd(world) : null);
-    if (broken !== null) return { worlds: seen.size, broken };
+  const frontier: Model[] = [initialModel];
+  for (let model = frontier.pop(); model !== undefined; model = frontier.pop()) {
+    const next = nextModels(model, reduce);
+    const violation = model.violation ?? (next.length === 0 ? checkEnd(model) : null);
+    if (violation !== null) return { stateCount: seen.size, violation };
     for (const candidate of next) {
       const key = JSON.stringify(candidate);
       if (seen.has(key)) continue;
@@ -186,5 +190,5 @@
       frontier.push(candidate);
     }
   }
-  return { worlds: seen.size, broken: null };
+  return { stateCount: seen.size, violation: null };
 };
