--- a/packages/proxy/src/client-response-writer.ts
+++ b/packages/proxy/src/client-response-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes the core's answer to one request onto its caller's connection: a problem of our own, a
- * copy or a whole answer as the caller asked for it, or a large answer as it comes.
+ * Writes the core's response to one request onto its client connection: a problem document of the
+ * proxy, a cached or buffered response as the request's conditions select it, or a large response
+ * as a stream.
  */
 import type http from 'node:http';
 import type { Readable } from 'node:stream';
@@ -9,87 +10,116 @@
 import { conditionalResponseOf, stripOriginIdFields } from './conditional-response.js';
 import type { ClientResponse, ClientRequest } from './state.js';
 
-/** Where an answer goes, and what of it depends on who asked. */
+/** Where a response is written, and what its fields depend on. */
 export type ResponseTarget = {
   readonly response: http.ServerResponse;
-  readonly asked: ClientRequest;
-  readonly dialect: WireFormat;
+  readonly clientRequest: ClientRequest;
+  readonly wireFormat: WireFormat;
   /** Fields of this hop. */
   readonly hopFields: Readonly<Record<string, string>>;
 };
 
 type Problem = Extract<ClientResponse['body'], { kind: 'problem' }>;
-type AnswerBody = { readonly body: unknown; readonly size: number; readonly isComplete: boolean };
+type ResponseBody = { readonly body: unknown; readonly size: number; readonly isComplete: boolean };
 
 const originStatusOf = ({ body }: ClientResponse): number | null => {
   if (body.kind === 'problem') return null;
   return body.kind === 'copy' ? body.copy.status : body.answer.status;
 };
 
-const bodyOf = (body: Exclude<ClientResponse['body'], Problem>): AnswerBody =>
+const bodyOf = (body: Exclude<ClientResponse['body'], Problem>): ResponseBody =>
   body.kind === 'copy'
     ? { body: body.copy.body, size: body.copy.sizeBytes, isComplete: true }
     : body.answer;
 
 /**
- * The fields that the one who asked is shown with a status: a peer all, a caller by the dialect.
+ * The header fields sent with a status: a peer gets all of them, a client those of the wire format.
  */
-const shownFields = (
-  { asked, dialect, hopFields }: ResponseTarget,
-  answer: ClientResponse,
+const responseFields = (
+  { clientRequest, wireFormat, hopFields }: ResponseTarget,
+  clientResponse: ClientResponse,
   status: number,
   headers: Headers,
 ): http.OutgoingHttpHeaders => {
-  const vouched = stripOriginIdFields(status, originStatusOf(answer), headers, dialect.stamps);
+  const vouched = stripOriginIdFields(
+    status,
+    originStatusOf(clientResponse),
+    headers,
+    wireFormat.stamps,
+  );
   const { 'reedyard-attempt': _correlation, connection: _connection, ...peerFields } = vouched;
-  const { 'reedyard-spent': _spent, ...callerFields } = peerFields;
-  const retryMs = answer.retryMs ?? null;
-  const shown =
-    asked.via === null
-      ? dialect.clientResponseHeaders({
+  const { 'reedyard-spent': _spent, ...clientFields } = peerFields;
+  const retryMs = clientResponse.retryMs ?? null;
+  const fields =
+    clientRequest.via === null
+      ? wireFormat.clientResponseHeaders({
           status,
-          headers: callerFields,
-          asked: asked.headers,
+          headers: clientFields,
+          asked: clientRequest.headers,
           retryMs,
         })
       : peerFields;
-  return { ...shown, ...hopFields } as http.OutgoingHttpHeaders;
+  return { ...fields, ...hopFields } as http.OutgoingHttpHeaders;
 };
 
-const writeProblem = (target: ResponseTarget, answer: ClientResponse, problem: Problem): void => {
-  const { response, asked } = target;
-  const { status } = answer;
+const writeProblem = (
+  target: ResponseTarget,
+  clientResponse: ClientResponse,
+  problem: Problem,
+): void => {
+  const { response, clientRequest } = target;
+  const { status } = clientResponse;
   const { title, detail, outcome } = problem;
   const text = JSON.stringify({ type: 'about:blank', title, status, detail, outcome });
   const fields = {
-    ...answer.headers,
+    ...clientResponse.headers,
     'content-type': 'application/problem+json',
     'content-length': String(Buffer.byteLength(text)),
   };
-  response.writeHead(status, shownFields(target, answer, status, fields));
-  response.end(asked.method === 'HEAD' ? undefined : text);
+  response.writeHead(status, responseFields(target, clientResponse, status, fields));
+  response.end(clientRequest.method === 'HEAD' ? undefined : text);
 };
 
-const writeWhole = (target: ResponseTarget, answer: ClientResponse, held: AnswerBody): void => {
-  const { response, asked } = target;
-  const { status, headers } = answer;
-  const bodiless = asked.method === 'HEAD' && answer.body.kind === 'attempt';
-  if (bodiless || status === 204 || status === 304) {
-    response.writeHead(status, shownFields(target, answer, status, headers));
+const writeBuffered = (
+  target: ResponseTarget,
+  clientResponse: ClientResponse,
+  buffered: ResponseBody,
+): void => {
+  const { response, clientRequest } = target;
+  const { status, headers } = clientResponse;
+  const hasNoBody = clientRequest.method === 'HEAD' && clientResponse.body.kind === 'attempt';
+  if (hasNoBody || status === 204 || status === 304) {
+    response.writeHead(status, responseFields(target, clientResponse, status, headers));
     response.end();
     return;
   }
-  const shown = conditionalResponseOf(asked.method, asked.headers, status, headers, held.size);
-  response.writeHead(shown.status, shownFields(target, answer, shown.status, shown.headers));
-  const body = (held.body as Buffer).subarray(shown.from, shown.to);
-  response.end(asked.method === 'HEAD' ? undefined : body);
+  const selected = conditionalResponseOf(
+    clientRequest.method,
+    clientRequest.headers,
+    status,
+    headers,
+    buffered.size,
+  );
+  response.writeHead(
+    selected.status,
+    responseFields(target, clientResponse, selected.status, selected.headers),
+  );
+  const body = (buffered.body as Buffer).subarray(selected.from, selected.to);
+  response.end(clientRequest.method === 'HEAD' ? undefined : body);
 };
 
-/** Passes an answer on as it comes; one that was cut must not look like a whole one. */
-const writeStream = (target: ResponseTarget, answer: ClientResponse, body: Readable): void => {
+/**
+ * Forwards a response as it is received. If the stream breaks, the client connection is destroyed,
+ * so that a truncated response can't look complete.
+ */
+const writeStream = (
+  target: ResponseTarget,
+  clientResponse: ClientResponse,
+  body: Readable,
+): void => {
   const { response } = target;
-  const { status, headers } = answer;
-  response.writeHead(status, shownFields(target, answer, status, headers));
+  const { status, headers } = clientResponse;
+  response.writeHead(status, responseFields(target, clientResponse, status, headers));
   body.on('error', () => response.destroy());
   body.on('aborted', () => response.destroy());
   if (body.destroyed) response.destroy();
@@ -97,25 +127,26 @@
 };
 
 /**
- * Writes an answer. Gives the stream that it is passed on from, for as long as it comes; null where
- * all of it was handed over.
+ * Writes a response. Returns the stream that it is forwarded from, or null if it was written
+ * completely.
  *
  * @example
- * const stream = writeAnswer({ response, asked, dialect, hopFields: { via } }, answer);
+ * const stream = writeClientResponse({ response, clientRequest, wireFormat, hopFields: { via } }, clientResponse);
  */
 export const writeClientResponse = (
   target: ResponseTarget,
-  answer: ClientResponse,
+  clientResponse: ClientResponse,
 ): Readable | null => {
   const { response } = target;
-  const held = answer.body.kind === 'problem' ? null : bodyOf(answer.body);
-  const stream = held === null || held.isComplete ? null : (held.body as Readable);
+  const content = clientResponse.body.kind === 'problem' ? null : bodyOf(clientResponse.body);
+  const stream = content === null || content.isComplete ? null : (content.body as Readable);
   if (response.destroyed || response.headersSent) {
     stream?.destroy();
     return null;
   }
-  if (answer.body.kind === 'problem') writeProblem(target, answer, answer.body);
-  else if (held !== null && stream === null) writeWhole(target, answer, held);
-  if (stream !== null) writeStream(target, answer, stream);
+  if (clientResponse.body.kind === 'problem')
+    writeProblem(target, clientResponse, clientResponse.body);
+  else if (content !== null && stream === null) writeBuffered(target, clientResponse, content);
+  if (stream !== null) writeStream(target, clientResponse, stream);
   return stream;
 };
--- a/packages/proxy/src/conditional-response.ts
+++ b/packages/proxy/src/conditional-response.ts
@@ -1,65 +1,67 @@
-/** How a kept object answers a request: complete, a part of it, or not modified (RFC 9110). */
+/** Conditional and range requests on a buffered response (RFC 9110). */
 import fresh from 'fresh';
 import parseRange from 'range-parser';
 import type { Headers } from '@reedyard/cache';
 
-/** How a whole answer is shown to one caller: a 304, a part, or all of it. */
+/** What a request receives of a complete response: a 304, a part of the body, or all of it. */
 export type ConditionalResponse = {
   readonly status: number;
   readonly headers: Headers;
+  /** First byte of the body that is sent. */
   readonly from: number;
+  /** End of the part that is sent, exclusive. */
   readonly to: number;
 };
 
-const text = (headers: Headers, name: string): string | undefined => {
+const headerText = (headers: Headers, name: string): string | undefined => {
   const value = headers[name];
   return value === undefined ? undefined : typeof value === 'string' ? value : value.join(', ');
 };
 
 /**
- * Conditional and range requests over an answer that is there whole.
+ * Applies the conditional and range fields of a request to a complete response.
  *
  * @example
- * present('GET', { range: 'bytes=0-1' }, 200, { etag: '"a"' }, 10) // 206, bytes 0 to 2 of 10
+ * conditionalResponseOf('GET', { range: 'bytes=0-1' }, 200, { etag: '"a"' }, 10) // 206, bytes 0 to 2 of 10
  */
 export const conditionalResponseOf = (
   method: string,
-  asked: Headers,
+  requestHeaders: Headers,
   status: number,
   headers: Headers,
   size: number,
 ): ConditionalResponse => {
-  const whole: ConditionalResponse = {
+  const complete: ConditionalResponse = {
     status,
     headers: { ...headers, 'content-length': String(size) },
     from: 0,
     to: size,
   };
-  if (status !== 200 || (method !== 'GET' && method !== 'HEAD')) return whole;
+  if (status !== 200 || (method !== 'GET' && method !== 'HEAD')) return complete;
   const conditions = {
-    'if-none-match': text(asked, 'if-none-match'),
-    'if-modified-since': text(asked, 'if-modified-since'),
+    'if-none-match': headerText(requestHeaders, 'if-none-match'),
+    'if-modified-since': headerText(requestHeaders, 'if-modified-since'),
   };
   if (
     (conditions['if-none-match'] !== undefined || conditions['if-modified-since'] !== undefined) &&
     fresh(conditions, {
-      etag: text(headers, 'etag'),
-      'last-modified': text(headers, 'last-modified'),
+      etag: headerText(headers, 'etag'),
+      'last-modified': headerText(headers, 'last-modified'),
     })
   ) {
     const { 'content-length': _length, 'content-type': _type, ...rest } = headers;
     return { status: 304, headers: rest, from: 0, to: 0 };
   }
-  const range = text(asked, 'range');
-  const ifRange = text(asked, 'if-range');
+  const range = headerText(requestHeaders, 'range');
+  const ifRange = headerText(requestHeaders, 'if-range');
   if (
     method !== 'GET' ||
     range === undefined ||
     (ifRange !== undefined &&
-      ifRange !== text(headers, 'etag') &&
-      ifRange !== text(headers, 'last-modified'))
+      ifRange !== headerText(headers, 'etag') &&
+      ifRange !== headerText(headers, 'last-modified'))
   )
-    return whole;
+    return complete;
   const ranges = parseRange(size, range);
   if (ranges === -1)
     return {
@@ -68,9 +70,9 @@
       from: 0,
       to: 0,
     };
-  // Several ranges may be answered by the whole.
+  // RFC 9110 allows the complete response where several ranges are requested.
   if (ranges === -2 || ranges.type !== 'bytes' || ranges.length !== 1 || ranges[0] === undefined)
-    return whole;
+    return complete;
   const { start, end } = ranges[0];
   return {
     status: 206,
@@ -87,19 +89,22 @@
 const isSuccess = (status: number): boolean => status >= 200 && status < 300;
 
 /**
- * Header fields without the origin's stamps where it gave another status than is shown: it vouches
- * for its own answer, of which a success may be shown whole or in part, and for no other one.
+ * Removes the origin id fields from a response whose status differs from the one that the origin
+ * sent. An origin vouches for its own response alone; a successful one may be sent completely or in
+ * part, with another successful status.
  *
  * @example
- * stamped(416, 200, { seal: 'a', etag: '"b"' }, ['seal']) // { etag: '"b"' }
+ * stripOriginIdFields(416, 200, { seal: 'a', etag: '"b"' }, ['seal']) // { etag: '"b"' }
  */
 export const stripOriginIdFields = (
   status: number,
   originStatus: number | null,
   headers: Headers,
-  stamps: readonly string[],
+  originIdFields: readonly string[],
 ): Headers => {
-  const parts = originStatus !== null && isSuccess(originStatus) && isSuccess(status);
-  if (status === originStatus || parts) return headers;
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => !stamps.includes(name)));
+  const isPartOfSuccess = originStatus !== null && isSuccess(originStatus) && isSuccess(status);
+  if (status === originStatus || isPartOfSuccess) return headers;
+  return Object.fromEntries(
+    Object.entries(headers).filter(([name]) => !originIdFields.includes(name)),
+  );
 };
--- a/packages/proxy/src/response-reader.ts
+++ b/packages/proxy/src/response-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads one HTTP answer of an origin or a peer: whole where it is small, and handed on as it comes
- * where it is large. An answer whose end can't be told from a connection that broke is no answer.
+ * Reads one HTTP response of an origin or a peer: buffers a small one completely and streams a large
+ * one. A response whose end can't be distinguished from a broken connection is unusable.
  */
 import { createHash } from 'node:crypto';
 import type http from 'node:http';
@@ -19,73 +19,78 @@
   'upgrade',
 ]);
 
-const isOwn = (name: string): boolean => name.startsWith('reedyard-');
+const isReedyardField = (name: string): boolean => name.startsWith('reedyard-');
 
 /**
- * Header fields that may be passed on: without those of one hop, those that `connection` names, and
- * the project's own, which only its processes may set.
+ * Header fields that may be forwarded: without hop-by-hop fields, the fields that `connection` names,
+ * and the project's own fields, which only its processes may set.
  *
  * @example
- * passable({ connection: 'x-a', 'x-a': '1', accept: '*' }) // { accept: '*' }
+ * forwardableHeaders({ connection: 'x-a', 'x-a': '1', accept: '*' }) // { accept: '*' }
  */
 export const forwardableHeaders = (
   headers: http.IncomingHttpHeaders,
-  own = false,
+  allowsReedyardFields = false,
 ): Record<string, string | string[]> => {
   const names = String(headers.connection ?? '').split(',');
-  const named = new Set(names.map((name) => name.trim().toLowerCase()));
-  const passed: Record<string, string | string[]> = {};
+  const connectionOptions = new Set(names.map((name) => name.trim().toLowerCase()));
+  const forwarded: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    const dropped = hopByHop.has(name) || named.has(name) || (!own && isOwn(name));
-    if (value !== undefined && !dropped) passed[name] = value;
+    const isDropped =
+      hopByHop.has(name) ||
+      connectionOptions.has(name) ||
+      (!allowsReedyardFields && isReedyardField(name));
+    if (value !== undefined && !isDropped) forwarded[name] = value;
   }
-  return passed;
+  return forwarded;
 };
 
-/** An answer that can be passed on, whole or at its begin. */
+/** A response that can be forwarded: completely, or from its start as a stream. */
 export type ReadResponse = {
   readonly status: number;
   readonly headers: Record<string, string | string[]>;
-  /** A buffer where it is whole, or else the stream of all its bytes. */
+  /** A buffer if the body is complete, otherwise the stream of all its bytes. */
   readonly body: Buffer | http.IncomingMessage;
   readonly size: number;
   readonly isComplete: boolean;
 };
 
-/** Told once, of the first that happens. */
+/**
+ * Receives the outcome. A stream that breaks after `ready` is reported to `unusable` as well.
+ */
 export type ResponseCallbacks = {
-  readonly ready: (answer: ReadResponse) => void;
+  readonly ready: (response: ReadResponse) => void;
   readonly unusable: (why: string, message: string, cause?: unknown) => void;
 };
 
-const lengthKnown = (method: string, response: http.IncomingMessage): boolean =>
+const isLengthKnown = (method: string, response: http.IncomingMessage): boolean =>
   method === 'HEAD' ||
   response.statusCode === 204 ||
   response.statusCode === 304 ||
   response.headers['content-length'] !== undefined ||
   response.headers['transfer-encoding'] !== undefined;
 
-const digestHolds = (response: http.IncomingMessage, body: Buffer): boolean => {
-  const given = response.headers['content-digest'];
-  if (typeof given !== 'string') return true;
-  const found = /(?:^|,)\s*sha-256=:([A-Za-z0-9+/=]+):/.exec(given);
-  return found === null || createHash('sha256').update(body).digest('base64') === found[1];
+const matchesDigest = (response: http.IncomingMessage, body: Buffer): boolean => {
+  const field = response.headers['content-digest'];
+  if (typeof field !== 'string') return true;
+  const match = /(?:^|,)\s*sha-256=:([A-Za-z0-9+/=]+):/.exec(field);
+  return match === null || createHash('sha256').update(body).digest('base64') === match[1];
 };
 
 /**
- * Reads an answer whole, or hands it on as a stream once it is too large for that.
+ * Reads a response completely, or provides it as a stream once it is too large to buffer.
  *
  * @example
- * readAnswer('GET', response, { ready: pass, unusable: fail });
+ * readResponse('GET', response, { ready: forward, unusable: fail });
  */
 export const readResponse = (
   method: string,
   response: http.IncomingMessage,
   { ready, unusable }: ResponseCallbacks,
 ): void => {
-  if (!lengthKnown(method, response)) {
+  if (!isLengthKnown(method, response)) {
     response.on('error', () => undefined);
-    unusable('no-length', 'the answer tells neither its length nor its end');
+    unusable('no-length', 'the response has neither a content-length nor a transfer-encoding');
     return;
   }
   const status = response.statusCode ?? 0;
@@ -105,11 +110,11 @@
   const onEnd = (): void => {
     const body = Buffer.concat(chunks);
     if (!response.complete) {
-      unusable('short', 'the answer ended before its announced length');
+      unusable('short', 'the response ended before its announced length');
       return;
     }
-    if (!digestHolds(response, body)) {
-      unusable('digest', 'the answer does not match its digest');
+    if (!matchesDigest(response, body)) {
+      unusable('digest', 'the response body does not match its content-digest');
       return;
     }
     ready({ status, headers, body, size, isComplete: true });
