--- a/packages/proxy/src/connection.ts
+++ b/packages/proxy/src/connection.ts
@@ -1,67 +1,69 @@
 /**
  * Decides about one connection to an origin: which attempt it carries, how much of that attempt may
- * have left this process, whose an answer is, and whether the connection may carry another attempt.
- * The shell (conns.ts) reports what it sees on the socket and performs the effects.
+ * have left this process, which attempt a response belongs to, and whether the connection may be
+ * reused. The shell (origin-connections.ts and exchange.ts) reports socket events and performs the
+ * effects.
  *
  * Guarantees:
- * - An answer is delivered to the attempt that the connection carries, or to nobody.
- * - "Nothing was sent" is said only before the first byte of the attempt was handed to the socket.
- * - It rests for another attempt only after the last one was written whole and answered whole by an
- *   answer that was its own, with no byte beyond it, and while neither end has begun to close.
+ * - A response is delivered to the attempt that the connection carries, or is discarded.
+ * - "Nothing was sent" is reported only before the first byte of the attempt is handed to the socket.
+ * - The connection becomes idle for another attempt only after the last request was written
+ *   completely and its own response was received completely, with no surplus byte, and while neither
+ *   end has started to close.
  */
 import type { SendProgress } from '@reedyard/attempts';
 
-/** What ties an answer to the attempt under way. */
+/** What ties a response to the attempt in flight. */
 export type MatchEvidence = {
-  /** Why it can't be this attempt's answer; null where nothing speaks against it. */
-  readonly unsound: string | null;
-  /** It names no request: nothing but its place on the connection ties it to the attempt. */
+  /** Why the response can't belong to the attempt; null if nothing contradicts it. */
+  readonly mismatch: string | null;
+  /** Whether no request id is echoed: only its connection ties the response to the attempt. */
   readonly anonymous: boolean;
 };
 
 /** The attempt that a connection carries. */
-type Carried = {
+type CarriedAttempt = {
   readonly attempt: number;
-  /** `handed`: bytes may have been sent; `written`: all of it was handed to the system. */
+  /** `handed`: bytes may have been sent; `written`: all bytes were passed to the operating system. */
   readonly sent: 'nothing' | 'handed' | 'written';
   readonly answer: 'none' | 'head' | 'delivered';
-  /** ms that the other end lets the connection rest; null where it closes it. */
-  readonly restMs: number | null;
-  readonly unsound: string | null;
+  /** How long the other end keeps the connection idle, in milliseconds; null if it closes it. */
+  readonly keepAliveMs: number | null;
+  readonly mismatch: string | null;
 };
 
-/** What is known of one connection to an origin. */
+/** The state of one connection to an origin. */
 export type Connection = {
   readonly phase: 'idle' | 'busy' | 'closed';
-  /** Attempts that were ever handed to it. */
+  /** Number of attempts of which bytes were handed to the socket. */
   readonly attemptCount: number;
   readonly idleSince: number;
   readonly idleLimitMs: number;
-  readonly carried: Carried | null;
+  readonly carried: CarriedAttempt | null;
 };
 
-/** What happens to the attempt that a connection carries; ignored once it carries another one. */
+/** Events of one attempt, ignored once the connection carries another attempt. */
 export type AttemptEvent = { readonly attempt: number } & (
   | /** The first byte of the attempt is about to be handed to the socket. */
     { readonly kind: 'handing' }
   | { readonly kind: 'written' }
   | {
       readonly kind: 'answer-head';
-      readonly restMs: number | null;
+      readonly keepAliveMs: number | null;
       readonly evidence: MatchEvidence;
     }
-  /** Enough of the answer is there to pass it on: all of it (`whole`), or its begin. */
-  | { readonly kind: 'answer-ready'; readonly whole: boolean; readonly now: number }
-  /** The last byte of an answer that was passed on as it came. */
+  /** Enough of the response was read to forward it: all of it (`isComplete`), or its start. */
+  | { readonly kind: 'answer-ready'; readonly isComplete: boolean; readonly now: number }
+  /** The last byte of a streamed response was read. */
   | { readonly kind: 'answer-ended'; readonly now: number }
-  /** What came can't be passed on as an answer. */
+  /** The received response can't be forwarded. */
   | { readonly kind: 'answer-unusable'; readonly why: string }
-  /** No more of an answer can come. */
+  /** No further part of a response can arrive. */
   | { readonly kind: 'lost'; readonly why: string }
   | { readonly kind: 'abort' }
 );
 
-/** An attempt wants the connection, and takes one that rested for up to `mostIdleMs`. */
+/** An attempt requests the connection, if it was idle for less than `maxIdleMs`. */
 export type AssignEvent = {
   readonly kind: 'assign';
   readonly attempt: number;
@@ -69,32 +71,32 @@
   readonly now: number;
 };
 
-/** What happens to the connection whichever attempt it carries. */
+/** Events of the connection, independent of the attempt that it carries. */
 export type SocketEvent =
   /** Bytes that belong to no attempt. */
   { readonly kind: 'surplus' } | { readonly kind: 'half-closed' } | { readonly kind: 'closed' };
 
-/** What happens to one connection. */
+/** The events of one connection. */
 export type ConnectionEvent = AssignEvent | AttemptEvent | SocketEvent;
 
-/** What the shell has to do. */
+/** What the shell performs. */
 export type ConnectionEffect =
   | { readonly kind: 'send'; readonly attempt: number }
-  /** The connection is not fit for the attempt, of which nothing was sent. */
+  /** The connection can't carry the attempt, of which nothing was sent. */
   | { readonly kind: 'unfit'; readonly attempt: number }
-  | { readonly kind: 'deliver'; readonly attempt: number; readonly unsound: string | null }
+  | { readonly kind: 'deliver'; readonly attempt: number; readonly mismatch: string | null }
   | {
       readonly kind: 'fail';
       readonly attempt: number;
       readonly sent: SendProgress;
       readonly why: string;
     }
-  /** An answer that was passed on as it came ended early: its reader must not take it for whole. */
+  /** A streamed response ended early: its reader must not mistake it for a complete one. */
   | { readonly kind: 'cut'; readonly attempt: number }
   | { readonly kind: 'rest' }
   | { readonly kind: 'destroy' };
 
-/** A step of the connection. */
+/** The result of one event: the next state, and the effects in order. */
 export type ConnectionStep = {
   readonly state: Connection;
   readonly effects: readonly ConnectionEffect[];
@@ -102,7 +104,7 @@
 
 const unchanged = (state: Connection): ConnectionStep => ({ state, effects: [] });
 
-const destroyed = (
+const destroyConnection = (
   state: Connection,
   before: readonly ConnectionEffect[] = [],
 ): ConnectionStep => ({
@@ -110,84 +112,87 @@
   effects: [...before, { kind: 'destroy' }],
 });
 
-/** What an attempt learns of a connection that ends under it. */
-const lossOf = (carried: Carried, why: string): readonly ConnectionEffect[] => {
+/** What is reported to an attempt whose connection ends. */
+const lossEffectsOf = (carried: CarriedAttempt, why: string): readonly ConnectionEffect[] => {
   const { attempt, answer, sent } = carried;
   if (answer === 'delivered') return [{ kind: 'cut', attempt }];
   return [{ kind: 'fail', attempt, sent: sent === 'nothing' ? 'nothing' : 'maybe', why }];
 };
 
-const lost = (state: Connection, why: string): ConnectionStep =>
-  destroyed(state, state.carried === null ? [] : lossOf(state.carried, why));
+const loseConnection = (state: Connection, why: string): ConnectionStep =>
+  destroyConnection(state, state.carried === null ? [] : lossEffectsOf(state.carried, why));
 
 const assign = (state: Connection, event: AssignEvent): ConnectionStep => {
   const { attempt } = event;
   if (state.phase === 'busy') return { state, effects: [{ kind: 'unfit', attempt }] };
-  const rested = event.now - state.idleSince;
-  const stale = state.attemptCount > 0 && rested >= Math.min(event.maxIdleMs, state.idleLimitMs);
-  if (state.phase === 'closed' || stale) return destroyed(state, [{ kind: 'unfit', attempt }]);
-  const carried: Carried = {
+  const idleMs = event.now - state.idleSince;
+  const isExpired =
+    state.attemptCount > 0 && idleMs >= Math.min(event.maxIdleMs, state.idleLimitMs);
+  if (state.phase === 'closed' || isExpired)
+    return destroyConnection(state, [{ kind: 'unfit', attempt }]);
+  const carried: CarriedAttempt = {
     attempt,
     sent: 'nothing',
     answer: 'none',
-    restMs: null,
-    unsound: null,
+    keepAliveMs: null,
+    mismatch: null,
   };
   return { state: { ...state, phase: 'busy', carried }, effects: [{ kind: 'send', attempt }] };
 };
 
-/** After an answer that ended: the connection rests, or goes. */
-const finish = (state: Connection, carried: Carried, now: number): ConnectionStep => {
-  const fit = carried.sent === 'written' && carried.restMs !== null && carried.unsound === null;
-  if (!fit) return destroyed(state);
-  const rested: Connection = {
+/** Makes the connection idle after the end of a response, or destroys it if it can't be reused. */
+const finish = (state: Connection, carried: CarriedAttempt, now: number): ConnectionStep => {
+  const isReusable =
+    carried.sent === 'written' && carried.keepAliveMs !== null && carried.mismatch === null;
+  if (!isReusable) return destroyConnection(state);
+  const idle: Connection = {
     ...state,
     phase: 'idle',
     idleSince: now,
-    idleLimitMs: carried.restMs ?? 0,
+    idleLimitMs: carried.keepAliveMs ?? 0,
     carried: null,
   };
-  return { state: rested, effects: [{ kind: 'rest' }] };
+  return { state: idle, effects: [{ kind: 'rest' }] };
 };
 
-const answerHead = (
+const responseHeadRead = (
   state: Connection,
-  carried: Carried,
+  carried: CarriedAttempt,
   event: Extract<AttemptEvent, { kind: 'answer-head' }>,
 ): ConnectionStep => {
-  // It can only be the answer to something else where nothing was sent, or where it is the second.
-  if (carried.sent === 'nothing') return lost(state, 'unasked');
-  if (carried.answer !== 'none') return lost(state, 'surplus');
-  const { unsound, anonymous } = event.evidence;
-  const doubt = anonymous && state.attemptCount > 1 ? 'unmarked' : null;
-  const next: Carried = {
+  // Before anything was sent, or after a first response, it can't belong to this attempt.
+  if (carried.sent === 'nothing') return loseConnection(state, 'unasked');
+  if (carried.answer !== 'none') return loseConnection(state, 'surplus');
+  const { mismatch, anonymous } = event.evidence;
+  const missingId = anonymous && state.attemptCount > 1 ? 'unmarked' : null;
+  const next: CarriedAttempt = {
     ...carried,
     answer: 'head',
-    restMs: event.restMs,
-    unsound: unsound ?? doubt,
+    keepAliveMs: event.keepAliveMs,
+    mismatch: mismatch ?? missingId,
   };
   return unchanged({ ...state, carried: next });
 };
 
-const answerReady = (
+const responseReady = (
   state: Connection,
-  carried: Carried,
+  carried: CarriedAttempt,
   event: Extract<AttemptEvent, { kind: 'answer-ready' }>,
 ): ConnectionStep => {
   if (carried.answer !== 'head') return unchanged(state);
-  const { attempt, unsound } = carried;
-  const delivered: ConnectionEffect = { kind: 'deliver', attempt, unsound };
-  if (!event.whole) {
+  const { attempt, mismatch } = carried;
+  const delivery: ConnectionEffect = { kind: 'deliver', attempt, mismatch };
+  if (!event.isComplete) {
     return {
       state: { ...state, carried: { ...carried, answer: 'delivered' } },
-      effects: [delivered],
+      effects: [delivery],
     };
   }
   const { state: next, effects } = finish(state, carried, event.now);
-  return { state: next, effects: [delivered, ...effects] };
+  return { state: next, effects: [delivery, ...effects] };
 };
 
-const handing = (state: Connection, carried: Carried): ConnectionStep => {
+const handing = (state: Connection, carried: CarriedAttempt): ConnectionStep => {
   if (carried.sent !== 'nothing') return unchanged(state);
   return unchanged({
     ...state,
@@ -196,37 +201,41 @@
   });
 };
 
-const written = (state: Connection, carried: Carried): ConnectionStep => {
+const written = (state: Connection, carried: CarriedAttempt): ConnectionStep => {
   if (carried.sent !== 'handed') return unchanged(state);
   return unchanged({ ...state, carried: { ...carried, sent: 'written' } });
 };
 
-const answerEnded = (state: Connection, carried: Carried, now: number): ConnectionStep =>
+const responseEnded = (state: Connection, carried: CarriedAttempt, now: number): ConnectionStep =>
   carried.answer === 'delivered' ? finish(state, carried, now) : unchanged(state);
 
-const onAttempt = (state: Connection, carried: Carried, event: AttemptEvent): ConnectionStep => {
+const handleAttemptEvent = (
+  state: Connection,
+  carried: CarriedAttempt,
+  event: AttemptEvent,
+): ConnectionStep => {
   switch (event.kind) {
     case 'handing':
       return handing(state, carried);
     case 'written':
       return written(state, carried);
     case 'answer-head':
-      return answerHead(state, carried, event);
+      return responseHeadRead(state, carried, event);
     case 'answer-ready':
-      return answerReady(state, carried, event);
+      return responseReady(state, carried, event);
     case 'answer-ended':
-      return answerEnded(state, carried, event.now);
+      return responseEnded(state, carried, event.now);
     case 'answer-unusable':
     case 'lost':
-      return lost(state, event.why);
+      return loseConnection(state, event.why);
     case 'abort':
-      return destroyed(state);
+      return destroyConnection(state);
   }
 };
 
 /** The reducer of a connection to an origin. */
 export const Connections = {
-  /** A connection that was opened (and proved, where origins prove who they are) at `now`. */
+  /** A connection that was opened at `now`, and verified where the wire format requires it. */
   opened: (now: number): Connection => ({
     phase: 'idle',
     attemptCount: 0,
@@ -239,9 +248,10 @@
   reduce: (state: Connection, event: ConnectionEvent): ConnectionStep => {
     if (event.kind === 'assign') return assign(state, event);
     if (state.phase === 'closed') return unchanged(state);
-    if (!('attempt' in event)) return lost(state, event.kind === 'surplus' ? 'surplus' : 'cut');
+    if (!('attempt' in event))
+      return loseConnection(state, event.kind === 'surplus' ? 'surplus' : 'cut');
     const { carried } = state;
     if (carried === null || carried.attempt !== event.attempt) return unchanged(state);
-    return onAttempt(state, carried, event);
+    return handleAttemptEvent(state, carried, event);
   },
 } as const;
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt over one connection: sends the request, reads its answer, and reports both to the
- * connection's reducer (connection.ts), whose effects it performs. Node's HTTP client repeats
- * nothing by itself; nor does this.
+ * One attempt over one connection: sends the request, reads its response, and reports both to the
+ * connection's reducer (connection.ts), whose effects it performs. Neither Node's HTTP client nor
+ * this module sends a request again.
  */
 import http from 'node:http';
 import type net from 'node:net';
@@ -20,7 +20,7 @@
 import { readResponse, type ReadResponse } from './response-reader.js';
 import type { AttemptResponse } from './state.js';
 
-/** An attempt that brought no sound answer. */
+/** An attempt without a usable response. */
 export class AttemptError extends CodedError {
   constructor(
     readonly sent: SendProgress,
@@ -38,45 +38,45 @@
   readonly path: string;
   readonly headers: Record<string, string | string[]>;
   readonly body: Buffer;
-  /** Whether it may be run again. */
+  /** Whether the request may be executed more than once. */
   readonly safe: boolean;
 };
 
-/** An attempt under way, and how to break it off. */
+/** An attempt in flight that can be aborted. */
 export type InFlightAttempt = { readonly abort: () => void };
 
-/** How an attempt ends: one of the two is called, once, and never before `send` has returned. */
+/** How an attempt ends: one of the two is called, once, and never before the send method returns. */
 export type AttemptCallbacks = {
-  readonly done: (answer: AttemptResponse) => void;
+  readonly done: (response: AttemptResponse) => void;
   readonly fail: (error: AttemptError) => void;
 };
 
-/** What an answer's status and fields show. */
-export type ResponseJudgement = {
+/** What the status and the header fields of a response show. */
+export type ResponseAssessment = {
   readonly evidence: MatchEvidence;
-  readonly proof?: OriginEvidence;
+  readonly originEvidence?: OriginEvidence;
 };
 
-/** A socket, the state of its connection, and the agent that sends over it alone. */
+/** A socket, the state of its connection, and an HTTP agent that uses no other socket. */
 export class OpenConnection {
   state: Connection;
-  /** Bytes read when the last answer ended; more of them are surplus. */
+  /** Bytes read when the last response ended; any further bytes are surplus. */
   bytesReadAtRest: number;
   readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
-  #given = false;
+  #isSocketTaken = false;
 
   constructor(readonly socket: net.Socket) {
     this.state = Connections.opened(performance.now());
     this.bytesReadAtRest = socket.bytesRead;
-    const once = { createConnection: (): net.Socket => this.#give() };
-    Object.assign(this.agent, once);
+    const override = { createConnection: (): net.Socket => this.#takeSocket() };
+    Object.assign(this.agent, override);
   }
 
-  /** Whether it may be handed an attempt without waiting. */
+  /** Whether the connection is open and has no unread or surplus bytes. */
   get isQuiet(): boolean {
     const { bytesRead, readable, readableLength, writable } = this.socket;
-    const open = readable && writable;
-    return open && bytesRead === this.bytesReadAtRest && readableLength === 0;
+    const isOpen = readable && writable;
+    return isOpen && bytesRead === this.bytesReadAtRest && readableLength === 0;
   }
 
   reduce(event: ConnectionEvent): readonly ConnectionEffect[] {
@@ -85,84 +85,92 @@
     return step.effects;
   }
 
-  /** The agent gets this socket and never another one: nothing is sent again behind our back. */
-  #give(): net.Socket {
-    if (this.#given) throw new Error('this connection is closed');
-    this.#given = true;
+  /**
+   * Gives the agent this socket once, and never another one, so that Node can't send a request again
+   * over a new connection.
+   */
+  #takeSocket(): net.Socket {
+    if (this.#isSocketTaken) throw new Error('this connection is closed');
+    this.#isSocketTaken = true;
     return this.socket;
   }
 }
 
-const parsedRestMs = (headers: http.IncomingHttpHeaders): number => {
-  const told = /timeout=(\d+)/i.exec(String(headers['keep-alive'] ?? ''))?.[1];
-  if (told === undefined) return idleConnectionMs;
-  const kept = Number(told) * 1_000 - idleCloseMarginMs;
-  return Math.min(idleConnectionMs, Math.max(0, kept));
+const announcedKeepAliveMs = (headers: http.IncomingHttpHeaders): number => {
+  const announcedSeconds = /timeout=(\d+)/i.exec(String(headers['keep-alive'] ?? ''))?.[1];
+  if (announcedSeconds === undefined) return idleConnectionMs;
+  const usableMs = Number(announcedSeconds) * 1_000 - idleCloseMarginMs;
+  return Math.min(idleConnectionMs, Math.max(0, usableMs));
 };
 
-/** ms that the other end lets a connection rest, less what a message may take; null: it closes. */
-const restOf = (headers: http.IncomingHttpHeaders): number | null =>
-  /\bclose\b/i.test(headers.connection ?? '') ? null : parsedRestMs(headers);
+/**
+ * How long the other end keeps a connection idle, less a margin for a message in transit, in
+ * milliseconds; null if it closes the connection.
+ */
+const keepAliveMsOf = (headers: http.IncomingHttpHeaders): number | null =>
+  /\bclose\b/i.test(headers.connection ?? '') ? null : announcedKeepAliveMs(headers);
 
-/** What one attempt needs of its surroundings. */
+/** The connection, request and callbacks of one attempt. */
 export type ExchangeOptions = AttemptCallbacks & {
   readonly connection: OpenConnection;
-  readonly out: OutgoingRequest;
+  readonly outgoing: OutgoingRequest;
   readonly attempt: number;
-  readonly judge: (response: http.IncomingMessage) => ResponseJudgement;
-  /** The connection may carry another attempt. */
+  readonly assessResponse: (response: http.IncomingMessage) => ResponseAssessment;
+  /** Called when the connection may carry another attempt. */
   readonly rest: () => void;
 };
 
 /** One attempt over a connection that was assigned to it. */
 export class Exchange {
-  #ready: AttemptResponse | null = null;
+  #readyResponse: AttemptResponse | null = null;
   #request: http.ClientRequest | null = null;
   #response: http.IncomingMessage | null = null;
-  #judgement: ResponseJudgement | null = null;
-  #failure: { readonly message: string; readonly cause?: unknown } = { message: 'broken off' };
-  /** Bytes behind the answer that came with its last ones. */
+  #assessment: ResponseAssessment | null = null;
+  #failure: { readonly message: string; readonly cause?: unknown } = {
+    message: 'the attempt was aborted',
+  };
+  /** Whether surplus bytes arrived together with the end of the response. */
   #surplus = false;
 
-  constructor(private readonly parts: ExchangeOptions) {}
+  constructor(private readonly options: ExchangeOptions) {}
 
   start(): void {
-    const { connection, out } = this.parts;
+    const { connection, outgoing } = this.options;
     let request: http.ClientRequest;
     try {
       const { agent } = connection;
-      const { method, path, headers } = out;
+      const { method, path, headers } = outgoing;
       request = http.request({ agent, method, path, headers, setHost: false });
     } catch (thrown) {
-      this.#lose('connect', thrown);
+      this.#reportLoss('connect', thrown);
       return;
     }
-    const { attempt } = this.parts;
+    const { attempt } = this.options;
     this.#request = request;
-    request.on('response', (response) => this.#answer(response));
-    request.on('error', (error) => this.#requestFailed(error));
-    request.on('close', () => this.#requestClosed());
+    request.on('response', (response) => this.#handleResponse(response));
+    request.on('error', (error) => this.#handleRequestError(error));
+    request.on('close', () => this.#handleRequestClose());
     this.#dispatch({ kind: 'handing', attempt });
     try {
-      request.end(out.body);
+      request.end(outgoing.body);
     } catch (thrown) {
-      this.#lose('cut', thrown);
+      this.#reportLoss('cut', thrown);
     }
   }
 
   abort(): void {
-    this.#dispatch({ kind: 'abort', attempt: this.parts.attempt });
+    this.#dispatch({ kind: 'abort', attempt: this.options.attempt });
   }
 
-  #answer(response: http.IncomingMessage): void {
+  #handleResponse(response: http.IncomingMessage): void {
     this.#response = response;
-    this.#judgement = this.parts.judge(response);
-    const restMs = restOf(response.headers);
-    const { attempt, out } = this.parts;
-    const { evidence } = this.#judgement;
-    this.#dispatch({ kind: 'answer-head', attempt, restMs, evidence });
-    readResponse(out.method, response, {
-      ready: (answer) => this.#readyAnswer(response, answer),
+    this.#assessment = this.options.assessResponse(response);
+    const keepAliveMs = keepAliveMsOf(response.headers);
+    const { attempt, outgoing } = this.options;
+    const { evidence } = this.#assessment;
+    this.#dispatch({ kind: 'answer-head', attempt, keepAliveMs, evidence });
+    readResponse(outgoing.method, response, {
+      ready: (readResult) => this.#handleReady(response, readResult),
       unusable: (why, message, cause) => {
         this.#failure = { message, cause };
         this.#dispatch({ kind: 'answer-unusable', attempt, why });
@@ -170,60 +178,65 @@
     });
   }
 
-  #readyAnswer(response: http.IncomingMessage, answer: ReadResponse): void {
-    const proof = this.#judgement?.proof;
-    this.#ready = { ...answer, ...(proof === undefined ? {} : { originEvidence: proof }) };
-    if (answer.isComplete) {
-      this.#ended('answer-ready');
+  #handleReady(response: http.IncomingMessage, readResult: ReadResponse): void {
+    const originEvidence = this.#assessment?.originEvidence;
+    this.#readyResponse = {
+      ...readResult,
+      ...(originEvidence === undefined ? {} : { originEvidence }),
+    };
+    if (readResult.isComplete) {
+      this.#handleEnd('answer-ready');
       return;
     }
-    response.once('end', () => this.#ended('answer-ended'));
-    const { attempt } = this.parts;
-    this.#dispatch({ kind: 'answer-ready', attempt, whole: false, now: performance.now() });
+    response.once('end', () => this.#handleEnd('answer-ended'));
+    const { attempt } = this.options;
+    this.#dispatch({ kind: 'answer-ready', attempt, isComplete: false, now: performance.now() });
   }
 
-  #ended(kind: 'answer-ready' | 'answer-ended'): void {
-    const { attempt, connection } = this.parts;
+  #handleEnd(kind: 'answer-ready' | 'answer-ended'): void {
+    const { attempt, connection } = this.options;
     connection.bytesReadAtRest = connection.socket.bytesRead;
     if (this.#request?.writableFinished === true) this.#dispatch({ kind: 'written', attempt });
-    this.#dispatch({ kind, attempt, whole: true, now: performance.now() });
+    this.#dispatch({ kind, attempt, isComplete: true, now: performance.now() });
     if (this.#surplus) this.#dispatch({ kind: 'surplus' });
   }
 
-  #requestFailed(error: Error): void {
-    // The answer is whole though its last part was not handed up yet: the rest is surplus.
+  #handleRequestError(error: Error): void {
+    // The response is complete, but its last part was not emitted yet: further bytes are surplus.
     if (this.#response?.complete === true) {
       this.#surplus = true;
       return;
     }
-    this.#lose('cut', error);
+    this.#reportLoss('cut', error);
   }
 
-  /** Comes also where the other end switched protocols, which brings neither answer nor error. */
-  #requestClosed(): void {
-    if (this.#response?.complete !== true) this.#lose('cut', new Error('closed without answer'));
+  /** Also handles an other end that switched protocols, which emits neither response nor error. */
+  #handleRequestClose(): void {
+    if (this.#response?.complete !== true)
+      this.#reportLoss('cut', new Error('the connection closed without a complete response'));
   }
 
-  #lose(why: string, cause: unknown): void {
+  #reportLoss(why: string, cause: unknown): void {
     this.#failure = { message: errorMessage(cause), cause };
-    this.#dispatch({ kind: 'lost', attempt: this.parts.attempt, why });
+    this.#dispatch({ kind: 'lost', attempt: this.options.attempt, why });
   }
 
   #dispatch(event: ConnectionEvent): void {
-    for (const effect of this.parts.connection.reduce(event)) this.#perform(effect);
+    for (const effect of this.options.connection.reduce(event)) this.#perform(effect);
   }
 
   #perform(effect: ConnectionEffect): void {
-    const { connection, done, fail, rest } = this.parts;
+    const { connection, done, fail, rest } = this.options;
     switch (effect.kind) {
       case 'deliver':
-        if (this.#ready !== null) done(this.#withUnsound(this.#ready, effect.unsound));
+        if (this.#readyResponse !== null)
+          done(this.#withMismatch(this.#readyResponse, effect.mismatch));
         return;
       case 'fail':
         fail(new AttemptError(effect.sent, effect.why, this.#failure.message, this.#failure));
         return;
       case 'cut':
-        this.#response?.destroy(new Error('the answer was cut short'));
+        this.#response?.destroy(new Error('the response was cut short'));
         return;
       case 'rest':
         rest();
@@ -237,11 +250,11 @@
     }
   }
 
-  /** What the connection knows against an answer goes with what its fields prove. */
-  #withUnsound(answer: AttemptResponse, unsound: string | null): AttemptResponse {
-    const { originEvidence: proof } = answer;
-    return proof === undefined || unsound === null
-      ? answer
-      : { ...answer, originEvidence: { ...proof, mismatch: unsound } };
+  /** Adds the connection's mismatch to the evidence of the response's own fields. */
+  #withMismatch(response: AttemptResponse, mismatch: string | null): AttemptResponse {
+    const { originEvidence } = response;
+    return originEvidence === undefined || mismatch === null
+      ? response
+      : { ...response, originEvidence: { ...originEvidence, mismatch } };
   }
 }
--- a/packages/proxy/src/node-http-client.test.ts
+++ b/packages/proxy/src/node-http-client.test.ts
@@ -11,14 +11,15 @@
 import { waitUntil } from './testing/proxy-harness.js';
 
 /**
- * What the proxy relies on: Node's HTTP client and its agent send a request once, or not at all.
+ * Starts an origin and a client of Node. These tests verify what the proxy relies on: Node's HTTP
+ * client and its agent send a request at most once.
  */
-const start = async (
+const startOrigin = async (
   t: ExecutionContext,
   script: Script,
 ): Promise<{
   readonly origin: ScriptedOrigin;
-  readonly ask: (path: string) => Promise<string>;
+  readonly send: (path: string) => Promise<string>;
 }> => {
   const origin = await startScriptedOrigin(script);
   const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
@@ -26,7 +27,7 @@
     agent.destroy();
     await origin.close();
   });
-  const ask = (path: string): Promise<string> =>
+  const send = (path: string): Promise<string> =>
     new Promise((resolve) => {
       const options = { agent, host: '127.0.0.1', port: origin.port, method: 'POST', path };
       const request = http.request(options, (response) => {
@@ -39,47 +40,47 @@
       );
       request.end('pay');
     });
-  return { origin, ask };
+  return { origin, send };
 };
 
 const paths = (origin: ScriptedOrigin): readonly string[] =>
   origin.requests.map(({ path }) => path);
 
-const answerPaths: Script = (request, socket) => {
+const respondWithPath: Script = (request, socket) => {
   socket.write(responseBytes(200, {}, request.path));
 };
 
-test('Node repeats nothing: a reset, a close or a half-close after the request', async (t) => {
-  const ends: readonly Script[] = [
+test('Node does not retry a request after which the connection is reset, closed or half-closed', async (t) => {
+  const closures: readonly Script[] = [
     (_request, socket) => socket.resetAndDestroy(),
     (_request, socket) => socket.destroy(),
     (_request, socket) => socket.end(),
   ];
-  for (const script of ends) {
-    const { origin, ask } = await start(t, script);
-    t.is(await ask('/1'), 'ECONNRESET');
+  for (const script of closures) {
+    const { origin, send } = await startOrigin(t, script);
+    t.is(await send('/1'), 'ECONNRESET');
     t.deepEqual(paths(origin), ['/1']);
     t.is(origin.sockets.length, 1);
   }
 });
 
-test('Node repeats nothing: a resting connection that is reset as the next request is sent', async (t) => {
-  const { origin, ask } = await start(t, answerPaths);
-  t.is(await ask('/1'), '200');
-  // The reset is on its way when the request is handed to the socket: this process reads it later.
-  const [resting] = origin.sockets;
-  resting?.removeAllListeners('data');
-  resting?.resetAndDestroy();
-  const outcome = await ask('/2');
+test('Node does not retry a request if its idle connection is reset while it is sent', async (t) => {
+  const { origin, send } = await startOrigin(t, respondWithPath);
+  t.is(await send('/1'), '200');
+  // The reset is in transit when the request is handed to the socket: this process reads it later.
+  const [idle] = origin.sockets;
+  idle?.removeAllListeners('data');
+  idle?.resetAndDestroy();
+  const outcome = await send('/2');
   t.true(['ECONNRESET', 'EPIPE', '200'].includes(outcome), outcome);
   t.deepEqual(paths(origin), outcome === '200' ? ['/1', '/2'] : ['/1']);
 });
 
-test('Node repeats nothing: after `Connection: close` the next request gets a new connection', async (t) => {
-  const { origin, ask } = await start(t, (request, socket) => {
+test('Node sends the next request over a new connection after `Connection: close`', async (t) => {
+  const { origin, send } = await startOrigin(t, (request, socket) => {
     socket.end(responseBytes(200, { connection: 'close' }, request.path));
   });
-  t.deepEqual([await ask('/1'), await ask('/2')], ['200', '200']);
+  t.deepEqual([await send('/1'), await send('/2')], ['200', '200']);
   t.deepEqual(
     origin.requests.map(({ path, connection }) => [path, connection]),
     [
@@ -89,22 +90,22 @@
   );
 });
 
-test('Node repeats nothing: of two requests the one that waits is sent once, over a new connection', async (t) => {
-  const { origin, ask } = await start(t, (request, socket) => {
+test('Node sends a waiting request once, over a new connection, if the connection is reset', async (t) => {
+  const { origin, send } = await startOrigin(t, (request, socket) => {
     if (request.path === '/1') socket.resetAndDestroy();
-    else answerPaths(request, socket);
+    else respondWithPath(request, socket);
   });
-  t.deepEqual(await Promise.all([ask('/1'), ask('/2')]), ['ECONNRESET', '200']);
+  t.deepEqual(await Promise.all([send('/1'), send('/2')]), ['ECONNRESET', '200']);
   t.deepEqual(paths(origin), ['/1', '/2']);
 });
 
-test('Node takes bytes behind a whole answer for no answer', async (t) => {
-  const { origin, ask } = await start(t, (request, socket) => {
-    const own = responseBytes(200, {}, request.path);
-    socket.write(request.path === '/1' ? own + responseBytes(500, {}, 'surplus') : own);
+test('Node ignores surplus bytes after a complete response', async (t) => {
+  const { origin, send } = await startOrigin(t, (request, socket) => {
+    const response = responseBytes(200, {}, request.path);
+    socket.write(request.path === '/1' ? response + responseBytes(500, {}, 'surplus') : response);
   });
-  t.is(await ask('/1'), '200');
+  t.is(await send('/1'), '200');
   await waitUntil(() => origin.sockets[0]?.closed === true);
-  t.is(await ask('/2'), '200');
+  t.is(await send('/2'), '200');
   t.deepEqual(paths(origin), ['/1', '/2']);
 });
--- a/packages/proxy/src/origin-connections.test.ts
+++ b/packages/proxy/src/origin-connections.test.ts
@@ -5,7 +5,7 @@
 import { OriginConnections } from './origin-connections.js';
 import { reedyardWireFormat } from './wire-format.js';
 
-test('an attempt is not sent over a conn that came too late for what it was decided on', async (t) => {
+test('an attempt is not sent if its connection opens after the send deadline', async (t) => {
   const paths: string[] = [];
   const server = http.createServer((request, response) => {
     paths.push(request.url ?? '');
@@ -20,7 +20,7 @@
     server.closeAllConnections();
     server.close();
   });
-  const row = {
+  const origin = {
     service: 's',
     instance: 'i',
     incarnation: 1,
@@ -36,7 +36,7 @@
   const send = (sendBy: number): Promise<string> =>
     new Promise((resolve) => {
       new OriginConnections('127.0.0.1', reedyardWireFormat).sendToOrigin(
-        row,
+        origin,
         {
           method: 'GET',
           path: '/x',
@@ -44,7 +44,7 @@
           body: Buffer.alloc(0),
           safe: true,
         },
-        { origin: row, correlationId: 'm', remainingMs: 1_000, headers: {} },
+        { origin, correlationId: 'm', remainingMs: 1_000, headers: {} },
         { sendBy, fresh: false },
         { done: () => resolve('answered'), fail: (error) => resolve(`${error.why} ${error.sent}`) },
       );
--- a/packages/proxy/src/origin-connections.ts
+++ b/packages/proxy/src/origin-connections.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to origins and peers, each used by one attempt at a time. Whether one may be used
- * again is decided in connection.ts; an attempt over it is made in exchange.ts.
+ * The pool of connections to origins and peers, each used by one attempt at a time. The reducer in
+ * connection.ts decides whether a connection may be reused; exchange.ts performs an attempt over it.
  */
 import http from 'node:http';
 import net from 'node:net';
@@ -15,7 +15,7 @@
   type AttemptCallbacks,
   AttemptError,
   Exchange,
-  type ResponseJudgement,
+  type ResponseAssessment,
   OpenConnection,
   type OutgoingRequest,
   type InFlightAttempt,
@@ -23,50 +23,55 @@
 
 export {
   AttemptError,
-  type AttemptCallbacks as AttemptEnds,
-  type OutgoingRequest as Outgoing,
-  type InFlightAttempt as Underway,
+  type AttemptCallbacks,
+  type OutgoingRequest,
+  type InFlightAttempt,
 } from './exchange.js';
 
 const IDENTITY_PATH = '/.well-known/reedyard-identity';
-/** bytes. A proof of identity is a few names. */
-const LARGEST_PROOF = 4_096;
+/** Maximum size of an identity reply, which consists of a few names, in bytes. */
+const MAX_IDENTITY_BYTES = 4_096;
 
-/** Who is to be reached. */
+/** The origin or peer that an attempt goes to. */
 type Destination = {
-  readonly name: string;
+  /** The key of its connections in the pool. */
+  readonly key: string;
   readonly address: string;
-  /** Who must prove to be there before anything is sent; null where nobody is asked. */
+  /** The origin id that must be verified before anything is sent; null without verification. */
   readonly identity: string | null;
-  readonly judge: (response: http.IncomingMessage) => ResponseJudgement;
+  readonly assessResponse: (response: http.IncomingMessage) => ResponseAssessment;
 };
 
-/** When an attempt may be sent, and over what. */
+/** Until when, and over which connections, an attempt may be sent. */
 export type SendConditions = {
-  /** Nothing of it is sent from this moment on, however long the connection took. */
+  /** Nothing is sent from this time on, however long opening a connection took. */
   readonly sendBy: number;
-  /** Only over a connection that carried nothing before. */
+  /** Whether the attempt needs a connection that has carried nothing before. */
   readonly fresh: boolean;
 };
 
 const splitAddress = (address: string): { readonly host: string; readonly port: number } => {
-  const cut = address.lastIndexOf(':');
-  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+  const separator = address.lastIndexOf(':');
+  return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 };
 
 type Identity = { service?: unknown; instance?: unknown; incarnation?: unknown };
 
-const proves = (status: number | undefined, text: string, expected: string): boolean => {
-  const told = JSON.parse(text) as Identity;
-  const name = `${String(told.service)}/${String(told.instance)}/${String(told.incarnation)}`;
+const isExpectedIdentity = (
+  status: number | undefined,
+  text: string,
+  expected: string,
+): boolean => {
+  const identity = JSON.parse(text) as Identity;
+  const name = `${String(identity.service)}/${String(identity.instance)}/${String(identity.incarnation)}`;
   return status === 200 && name === expected;
 };
 
-/** Another one than was meant is at the address. */
+/** The other end could not be verified as the intended origin. */
 class IdentityError extends Error {}
 
-/** Asks who is at the other end; resolves once that is whom we expect. */
-const askIdentity = (
+/** Queries the identity of the other end; resolves if it is the expected one. */
+const verifyIdentity = (
   connection: OpenConnection,
   { address, identity }: Destination,
 ): Promise<void> =>
@@ -78,13 +83,14 @@
       response.setEncoding('utf8');
       response.on('data', (chunk: string) => {
         text += chunk;
-        if (text.length > LARGEST_PROOF) reject(new IdentityError('an oversized proof'));
+        if (text.length > MAX_IDENTITY_BYTES)
+          reject(new IdentityError('the identity reply is too large'));
       });
       response.on('error', reject);
       response.on('end', () => {
         try {
-          if (!proves(response.statusCode, text, identity ?? '')) {
-            throw new Error(`another one answers at ${address}`);
+          if (!isExpectedIdentity(response.statusCode, text, identity ?? '')) {
+            throw new Error(`another origin responds at ${address}`);
           }
           resolve();
         } catch (thrown) {
@@ -101,175 +107,198 @@
     setImmediate(resolve);
   });
 
-/** The name under which connections to a peer are kept. */
-export const peerKeyOf = (row: PeerEndpoint): string => `peer ${row.id} ${row.address}`;
+/** The key of connections to a peer in the pool. */
+export const peerKeyOf = (peer: PeerEndpoint): string => `peer ${peer.id} ${peer.address}`;
 
-/** Connections to origins and peers. */
+/** The pool of connections to origins and peers. */
 export class OriginConnections {
   readonly #idle = new Map<string, OpenConnection[]>();
-  #attempts = 0;
+  #attemptCount = 0;
 
   /**
-   * @param from the address that connections go out from
-   * @param dialect how origins are spoken to
+   * @param localAddress the address that connections are opened from
+   * @param wireFormat the header fields exchanged with origins
    */
   constructor(
-    private readonly from: string,
-    private readonly dialect: WireFormat,
+    private readonly localAddress: string,
+    private readonly wireFormat: WireFormat,
   ) {}
 
-  /** Closes resting connections to origins and peers that are no longer told of. */
-  closeIdleExcept(names: ReadonlySet<string>): void {
-    for (const [name, list] of this.#idle) {
-      if (names.has(name)) continue;
-      list.forEach((connection) => connection.socket.destroy());
-      this.#idle.delete(name);
+  /** Closes idle connections to the origins and peers that are not among `keys`. */
+  closeIdleExcept(keys: ReadonlySet<string>): void {
+    for (const [key, connections] of this.#idle) {
+      if (keys.has(key)) continue;
+      connections.forEach((connection) => connection.socket.destroy());
+      this.#idle.delete(key);
     }
   }
 
-  /** Makes one attempt at an origin. */
+  /** Sends one attempt to an origin. */
   sendToOrigin(
-    row: OriginEndpoint,
-    out: OutgoingRequest,
+    origin: OriginEndpoint,
+    outgoing: OutgoingRequest,
     attempt: OriginAttempt,
-    terms: SendConditions,
-    ends: AttemptCallbacks,
+    conditions: SendConditions,
+    callbacks: AttemptCallbacks,
   ): InFlightAttempt {
-    const name = originIdOf(row);
-    const judge = (response: http.IncomingMessage): ResponseJudgement => {
+    const originId = originIdOf(origin);
+    const assessResponse = (response: http.IncomingMessage): ResponseAssessment => {
       const status = response.statusCode ?? 0;
-      const proof = this.dialect.readOriginResponse(status, response.headers, attempt);
-      const { mismatch: unsound, anonymous = false } = proof;
-      return { proof, evidence: { unsound, anonymous } };
+      const originEvidence = this.wireFormat.readOriginResponse(status, response.headers, attempt);
+      const { mismatch, anonymous = false } = originEvidence;
+      return { originEvidence, evidence: { mismatch, anonymous } };
     };
-    const identity = this.dialect.identity === 'asked' ? name : null;
-    return this.#send({ name, address: row.address, identity, judge }, out, terms, ends);
+    const identity = this.wireFormat.identity === 'asked' ? originId : null;
+    return this.#send(
+      { key: originId, address: origin.address, identity, assessResponse },
+      outgoing,
+      conditions,
+      callbacks,
+    );
   }
 
-  /** Hands a request on to a peer. */
+  /** Forwards a request to a peer. */
   sendToPeer(
-    row: PeerEndpoint,
-    out: OutgoingRequest,
-    terms: SendConditions,
-    ends: AttemptCallbacks,
+    peer: PeerEndpoint,
+    outgoing: OutgoingRequest,
+    conditions: SendConditions,
+    callbacks: AttemptCallbacks,
   ): InFlightAttempt {
-    const judge = ({ headers }: http.IncomingMessage): ResponseJudgement => {
-      const foreign = headers['reedyard-attempt'] !== out.headers['reedyard-attempt'];
-      return { evidence: { unsound: foreign ? 'foreign' : null, anonymous: false } };
+    const assessResponse = ({ headers }: http.IncomingMessage): ResponseAssessment => {
+      const isForeign = headers['reedyard-attempt'] !== outgoing.headers['reedyard-attempt'];
+      return { evidence: { mismatch: isForeign ? 'foreign' : null, anonymous: false } };
     };
     return this.#send(
-      { name: peerKeyOf(row), address: row.address, identity: null, judge },
-      out,
-      terms,
-      ends,
+      { key: peerKeyOf(peer), address: peer.address, identity: null, assessResponse },
+      outgoing,
+      conditions,
+      callbacks,
     );
   }
 
   #send(
-    to: Destination,
-    out: OutgoingRequest,
-    terms: SendConditions,
-    ends: AttemptCallbacks,
+    destination: Destination,
+    outgoing: OutgoingRequest,
+    conditions: SendConditions,
+    callbacks: AttemptCallbacks,
   ): InFlightAttempt {
-    this.#attempts += 1;
-    const attempt = this.#attempts;
-    let aborted = false;
+    this.#attemptCount += 1;
+    const attempt = this.#attemptCount;
+    let isAborted = false;
     let exchange: Exchange | null = null;
     const failUnsent = (why: string, cause: unknown): void => {
-      if (!aborted) ends.fail(new AttemptError('nothing', why, errorMessage(cause), { cause }));
+      if (!isAborted)
+        callbacks.fail(new AttemptError('nothing', why, errorMessage(cause), { cause }));
     };
-    const use = (connection: OpenConnection): void => {
-      if (aborted || performance.now() >= terms.sendBy) {
+    const sendOver = (connection: OpenConnection): void => {
+      if (isAborted || performance.now() >= conditions.sendBy) {
         connection.socket.destroy();
-        failUnsent('lease', new Error('the lease ran out before the connection was there'));
+        failUnsent('lease', new Error('the lease expired before the connection was open'));
         return;
       }
-      const rest = (): void => this.#rest(to.name, connection);
-      exchange = new Exchange({ connection, out, attempt, judge: to.judge, rest, ...ends });
+      const rest = (): void => this.#returnToPool(destination.key, connection);
+      exchange = new Exchange({
+        connection,
+        outgoing,
+        attempt,
+        assessResponse: destination.assessResponse,
+        rest,
+        ...callbacks,
+      });
       exchange.start();
     };
     const failOpening = (thrown: unknown): void =>
       failUnsent(thrown instanceof IdentityError ? 'identity' : 'connect', thrown);
     queueMicrotask(() => {
-      const resting = terms.fresh ? undefined : this.#take(to.name, out.safe, attempt);
-      if (resting !== undefined) use(resting);
-      else this.#open(to, attempt).then(use, failOpening);
+      const idle = conditions.fresh
+        ? undefined
+        : this.#takeIdle(destination.key, outgoing.safe, attempt);
+      if (idle !== undefined) sendOver(idle);
+      else this.#open(destination, attempt).then(sendOver, failOpening);
     });
     return {
       abort: () => {
-        aborted = true;
+        isAborted = true;
         exchange?.abort();
       },
     };
   }
 
-  /** A resting connection that is fit for an attempt. */
-  #take(name: string, safe: boolean, attempt: number): OpenConnection | undefined {
-    // One that rested may be closing at the other end: what may not run twice needs a younger one.
-    const mostIdleMs = safe ? idleConnectionMs : minEjectionMs / 2;
-    const list = this.#idle.get(name) ?? [];
-    for (let connection = list.pop(); connection !== undefined; connection = list.pop()) {
+  /** Takes an idle connection that can carry the attempt; undefined if there is none. */
+  #takeIdle(key: string, isIdempotent: boolean, attempt: number): OpenConnection | undefined {
+    // The other end may be about to close an idle connection, so a request that must not be executed
+    // twice needs one that was idle for a shorter time.
+    const maxIdleMs = isIdempotent ? idleConnectionMs : minEjectionMs / 2;
+    const connections = this.#idle.get(key) ?? [];
+    for (
+      let connection = connections.pop();
+      connection !== undefined;
+      connection = connections.pop()
+    ) {
       if (!connection.isQuiet) connection.reduce({ kind: 'surplus' });
       const now = performance.now();
-      const effects = connection.reduce({ kind: 'assign', attempt, maxIdleMs: mostIdleMs, now });
+      const effects = connection.reduce({ kind: 'assign', attempt, maxIdleMs, now });
       if (effects.some((effect) => effect.kind === 'send')) return connection;
       connection.socket.destroy();
     }
     return undefined;
   }
 
-  /** Keeps a connection for the next attempt, once Node is done with the last one. */
-  #rest(name: string, connection: OpenConnection): void {
+  /** Keeps a connection for the next attempt, after Node has finished with the last one. */
+  #returnToPool(key: string, connection: OpenConnection): void {
     setImmediate(() => {
       if (!connection.isQuiet) {
         connection.reduce({ kind: 'surplus' });
         connection.socket.destroy();
         return;
       }
-      const list = this.#idle.get(name) ?? [];
-      list.push(connection);
-      this.#idle.set(name, list);
+      const connections = this.#idle.get(key) ?? [];
+      connections.push(connection);
+      this.#idle.set(key, connections);
     });
   }
 
-  #drop(name: string, connection: OpenConnection): void {
-    const list = this.#idle.get(name) ?? [];
-    const index = list.indexOf(connection);
-    if (index >= 0) list.splice(index, 1);
+  #removeFromPool(key: string, connection: OpenConnection): void {
+    const connections = this.#idle.get(key) ?? [];
+    const index = connections.indexOf(connection);
+    if (index >= 0) connections.splice(index, 1);
   }
 
-  /** Opens a connection; nothing of the attempt is sent before who is there was proved. */
-  async #open(to: Destination, attempt: number): Promise<OpenConnection> {
-    const { name } = to;
-    const socket = net.connect({ ...splitAddress(to.address), localAddress: this.from });
+  /** Opens a connection; nothing of the attempt is sent before the other end is verified. */
+  async #open(destination: Destination, attempt: number): Promise<OpenConnection> {
+    const { key } = destination;
+    const socket = net.connect({
+      ...splitAddress(destination.address),
+      localAddress: this.localAddress,
+    });
     socket.setNoDelay(true);
-    const limitMs = to.identity === null ? plainConnectTimeoutMs : connectTimeoutMs;
-    const late = setTimeout(() => socket.destroy(new Error('no connection in time')), limitMs);
+    const timeoutMs = destination.identity === null ? plainConnectTimeoutMs : connectTimeoutMs;
+    const timer = setTimeout(() => socket.destroy(new Error('connect timeout')), timeoutMs);
     try {
-      const connection = await this.#connected(socket, to);
-      socket.once('close', () => this.#drop(name, connection));
+      const connection = await this.#connect(socket, destination);
+      socket.once('close', () => this.#removeFromPool(key, connection));
       connection.reduce({ kind: 'assign', attempt, maxIdleMs: 0, now: performance.now() });
       return connection;
     } catch (thrown) {
       socket.destroy();
       throw thrown;
     } finally {
-      clearTimeout(late);
+      clearTimeout(timer);
     }
   }
 
-  async #connected(socket: net.Socket, to: Destination): Promise<OpenConnection> {
+  async #connect(socket: net.Socket, destination: Destination): Promise<OpenConnection> {
     await new Promise<void>((resolve, reject) => {
       socket.once('error', reject);
       socket.once('connect', resolve);
     });
     const connection = new OpenConnection(socket);
-    if (to.identity === null) return connection;
-    await askIdentity(connection, to);
+    if (destination.identity === null) return connection;
+    await verifyIdentity(connection, destination);
     connection.bytesReadAtRest = socket.bytesRead;
-    // The agent has to have the socket back first.
+    // The agent must get the socket back before the connection is used.
     await nextEventLoopTurn();
-    if (!connection.isQuiet) throw new Error('closed after its proof');
+    if (!connection.isQuiet) throw new Error('the connection closed after the identity check');
     return connection;
   }
 }
--- a/packages/proxy/src/testing/connection-model.ts
+++ b/packages/proxy/src/testing/connection-model.ts
@@ -1,8 +1,8 @@
 /**
- * A small world around the connection reducer, for a search through all its orders of events: two
- * requests that may not run twice, up to two attempts each, a pool of connections, and an origin
- * that may answer, refuse, stay silent, answer twice, cut an answer short, send bytes that are no
- * answer, close, reset, or be replaced by another one at its address.
+ * A model of connections to an origin around their reducer, for a search through all orders of
+ * events: two requests that must not be executed twice, up to two attempts each, a pool of
+ * connections, and an origin that may respond, refuse, stay unresponsive, respond twice, truncate a
+ * response, send unparsable bytes, close, reset, or be replaced by another origin at its address.
  */
 import { type Attempt, type AttemptResult, decideNextStep } from '@reedyard/attempts';
 import {
@@ -13,129 +13,139 @@
   type ConnectionStep,
 } from '../connection.js';
 
-/** What an origin put on the wire and the proxy has not read yet. */
+/** Bytes that an origin sent and the proxy has not read yet. */
 export type Inbound =
   | {
       readonly kind: 'answer';
       readonly attempt: number;
       readonly notRun: boolean;
-      readonly marked: boolean;
+      /** Whether the response echoes the id of its request. */
+      readonly echoesId: boolean;
     }
   | { readonly kind: 'cut-answer'; readonly attempt: number; readonly streamed: boolean }
   | { readonly kind: 'garbage' }
   | { readonly kind: 'fin' }
   | { readonly kind: 'reset' };
 
-/** One connection as it really is. */
+/** One connection: the proxy's state of it, and what actually happened on it. */
 export type Wire = {
   readonly state: Connection;
   readonly inbound: readonly Inbound[];
-  /** Attempts that reached the origin and were not dealt with yet. */
+  /** Attempts that reached the origin and were not processed yet. */
   readonly atOrigin: readonly number[];
-  /** The last answer that was put on it, which an origin may send again. */
+  /** The last response on the connection, which an origin may send again. */
   readonly last: Extract<Inbound, { kind: 'answer' }> | null;
-  /** Attempts that it carried, in their order. */
+  /** Attempts that the connection carried, in their order. */
   readonly carried: readonly number[];
   readonly originClosed: boolean;
-  /** Whose origin took it: one that was replaced since knows nothing of the old one's requests. */
+  /**
+   * Whether the successor of a replaced origin accepted the connection; it knows nothing of the
+   * requests to its predecessor.
+   */
   readonly toSuccessor: boolean;
-  /** Why it must carry nothing more, as far as the proxy can have seen; null while it may. */
+  /** Why the proxy, by what it has seen, must not reuse the connection; null while it may. */
   readonly tainted: string | null;
 };
 
-/** An attempt as it really went. */
+/** What actually happened to an attempt. */
 export type ModelAttempt = {
   readonly request: number;
   readonly wire: number;
-  /** Whether a byte of it was handed to a socket, and all of it. */
+  /** Whether its first byte was handed to a socket. */
   readonly handed: boolean;
+  /** Whether all of it was written. */
   readonly written: boolean;
   readonly answered: boolean;
-  /** Whether an origin began to work on it. */
+  /** Whether an origin started to execute it. */
   readonly ran: boolean;
   readonly end: AttemptResult | null;
 };
 
-/** The whole world. */
-export type World = {
+/** The complete state of the model. */
+export type Model = {
   readonly wires: readonly Wire[];
   readonly attempts: readonly ModelAttempt[];
-  /** How often each request ran. */
+  /** How often each request was executed. */
   readonly runs: readonly number[];
   readonly duplicates: number;
   readonly garbage: number;
   readonly replaced: boolean;
-  /** The first broken invariant. */
-  readonly broken: string | null;
+  /** The first violated invariant. */
+  readonly violation: string | null;
 };
 
-/** A reducer to search, sound or with a safeguard planted out. */
+/** A reducer to search, correct or with one safeguard removed. */
 export type Reduce = (state: Connection, event: ConnectionEvent) => ConnectionStep;
 
-/** What is searched. */
+/** What a search covers. */
 export type SearchOptions = {
   readonly reduce: Reduce;
-  /** Whether a second attempt of what may not run twice goes over a new connection only. */
-  readonly freshRepeats: boolean;
+  /** Whether a retry of a request that must not be executed twice needs a new connection. */
+  readonly retriesOnNewConnection: boolean;
   readonly bounds: SearchBounds;
 };
 
-/** How much may happen in a search. */
+/** The limits of a search. */
 export type SearchBounds = {
   readonly depth: number;
   readonly requests: number;
   readonly wires: number;
   readonly duplicates: number;
   readonly garbage: number;
-  /** Whether origins cut answers short, close, reset, and are replaced. */
+  /** Whether origins truncate responses, close, reset, and are replaced. */
   readonly closures: boolean;
 };
 
-const MOST_ATTEMPTS_EACH = 2;
+const MAX_ATTEMPTS_PER_REQUEST = 2;
 
-const firstWorld = ({ requests }: SearchBounds): World => ({
+const initialModel = ({ requests }: SearchBounds): Model => ({
   wires: [],
   attempts: [],
   runs: Array.from({ length: requests }, () => 0),
   duplicates: 0,
   garbage: 0,
   replaced: false,
-  broken: null,
+  violation: null,
 });
 
 const withAt = <T>(list: readonly T[], index: number, part: Partial<T>): readonly T[] =>
-  list.map((each, at) => (at === index ? { ...each, ...part } : each));
+  list.map((element, position) => (position === index ? { ...element, ...part } : element));
 
-const breakWith = (world: World, why: string): World =>
-  world.broken === null ? { ...world, broken: why } : world;
+const recordViolation = (model: Model, violation: string): Model =>
+  model.violation === null ? { ...model, violation } : model;
 
-const endAttempt = (world: World, attempt: number, end: AttemptResult): World =>
-  world.attempts[attempt]?.end === null
-    ? { ...world, attempts: withAt(world.attempts, attempt, { end }) }
-    : breakWith(world, `attempt ${attempt} ended twice`);
+const endAttempt = (model: Model, attempt: number, end: AttemptResult): Model =>
+  model.attempts[attempt]?.end === null
+    ? { ...model, attempts: withAt(model.attempts, attempt, { end }) }
+    : recordViolation(model, `attempt ${attempt} ended twice`);
 
-/** The answer that is being read, if any: effects are judged by it. */
+/** The bytes that are being read, if any: effects are checked against them. */
 type Reading = Inbound | null;
 
 const delivered = (
-  world: World,
+  model: Model,
   effect: Extract<ConnectionEffect, { kind: 'deliver' }>,
   reading: Reading,
-): World => {
-  const { attempt, unsound } = effect;
-  if (unsound !== null)
-    return endAttempt(world, attempt, { kind: 'failed', sent: 'maybe', why: unsound });
+): Model => {
+  const { attempt, mismatch } = effect;
+  if (mismatch !== null)
+    return endAttempt(model, attempt, { kind: 'failed', sent: 'maybe', why: mismatch });
   if (reading === null || (reading.kind !== 'answer' && reading.kind !== 'cut-answer')) {
-    return breakWith(world, 'delivered without an answer');
+    return recordViolation(model, 'delivered without a response');
   }
-  const of = world.attempts[reading.attempt]?.request;
-  const to = world.attempts[attempt]?.request;
-  const checked = of === to ? world : breakWith(world, 'an answer went to another request');
+  const respondedRequest = model.attempts[reading.attempt]?.request;
+  const receivingRequest = model.attempts[attempt]?.request;
+  const checked =
+    respondedRequest === receivingRequest
+      ? model
+      : recordViolation(model, 'a response went to another request');
   const notRun = reading.kind === 'answer' && reading.notRun;
   const status = notRun ? 503 : 200;
-  const refused = notRun && world.attempts[attempt]?.ran === true;
-  const honest = refused ? breakWith(checked, 'refused as not run, but it ran') : checked;
-  return endAttempt(honest, attempt, {
+  const isFalseRefusal = notRun && model.attempts[attempt]?.ran === true;
+  const result = isFalseRefusal
+    ? recordViolation(checked, 'refused as not executed, but it was executed')
+    : checked;
+  return endAttempt(result, attempt, {
     kind: 'answered',
     status,
     final: !notRun,
@@ -143,60 +153,67 @@
   });
 };
 
-const failed = (world: World, effect: Extract<ConnectionEffect, { kind: 'fail' }>): World => {
+const failed = (model: Model, effect: Extract<ConnectionEffect, { kind: 'fail' }>): Model => {
   const { attempt, sent, why } = effect;
-  const lied = sent === 'nothing' && world.attempts[attempt]?.handed === true;
-  const checked = lied ? breakWith(world, 'nothing sent was claimed of what was handed on') : world;
+  const isFalseClaim = sent === 'nothing' && model.attempts[attempt]?.handed === true;
+  const checked = isFalseClaim
+    ? recordViolation(model, 'reported as not sent, but bytes were handed to the socket')
+    : model;
   return endAttempt(checked, attempt, { kind: 'failed', sent, why });
 };
 
-const perform = (world: World, wire: number, effect: ConnectionEffect, reading: Reading): World => {
+const perform = (model: Model, wire: number, effect: ConnectionEffect, reading: Reading): Model => {
   switch (effect.kind) {
     case 'deliver':
-      return delivered(world, effect, reading);
+      return delivered(model, effect, reading);
     case 'fail':
-      return failed(world, effect);
+      return failed(model, effect);
     case 'rest': {
-      const last = world.attempts[world.wires[wire]?.carried.at(-1) ?? -1];
-      const clean = last?.written === true && last.answered;
-      return clean ? world : taint(world, wire, 'its last request was not written or answered');
+      const last = model.attempts[model.wires[wire]?.carried.at(-1) ?? -1];
+      const isReusable = last?.written === true && last.answered;
+      return isReusable
+        ? model
+        : markTainted(model, wire, 'its last request was not written or got no response');
     }
     default:
-      return world;
+      return model;
   }
 };
 
-const taint = (world: World, wire: number, why: string): World =>
-  world.wires[wire]?.tainted === null
-    ? { ...world, wires: withAt(world.wires, wire, { tainted: why }) }
-    : world;
+const markTainted = (model: Model, wire: number, why: string): Model =>
+  model.wires[wire]?.tainted === null
+    ? { ...model, wires: withAt(model.wires, wire, { tainted: why }) }
+    : model;
 
 const dispatch = (
-  world: World,
+  model: Model,
   { reduce }: SearchOptions,
   wire: number,
   event: ConnectionEvent,
   reading: Reading = null,
-): { readonly world: World; readonly effects: readonly ConnectionEffect[] } => {
-  const before = world.wires[wire];
-  if (before === undefined) return { world, effects: [] };
+): { readonly model: Model; readonly effects: readonly ConnectionEffect[] } => {
+  const before = model.wires[wire];
+  if (before === undefined) return { model, effects: [] };
   const { state, effects } = reduce(before.state, event);
-  const stepped = { ...world, wires: withAt(world.wires, wire, { state }) };
-  const after = effects.reduce((now, effect) => perform(now, wire, effect, reading), stepped);
-  return { world: checkForgotten(after, wire), effects };
+  const stepped = { ...model, wires: withAt(model.wires, wire, { state }) };
+  const after = effects.reduce(
+    (current, effect) => perform(current, wire, effect, reading),
+    stepped,
+  );
+  return { model: checkForgotten(after, wire), effects };
 };
 
-/** An attempt that its connection carries no more must have ended. */
-const checkForgotten = (world: World, wire: number): World => {
-  const { state, carried = [] } = world.wires[wire] ?? {};
-  const forgotten = carried.some((attempt) => world.attempts[attempt]?.end === null);
-  return state?.carried === null && forgotten
-    ? breakWith(world, 'an attempt was forgotten')
-    : world;
+/** Checks that an attempt which its connection no longer carries has ended. */
+const checkForgotten = (model: Model, wire: number): Model => {
+  const { state, carried = [] } = model.wires[wire] ?? {};
+  const isForgotten = carried.some((attempt) => model.attempts[attempt]?.end === null);
+  return state?.carried === null && isForgotten
+    ? recordViolation(model, 'an attempt was forgotten without a result')
+    : model;
 };
 
-const attemptsOf = (world: World, request: number): readonly Attempt[] =>
-  world.attempts
+const attemptsOf = (model: Model, request: number): readonly Attempt[] =>
+  model.attempts
     .filter((attempt) => attempt.request === request)
     .map((attempt, number) => ({
       number,
@@ -206,36 +223,36 @@
       result: attempt.end,
     }));
 
-const mayOpen = (world: World, request: number): boolean => {
-  const attempts = attemptsOf(world, request);
-  if (attempts.length >= MOST_ATTEMPTS_EACH) return false;
-  const ledger = { safe: false, attempts, now: 0, requestDeadlineAt: 9, hasRetryBudget: true };
-  return decideNextStep(ledger).kind === 'open';
+const mayOpen = (model: Model, request: number): boolean => {
+  const attempts = attemptsOf(model, request);
+  if (attempts.length >= MAX_ATTEMPTS_PER_REQUEST) return false;
+  const situation = { safe: false, attempts, now: 0, requestDeadlineAt: 9, hasRetryBudget: true };
+  return decideNextStep(situation).kind === 'open';
 };
 
-const freshWire = (world: World): Wire => ({
+const newWire = (model: Model): Wire => ({
   state: Connections.opened(0),
   inbound: [],
   atOrigin: [],
   last: null,
   carried: [],
   originClosed: false,
-  toSuccessor: world.replaced,
+  toSuccessor: model.replaced,
   tainted: null,
 });
 
 const assign = (
-  world: World,
+  model: Model,
   options: SearchOptions,
   request: number,
   wire: number,
-): World | null => {
-  const attempt = world.attempts.length;
+): Model | null => {
+  const attempt = model.attempts.length;
   const event: ConnectionEvent = { kind: 'assign', attempt, maxIdleMs: 10, now: 0 };
-  const { world: next, effects } = dispatch(world, options, wire, event);
+  const { model: next, effects } = dispatch(model, options, wire, event);
   if (!effects.some((effect) => effect.kind === 'send')) return null;
-  const used = next.wires[wire];
-  if (used === undefined) return null;
+  const assignedWire = next.wires[wire];
+  if (assignedWire === undefined) return null;
   const opened: ModelAttempt = {
     request,
     wire,
@@ -248,249 +265,273 @@
   const carrying = {
     ...next,
     attempts: [...next.attempts, opened],
-    wires: withAt(next.wires, wire, { carried: [...used.carried, attempt] }),
+    wires: withAt(next.wires, wire, { carried: [...assignedWire.carried, attempt] }),
   };
-  return used.tainted === null ? carrying : breakWith(carrying, `reused although: ${used.tainted}`);
+  return assignedWire.tainted === null
+    ? carrying
+    : recordViolation(carrying, `connection reused although: ${assignedWire.tainted}`);
 };
 
-const openings = (world: World, options: SearchOptions): readonly World[] => {
-  const found: World[] = [];
-  for (let request = 0; request < world.runs.length; request += 1) {
-    // Requests are alike: the first to come is the first.
-    if (request > 0 && attemptsOf(world, request - 1).length === 0) continue;
-    if (!mayOpen(world, request)) continue;
-    const repeat = attemptsOf(world, request).length > 0;
-    world.wires.forEach((wire, index) => {
-      if (repeat && options.freshRepeats) return;
+const openings = (model: Model, options: SearchOptions): readonly Model[] => {
+  const successors: Model[] = [];
+  for (let request = 0; request < model.runs.length; request += 1) {
+    // Requests are interchangeable, so they are opened in the order of their numbers.
+    if (request > 0 && attemptsOf(model, request - 1).length === 0) continue;
+    if (!mayOpen(model, request)) continue;
+    const isRetry = attemptsOf(model, request).length > 0;
+    model.wires.forEach((wire, index) => {
+      if (isRetry && options.retriesOnNewConnection) return;
       if (wire.state.phase !== 'idle') return;
-      const next = assign(world, options, request, index);
-      if (next !== null) found.push(next);
+      const next = assign(model, options, request, index);
+      if (next !== null) successors.push(next);
     });
-    if (world.wires.length >= options.bounds.wires) continue;
-    const wider = { ...world, wires: [...world.wires, freshWire(world)] };
-    const next = assign(wider, options, request, world.wires.length);
-    if (next !== null) found.push(next);
+    if (model.wires.length >= options.bounds.wires) continue;
+    const withNewWire = { ...model, wires: [...model.wires, newWire(model)] };
+    const next = assign(withNewWire, options, request, model.wires.length);
+    if (next !== null) successors.push(next);
   }
-  return found;
+  return successors;
 };
 
-const hand = (world: World, options: SearchOptions, attempt: number, wire: number): World => {
-  const { world: next } = dispatch(world, options, wire, { kind: 'handing', attempt });
-  const to = next.wires[wire];
-  const reached = to === undefined || to.originClosed ? [] : [...to.atOrigin, attempt];
+const hand = (model: Model, options: SearchOptions, attempt: number, wire: number): Model => {
+  const { model: next } = dispatch(model, options, wire, { kind: 'handing', attempt });
+  const target = next.wires[wire];
+  const atOrigin = target === undefined || target.originClosed ? [] : [...target.atOrigin, attempt];
   return {
     ...next,
     attempts: withAt(next.attempts, attempt, { handed: true }),
-    wires: withAt(next.wires, wire, { atOrigin: reached }),
+    wires: withAt(next.wires, wire, { atOrigin }),
   };
 };
 
-const write = (world: World, options: SearchOptions, attempt: number, wire: number): World => {
-  const { world: next } = dispatch(world, options, wire, { kind: 'written', attempt });
+const write = (model: Model, options: SearchOptions, attempt: number, wire: number): Model => {
+  const { model: next } = dispatch(model, options, wire, { kind: 'written', attempt });
   return { ...next, attempts: withAt(next.attempts, attempt, { written: true }) };
 };
 
-const abort = (world: World, options: SearchOptions, attempt: number, wire: number): World => {
-  const ended = endAttempt(world, attempt, { kind: 'failed', sent: 'maybe', why: 'limit' });
-  const { world: next } = dispatch(ended, options, wire, { kind: 'abort', attempt });
-  return taint(next, wire, 'its request was aborted');
+const abort = (model: Model, options: SearchOptions, attempt: number, wire: number): Model => {
+  const ended = endAttempt(model, attempt, { kind: 'failed', sent: 'maybe', why: 'limit' });
+  const { model: next } = dispatch(ended, options, wire, { kind: 'abort', attempt });
+  return markTainted(next, wire, 'its request was aborted');
 };
 
-/** What the proxy does on its own with attempts under way, and events that come late. */
-const clientMoves = (world: World, options: SearchOptions): readonly World[] =>
-  world.attempts.flatMap((attempt, index) => {
+/** What the proxy does with attempts in flight, and late events of attempts that have ended. */
+const clientMoves = (model: Model, options: SearchOptions): readonly Model[] =>
+  model.attempts.flatMap((attempt, index) => {
     const { wire } = attempt;
-    const late = (event: ConnectionEvent): World => dispatch(world, options, wire, event).world;
+    const dispatchLate = (event: ConnectionEvent): Model =>
+      dispatch(model, options, wire, event).model;
     if (attempt.end !== null) {
       return [
-        late({ kind: 'lost', attempt: index, why: 'cut' }),
-        late({ kind: 'written', attempt: index }),
-        late({ kind: 'abort', attempt: index }),
+        dispatchLate({ kind: 'lost', attempt: index, why: 'cut' }),
+        dispatchLate({ kind: 'written', attempt: index }),
+        dispatchLate({ kind: 'abort', attempt: index }),
       ];
     }
-    const moves = [abort(world, options, index, wire)];
-    if (!attempt.handed) moves.push(hand(world, options, index, wire));
-    else if (!attempt.written) moves.push(write(world, options, index, wire));
+    const moves = [abort(model, options, index, wire)];
+    if (!attempt.handed) moves.push(hand(model, options, index, wire));
+    else if (!attempt.written) moves.push(write(model, options, index, wire));
     return moves;
   });
 
-const put = (world: World, wire: number, item: Inbound, part: Partial<Wire> = {}): World => {
-  const inbound = [...(world.wires[wire]?.inbound ?? []), item];
-  return { ...world, wires: withAt(world.wires, wire, { ...part, inbound }) };
+const enqueue = (model: Model, wire: number, item: Inbound, part: Partial<Wire> = {}): Model => {
+  const inbound = [...(model.wires[wire]?.inbound ?? []), item];
+  return { ...model, wires: withAt(model.wires, wire, { ...part, inbound }) };
 };
 
-const ran = (world: World, attempt: number): World => {
-  const request = world.attempts[attempt]?.request ?? -1;
-  const runs = world.runs.map((count, index) => (index === request ? count + 1 : count));
-  const next = { ...world, runs, attempts: withAt(world.attempts, attempt, { ran: true }) };
-  if (runs[request] === 2) return breakWith(next, 'ran twice');
-  return provesNotRun(world.attempts[attempt]?.end ?? null)
-    ? breakWith(next, 'refused as not run, but it ran')
+const execute = (model: Model, attempt: number): Model => {
+  const request = model.attempts[attempt]?.request ?? -1;
+  const runs = model.runs.map((count, index) => (index === request ? count + 1 : count));
+  const next = { ...model, runs, attempts: withAt(model.attempts, attempt, { ran: true }) };
+  if (runs[request] === 2) return recordViolation(next, 'executed twice');
+  return provesNotRun(model.attempts[attempt]?.end ?? null)
+    ? recordViolation(next, 'refused as not executed, but it was executed')
     : next;
 };
 
 const provesNotRun = (end: AttemptResult | null): boolean =>
   end?.kind === 'failed' ? end.sent === 'nothing' : end?.provablyNotExecuted === true;
 
-/** What an origin does with a request that reached it. */
-const dealings = (
-  world: World,
+/** The ways in which an origin can process a request that reached it. */
+const originReactions = (
+  model: Model,
   { closures }: SearchBounds,
   index: number,
   attempt: number,
-): readonly World[] => {
-  const atOrigin = world.wires[index]?.atOrigin.filter((each) => each !== attempt) ?? [];
-  const refusals = [true, false].map((marked) => {
-    const item = { kind: 'answer', attempt, notRun: true, marked } as const;
-    return put(world, index, item, { atOrigin, last: item });
+): readonly Model[] => {
+  const atOrigin = model.wires[index]?.atOrigin.filter((waiting) => waiting !== attempt) ?? [];
+  const refusals = [true, false].map((echoesId) => {
+    const item = { kind: 'answer', attempt, notRun: true, echoesId } as const;
+    return enqueue(model, index, item, { atOrigin, last: item });
   });
-  if (world.wires[index]?.toSuccessor === true && world.attempts[attempt]?.wire === index) {
-    // It was meant for the one before: the successor refuses it.
+  if (model.wires[index]?.toSuccessor === true && model.attempts[attempt]?.wire === index) {
+    // The request names the predecessor as its origin, so the successor refuses it.
     return refusals;
   }
-  const run = ran(world, attempt);
-  const item = { kind: 'answer', attempt, notRun: false, marked: true } as const;
-  const kinds = closures ? [true, false] : [];
-  const cuts = kinds.map((streamed) =>
-    put(run, index, { kind: 'cut-answer', attempt, streamed }, { atOrigin, originClosed: true }),
+  const executed = execute(model, attempt);
+  const item = { kind: 'answer', attempt, notRun: false, echoesId: true } as const;
+  const streamingModes = closures ? [true, false] : [];
+  const cuts = streamingModes.map((streamed) =>
+    enqueue(
+      executed,
+      index,
+      { kind: 'cut-answer', attempt, streamed },
+      { atOrigin, originClosed: true },
+    ),
   );
-  const silent = { ...run, wires: withAt(run.wires, index, { atOrigin }) };
-  return [...refusals, put(run, index, item, { atOrigin, last: item }), ...cuts, silent];
+  const unresponsive = { ...executed, wires: withAt(executed.wires, index, { atOrigin }) };
+  return [
+    ...refusals,
+    enqueue(executed, index, item, { atOrigin, last: item }),
+    ...cuts,
+    unresponsive,
+  ];
 };
 
-const originMoves = (world: World, bounds: SearchBounds): readonly World[] => {
-  const moves = world.wires.flatMap((wire, index) => {
+const originMoves = (model: Model, bounds: SearchBounds): readonly Model[] => {
+  const moves = model.wires.flatMap((wire, index) => {
     if (wire.originClosed) return [];
-    const found = wire.atOrigin.flatMap((attempt) => [...dealings(world, bounds, index, attempt)]);
-    if (wire.last !== null && world.duplicates < bounds.duplicates) {
-      found.push({ ...put(world, index, wire.last), duplicates: world.duplicates + 1 });
+    const next = wire.atOrigin.flatMap((attempt) => [
+      ...originReactions(model, bounds, index, attempt),
+    ]);
+    if (wire.last !== null && model.duplicates < bounds.duplicates) {
+      next.push({ ...enqueue(model, index, wire.last), duplicates: model.duplicates + 1 });
     }
-    if (world.garbage < bounds.garbage) {
-      found.push({ ...put(world, index, { kind: 'garbage' }), garbage: world.garbage + 1 });
+    if (model.garbage < bounds.garbage) {
+      next.push({ ...enqueue(model, index, { kind: 'garbage' }), garbage: model.garbage + 1 });
     }
-    if (!bounds.closures) return found;
-    found.push(put(world, index, { kind: 'fin' }, { originClosed: true, atOrigin: [] }));
-    found.push(put(world, index, { kind: 'reset' }, { originClosed: true, atOrigin: [] }));
-    return found;
+    if (!bounds.closures) return next;
+    next.push(enqueue(model, index, { kind: 'fin' }, { originClosed: true, atOrigin: [] }));
+    next.push(enqueue(model, index, { kind: 'reset' }, { originClosed: true, atOrigin: [] }));
+    return next;
   });
-  if (!bounds.closures || world.replaced || world.wires.length === 0) return moves;
-  const closed = world.wires.map((wire, index) => ({ wire, index }));
-  const replaced = closed.reduce<World>(
-    (now, { wire, index }) =>
+  if (!bounds.closures || model.replaced || model.wires.length === 0) return moves;
+  const indexedWires = model.wires.map((wire, index) => ({ wire, index }));
+  const replaced = indexedWires.reduce<Model>(
+    (current, { wire, index }) =>
       wire.originClosed
-        ? now
-        : put(now, index, { kind: 'reset' }, { originClosed: true, atOrigin: [] }),
-    { ...world, replaced: true },
+        ? current
+        : enqueue(current, index, { kind: 'reset' }, { originClosed: true, atOrigin: [] }),
+    { ...model, replaced: true },
   );
   return [...moves, replaced];
 };
 
-/** The head of an answer, as the proxy's dialect judges it by the request's id. */
+/** The head of a response with the evidence that the proxy derives from the request's id. */
 const headOf = (
-  world: World,
+  model: Model,
   attempt: number,
-  of: number,
-  marked: boolean,
+  respondedAttempt: number,
+  echoesId: boolean,
 ): Extract<ConnectionEvent, { kind: 'answer-head' }> => {
-  const same = world.attempts[of]?.request === world.attempts[attempt]?.request;
-  const unsound = marked && !same ? 'foreign' : null;
-  return { kind: 'answer-head', attempt, restMs: 10, evidence: { unsound, anonymous: !marked } };
+  const isSameRequest =
+    model.attempts[respondedAttempt]?.request === model.attempts[attempt]?.request;
+  const mismatch = echoesId && !isSameRequest ? 'foreign' : null;
+  return {
+    kind: 'answer-head',
+    attempt,
+    keepAliveMs: 10,
+    evidence: { mismatch, anonymous: !echoesId },
+  };
 };
 
 const readAnswer = (
-  world: World,
+  model: Model,
   options: SearchOptions,
   wire: number,
   item: Extract<Inbound, { kind: 'answer' | 'cut-answer' }>,
   attempt: number,
-): World => {
-  const marked = item.kind === 'cut-answer' || item.marked;
-  const head = headOf(world, attempt, item.attempt, marked);
-  let now = dispatch(world, options, wire, head, item).world;
-  const whole = item.kind === 'answer';
-  if (whole || item.streamed) {
+): Model => {
+  const echoesId = item.kind === 'cut-answer' || item.echoesId;
+  const head = headOf(model, attempt, item.attempt, echoesId);
+  let current = dispatch(model, options, wire, head, item).model;
+  const isComplete = item.kind === 'answer';
+  if (isComplete || item.streamed) {
     const answered =
-      whole && world.attempts[item.attempt]?.request === world.attempts[attempt]?.request;
-    now = { ...now, attempts: withAt(now.attempts, attempt, { answered }) };
-    now = dispatch(
-      now,
+      isComplete && model.attempts[item.attempt]?.request === model.attempts[attempt]?.request;
+    current = { ...current, attempts: withAt(current.attempts, attempt, { answered }) };
+    current = dispatch(
+      current,
       options,
       wire,
-      { kind: 'answer-ready', attempt, whole, now: 0 },
+      { kind: 'answer-ready', attempt, isComplete, now: 0 },
       item,
-    ).world;
+    ).model;
   }
-  if (whole) return now;
-  const { effects, world: after } = dispatch(
-    now,
+  if (isComplete) return current;
+  const { effects, model: after } = dispatch(
+    current,
     options,
     wire,
     { kind: 'lost', attempt, why: 'cut' },
     item,
   );
-  const told = effects.some((effect) => effect.kind === (item.streamed ? 'cut' : 'fail'));
-  const known = now.attempts[attempt]?.end?.kind === 'failed';
-  const checked = told || known ? after : breakWith(after, 'a cut answer looks whole');
-  return taint(checked, wire, 'an answer was cut short');
+  const isReported = effects.some((effect) => effect.kind === (item.streamed ? 'cut' : 'fail'));
+  const hasFailed = current.attempts[attempt]?.end?.kind === 'failed';
+  const checked =
+    isReported || hasFailed ? after : recordViolation(after, 'a truncated response looks complete');
+  return markTainted(checked, wire, 'a response was truncated');
 };
 
-const read = (world: World, options: SearchOptions, index: number): World => {
-  const wire = world.wires[index];
+const read = (model: Model, options: SearchOptions, index: number): Model => {
+  const wire = model.wires[index];
   const [item, ...inbound] = wire?.inbound ?? [];
-  if (wire === undefined || item === undefined) return world;
-  const rest = { ...world, wires: withAt(world.wires, index, { inbound }) };
+  if (wire === undefined || item === undefined) return model;
+  const rest = { ...model, wires: withAt(model.wires, index, { inbound }) };
   const { carried } = wire.state;
-  const awaited = wire.state.phase === 'busy' && carried !== null && carried.sent !== 'nothing';
+  const awaitsResponse =
+    wire.state.phase === 'busy' && carried !== null && carried.sent !== 'nothing';
   switch (item.kind) {
     case 'fin':
-      return taint(
-        dispatch(rest, options, index, { kind: 'half-closed' }).world,
+      return markTainted(
+        dispatch(rest, options, index, { kind: 'half-closed' }).model,
         index,
         'half-closed',
       );
     case 'reset':
-      return taint(dispatch(rest, options, index, { kind: 'closed' }).world, index, 'reset');
+      return markTainted(dispatch(rest, options, index, { kind: 'closed' }).model, index, 'reset');
     case 'garbage': {
-      const event: ConnectionEvent = awaited
+      const event: ConnectionEvent = awaitsResponse
         ? { kind: 'lost', attempt: carried.attempt, why: 'cut' }
         : { kind: 'surplus' };
-      return taint(dispatch(rest, options, index, event).world, index, 'bytes that are no answer');
+      return markTainted(dispatch(rest, options, index, event).model, index, 'unparsable bytes');
     }
     default:
-      return awaited
+      return awaitsResponse
         ? readAnswer(rest, options, index, item, carried.attempt)
-        : taint(dispatch(rest, options, index, { kind: 'surplus' }).world, index, 'surplus');
+        : markTainted(dispatch(rest, options, index, { kind: 'surplus' }).model, index, 'surplus');
   }
 };
 
-/** All worlds that may come next. */
-const nextWorlds = (world: World, options: SearchOptions): readonly World[] => [
-  ...openings(world, options),
-  ...clientMoves(world, options),
-  ...originMoves(world, options.bounds),
-  ...world.wires.flatMap(({ inbound }, index) =>
-    inbound.length === 0 ? [] : [read(world, options, index)],
+/** All states that can follow. */
+const nextModels = (model: Model, options: SearchOptions): readonly Model[] => [
+  ...openings(model, options),
+  ...clientMoves(model, options),
+  ...originMoves(model, options.bounds),
+  ...model.wires.flatMap(({ inbound }, index) =>
+    inbound.length === 0 ? [] : [read(model, options, index)],
   ),
 ];
 
-/** What a search found. */
-export type SearchResult = { readonly worlds: number; readonly broken: string | null };
+/** The result of a search: the number of distinct states, and the violated invariant if any. */
+export type SearchResult = { readonly stateCount: number; readonly violation: string | null };
 
 /**
- * Walks every order of events up to a depth, or until an invariant is broken.
+ * Searches all orders of events up to a depth, or until an invariant is violated.
  *
  * @example
- * search({ reduce: Connections.reduce, freshRepeats: true, bounds }).broken // null
+ * search({ reduce: Connections.reduce, retriesOnNewConnection: true, bounds }).violation // null
  */
 export const search = (options: SearchOptions): SearchResult => {
-  const first = firstWorld(options.bounds);
+  const first = initialModel(options.bounds);
   const seen = new Set<string>([JSON.stringify(first)]);
-  let frontier: readonly World[] = [first];
+  let frontier: readonly Model[] = [first];
   for (let step = 0; step < options.bounds.depth && frontier.length > 0; step += 1) {
-    const next: World[] = [];
-    for (const world of frontier) {
-      for (const candidate of nextWorlds(world, options)) {
-        if (candidate.broken !== null) return { worlds: seen.size, broken: candidate.broken };
+    const next: Model[] = [];
+    for (const model of frontier) {
+      for (const candidate of nextModels(model, options)) {
+        if (candidate.violation !== null)
+          return { stateCount: seen.size, violation: candidate.violation };
         const key = JSON.stringify(candidate);
         if (seen.has(key)) continue;
         seen.add(key);
@@ -499,5 +540,5 @@
     }
     frontier = next;
   }
-  return { worlds: seen.size, broken: null };
+  return { stateCount: seen.size, violation: null };
 };
