--- a/packages/proxy/src/draining.test.ts
+++ b/packages/proxy/src/draining.test.ts
@@ -7,56 +7,58 @@
 } from './testing/scripted-origin.js';
 import { originEndpoint, RawClient, startHarness, waitUntil } from './testing/proxy-harness.js';
 
-/** An origin that holds back its answers until it is let go. */
-const startHolding = async (
+/** An origin that delays its responses until `release` is called. */
+const startDelayingOrigin = async (
   t: ExecutionContext,
 ): Promise<ScriptedOrigin & { readonly release: () => void }> => {
-  const held: (() => void)[] = [];
+  const delayed: (() => void)[] = [];
   const origin = await startScriptedOrigin((request, socket) => {
-    held.push(() => socket.write(validResponse(request)));
+    delayed.push(() => socket.write(validResponse(request)));
   });
   t.teardown(() => origin.close());
-  return Object.assign(origin, { release: () => held.splice(0).forEach((each) => each()) });
+  return Object.assign(origin, {
+    release: () => delayed.splice(0).forEach((respond) => respond()),
+  });
 };
 
-test('an origin that drains gets no new request, and its answers are still taken', async (t) => {
-  const draining = await startHolding(t);
+test('a draining origin gets no new requests, and its responses are still forwarded', async (t) => {
+  const draining = await startDelayingOrigin(t);
   const staying = await startScriptedOrigin((request, socket) => {
     socket.write(validResponse(request));
   });
   t.teardown(() => staying.close());
-  const rows = {
+  const endpoints = {
     draining: originEndpoint(draining.port, 'i1'),
     staying: originEndpoint(staying.port, 'i2'),
   };
-  const harness = await startHarness({ origins: [rows.draining] });
+  const harness = await startHarness({ origins: [endpoints.draining] });
   t.teardown(() => harness.close());
-  const callers: RawClient[] = [];
-  // What may be repeated would get a second attempt elsewhere beside a slow one.
+  const clients: RawClient[] = [];
+  // The requests are not idempotent: a slow idempotent request would be hedged at another origin.
   for (const target of ['/order/first', '/order/second']) {
-    const caller = await RawClient.connect(harness.port);
-    caller.send('POST', target, target, 'pay');
-    callers.push(caller);
+    const client = await RawClient.connect(harness.port);
+    client.send('POST', target, target, 'pay');
+    clients.push(client);
   }
   await waitUntil(() => draining.requests.length === 2);
-  harness.feed.origins = [rows.staying];
+  harness.feed.origins = [endpoints.staying];
   const { task } = harness.proxy;
   await waitUntil(() => task.peek().feed?.origins[0]?.instance === 'i2');
   for (let number = 0; number < 20; number += 1) {
-    const caller = await RawClient.connect(harness.port);
-    caller.send(number % 2 === 0 ? 'GET' : 'POST', `/order/${number}`, `n${number}`, 'pay');
-    await caller.waitForResponses(1);
-    t.is(caller.responses()[0]?.status, 200);
+    const client = await RawClient.connect(harness.port);
+    client.send(number % 2 === 0 ? 'GET' : 'POST', `/order/${number}`, `n${number}`, 'pay');
+    await client.waitForResponses(1);
+    t.is(client.responses()[0]?.status, 200);
   }
   t.is(staying.requests.length, 20);
   draining.release();
-  await Promise.all(callers.map((caller) => caller.waitForResponses(1)));
+  await Promise.all(clients.map((client) => client.waitForResponses(1)));
   t.deepEqual(
-    callers.map((caller) => caller.responses().map(({ status, body }) => [status, body])),
+    clients.map((client) => client.responses().map(({ status, body }) => [status, body])),
     [[[200, '/order/first']], [[200, '/order/second']]],
   );
   t.is(draining.requests.length, 2);
-  // Its connections are not kept for another request.
+  // The connections to the draining origin are not kept for further requests.
   await waitUntil(() => draining.sockets.every((socket) => socket.closed || socket.readableEnded));
   t.true(harness.logged.every((line) => !line.startsWith('attempt.failed')));
 });
--- a/packages/proxy/src/origin-sockets.test.ts
+++ b/packages/proxy/src/origin-sockets.test.ts
@@ -18,9 +18,13 @@
   startScriptedOrigin,
 } from './testing/scripted-origin.js';
 
-type Stage = { readonly origin: ScriptedOrigin; readonly harness: Harness };
+type TestSetup = { readonly origin: ScriptedOrigin; readonly harness: Harness };
 
-const stage = async (t: ExecutionContext, script: Script, limits: object = {}): Promise<Stage> => {
+const startSetup = async (
+  t: ExecutionContext,
+  script: Script,
+  limits: object = {},
+): Promise<TestSetup> => {
   const origin = await startScriptedOrigin(script);
   const policy = { revision: 1, document: policyOf({}, limits) };
   const harness = await startHarness({ policy, origins: [originEndpoint(origin.port)] });
@@ -31,104 +35,104 @@
   return { origin, harness };
 };
 
-const ask = async (
-  { harness }: Stage,
+const send = async (
+  { harness }: TestSetup,
   method: string,
   path: string,
   id: string,
   body = '',
-  more = '',
+  extraFields = '',
 ): Promise<RawClient> => {
-  const caller = await RawClient.connect(harness.port);
-  caller.send(method, path, id, body, more);
-  await caller.waitForResponses(1);
-  return caller;
+  const client = await RawClient.connect(harness.port);
+  client.send(method, path, id, body, extraFields);
+  await client.waitForResponses(1);
+  return client;
 };
 
-const statusOf = (caller: RawClient): number | undefined => caller.responses()[0]?.status;
+const statusOf = (client: RawClient): number | undefined => client.responses()[0]?.status;
 
-test('a connection that breaks after the request: one run, and an answer that promises nothing', async (t) => {
-  for (const breakIt of ['reset', 'close', 'half-close'] as const) {
-    const setting = await stage(t, (_request, socket) => {
-      if (breakIt === 'reset') socket.resetAndDestroy();
-      else if (breakIt === 'close') socket.destroy();
+test('a request whose connection breaks is not retried, and gets a 502 without the origin id field', async (t) => {
+  for (const closure of ['reset', 'close', 'half-close'] as const) {
+    const setup = await startSetup(t, (_request, socket) => {
+      if (closure === 'reset') socket.resetAndDestroy();
+      else if (closure === 'close') socket.destroy();
       else socket.end();
     });
-    const caller = await ask(setting, 'POST', '/order/1', 'r1', 'pay');
-    t.is(statusOf(caller), 502, breakIt);
-    t.false(caller.text.includes('x-stamp'), breakIt);
-    t.is(setting.origin.requests.length, 1, breakIt);
+    const client = await send(setup, 'POST', '/order/1', 'r1', 'pay');
+    t.is(statusOf(client), 502, closure);
+    t.false(client.text.includes('x-stamp'), closure);
+    t.is(setup.origin.requests.length, 1, closure);
   }
 });
 
-test('what may not run twice goes over a new connection once the resting one is closed', async (t) => {
-  const setting = await stage(t, (request, socket) => {
+test('a request that is not idempotent uses a new connection if the idle one was reset', async (t) => {
+  const setup = await startSetup(t, (request, socket) => {
     socket.write(validResponse(request));
   });
-  t.is(statusOf(await ask(setting, 'POST', '/order/1', 'r1', 'a')), 200);
-  const [first] = setting.origin.sockets;
+  t.is(statusOf(await send(setup, 'POST', '/order/1', 'r1', 'a')), 200);
+  const [first] = setup.origin.sockets;
   first?.resetAndDestroy();
-  t.is(statusOf(await ask(setting, 'POST', '/order/2', 'r2', 'b')), 200);
+  t.is(statusOf(await send(setup, 'POST', '/order/2', 'r2', 'b')), 200);
   t.deepEqual(
-    setting.origin.requests.map(({ body }) => body),
+    setup.origin.requests.map(({ body }) => body),
     ['a', 'b'],
   );
 });
 
-test('a surplus answer, with the last bytes or later, is given to nobody', async (t) => {
-  const setting = await stage(t, (request, socket) => {
-    const own = validResponse(request);
+test('a surplus response is discarded, whether it arrives with the last bytes or later', async (t) => {
+  const setup = await startSetup(t, (request, socket) => {
+    const response = validResponse(request);
     if (request.path === '/read/1')
-      socket.write(own + responseBytes(200, responseFieldsFor(request), 'surplus'));
-    else socket.write(own);
+      socket.write(response + responseBytes(200, responseFieldsFor(request), 'surplus'));
+    else socket.write(response);
   });
   for (const number of [1, 2, 3]) {
-    const caller = await ask(setting, 'GET', `/read/${number}`, `r${number}`);
-    t.is(caller.responses()[0]?.body, `/read/${number}`);
+    const client = await send(setup, 'GET', `/read/${number}`, `r${number}`);
+    t.is(client.responses()[0]?.body, `/read/${number}`);
   }
-  t.not(setting.origin.requests[0]?.connection, setting.origin.requests[1]?.connection);
-  const [, resting] = setting.origin.sockets;
-  resting?.write(responseBytes(200, { 'x-request': 'r3', 'x-stamp': 'sealed' }, 'stale'));
+  t.not(setup.origin.requests[0]?.connection, setup.origin.requests[1]?.connection);
+  const [, idle] = setup.origin.sockets;
+  idle?.write(responseBytes(200, { 'x-request': 'r3', 'x-stamp': 'sealed' }, 'stale'));
   for (const number of [4, 5]) {
-    const caller = await ask(setting, 'GET', `/read/${number}`, `r${number}`);
-    t.false(caller.text.includes('stale'));
-    if (statusOf(caller) === 200) t.is(caller.responses()[0]?.body, `/read/${number}`);
-    else t.is(statusOf(caller), 502);
+    const client = await send(setup, 'GET', `/read/${number}`, `r${number}`);
+    t.false(client.text.includes('stale'));
+    if (statusOf(client) === 200) t.is(client.responses()[0]?.body, `/read/${number}`);
+    else t.is(statusOf(client), 502);
   }
 });
 
-test('bytes that are no answer, behind a whole one, take nothing from it', async (t) => {
-  const setting = await stage(t, (request, socket) => {
+test('unparsable bytes after a complete response do not affect it', async (t) => {
+  const setup = await startSetup(t, (request, socket) => {
     socket.write(`${validResponse(request)}\0\0 no answer \0\0`);
   });
-  const caller = await ask(setting, 'POST', '/order/1', 'r1', 'pay');
-  t.is(statusOf(caller), 200);
-  t.is(caller.responses()[0]?.body, '/order/1');
-  t.is(statusOf(await ask(setting, 'POST', '/order/2', 'r2', 'pay')), 200);
+  const client = await send(setup, 'POST', '/order/1', 'r1', 'pay');
+  t.is(statusOf(client), 200);
+  t.is(client.responses()[0]?.body, '/order/1');
+  t.is(statusOf(await send(setup, 'POST', '/order/2', 'r2', 'pay')), 200);
   t.deepEqual(
-    setting.origin.requests.map(({ connection }) => connection),
+    setup.origin.requests.map(({ connection }) => connection),
     [0, 1],
   );
 });
 
-test('an answer after our timeout is given to nobody', async (t) => {
-  const late: { write: () => void }[] = [];
-  const setting = await stage(t, (request, socket) => {
+test('a response after the timeout is discarded', async (t) => {
+  const lateResponses: { write: () => void }[] = [];
+  const setup = await startSetup(t, (request, socket) => {
     if (request.path === '/read/1')
-      late.push({ write: () => socket.write(validResponse(request)) });
+      lateResponses.push({ write: () => socket.write(validResponse(request)) });
     else socket.write(validResponse(request));
   });
-  const first = await ask(setting, 'GET', '/read/1', 'r1', '', 'x-left-ms: 200\r\n');
+  const first = await send(setup, 'GET', '/read/1', 'r1', '', 'x-left-ms: 200\r\n');
   t.is(statusOf(first), 504);
-  late.forEach(({ write }) => write());
-  const second = await ask(setting, 'GET', '/read/2', 'r2');
+  lateResponses.forEach(({ write }) => write());
+  const second = await send(setup, 'GET', '/read/2', 'r2');
   t.is(second.responses()[0]?.body, '/read/2');
-  t.is(setting.origin.requests.at(-1)?.connection, 1);
+  t.is(setup.origin.requests.at(-1)?.connection, 1);
 });
 
-test('an answer cut short never looks whole: small, chunked and streamed', async (t) => {
+test('a truncated response never looks complete: small, chunked, unbounded and streamed', async (t) => {
   const large = maxBufferedBodyBytes + 1_000_000;
-  const setting = await stage(t, (request, socket) => {
+  const setup = await startSetup(t, (request, socket) => {
     const fields = responseFieldsFor(request);
     if (request.path === '/order/small') {
       socket.end(responseBytes(200, { ...fields, 'content-length': '10' }, 'short'));
@@ -143,108 +147,108 @@
     }
   });
   for (const kind of ['small', 'chunked', 'unbounded']) {
-    const caller = await ask(setting, 'POST', `/order/${kind}`, kind, 'pay');
-    t.is(statusOf(caller), 502, kind);
-    t.false(caller.text.includes('x-stamp'), kind);
+    const client = await send(setup, 'POST', `/order/${kind}`, kind, 'pay');
+    t.is(statusOf(client), 502, kind);
+    t.false(client.text.includes('x-stamp'), kind);
   }
-  const caller = await ask(setting, 'GET', '/read/streamed', 'streamed');
-  t.deepEqual(caller.responses(), []);
-  t.true((caller.ended || caller.closed) && caller.text.length < large);
+  const client = await send(setup, 'GET', '/read/streamed', 'streamed');
+  t.deepEqual(client.responses(), []);
+  t.true((client.ended || client.closed) && client.text.length < large);
 });
 
-test('an answer before the whole request was read: passed on, and its connection not used again', async (t) => {
-  const moreThanBuffersHold = 24 * 1024 * 1024;
-  const setting = await stage(
+test('a response sent before the origin read the complete request is used, and its connection is not reused', async (t) => {
+  const moreThanSocketBuffers = 24 * 1024 * 1024;
+  const setup = await startSetup(
     t,
     (request, socket) => {
       socket.pause();
       socket.write(responseBytes(429, { ...responseFieldsFor(request), 'x-not-run': '1' }, ''));
     },
-    { bodyBytes: moreThanBuffersHold },
+    { bodyBytes: moreThanSocketBuffers },
   );
-  setting.origin.readsBodies = false;
-  const body = 'x'.repeat(moreThanBuffersHold);
-  t.is(statusOf(await ask(setting, 'POST', '/order/1', 'r1', body)), 503);
-  setting.origin.readsBodies = true;
-  setting.origin.script = (request, socket) => {
+  setup.origin.readsBodies = false;
+  const body = 'x'.repeat(moreThanSocketBuffers);
+  t.is(statusOf(await send(setup, 'POST', '/order/1', 'r1', body)), 503);
+  setup.origin.readsBodies = true;
+  setup.origin.script = (request, socket) => {
     socket.write(validResponse(request));
   };
-  const second = ask(setting, 'POST', '/order/2', 'r2', 'pay');
-  await waitUntil(() => setting.origin.sockets.length === 2);
-  setting.origin.sockets[0]?.resetAndDestroy();
+  const second = send(setup, 'POST', '/order/2', 'r2', 'pay');
+  await waitUntil(() => setup.origin.sockets.length === 2);
+  setup.origin.sockets[0]?.resetAndDestroy();
   t.is(statusOf(await second), 200);
 });
 
-test('an origin that switches protocols has not answered, and is not waited for', async (t) => {
-  const setting = await stage(t, (_request, socket) => {
+test('an attempt fails immediately if its origin switches protocols', async (t) => {
+  const setup = await startSetup(t, (_request, socket) => {
     socket.write('HTTP/1.1 101 Switching\r\nconnection: upgrade\r\nupgrade: other\r\n\r\n');
   });
-  const caller = await ask(setting, 'POST', '/order/1', 'r1', 'pay');
-  t.is(statusOf(caller), 502);
-  t.true(setting.harness.logged.some((line) => line.includes('"why":"cut"')));
+  const client = await send(setup, 'POST', '/order/1', 'r1', 'pay');
+  t.is(statusOf(client), 502);
+  t.true(setup.harness.logged.some((line) => line.includes('"why":"cut"')));
 });
 
-test('an unmarked "not run" is believed only where it can answer nothing else', async (t) => {
-  const setting = await stage(t, (request, socket) => {
+test('a not-run response without a request id is accepted only on a new connection', async (t) => {
+  const setup = await startSetup(t, (request, socket) => {
     const refusal = responseBytes(503, { 'x-not-run': '1' }, '');
     socket.write(request.path === '/read/sound' ? validResponse(request) : refusal);
   });
-  // Over a new connection it can only be the answer to this request.
-  t.is(statusOf(await ask(setting, 'POST', '/order/1', 'r1', 'pay')), 503);
-  setting.origin.sockets[0]?.resetAndDestroy();
-  t.is(statusOf(await ask(setting, 'GET', '/read/sound', 'r2')), 200);
-  t.is(statusOf(await ask(setting, 'GET', '/read/refused', 'r3')), 502);
-  const [, sound, refused] = setting.origin.requests;
+  // On a new connection it can only be the response to this request.
+  t.is(statusOf(await send(setup, 'POST', '/order/1', 'r1', 'pay')), 503);
+  setup.origin.sockets[0]?.resetAndDestroy();
+  t.is(statusOf(await send(setup, 'GET', '/read/sound', 'r2')), 200);
+  t.is(statusOf(await send(setup, 'GET', '/read/refused', 'r3')), 502);
+  const [, sound, refused] = setup.origin.requests;
   t.is(sound?.connection, refused?.connection);
 });
 
-test('an origin restarted at its address under another id: proof that nothing ran, then the new one', async (t) => {
-  const setting = await stage(t, (request, socket) => {
+test('a request to an origin that restarted under another id is retried at the new origin', async (t) => {
+  const setup = await startSetup(t, (request, socket) => {
     socket.write(validResponse(request));
   });
   for (let number = 0; number < 10; number += 1) {
-    await ask(setting, 'GET', `/read/${number}`, `w${number}`);
+    await send(setup, 'GET', `/read/${number}`, `w${number}`);
   }
-  let ran = 0;
-  setting.origin.script = (request, socket) => {
+  let executedCount = 0;
+  setup.origin.script = (request, socket) => {
     if (request.headers['x-intended'] === 'i2') {
-      ran += 1;
+      executedCount += 1;
       socket.write(validResponse(request));
     } else {
       socket.write(responseBytes(421, { 'x-request': request.headers['x-request'] ?? '' }, ''));
     }
   };
-  const { port } = setting.origin;
-  setting.harness.feed.origins = [originEndpoint(port, 'i1'), originEndpoint(port, 'i2')];
-  const { task } = setting.harness.proxy;
+  const { port } = setup.origin;
+  setup.harness.feed.origins = [originEndpoint(port, 'i1'), originEndpoint(port, 'i2')];
+  const { task } = setup.harness.proxy;
   await waitUntil(() => task.peek().feed?.origins.length === 2);
   const bodies: (string | undefined)[] = [];
   for (let number = 0; number < 8; number += 1) {
-    const caller = await ask(setting, 'POST', `/order/${number}`, `r${number}`, 'pay');
-    bodies.push(caller.responses()[0]?.body);
+    const client = await send(setup, 'POST', `/order/${number}`, `r${number}`, 'pay');
+    bodies.push(client.responses()[0]?.body);
   }
   t.deepEqual(
     bodies,
-    Array.from({ length: 8 }, (_each, number) => `/order/${number}`),
+    Array.from({ length: 8 }, (_element, number) => `/order/${number}`),
   );
-  t.is(ran, 8);
+  t.is(executedCount, 8);
 });
 
-test('a streamed answer that nobody takes gives its connection back', async (t) => {
+test('a streamed response that is not forwarded completely closes its connection', async (t) => {
   const large = maxBufferedBodyBytes + 4_000_000;
-  const setting = await stage(t, (request, socket) => {
+  const setup = await startSetup(t, (request, socket) => {
     const fields = { ...responseFieldsFor(request), 'content-length': String(large) };
     const foreign = { ...fields, 'x-request': 'another' };
     const head = responseBytes(200, request.path === '/order/foreign' ? foreign : fields, '');
     socket.write(head + 'x'.repeat(large));
   });
-  const caller = await ask(setting, 'POST', '/order/foreign', 'r1', 'pay');
-  t.is(statusOf(caller), 502);
-  await waitUntil(() => setting.origin.sockets[0]?.closed === true);
-  const leaver = await RawClient.connect(setting.harness.port);
-  leaver.send('GET', '/read/left', 'r2');
-  await waitUntil(() => leaver.text.length > 0);
-  leaver.socket.destroy();
-  await waitUntil(() => setting.origin.sockets.every((socket) => socket.closed));
+  const client = await send(setup, 'POST', '/order/foreign', 'r1', 'pay');
+  t.is(statusOf(client), 502);
+  await waitUntil(() => setup.origin.sockets[0]?.closed === true);
+  const leavingClient = await RawClient.connect(setup.harness.port);
+  leavingClient.send('GET', '/read/left', 'r2');
+  await waitUntil(() => leavingClient.text.length > 0);
+  leavingClient.socket.destroy();
+  await waitUntil(() => setup.origin.sockets.every((socket) => socket.closed));
   t.pass();
 });
--- a/packages/proxy/src/proxy-host.ts
+++ b/packages/proxy/src/proxy-host.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the proxy's reducer: hands it the requests of clients and peers, and carries out its
- * effects. It owns the servers, the connections to origins and peers, and the feed as the agent
- * last told it; every decision is the reducer's.
+ * Runs the proxy's reducer: gives it the requests of clients and peers, and performs its effects. It
+ * owns the servers, the connections to origins and peers, and the latest feed of the agent; the
+ * reducer makes every decision.
  */
 import { randomUUID } from 'node:crypto';
 import http from 'node:http';
@@ -43,15 +43,15 @@
 import { idleProxyTickIntervalMs, proxyTickIntervalMs } from './tick-timing.js';
 
 /**
- * Random numbers drawn for one request: who serves, three origins for each of three attempts, and
- * the service.
+ * Random numbers drawn for one request: one for the node that serves it, three origin choices for
+ * each of three attempts, and one for the service.
  */
 const randomNumbersPerRequest = 11;
 
-/** bytes. What a node adds to a request's head when it hands it on to a peer. */
+/** Maximum size of the fields that a node adds to a request that it forwards to a peer, in bytes. */
 const peerHeadBytes = 8 * 1024;
 
-/** ms between two lines that trace which copies are kept. */
+/** Interval between two log lines that list the cached responses, in milliseconds. */
 const storedTraceIntervalMs = 1_000;
 
 const now = (): number => performance.now();
@@ -59,19 +59,19 @@
 /** The settings of a machine with a proxy. */
 export type ProxySettings = Settings & { readonly proxy: NonNullable<Settings['proxy']> };
 
-/** What a proxy needs of its surroundings: who answers for its agent, and where its log goes. */
+/** The dependencies of a proxy: its logger, and the function that sends a query to its agent. */
 export type ProxyDependencies = {
   readonly logger: Logger;
   readonly queryAgent: (query: ProxyQuery, timeoutMs?: number) => Promise<unknown>;
 };
 
-/** What is kept of a client's request; the reducer knows it by its id alone. */
+/** A client's request while it is open; the reducer refers to it by its id. */
 type OpenRequest = {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
   readonly body: Buffer;
   readonly clientRequest: ClientRequest;
-  /** The attempt of a peer that this request is; null from a client. */
+  /** Id of the peer's attempt that sent this request; null for a client's request. */
   readonly attemptId: string | null;
   readonly turn: RequestTurn;
 };
@@ -82,27 +82,27 @@
 const attemptName = ({ requestId, attempt }: EffectOf<'send-attempt' | 'abort-attempt'>): string =>
   `${requestId}/${attempt}`;
 
-/** A proxy without its signals and exit. */
+/** A proxy without signal handlers and process exit. */
 export class ProxyHost {
   readonly #settings: ProxySettings;
   readonly #wireFormat: WireFormat;
   readonly #dependencies: ProxyDependencies;
   readonly #name: ProxyName;
   readonly #connections: OriginConnections;
-  /** The reducer and its events. */
+  /** The reducer and its event queue. */
   readonly task: EventQueue<ProxyEvent> & { readonly peek: () => ProxyState };
-  /** What a trial wants to know of each decision; null unless the settings ask for it. */
+  /** Logs each decision for a test run; null unless the settings enable it. */
   readonly #trace: Trace | null;
   readonly #openRequests = new Map<number, OpenRequest>();
-  /** Attempts in flight, by request and number; some outlast their request. */
+  /** Attempts in flight, by request and number; some end after their request. */
   readonly #attempts = new Map<string, InFlightAttempt>();
-  /** Answers that are passed on as they come, by request. */
+  /** Response streams that are being forwarded, by request. */
   readonly #streams = new Map<number, Readable>();
   readonly #servers: { readonly server: InboundServer; readonly isForPeers: boolean }[] = [];
   #feed: FeedSnapshot | null = null;
   #nextRequestId = 1;
-  /** The bounds of the config that the servers follow. */
-  #appliedBounds: unknown = null;
+  /** The configured limits on clients that the servers currently enforce. */
+  #appliedLimits: unknown = null;
   #tickTimer: NodeJS.Timeout | undefined;
   #traceTimer: NodeJS.Timeout | undefined;
   #isStopping = false;
@@ -131,51 +131,51 @@
       reduce: ProxyCore.reduce,
       perform: (effect) => this.#perform(effect),
     });
-    this.#tickIn(idleProxyTickIntervalMs);
-    this.#traceStored();
+    this.#scheduleTick(idleProxyTickIntervalMs);
+    this.#traceStoredResponses();
     this.task.put({ kind: 'feed-due', now: now() });
   }
 
-  /** Requests whose answers the clients' connections have not taken completely. */
+  /** Number of requests whose responses are not completely written to the clients' connections. */
   inFlightCount(): number {
     const unanswered = this.#servers.reduce((sum, { server }) => sum + server.unanswered(), 0);
     return Math.max(this.#openRequests.size, unanswered);
   }
 
-  /** Requests that were ever begun here. */
+  /** Number of requests that were received since the start. */
   begunCount(): number {
     return this.#nextRequestId - 1;
   }
 
   /** Serves clients, or peers, on a port. */
   serve(isForPeers: boolean, port: number): Promise<http.Server> {
-    const server = openInboundServer(this.#boundsFor(isForPeers), (request, response, turn) =>
+    const server = openInboundServer(this.#limitsFor(isForPeers), (request, response, turn) =>
       this.#handleRequest(request, response, turn, isForPeers),
     );
     this.#servers.push({ server, isForPeers });
     return this.#listen(server.server, port);
   }
 
-  /** Serves health checks alone on a port. */
+  /** Serves only health checks on a port. */
   serveReady(port: number): Promise<http.Server> {
     const server = http.createServer((request, response) => {
       if (this.#answerHealthCheck(request, response)) return;
       writeRejection(response, null, {
         status: 404,
         title: 'No such place',
-        detail: 'Only readiness is told here.',
+        detail: 'This port serves health checks only.',
       });
     });
     return this.#listen(server, port);
   }
 
-  /** Warns the reducer that the process must stop: it is no longer ready. */
+  /** Reports to the reducer that the process must stop; the proxy is then no longer ready. */
   stop(): void {
     this.#isStopping = true;
     this.task.put({ kind: 'stop-requested', now: now() });
   }
 
-  /** Ends its timers and idle connections, where the process goes on without it. */
+  /** Stops its timers and closes idle connections, for a process that continues without the proxy. */
   close(): void {
     this.#isClosed = true;
     clearTimeout(this.#tickTimer);
@@ -191,33 +191,34 @@
     });
   }
 
-  /** Peers add fields of their own to a head. */
-  #boundsFor(isForPeers: boolean): ClientLimits {
-    const bounds = ClientLimits.of(this.task.peek().policy?.document.callers);
-    if (!isForPeers) return bounds;
-    return { ...ClientLimits.of(undefined), headBytes: bounds.headBytes + peerHeadBytes };
+  /** The limits of a server; peers add fields to a request head, so theirs may be larger. */
+  #limitsFor(isForPeers: boolean): ClientLimits {
+    const limits = ClientLimits.of(this.task.peek().policy?.document.callers);
+    if (!isForPeers) return limits;
+    return { ...ClientLimits.of(undefined), headBytes: limits.headBytes + peerHeadBytes };
   }
 
-  /** Makes the servers follow the config in force, also for the connections that are there. */
-  #applyBounds(): void {
-    const bounds = this.task.peek().policy?.document.callers;
-    if (bounds === this.#appliedBounds) return;
-    this.#appliedBounds = bounds;
+  /** Makes the servers follow the current configuration, also for existing connections. */
+  #applyLimits(): void {
+    const limits = this.task.peek().policy?.document.callers;
+    if (limits === this.#appliedLimits) return;
+    this.#appliedLimits = limits;
     for (const { server, isForPeers } of this.#servers)
-      server.setLimits(this.#boundsFor(isForPeers));
+      server.setLimits(this.#limitsFor(isForPeers));
   }
 
-  #tickIn(ms: number): void {
+  #scheduleTick(delayMs: number): void {
     this.#tickTimer = setTimeout(() => {
       const isIdle =
         this.#openRequests.size === 0 && Object.keys(this.task.peek().requests).length === 0;
       this.task.put({ kind: 'tick', now: now() });
-      this.#applyBounds();
-      if (!this.#isClosed) this.#tickIn(isIdle ? idleProxyTickIntervalMs : proxyTickIntervalMs);
-    }, ms);
+      this.#applyLimits();
+      if (!this.#isClosed)
+        this.#scheduleTick(isIdle ? idleProxyTickIntervalMs : proxyTickIntervalMs);
+    }, delayMs);
   }
 
-  #traceStored(): void {
+  #traceStoredResponses(): void {
     const trace = this.#trace;
     if (trace === null) return;
     this.#traceTimer = setInterval(
@@ -246,7 +247,7 @@
       rejectUnread(response, turn, {
         status: 400,
         title: 'Bad request',
-        detail: 'A request needs a host and a plain path.',
+        detail: 'A request needs a host and an absolute path without dot segments.',
       });
       return;
     }
@@ -256,7 +257,7 @@
     readBody(
       request,
       maxBytes,
-      (body) => this.#begin(id, request, response, turn, body, isFromPeer),
+      (body) => this.#startRequest(id, request, response, turn, body, isFromPeer),
       () =>
         rejectUnread(response, turn, {
           status: 413,
@@ -277,12 +278,12 @@
 
   #maxBodyBytes(host: string, target: string): number {
     const { routes, policy } = this.task.peek();
-    const ofRoute = Routes.find(routes, host, target)?.limits.bodyBytes;
-    return ofRoute ?? ClientLimits.of(policy?.document.callers).bodyBytes;
+    const routeLimit = Routes.find(routes, host, target)?.limits.bodyBytes;
+    return routeLimit ?? ClientLimits.of(policy?.document.callers).bodyBytes;
   }
 
-  /** Begins a request that was read, unless its connection is closed. */
-  #begin(
+  /** Starts a request that was read, unless its connection no longer starts requests. */
+  #startRequest(
     id: number,
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -292,14 +293,14 @@
   ): void {
     const clientRequest = clientRequestOf(request, body, isFromPeer, this.#wireFormat);
     if (isFromPeer) {
-      const from = String(request.headers['reedyard-via'] ?? '');
-      this.#trace?.('trace.relay', { from, target: clientRequest.target });
+      const peer = String(request.headers['reedyard-via'] ?? '');
+      this.#trace?.('trace.relay', { from: peer, target: clientRequest.target });
     }
     if (!turn.begin(this.#onClientLeft(id))) return;
     const attemptField = request.headers['reedyard-attempt'];
     const attemptId = isFromPeer && typeof attemptField === 'string' ? attemptField : null;
     this.#openRequests.set(id, { request, response, body, clientRequest, attemptId, turn });
-    this.#tickSoonIfFirst();
+    this.#startTickingIfFirst();
     const event: ProxyEvent = {
       kind: 'request-arrived',
       requestId: id,
@@ -313,11 +314,14 @@
     writeRejection(response, turn, {
       status: 503,
       title: 'Too busy',
-      detail: 'Too many events wait here.',
+      detail: 'Too many events are queued on this node.',
     });
   }
 
-  /** Holds on to the request's id alone, since the connection keeps this until its answer is out. */
+  /**
+   * A callback that refers to the request by its id only, because the connection keeps the callback
+   * until the response is written.
+   */
   #onClientLeft(id: number): () => void {
     return () => {
       this.#streams.get(id)?.destroy();
@@ -325,10 +329,10 @@
     };
   }
 
-  #tickSoonIfFirst(): void {
+  #startTickingIfFirst(): void {
     if (this.#openRequests.size !== 1) return;
     clearTimeout(this.#tickTimer);
-    this.#tickIn(proxyTickIntervalMs);
+    this.#scheduleTick(proxyTickIntervalMs);
   }
 
   // Effects of the reducer
@@ -367,16 +371,17 @@
     if (open === undefined) return;
     const name = attemptName(effect);
     const outgoing = outgoingRequest(open, effect, this.#name, this.#wireFormat);
-    // A second attempt of what may not run twice goes where no answer to the first can come.
-    const terms = { sendBy: effect.sendBy, fresh: !effect.isIdempotent && effect.attempt > 0 };
+    // A retry of a request that is not idempotent uses a new connection, on which no response to the
+    // first attempt can arrive.
+    const conditions = { sendBy: effect.sendBy, fresh: !effect.isIdempotent && effect.attempt > 0 };
     const callbacks = {
-      done: (answer: AttemptResponse) => this.#attemptAnswered(effect, answer),
-      fail: (error: AttemptError) => this.#attemptFailed(effect, error),
+      done: (answer: AttemptResponse) => this.#onAttemptResponse(effect, answer),
+      fail: (error: AttemptError) => this.#onAttemptFailed(effect, error),
     };
     this.#trace?.('trace.attempt', { revision: this.#revision(), attempt: effect.attempt });
     if (effect.to.kind === 'peer') {
-      const sent = this.#connections.sendToPeer(effect.to.row, outgoing, terms, callbacks);
-      this.#attempts.set(name, sent);
+      const inFlight = this.#connections.sendToPeer(effect.to.row, outgoing, conditions, callbacks);
+      this.#attempts.set(name, inFlight);
       return;
     }
     const origin = effect.to.row;
@@ -389,20 +394,20 @@
     Object.assign(outgoing.headers, this.#wireFormat.originRequestFields(attempt));
     this.#attempts.set(
       name,
-      this.#connections.sendToOrigin(origin, outgoing, attempt, terms, callbacks),
+      this.#connections.sendToOrigin(origin, outgoing, attempt, conditions, callbacks),
     );
   }
 
-  #attemptAnswered(effect: EffectOf<'send-attempt'>, answer: AttemptResponse): void {
+  #onAttemptResponse(effect: EffectOf<'send-attempt'>, answer: AttemptResponse): void {
     const name = attemptName(effect);
-    // One that still comes can be broken off until its end.
+    // An attempt whose response is still streamed can be aborted until the stream ends.
     if (answer.isComplete) this.#attempts.delete(name);
     else (answer.body as Readable).on('close', () => this.#attempts.delete(name));
     const { requestId, attempt } = effect;
     this.task.put({ kind: 'attempt-answered', requestId, attempt, answer, now: now() });
   }
 
-  #attemptFailed(effect: EffectOf<'send-attempt'>, { sent, why }: AttemptError): void {
+  #onAttemptFailed(effect: EffectOf<'send-attempt'>, { sent, why }: AttemptError): void {
     this.#attempts.delete(attemptName(effect));
     const { requestId, attempt } = effect;
     this.task.put({ kind: 'attempt-failed', requestId, attempt, sent, why, now: now() });
@@ -411,37 +416,36 @@
   #sendAnswer({ requestId, answer }: EffectOf<'send-answer'>): void {
     const open = this.#openRequests.get(requestId);
     if (answer.body.kind === 'copy') this.#trace?.('trace.copy', { revision: this.#revision() });
-    if (open !== undefined) this.#write(requestId, open, answer);
+    if (open !== undefined) this.#writeResponse(requestId, open, answer);
     this.#openRequests.delete(requestId);
   }
 
-  #write(id: number, open: OpenRequest, answer: ClientResponse): void {
+  #writeResponse(id: number, open: OpenRequest, answer: ClientResponse): void {
     const { response, clientRequest, turn, attemptId } = open;
-    const closes = turn.startResponse(this.#isStopping || answer.headers.connection === 'close');
+    const closesConnection = turn.startResponse(
+      this.#isStopping || answer.headers.connection === 'close',
+    );
     const hopFields = {
       via: this.#name.via,
       ...(attemptId === null ? {} : { 'reedyard-attempt': attemptId }),
-      ...(closes ? { connection: 'close' } : {}),
+      ...(closesConnection ? { connection: 'close' } : {}),
     };
     const wireFormat = this.#wireFormat;
-    const stream = writeClientResponse(
-      { response, asked: clientRequest, dialect: wireFormat, hopFields },
-      answer,
-    );
+    const stream = writeClientResponse({ response, clientRequest, wireFormat, hopFields }, answer);
     if (stream === null) return;
     this.#streams.set(id, stream);
     stream.on('close', () => this.#streams.delete(id));
   }
 
-  /** Asks the agent; only a claim waits for its reply. */
+  /** Sends a query to the agent; the reducer waits only for the reply to a claim. */
   #queryAgent({ requestId, query }: EffectOf<'query-agent'>): void {
-    const answered = (reply: ClaimReply): void => {
+    const onReply = (reply: ClaimReply): void => {
       if (query.kind !== 'claim') return;
       this.task.put({ kind: 'claim-answered', requestId, reply, now: now() });
     };
     this.#dependencies.queryAgent(query, proposalTimeoutMs + callTimeoutMs).then(
-      (reply) => answered(reply as ClaimReply),
-      () => answered({ kind: 'unreached' }),
+      (reply) => onReply(reply as ClaimReply),
+      () => onReply({ kind: 'unreached' }),
     );
   }
 
@@ -451,18 +455,18 @@
     this.#dependencies
       .queryAgent({ kind: 'feed', report, held })
       .then(
-        (reply) => this.#feedReceived(reply as FeedReply, askedAt),
+        (reply) => this.#onFeedReceived(reply as FeedReply, askedAt),
         () => undefined,
       )
       .finally(() => this.#scheduleFeed());
   }
 
-  #feedReceived(reply: FeedReply, askedAt: number): void {
+  #onFeedReceived(reply: FeedReply, askedAt: number): void {
     this.#feed = Feeds.merge(this.#feed, reply);
     const { feed } = this.#feed;
     this.task.put({ kind: 'feed-received', feed, askedAt, now: now() });
-    const names = [...feed.origins.map(originIdOf), ...feed.peers.map(peerKeyOf)];
-    this.#connections.closeIdleExcept(new Set(names));
+    const keys = [...feed.origins.map(originIdOf), ...feed.peers.map(peerKeyOf)];
+    this.#connections.closeIdleExcept(new Set(keys));
   }
 
   #scheduleFeed(): void {
@@ -476,10 +480,10 @@
 }
 
 /**
- * Opens a proxy, which clients and peers reach through the servers that it makes.
+ * Opens a proxy; its `serve` opens the servers for clients and peers.
  *
  * @example
- * const proxy = openProxy(settings, ownWireFormat, { logger, askAgent: (query) => call('127.0.0.1:7002', '/feed', query) });
+ * const proxy = openProxy(settings, reedyardWireFormat, { logger, queryAgent: (query) => call('127.0.0.1:7002', '/feed', query) });
  */
 export const openProxy = (
   settings: ProxySettings,
--- a/packages/proxy/src/signals.test.ts
+++ b/packages/proxy/src/signals.test.ts
@@ -21,39 +21,46 @@
 const program = fileURLToPath(new URL('./main.js', import.meta.url));
 
 const identity = { service: 'store', instance: 'i1', incarnation: 0 };
-const stamp = 'store/i1/0';
+const originId = 'store/i1/0';
 
-const sound = (request: ReceivedRequest, body = request.path): string => {
-  const correlation = request.headers['reedyard-attempt'] ?? '';
-  return responseBytes(200, { 'reedyard-stamp': stamp, 'reedyard-attempt': correlation }, body);
+const validIdentifiedResponse = (request: ReceivedRequest, body = request.path): string => {
+  const correlationId = request.headers['reedyard-attempt'] ?? '';
+  return responseBytes(
+    200,
+    { 'reedyard-stamp': originId, 'reedyard-attempt': correlationId },
+    body,
+  );
 };
 
-/** An origin that proves who it is and holds back all else until the test lets it go. */
-class HeldOrigin {
-  readonly #held: (() => void)[] = [];
+/** An origin that responds to identity queries and delays all other responses until released. */
+class DelayingOrigin {
+  readonly #delayed: (() => void)[] = [];
 
   readonly script: Script = (request, socket) => {
     if (request.path === '/.well-known/reedyard-identity') {
       socket.write(responseBytes(200, {}, JSON.stringify(identity)));
     } else if (request.path === '/read/large') {
-      const whole = sound(request, 'x'.repeat(maxBufferedBodyBytes + 1_000_000));
-      socket.write(whole.slice(0, -1_000));
-      this.#held.push(() => socket.write(whole.slice(-1_000)));
+      const response = validIdentifiedResponse(
+        request,
+        'x'.repeat(maxBufferedBodyBytes + 1_000_000),
+      );
+      socket.write(response.slice(0, -1_000));
+      this.#delayed.push(() => socket.write(response.slice(-1_000)));
     } else {
-      this.#held.push(() => socket.write(sound(request)));
+      this.#delayed.push(() => socket.write(validIdentifiedResponse(request)));
     }
   };
 
-  get size(): number {
-    return this.#held.length;
+  get delayedCount(): number {
+    return this.#delayed.length;
   }
 
   releaseAll(): void {
-    this.#held.splice(0).forEach((release) => release());
+    this.#delayed.splice(0).forEach((release) => release());
   }
 }
 
-/** Ports that nothing listens on at the moment. */
+/** Ports on which nothing currently listens. */
 const freePorts = async (count: number): Promise<readonly number[]> => {
   const servers = await Promise.all(
     Array.from({ length: count }, async () => {
@@ -129,7 +136,7 @@
   return { child, port, output: () => output };
 };
 
-/** Pipelined requests on one connection, one that may not be repeated, and a streamed answer. */
+/** Sends pipelined requests, one request that is not idempotent, and one with a streamed response. */
 const sendRequests = async (port: number): Promise<readonly RawClient[]> => {
   const [pipelined, ordering, streaming] = await Promise.all([
     RawClient.connect(port),
@@ -142,27 +149,29 @@
   return [pipelined, ordering, streaming];
 };
 
-const served = (callers: readonly RawClient[]): readonly (readonly number[])[] =>
-  callers.map((caller) => caller.responses().map(({ status }) => status));
+const statusesOf = (clients: readonly RawClient[]): readonly (readonly number[])[] =>
+  clients.map((client) => client.responses().map(({ status }) => status));
 
-test('SIGHUP and SIGTERM in the middle of requests: each is answered whole, and run once', async (t) => {
-  const held = new HeldOrigin();
-  const origin = await startScriptedOrigin(held.script);
+test('requests in flight at a SIGHUP and a SIGTERM get complete responses and are executed once', async (t) => {
+  const delaying = new DelayingOrigin();
+  const origin = await startScriptedOrigin(delaying.script);
   t.teardown(() => origin.close());
   const { child, port, output } = await startProgram(t, origin);
-  const callers = await sendRequests(port);
-  await waitUntil(() => held.size === 5 && (callers[2]?.text.length ?? 0) > maxBufferedBodyBytes);
+  const clients = await sendRequests(port);
+  await waitUntil(
+    () => delaying.delayedCount === 5 && (clients[2]?.text.length ?? 0) > maxBufferedBodyBytes,
+  );
   child.kill('SIGHUP');
   await waitUntil(() => output().includes('hangup') || child.exitCode !== null);
   child.kill('SIGTERM');
   await waitUntil(() => output().includes('stopping') || child.exitCode !== null);
-  held.releaseAll();
-  await waitUntil(() => callers.every((caller) => caller.ended || caller.closed));
-  t.deepEqual(served(callers), [[200, 200, 200], [200], [200]]);
+  delaying.releaseAll();
+  await waitUntil(() => clients.every((client) => client.ended || client.closed));
+  t.deepEqual(statusesOf(clients), [[200, 200, 200], [200], [200]]);
   await waitUntil(() => child.exitCode !== null || child.signalCode !== null);
   t.is(child.exitCode, 0);
   const targets = origin.requests.map(({ path: target }) => target);
-  const runs = targets.filter((target) => !target.startsWith('/.')).sort();
-  t.deepEqual(runs, ['/order/1', '/read/1', '/read/2', '/read/3', '/read/large']);
+  const executed = targets.filter((target) => !target.startsWith('/.')).sort();
+  t.deepEqual(executed, ['/order/1', '/read/1', '/read/2', '/read/3', '/read/large']);
   t.true(output().includes('cutOff=0'), output());
 });
--- a/packages/proxy/src/testing/proxy-harness.ts
+++ b/packages/proxy/src/testing/proxy-harness.ts
@@ -1,4 +1,4 @@
-/** A proxy on the loopback with a feed of the test's own, and a caller that writes raw bytes. */
+/** A proxy on the loopback interface with a feed from the test, and a client that writes raw bytes. */
 import http from 'node:http';
 import net from 'node:net';
 import type { AddressInfo } from 'node:net';
@@ -13,24 +13,24 @@
 const HOST = '127.0.0.1';
 const SERVICE = 'store';
 
-/** A dialect in which each request names its origin, and answers echo the request's id. */
+/** A wire format in which each request names its origin, and responses echo the request's id. */
 export const testWireFormat: WireFormat = {
   ...reedyardWireFormat,
   identity: 'named',
   deadlineMs: (headers) => Number(headers['x-left-ms'] ?? Infinity),
   originRequestFields: ({ origin }) => ({ 'x-intended': origin.instance }),
-  readOriginResponse: (status, headers, { headers: asked }) => {
+  readOriginResponse: (status, headers, { headers: requestHeaders }) => {
     const echoed = headers['x-request'];
-    const misdirected = status === 421;
-    const notRun = headers['x-not-run'] !== undefined || misdirected;
-    const marked = echoed === asked['x-request'];
-    const unmarked = notRun ? null : 'unmarked';
-    const unsound = echoed === undefined ? unmarked : marked ? null : 'foreign';
+    const isMisdirected = status === 421;
+    const notRun = headers['x-not-run'] !== undefined || isMisdirected;
+    const isSameRequest = echoed === requestHeaders['x-request'];
+    const missingId = notRun ? null : 'unmarked';
+    const mismatch = echoed === undefined ? missingId : isSameRequest ? null : 'foreign';
     const anonymous = echoed === undefined;
     return {
-      mismatch: unsound,
+      mismatch,
       notRun,
-      isMisdirected: misdirected,
+      isMisdirected,
       load: null,
       coldMs: null,
       anonymous,
@@ -39,7 +39,7 @@
   stamps: ['x-stamp'],
 };
 
-const routeOf = (name: string, more: object): Policy['routes'][number] => ({
+const routeOf = (name: string, options: object): Policy['routes'][number] => ({
   name,
   host: 'a.example',
   path: `/${name}/`,
@@ -48,21 +48,21 @@
   cache: { keep: 'never' },
   limits: {},
   tagsHeader: 'tags',
-  ...more,
+  ...options,
 });
 
-/** A config with routes that may be repeated, that may not, and whose objects are kept. */
-export const policyOf = (callers: Policy['callers'] = {}, limits: object = {}): Policy => ({
+/** A configuration with an idempotent route, one that is not idempotent, and a cached one. */
+export const policyOf = (clientLimits: Policy['callers'] = {}, limits: object = {}): Policy => ({
   services: { [SERVICE]: {} },
   routes: [
     routeOf('read', { repeat: 'safe', limits }),
     routeOf('order', { repeat: 'never', limits }),
     routeOf('kept', { repeat: 'safe', cache: { keep: 'always', mostSeconds: 60 }, limits }),
   ],
-  callers,
+  callers: clientLimits,
 });
 
-/** An origin at a port. */
+/** The feed's entry of an origin at a port. */
 export const originEndpoint = (port: number, instance = 'i1'): OriginEndpoint => ({
   service: SERVICE,
   instance,
@@ -77,7 +77,7 @@
   rate: Infinity,
 });
 
-/** What the proxy is fed; tests change it as they go. */
+/** The parts of the feed that tests set and may change while the proxy runs. */
 export type FeedParts = {
   policy: { readonly revision: number; readonly document: Policy };
   origins: readonly OriginEndpoint[];
@@ -85,26 +85,26 @@
   split: Feed['split'];
 };
 
-/** A running proxy with what it was told. */
+/** A running proxy with its feed, its ports and its log. */
 export type Harness = {
   readonly proxy: ProxyHost;
   readonly feed: FeedParts;
   readonly server: http.Server;
   readonly port: number;
   readonly peerPort: number;
-  /** Names of what it logged. */
+  /** The logged events, each followed by its fields in JSON. */
   readonly logged: string[];
   readonly close: () => void;
 };
 
-const nextTurn = (): Promise<void> =>
+const nextEventLoopTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-/** Waits for a condition; the verdict is the test's own, which times out if it never holds. */
-export const waitUntil = async (holds: () => boolean): Promise<void> => {
-  while (!holds()) await nextTurn();
+/** Waits for a condition; if it is never met, the test that waits times out. */
+export const waitUntil = async (isMet: () => boolean): Promise<void> => {
+  while (!isMet()) await nextEventLoopTurn();
 };
 
 const settingsOf = (name: string): ProxySettings =>
@@ -144,7 +144,7 @@
  * Starts a proxy and waits until it is ready.
  *
  * @example
- * const harness = await startHarness({ origins: [originRow(origin.port)] });
+ * const harness = await startHarness({ origins: [originEndpoint(origin.port)] });
  */
 export const startHarness = async (parts: Partial<FeedParts>, name = 'a'): Promise<Harness> => {
   const policy = { revision: 1, document: policyOf() };
@@ -153,38 +153,38 @@
   const log = (event: string, fields: unknown): void => {
     logged.push(`${event} ${JSON.stringify(fields)}`);
   };
-  const askAgent = (call: ProxyQuery): Promise<unknown> =>
-    Promise.resolve(call.kind === 'feed' ? { ...feedOf(feed), revisions } : { kind: 'granted' });
+  const queryAgent = (query: ProxyQuery): Promise<unknown> =>
+    Promise.resolve(query.kind === 'feed' ? { ...feedOf(feed), revisions } : { kind: 'granted' });
   const logger = { info: log, warn: log, error: log };
-  const proxy = openProxy(settingsOf(name), testWireFormat, { logger, queryAgent: askAgent });
+  const proxy = openProxy(settingsOf(name), testWireFormat, { logger, queryAgent });
   const server = await proxy.serve(false, 0);
-  const peers = await proxy.serve(true, 0);
+  const peerServer = await proxy.serve(true, 0);
   await waitUntil(() => ProxyCore.ready(proxy.task.peek(), performance.now()));
   return {
     proxy,
     feed,
     server,
     port: (server.address() as AddressInfo).port,
-    peerPort: (peers.address() as AddressInfo).port,
+    peerPort: (peerServer.address() as AddressInfo).port,
     logged,
     close: () => {
       proxy.close();
-      for (const each of [server, peers]) {
-        each.close();
-        each.closeAllConnections();
+      for (const openServer of [server, peerServer]) {
+        openServer.close();
+        openServer.closeAllConnections();
       }
     },
   };
 };
 
-/** An answer as a caller read it. */
+/** A response as a client read it. */
 export type RawResponse = {
   readonly status: number;
   readonly head: string;
   readonly body: string;
 };
 
-/** A caller that writes raw bytes over one connection and keeps all that it reads. */
+/** A client that writes raw bytes over one connection and records everything that it reads. */
 export class RawClient {
   text = '';
   ended = false;
@@ -212,29 +212,29 @@
     return new RawClient(socket);
   }
 
-  send(method: string, path: string, id: string, body = '', more = ''): void {
+  send(method: string, path: string, id: string, body = '', extraFields = ''): void {
     const length = body === '' ? '' : `content-length: ${Buffer.byteLength(body)}\r\n`;
     const head = `${method} ${path} HTTP/1.1\r\nhost: a.example\r\nx-request: ${id}\r\n`;
-    this.socket.write(`${head}${length}${more}\r\n${body}`);
+    this.socket.write(`${head}${length}${extraFields}\r\n${body}`);
   }
 
-  /** All answers that were read whole, in their order. */
+  /** All responses that were received completely, in order. */
   responses(): readonly RawResponse[] {
-    const found: RawResponse[] = [];
+    const responses: RawResponse[] = [];
     let rest = this.text;
     for (;;) {
       const end = rest.indexOf('\r\n\r\n');
-      if (end < 0) return found;
+      if (end < 0) return responses;
       const head = rest.slice(0, end);
       const length = Number(/content-length: (\d+)/i.exec(head)?.[1] ?? 0);
       const body = rest.slice(end + 4, end + 4 + length);
-      if (body.length < length) return found;
-      found.push({ status: Number(head.slice(9, 12)), head, body });
+      if (body.length < length) return responses;
+      responses.push({ status: Number(head.slice(9, 12)), head, body });
       rest = rest.slice(end + 4 + length);
     }
   }
 
-  /** The first answers, once there are that many. */
+  /** Waits for a number of responses, or the end of the connection; returns all responses. */
   async waitForResponses(count: number): Promise<readonly RawResponse[]> {
     await waitUntil(() => this.responses().length >= count || this.ended || this.closed);
     return this.responses();
--- a/packages/proxy/src/testing/scripted-origin.ts
+++ b/packages/proxy/src/testing/scripted-origin.ts
@@ -1,6 +1,6 @@
 /**
- * An origin for tests that writes exactly the bytes it is told to, on a raw socket: whatever an
- * origin in trouble may do to a connection can be done here, and in any order.
+ * An origin for tests whose script writes raw bytes to its sockets, so that it can reproduce
+ * anything that a faulty origin may do to a connection, in any order.
  */
 import net from 'node:net';
 
@@ -10,21 +10,21 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
-  /** Which of the origin's connections it came over, from 0. */
+  /** Index of the connection that it arrived on, from 0. */
   readonly connection: number;
 };
 
-/** What a script does with a request that was read. */
+/** Handles a request that was read. */
 export type Script = (request: ReceivedRequest, socket: net.Socket) => void;
 
 /** A running scripted origin. */
 export type ScriptedOrigin = {
   readonly port: number;
   readonly requests: ReceivedRequest[];
-  /** Sockets of all connections that were ever accepted. */
+  /** Sockets of all accepted connections, in order. */
   readonly sockets: net.Socket[];
   script: Script;
-  /** Whether bodies are waited for; a request is otherwise seen with its head. */
+  /** Whether a request is handled after its body was read, rather than after its head. */
   readsBodies: boolean;
   readonly close: () => Promise<void>;
 };
@@ -32,16 +32,16 @@
 const HEAD_END = '\r\n\r\n';
 
 const parseHead = (head: string): Omit<ReceivedRequest, 'body' | 'connection'> => {
-  const [first = '', ...lines] = head.split('\r\n');
-  const [method = '', path = ''] = first.split(' ');
+  const [requestLine = '', ...lines] = head.split('\r\n');
+  const [method = '', path = ''] = requestLine.split(' ');
   const fields = lines.map((line): [string, string] => {
-    const cut = line.indexOf(':');
-    return [line.slice(0, cut).toLowerCase(), line.slice(cut + 1).trim()];
+    const separator = line.indexOf(':');
+    return [line.slice(0, separator).toLowerCase(), line.slice(separator + 1).trim()];
   });
   return { method, path, headers: Object.fromEntries(fields) };
 };
 
-/** Reads requests off one socket. */
+/** Reads the requests on one socket. */
 class RequestReader {
   #text = '';
 
@@ -58,10 +58,10 @@
       if (end < 0) return;
       const head = parseHead(this.#text.slice(0, end));
       const length = this.origin.readsBodies ? Number(head.headers['content-length'] ?? 0) : 0;
-      const bodyAt = end + HEAD_END.length;
-      if (this.#text.length < bodyAt + length) return;
-      const body = this.#text.slice(bodyAt, bodyAt + length);
-      this.#text = this.#text.slice(bodyAt + length);
+      const bodyStart = end + HEAD_END.length;
+      if (this.#text.length < bodyStart + length) return;
+      const body = this.#text.slice(bodyStart, bodyStart + length);
+      this.#text = this.#text.slice(bodyStart + length);
       const request = { ...head, body, connection: this.connection };
       this.origin.requests.push(request);
       this.origin.script(request, this.socket);
@@ -70,10 +70,10 @@
 }
 
 /**
- * Starts an origin on the loopback, at a port of its own or at `port`.
+ * Starts an origin on the loopback interface, at `port` or at any free port.
  *
  * @example
- * const origin = await startScriptedOrigin((request, socket) => socket.write(answerTo(request)));
+ * const origin = await startScriptedOrigin((request, socket) => socket.write(validResponse(request)));
  */
 export const startScriptedOrigin = async (script: Script, port = 0): Promise<ScriptedOrigin> => {
   const server = net.createServer({ allowHalfOpen: true });
@@ -104,23 +104,23 @@
   return origin;
 };
 
-/** Fields of an answer that belongs to a request, in the dialect of the tests. */
+/** Fields of a response that matches a request, in the wire format of the tests. */
 export const responseFieldsFor = (request: ReceivedRequest): Readonly<Record<string, string>> => ({
   'x-request': request.headers['x-request'] ?? '',
   'x-stamp': 'sealed',
 });
 
-/** The bytes of an answer. */
+/** The bytes of a response. */
 export const responseBytes = (
   status: number,
   fields: Readonly<Record<string, string>>,
   body: string,
 ): string => {
-  const all = { 'content-length': String(Buffer.byteLength(body)), ...fields };
-  const lines = Object.entries(all).map(([name, value]) => `${name}: ${value}\r\n`);
+  const headers = { 'content-length': String(Buffer.byteLength(body)), ...fields };
+  const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`);
   return `HTTP/1.1 ${status} Scripted\r\n${lines.join('')}\r\n${body}`;
 };
 
-/** A sound answer to a request, with its path as the body. */
+/** A valid response to a request, with its path as the body. */
 export const validResponse = (request: ReceivedRequest): string =>
   responseBytes(200, responseFieldsFor(request), request.path);
