--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A whole fleet in virtual time: machines, disks, network, origins and clients around the
- * product's own reducers.
+ * Simulates a complete fleet in virtual time: machines, disks, network, origins and clients around
+ * the reducers of agent, proxy and replica.
  */
 import {
   type AgentEffect,
@@ -67,116 +67,132 @@
   replica: { state: ReplicaState; event: ReplicaEvent; effect: ReplicaEffect };
 };
 
-/** One life of one process. Its monotonic clock starts anywhere and runs on while it is frozen. */
+/**
+ * One incarnation of a process. Its monotonic clock starts at a random value and continues to run
+ * while the process is frozen.
+ */
 type Process<P extends Program> = {
   readonly program: P;
   readonly machine: Machine;
-  readonly clockFrom: number;
+  /** Virtual time at which the process's clock reads zero. */ readonly clockZeroAt: number;
   readonly clockRate: number;
   state: Reducers[P]['state'];
   alive: boolean;
   frozen: boolean;
-  readonly waiting: (() => void)[];
-  readonly asking: Map<number, (reply: unknown) => void>;
-  nextAsk: number;
+  readonly deferredActions: (() => void)[];
+  readonly pendingReplies: Map<number, (reply: unknown) => void>;
+  nextRequestId: number;
 };
 
-/** A disk: what is synced survives; what is not may be lost. */
+/** A disk. Synced records survive a kill; unsynced records may be lost. */
 type Disk = {
   synced: ReplicaRecord[];
   unsynced: ReplicaRecord[];
-  syncing: boolean;
-  count: number;
-  waiters: { readonly need: number; readonly act: () => void }[];
+  isSyncing: boolean;
+  syncedTotal: number;
+  waiters: { readonly requiredTotal: number; readonly act: () => void }[];
 };
 const blankDisk = (synced: ReplicaRecord[] = []): Disk => ({
   synced,
   unsynced: [],
-  syncing: false,
-  count: 0,
+  isSyncing: false,
+  syncedTotal: 0,
   waiters: [],
 });
 
 type SimulatedMachine = {
   readonly machine: Machine;
-  /** Name that it goes by; two machines may claim one. */ readonly memberName: string;
+  /** Name under which its processes run; two machines may use the same. */ readonly memberName: string;
   agent: Process<'agent'> | null;
   proxy: Process<'proxy'> | null;
   replica: Process<'replica'> | null;
   disk: Disk;
   isPowered: boolean;
+  /** Records of the last wiped disk that the injected fault `wiped-votes` restores. */
   identityRecords: readonly ReplicaRecord[];
 };
 
-/** A stand-in origin: an identity at an address. */
+/** A simulated origin with its address and its previous response. */
 export type SimulatedOrigin = ScenarioOrigin & {
   readonly address: string;
   previous: AttemptResponse | null;
 };
 
-/** A field of an answer as text; empty where there is none. */
-const fieldOf = (headers: Readonly<Record<string, unknown>>, name: string): string => {
+/** Returns a response header as text, or an empty string if the header is missing. */
+const headerText = (headers: Readonly<Record<string, unknown>>, name: string): string => {
   const value = headers[name];
   return typeof value === 'string' ? value : '';
 };
 
-/** What a submission is to become: an answer to the caller. */
-type Caller = {
+/**
+ * A client, or a forwarding proxy, that waits for the response to a submission. `respond` is called
+ * with null if the proxy dies first.
+ */
+type WaitingClient = {
   readonly submission: number;
-  readonly done: (
-    got: {
+  readonly respond: (
+    result: {
       status: number;
       headers: Record<string, unknown>;
       body: SimBody | null;
-      whole: boolean;
+      isComplete: boolean;
       retryAfter: boolean;
-      why: string;
+      reason: string;
     } | null,
   ) => void;
 };
-/** Callers of one process that wait for an answer, by the process's number for each. */
-type CallerTable = Map<number, Caller & { readonly mark: string | null }>;
-/** Submissions of one process, by its number for each request. */
+/** Waiting clients of one proxy process, by its request ids. */
+type WaitingClientTable = Map<number, WaitingClient & { readonly attemptId: string | null }>;
+/** Submissions to one proxy process, by its request ids. */
 type SubmissionTable = Map<number, { readonly submission: number; readonly job: string }>;
 
+/** Network, clocks, injected fault and agent settings of a simulated fleet. */
 export type Tuning = {
+  /** Probability that a message between two endpoints is lost. */
   readonly loss: number;
   readonly plant: InjectedFault;
+  /** Round-trip time between two regions, in milliseconds. */
   readonly regionsMs: number;
   readonly selection?: Selection;
-  /** ms that a message may wait more. */
+  /** Maximum additional random delay of a message between two endpoints, in milliseconds. */
   readonly busyMs?: number;
-  /** How far the clocks of machines may run from the true rate: a share of it, either way. */
+  /** Maximum deviation of machine clocks from the true rate, as a fraction in either direction. */
   readonly drift?: number;
-  /** Nodes serve on while they are cut off. */
+  /** Whether isolated nodes continue to serve without a lease. */
   readonly servesOn?: boolean;
-  /** Members found themselves from the seeds' replicas, instead of being named by the settings. */
+  /** If set, the seeds' replicas found the membership; otherwise the settings name the founders. */
   readonly voting?: { readonly losses: number; readonly catchUpMs?: number };
 };
 
-/** A whole fleet in virtual time. */
+/** Feeds the reducers of all processes with events and carries out their effects in virtual time. */
 export class SimulatedFleet implements RequestedFleet {
   readonly clock: VirtualClock;
   readonly history: Entry[] = [];
   readonly machines = new Map<string, SimulatedMachine>();
   readonly origins: SimulatedOrigin[] = [];
-  readonly #reach: SimulatedNetwork;
-  readonly #drained = new Map<string, Feed['origins'][number]>();
-  /** What settings name as seeds to those that start from now on. */
+  readonly #network: SimulatedNetwork;
+  readonly #originRows = new Map<string, Feed['origins'][number]>();
+  /** Agent addresses that the settings of processes started from now on name as seeds. */
   seeds: readonly string[] = [];
   /**
-   * What settings say where members found themselves: whether the whole system starts for the very
-   * first time.
+   * Whether the settings declare the very first start of the complete system. Used only if the
+   * seeds' replicas found the membership.
    */
   firstStart = true;
   readonly counts = { messages: 0, events: 0 };
-  /** Time to the last byte of each answer that callers got, ms. */
+  /**
+   * Time from each client request to its successful response, in milliseconds: to the last byte, or
+   * to the start of a large response.
+   */
   readonly waits: { readonly at: number; readonly ms: number }[] = [];
-  /** When each proxy's link is free again: replies leave one after another at its capacity. */
-  readonly #busyUntil = new Map<string, number>();
-  #lives = 0;
+  /**
+   * Virtual time at which each proxy's link is free again. Responses leave one after another at the
+   * link's capacity.
+   */
+  readonly #linkFreeAt = new Map<string, number>();
+  #startCount = 0;
   readonly #clockRates = new Map<string, number>();
-  #marks = 0;
+  #tokenCount = 0;
 
   constructor(
     readonly deployment: Deployment,
@@ -184,7 +200,7 @@
     readonly tuning: Tuning,
   ) {
     this.clock = new VirtualClock(seed);
-    this.#reach = new SimulatedNetwork(
+    this.#network = new SimulatedNetwork(
       Object.keys(this.founders()),
       () => this.clock.now(),
       (entry) => this.history.push(entry),
@@ -233,24 +249,25 @@
   isRunning(name: string): boolean {
     return this.machines.get(name)?.agent?.alive === true;
   }
-  /** The machine that has the quotaLeadership. */
+  /** Returns the name of the machine whose agent has the quota leadership. */
   holder(): string | undefined {
     return [...this.machines.values()].find(
-      (box) => box.agent !== null && box.agent.state.quotaLeadership !== null,
+      (simulatedMachine) =>
+        simulatedMachine.agent !== null && simulatedMachine.agent.state.quotaLeadership !== null,
     )?.machine.name;
   }
 
-  #machineAt(place: string): Machine | undefined {
-    return this.machines.get(place)?.machine;
+  #machineNamed(name: string): Machine | undefined {
+    return this.machines.get(name)?.machine;
   }
 
-  /** Another machine, with a blank disk, that goes by the name of one which may still run. */
+  /** Starts another machine, with a blank disk, under the name of a machine that may still run. */
   startDuplicate(name: string): string {
-    const box = this.machines.get(name);
-    const place = `${name}~2`;
-    if (box !== undefined)
-      this.machines.set(place, {
-        machine: { ...box.machine, name: place },
+    const simulatedMachine = this.machines.get(name);
+    const duplicateName = `${name}~2`;
+    if (simulatedMachine !== undefined)
+      this.machines.set(duplicateName, {
+        machine: { ...simulatedMachine.machine, name: duplicateName },
         memberName: name,
         agent: null,
         proxy: null,
@@ -259,75 +276,77 @@
         disk: blankDisk(),
         identityRecords: [],
       });
-    this.start(place);
-    return place;
+    this.start(duplicateName);
+    return duplicateName;
   }
-  #where(place: string): { zone: string; region: string } {
-    const machine = this.#machineAt(place);
+  #locationOf(endpoint: string): { zone: string; region: string } {
+    const machine = this.#machineNamed(endpoint);
     if (machine !== undefined) return machine;
     return (
-      this.origins.find((origin) => origin.address === place)?.spec ?? {
+      this.origins.find((origin) => origin.address === endpoint)?.spec ?? {
         zone: 'outside',
         region: 'outside',
       }
     );
   }
 
-  /** ms one way between two places. */
+  /** Returns a random one-way delay between two machines or origins, in milliseconds. */
   delay(from: string, to: string): number {
-    const [a, b] = [this.#where(from), this.#where(to)];
-    const base =
+    const [source, destination] = [this.#locationOf(from), this.#locationOf(to)];
+    const baseMs =
       from === to
         ? 0.05
-        : a.region !== b.region && a.region !== 'outside' && b.region !== 'outside'
+        : source.region !== destination.region &&
+            source.region !== 'outside' &&
+            destination.region !== 'outside'
           ? this.tuning.regionsMs / 2
-          : a.zone !== b.zone
+          : source.zone !== destination.zone
             ? 0.4
             : 0.2;
-    return base + this.clock.random() * (0.3 + (from === to ? 0 : (this.tuning.busyMs ?? 0)));
+    return baseMs + this.clock.random() * (0.3 + (from === to ? 0 : (this.tuning.busyMs ?? 0)));
   }
 
   cut(from: string, to: string): void {
-    this.#reach.cut(from, to);
+    this.#network.cut(from, to);
   }
-  /** Cuts a machine off, both ways or only what it sends or only what it hears. */
-  isolate(name: string, way: 'both' | 'out' | 'in' = 'both'): void {
+  /** Isolates a machine in both directions, or only its outgoing or only its incoming messages. */
+  isolate(name: string, direction: 'both' | 'out' | 'in' = 'both'): void {
     for (const other of [
       ...this.machines.keys(),
       ...this.origins.map((origin) => origin.address),
     ]) {
       if (other === name) continue;
-      if (way !== 'in') this.cut(name, other);
-      if (way !== 'out') this.cut(other, name);
+      if (direction !== 'in') this.cut(name, other);
+      if (direction !== 'out') this.cut(other, name);
     }
   }
   heal(): void {
-    this.#reach.heal();
+    this.#network.heal();
   }
 
-  /** Carries something to another place, or loses it. */
-  #carry(from: string, to: string, act: () => void): void {
+  /** Delivers a message after a delay, unless the path is cut or the message is lost. */
+  #transmit(from: string, to: string, act: () => void): void {
     this.counts.messages += 1;
-    if (this.#reach.isCut(from, to)) return;
+    if (this.#network.isCut(from, to)) return;
     if (from !== to && this.clock.random() < this.tuning.loss) return;
     this.clock.schedule(this.delay(from, to), act);
   }
 
-  #now(process: Process<Program>): number {
-    return (this.clock.now() - process.clockFrom) * process.clockRate;
+  #processTime(process: Process<Program>): number {
+    return (this.clock.now() - process.clockZeroAt) * process.clockRate;
   }
 
-  /** Does something inside a process: now, when it thaws, or never if it is dead by then. */
-  #inside(process: Process<Program>, act: () => void): void {
+  /** Runs an action in a process: now, when the process thaws, or never if it is dead by then. */
+  #runInProcess(process: Process<Program>, act: () => void): void {
     if (!process.alive) return;
     if (process.frozen) {
-      process.waiting.push(() => this.#inside(process, act));
+      process.deferredActions.push(() => this.#runInProcess(process, act));
       return;
     }
     act();
   }
 
-  #step<P extends Program>(process: Process<P>, event: Reducers[P]['event']): void {
+  #dispatch<P extends Program>(process: Process<P>, event: Reducers[P]['event']): void {
     if (!process.alive) return;
     this.counts.events += 1;
     const reduce = (
@@ -350,64 +369,70 @@
     process.state = step.state;
     if (process.program === 'replica' && this.tuning.plant === 'forget-when-replaced')
       this.#forgetWhenReplaced(process as unknown as Process<'replica'>);
-    if (process.program === 'agent') this.#tookStep(process as unknown as Process<'agent'>);
+    if (process.program === 'agent') this.#recordLease(process as unknown as Process<'agent'>);
     for (const effect of step.effects) {
       if (!process.alive) return;
       if (process.program === 'agent')
-        this.#agentEffect(process as unknown as Process<'agent'>, effect as AgentEffect);
+        this.#applyAgentEffect(process as unknown as Process<'agent'>, effect as AgentEffect);
       else if (process.program === 'proxy')
-        this.#proxyEffect(process as unknown as Process<'proxy'>, effect as ProxyEffect);
-      else this.#replicaEffect(process as unknown as Process<'replica'>, effect as ReplicaEffect);
+        this.#applyProxyEffect(process as unknown as Process<'proxy'>, effect as ProxyEffect);
+      else
+        this.#applyReplicaEffect(process as unknown as Process<'replica'>, effect as ReplicaEffect);
     }
   }
 
   /**
-   * A planted fault: a replica whose place was given away has nothing that its successor could
-   * read.
+   * Injected fault: a replica whose slot was given to a successor has no data that the successor
+   * could read.
    */
   #forgetWhenReplaced(process: Process<'replica'>): void {
     const { state } = process;
-    const disk = `${state.diskId}/forgotten`;
+    const forgottenDiskId = `${state.diskId}/forgotten`;
     if (state.retirement !== null)
-      process.state = { ...state, hasBegunVoting: false, diskId: disk, retirement: null };
+      process.state = {
+        ...state,
+        hasBegunVoting: false,
+        diskId: forgottenDiskId,
+        retirement: null,
+      };
   }
 
-  #tookStep(process: Process<'agent'>): void {
-    if (process.state.leaseUntil > this.#now(process))
-      this.#reach.leaseAcquired(process.machine.name);
+  #recordLease(process: Process<'agent'>): void {
+    if (process.state.leaseUntil > this.#processTime(process))
+      this.#network.leaseAcquired(process.machine.name);
   }
 
-  #make<P extends Program>(
+  #createProcess<P extends Program>(
     program: P,
     machine: Machine,
-    state: (now: number) => Reducers[P]['state'],
+    openState: (now: number) => Reducers[P]['state'],
   ): Process<P> {
-    const clockFrom = this.clock.now() - this.clock.between(0, 1e6);
+    const clockZeroAt = this.clock.now() - this.clock.between(0, 1e6);
     const clockRate = this.#clockRates.get(machine.name) ?? 1;
     return {
       program,
       machine,
-      clockFrom,
+      clockZeroAt,
       clockRate,
-      state: state((this.clock.now() - clockFrom) * clockRate),
+      state: openState((this.clock.now() - clockZeroAt) * clockRate),
       alive: true,
       frozen: false,
-      waiting: [],
-      asking: new Map(),
-      nextAsk: 1,
+      deferredActions: [],
+      pendingReplies: new Map(),
+      nextRequestId: 1,
     };
   }
 
-  #every(process: Process<Program>, ms: number, act: () => void): void {
-    this.clock.schedule((ms / process.clockRate) * this.clock.between(0.9, 1.1), () =>
-      this.#inside(process, () => {
+  #scheduleTicks(process: Process<Program>, intervalMs: number, act: () => void): void {
+    this.clock.schedule((intervalMs / process.clockRate) * this.clock.between(0.9, 1.1), () =>
+      this.#runInProcess(process, () => {
         act();
-        this.#every(process, ms, act);
+        this.#scheduleTicks(process, intervalMs, act);
       }),
     );
   }
 
-  /** The replicas of the machines that settings name as seeds. */
+  /** Returns the replica addresses of the machines that the settings name as seeds. */
   #replicaSeeds(): readonly string[] {
     return this.seeds.map((seed) => seed.replace(/\/agent$/, '/replica'));
   }
@@ -420,40 +445,44 @@
     );
   }
 
-  /** Starts a machine's programs, each a little after the other. */
+  /** Powers a machine on and starts its processes, each after its own random delay. */
   start(name: string): void {
-    const box = this.machines.get(name);
-    if (box === undefined) return;
-    box.isPowered = true;
-    this.#reach.changed(name);
-    const { machine } = box;
-    if (machine.kind !== 'front' && box.replica === null)
+    const simulatedMachine = this.machines.get(name);
+    if (simulatedMachine === undefined) return;
+    simulatedMachine.isPowered = true;
+    this.#network.changed(name);
+    const { machine } = simulatedMachine;
+    if (machine.kind !== 'front' && simulatedMachine.replica === null)
       this.clock.schedule(this.clock.between(50, 400), () => {
-        if (box.isPowered && box.replica === null) this.#startReplica(box);
+        if (simulatedMachine.isPowered && simulatedMachine.replica === null)
+          this.#startReplica(simulatedMachine);
       });
-    if (box.agent === null)
+    if (simulatedMachine.agent === null)
       this.clock.schedule(this.clock.between(50, 400), () => {
-        if (box.isPowered && box.agent === null) this.#startAgent(box);
+        if (simulatedMachine.isPowered && simulatedMachine.agent === null)
+          this.#startAgent(simulatedMachine);
       });
-    if (machine.kind === 'front' && box.proxy === null)
+    if (machine.kind === 'front' && simulatedMachine.proxy === null)
       this.clock.schedule(this.clock.between(50, 400), () => {
-        if (box.isPowered && box.proxy === null) this.#startProxy(box);
+        if (simulatedMachine.isPowered && simulatedMachine.proxy === null)
+          this.#startProxy(simulatedMachine);
       });
   }
 
-  #startReplica(box: SimulatedMachine): void {
-    this.#lives += 1;
-    const { machine } = box;
+  #startReplica(simulatedMachine: SimulatedMachine): void {
+    this.#startCount += 1;
+    const { machine } = simulatedMachine;
     const others = Object.fromEntries(
-      Object.entries(this.founders()).filter(([name]) => name !== box.memberName),
+      Object.entries(this.founders()).filter(([name]) => name !== simulatedMachine.memberName),
     );
-    // A wiped disk that still goes by its old name votes as if it knew all that it promised.
+    // Injected fault: a wiped disk keeps its old disk id and votes as if it still knew all its
+    // promises.
     const records =
-      this.tuning.plant === 'wiped-votes' && box.disk.synced.length === 0
-        ? box.identityRecords
-        : box.disk.synced;
+      this.tuning.plant === 'wiped-votes' && simulatedMachine.disk.synced.length === 0
+        ? simulatedMachine.identityRecords
+        : simulatedMachine.disk.synced;
     let effects: readonly ReplicaEffect[] = [];
-    const process = this.#make('replica', machine, (now) => {
+    const process = this.#createProcess('replica', machine, (now) => {
       const bootstrap =
         this.tuning.voting === undefined
           ? null
@@ -463,52 +492,52 @@
               isFirstStart: this.firstStart,
             };
       const opened = openReplica({
-        name: box.memberName,
+        name: simulatedMachine.memberName,
         otherFounders: others,
         bootstrap,
         records,
-        newDiskId: `disk-${this.#lives}`,
+        newDiskId: `disk-${this.#startCount}`,
         now,
       });
       effects = opened.effects;
       return opened.state;
     });
-    box.replica = process;
-    effects.forEach((effect) => this.#replicaEffect(process, effect));
-    this.#every(process, replicaTickIntervalMs, () => {
-      this.#step(process, { kind: 'tick', now: this.#now(process) });
-      this.#compact(box, process);
+    simulatedMachine.replica = process;
+    effects.forEach((effect) => this.#applyReplicaEffect(process, effect));
+    this.#scheduleTicks(process, replicaTickIntervalMs, () => {
+      this.#dispatch(process, { kind: 'tick', now: this.#processTime(process) });
+      this.#compact(simulatedMachine, process);
     });
   }
 
-  /** Compaction rewrites the disk from the state, as the real log does. */
-  #compact(box: SimulatedMachine, process: Process<'replica'>): void {
-    if (box.disk.synced.length > 4_000 && box.disk.unsynced.length === 0)
-      box.disk.synced = [...snapshotRecords(process.state)];
+  /** Rewrites a long log on disk from the replica's state, as the real log's compaction does. */
+  #compact(simulatedMachine: SimulatedMachine, process: Process<'replica'>): void {
+    if (simulatedMachine.disk.synced.length > 4_000 && simulatedMachine.disk.unsynced.length === 0)
+      simulatedMachine.disk.synced = [...snapshotRecords(process.state)];
   }
 
-  #startAgent(box: SimulatedMachine): void {
-    this.#lives += 1;
-    const { machine } = box;
-    const fronts = machine.kind === 'front';
-    const process = this.#make('agent', machine, (now) =>
+  #startAgent(simulatedMachine: SimulatedMachine): void {
+    this.#startCount += 1;
+    const { machine } = simulatedMachine;
+    const isFront = machine.kind === 'front';
+    const process = this.#createProcess('agent', machine, (now) =>
       openAgent({
         self: {
-          id: box.memberName,
+          id: simulatedMachine.memberName,
           servesOn: this.tuning.servesOn === true,
           zone: machine.zone,
           region: machine.region,
           address: `${machine.name}/agent`,
-          proxy: fronts
+          proxy: isFront
             ? {
                 callers: `${machine.name}/proxy`,
                 peers: `${machine.name}/peers`,
                 capacityBps: machine.capacityBps ?? 8e6,
               }
             : null,
-          replica: fronts ? null : { address: `${machine.name}/replica` },
+          replica: isFront ? null : { address: `${machine.name}/replica` },
         },
-        incarnation: `life-${this.#lives}`,
+        incarnation: `life-${this.#startCount}`,
         seeds: this.seeds,
         founders: this.founders(),
         bootstrap:
@@ -519,138 +548,153 @@
         now,
       }),
     );
-    box.agent = process;
-    this.#every(process, agentTickIntervalMs, () =>
-      this.#step(process, { kind: 'tick', now: this.#now(process) }),
+    simulatedMachine.agent = process;
+    this.#scheduleTicks(process, agentTickIntervalMs, () =>
+      this.#dispatch(process, { kind: 'tick', now: this.#processTime(process) }),
     );
   }
 
-  #startProxy(box: SimulatedMachine): void {
-    this.#lives += 1;
-    const { machine } = box;
-    const process = this.#make('proxy', machine, (now) =>
+  #startProxy(simulatedMachine: SimulatedMachine): void {
+    this.#startCount += 1;
+    const { machine } = simulatedMachine;
+    const process = this.#createProcess('proxy', machine, (now) =>
       ProxyCore.open(
         {
           id: machine.name,
           zone: machine.zone,
           region: machine.region,
           capacityBps: machine.capacityBps ?? 8e6,
-          life: `proxy-${this.#lives}`,
+          life: `proxy-${this.#startCount}`,
         },
         now,
       ),
     );
-    box.proxy = process;
-    this.#every(process, proxyTickIntervalMs, () =>
-      this.#step(process, { kind: 'tick', now: this.#now(process) }),
+    simulatedMachine.proxy = process;
+    this.#scheduleTicks(process, proxyTickIntervalMs, () =>
+      this.#dispatch(process, { kind: 'tick', now: this.#processTime(process) }),
     );
-    this.#step(process, { kind: 'feed-due', now: this.#now(process) });
+    this.#dispatch(process, { kind: 'feed-due', now: this.#processTime(process) });
   }
 
-  #end(process: Process<Program> | null): void {
+  #terminate(process: Process<Program> | null): void {
     if (process === null) return;
     process.alive = false;
-    process.asking.clear();
+    process.pendingReplies.clear();
   }
 
-  /** Kills a machine's processes at once. Unsynced writes are lost, or some of them are. */
+  /**
+   * Kills a machine's processes immediately. A random number of its unsynced records, the oldest
+   * ones, survives; the rest is lost.
+   */
   kill(name: string): void {
-    const box = this.machines.get(name);
-    if (box === undefined) return;
-    this.#reach.changed(name);
-    this.#end(box.agent);
-    this.#end(box.proxy);
-    this.#end(box.replica);
-    const proxy = box.proxy;
-    if (proxy !== null) for (const id of this.#callersOf(proxy)) id.done(null);
-    box.agent = null;
-    box.proxy = null;
-    box.replica = null;
-    box.isPowered = false;
-    const kept = Math.floor(this.clock.random() * (box.disk.unsynced.length + 1));
+    const simulatedMachine = this.machines.get(name);
+    if (simulatedMachine === undefined) return;
+    this.#network.changed(name);
+    this.#terminate(simulatedMachine.agent);
+    this.#terminate(simulatedMachine.proxy);
+    this.#terminate(simulatedMachine.replica);
+    const proxy = simulatedMachine.proxy;
+    if (proxy !== null)
+      for (const client of this.#removeWaitingClients(proxy)) client.respond(null);
+    simulatedMachine.agent = null;
+    simulatedMachine.proxy = null;
+    simulatedMachine.replica = null;
+    simulatedMachine.isPowered = false;
+    const keptCount = Math.floor(this.clock.random() * (simulatedMachine.disk.unsynced.length + 1));
     if (this.tuning.plant === 'forgetful-disks') {
-      box.disk = blankDisk();
+      simulatedMachine.disk = blankDisk();
       return;
     }
-    box.disk = blankDisk([...box.disk.synced, ...box.disk.unsynced.slice(0, kept)]);
+    simulatedMachine.disk = blankDisk([
+      ...simulatedMachine.disk.synced,
+      ...simulatedMachine.disk.unsynced.slice(0, keptCount),
+    ]);
   }
-  /** The warning before a stop: the proxy leaves, the rest goes on until it is killed. */
+  /** Requests a graceful shutdown of the proxy; the other processes run until they are killed. */
   warn(name: string): void {
     const proxy = this.machines.get(name)?.proxy ?? null;
     if (proxy !== null)
-      this.#inside(proxy, () =>
-        this.#step(proxy, { kind: 'stop-requested', now: this.#now(proxy) }),
+      this.#runInProcess(proxy, () =>
+        this.#dispatch(proxy, { kind: 'stop-requested', now: this.#processTime(proxy) }),
       );
   }
-  /** Tells a machine's replica to stop; it ends by itself, as soon as nothing waits for it. */
+  /** Requests a graceful shutdown of a replica, which exits as soon as it is no longer needed. */
   stopReplica(name: string): void {
     const replica = this.machines.get(name)?.replica ?? null;
     if (replica === null) return;
-    this.#inside(replica, () =>
-      this.#step(replica, { kind: 'stop-requested', now: this.#now(replica) }),
+    this.#runInProcess(replica, () =>
+      this.#dispatch(replica, { kind: 'stop-requested', now: this.#processTime(replica) }),
     );
   }
-  /** Takes a dead machine's disk away. */
+  /** Replaces the disk of a machine that is switched off with a blank disk. */
   wipe(name: string): void {
-    const box = this.machines.get(name);
-    if (box === undefined || box.isPowered) return;
-    box.identityRecords = box.disk.synced.filter(
+    const simulatedMachine = this.machines.get(name);
+    if (simulatedMachine === undefined || simulatedMachine.isPowered) return;
+    simulatedMachine.identityRecords = simulatedMachine.disk.synced.filter(
       (record) =>
         record.kind === 'disk-named' ||
         record.kind === 'voting-begun' ||
         (record.kind === 'register-written' && record.key === 'members'),
     );
-    box.disk = blankDisk();
+    simulatedMachine.disk = blankDisk();
   }
   freeze(name: string): void {
-    this.#reach.changed(name);
-    const box = this.machines.get(name);
-    for (const process of [box?.agent, box?.proxy, box?.replica])
+    this.#network.changed(name);
+    const simulatedMachine = this.machines.get(name);
+    for (const process of [
+      simulatedMachine?.agent,
+      simulatedMachine?.proxy,
+      simulatedMachine?.replica,
+    ])
       if (process) process.frozen = true;
   }
   thaw(name: string): void {
-    this.#reach.changed(name);
-    const box = this.machines.get(name);
-    for (const process of [box?.agent, box?.proxy, box?.replica]) {
+    this.#network.changed(name);
+    const simulatedMachine = this.machines.get(name);
+    for (const process of [
+      simulatedMachine?.agent,
+      simulatedMachine?.proxy,
+      simulatedMachine?.replica,
+    ]) {
       if (!process || !process.frozen) continue;
       process.frozen = false;
-      for (const act of process.waiting.splice(0)) act();
+      for (const act of process.deferredActions.splice(0)) act();
     }
   }
-  fault(what: string): void {
-    this.history.push({ kind: 'fault', at: this.clock.now(), label: what });
+  fault(label: string): void {
+    this.history.push({ kind: 'fault', at: this.clock.now(), label });
   }
 
   // Calls between processes -----------------------------------------------------------------------
 
-  /** Asks a process of another machine; `lost` once the limit has passed without an answer. */
+  /** Sends a request to a machine; calls `onTimeout` if no reply arrives within the timeout. */
   #call(
     from: Process<Program>,
     to: string,
     deliver: (target: SimulatedMachine, reply: (body: unknown) => void) => void,
-    returned: (body: unknown) => void,
-    lost: () => void,
-    limitMs: number = callTimeoutMs,
+    onReply: (body: unknown) => void,
+    onTimeout: () => void,
+    timeoutMs: number = callTimeoutMs,
   ): void {
-    let over = false;
-    const name = to.split('/', 1)[0] ?? to;
-    this.clock.schedule(limitMs, () =>
-      this.#inside(from, () => {
-        if (!over) {
-          over = true;
-          lost();
+    let isSettled = false;
+    const machineName = to.split('/', 1)[0] ?? to;
+    this.clock.schedule(timeoutMs, () =>
+      this.#runInProcess(from, () => {
+        if (!isSettled) {
+          isSettled = true;
+          onTimeout();
         }
       }),
     );
-    this.#carry(from.machine.name, name, () => {
-      const box = this.machines.get(name);
-      if (box === undefined) return;
-      deliver(box, (body) =>
-        this.#carry(name, from.machine.name, () =>
-          this.#inside(from, () => {
-            if (!over) {
-              over = true;
-              returned(body);
+    this.#transmit(from.machine.name, machineName, () => {
+      const simulatedMachine = this.machines.get(machineName);
+      if (simulatedMachine === undefined) return;
+      deliver(simulatedMachine, (body) =>
+        this.#transmit(machineName, from.machine.name, () =>
+          this.#runInProcess(from, () => {
+            if (!isSettled) {
+              isSettled = true;
+              onReply(body);
             }
           }),
         ),
@@ -658,72 +702,72 @@
     });
   }
 
-  #askAgent(
-    process: Process<'agent'>,
+  #requestAgent(
+    target: Process<'agent'>,
     event: (id: number) => AgentEvent,
     reply: (body: unknown) => void,
   ): void {
-    this.#inside(process, () => {
-      const id = process.nextAsk;
-      process.nextAsk += 1;
-      process.asking.set(id, reply);
-      this.#step(process, event(id));
+    this.#runInProcess(target, () => {
+      const id = target.nextRequestId;
+      target.nextRequestId += 1;
+      target.pendingReplies.set(id, reply);
+      this.#dispatch(target, event(id));
     });
   }
 
-  #agentEffect(process: Process<'agent'>, effect: AgentEffect): void {
+  #applyAgentEffect(process: Process<'agent'>, effect: AgentEffect): void {
     switch (effect.kind) {
       case 'send-request':
         this.#call(
           process,
           effect.to,
-          (box, reply) => {
+          (simulatedMachine, reply) => {
             if (effect.path === '/agent') {
               const { request: body } = effect;
-              const target = box.agent;
+              const target = simulatedMachine.agent;
               if (target !== null)
-                this.#askAgent(
+                this.#requestAgent(
                   target,
                   (id) => ({
                     kind: 'agent-request-received',
                     requestId: id,
                     request: body,
-                    now: this.#now(target),
+                    now: this.#processTime(target),
                   }),
                   reply,
                 );
               return;
             }
-            const target = box.replica;
-            if (target !== null) this.#askReplica(target, effect.request, reply);
+            const target = simulatedMachine.replica;
+            if (target !== null) this.#requestReplica(target, effect.request, reply);
           },
           (body) =>
-            this.#step(process, {
+            this.#dispatch(process, {
               kind: 'reply-received',
               requestId: effect.requestId,
               reply: body as never,
-              now: this.#now(process),
+              now: this.#processTime(process),
             }),
           () =>
-            this.#step(process, {
+            this.#dispatch(process, {
               kind: 'request-failed',
               requestId: effect.requestId,
-              now: this.#now(process),
+              now: this.#processTime(process),
             }),
         );
         return;
       case 'send-reply':
-        process.asking.get(effect.requestId)?.(effect.reply);
-        process.asking.delete(effect.requestId);
+        process.pendingReplies.get(effect.requestId)?.(effect.reply);
+        process.pendingReplies.delete(effect.requestId);
         return;
       case 'send-answer':
-        process.asking.get(effect.requestId)?.(effect);
-        process.asking.delete(effect.requestId);
+        process.pendingReplies.get(effect.requestId)?.(effect);
+        process.pendingReplies.delete(effect.requestId);
         return;
       case 'schedule-wake-up':
         this.clock.schedule(effect.delayMs / process.clockRate, () =>
-          this.#inside(process, () =>
-            this.#step(process, { kind: 'wake-up-due', now: this.#now(process) }),
+          this.#runInProcess(process, () =>
+            this.#dispatch(process, { kind: 'wake-up-due', now: this.#processTime(process) }),
           ),
         );
         return;
@@ -732,52 +776,52 @@
     }
   }
 
-  #askReplica(
+  #requestReplica(
     target: Process<'replica'>,
-    body: ReplicaRequest,
+    request: ReplicaRequest,
     reply: (body: unknown) => void,
   ): void {
-    this.#inside(target, () => {
-      const id = target.nextAsk;
-      target.nextAsk += 1;
-      target.asking.set(id, reply);
-      const { committedMembership: told } = target.state;
-      const heard =
+    this.#runInProcess(target, () => {
+      const id = target.nextRequestId;
+      target.nextRequestId += 1;
+      target.pendingReplies.set(id, reply);
+      const { committedMembership: knownMembership } = target.state;
+      const deliveredRequest =
         this.tuning.plant === 'deaf-members' &&
         target.state.hasBegunVoting &&
-        told !== null &&
-        body.membership !== null
-          ? { ...body, membership: told }
-          : body;
-      this.#step(target, {
+        knownMembership !== null &&
+        request.membership !== null
+          ? { ...request, membership: knownMembership }
+          : request;
+      this.#dispatch(target, {
         kind: 'request-received',
         requestId: id,
-        request: heard,
-        now: this.#now(target),
+        request: deliveredRequest,
+        now: this.#processTime(target),
       });
     });
   }
 
-  #replicaEffect(process: Process<'replica'>, effect: ReplicaEffect): void {
-    const box = this.machines.get(process.machine.name);
-    if (box === undefined) return;
-    const { disk } = box;
+  #applyReplicaEffect(process: Process<'replica'>, effect: ReplicaEffect): void {
+    const simulatedMachine = this.machines.get(process.machine.name);
+    if (simulatedMachine === undefined) return;
+    const { disk } = simulatedMachine;
     switch (effect.kind) {
       case 'append-records':
         disk.unsynced.push(...effect.records);
-        this.#sync(box, disk);
+        this.#sync(simulatedMachine, disk);
         return;
       case 'send-reply': {
-        const tell = (): void => {
-          process.asking.get(effect.requestId)?.(effect.reply);
-          process.asking.delete(effect.requestId);
+        const sendReply = (): void => {
+          process.pendingReplies.get(effect.requestId)?.(effect.reply);
+          process.pendingReplies.delete(effect.requestId);
         };
-        if (disk.unsynced.length === 0 || this.tuning.plant === 'tell-unsynced') tell();
+        if (disk.unsynced.length === 0 || this.tuning.plant === 'tell-unsynced') sendReply();
         else
           disk.waiters.push({
-            need: disk.count + disk.unsynced.length,
+            requiredTotal: disk.syncedTotal + disk.unsynced.length,
             act: () => {
-              if (process.alive) this.#inside(process, tell);
+              if (process.alive) this.#runInProcess(process, sendReply);
             },
           });
         return;
@@ -787,27 +831,28 @@
           process,
           effect.to,
           (target, reply) => {
-            if (target.replica !== null) this.#askReplica(target.replica, effect.request, reply);
+            if (target.replica !== null)
+              this.#requestReplica(target.replica, effect.request, reply);
           },
           (body) =>
-            this.#step(process, {
+            this.#dispatch(process, {
               kind: 'reply-received',
               requestId: effect.requestId,
               reply: body as never,
-              now: this.#now(process),
+              now: this.#processTime(process),
             }),
           () =>
-            this.#step(process, {
+            this.#dispatch(process, {
               kind: 'request-failed',
               requestId: effect.requestId,
-              now: this.#now(process),
+              now: this.#processTime(process),
             }),
         );
         return;
       case 'exit':
-        if (box.replica === process) {
-          this.#end(process);
-          box.replica = null;
+        if (simulatedMachine.replica === process) {
+          this.#terminate(process);
+          simulatedMachine.replica = null;
         }
         return;
       case 'log':
@@ -815,77 +860,77 @@
     }
   }
 
-  #sync(box: SimulatedMachine, disk: Disk): void {
-    if (disk.syncing) return;
-    disk.syncing = true;
-    const batch = disk.unsynced.length;
-    const slow = this.tuning.plant === 'tell-unsynced' ? 400 : 1;
-    this.clock.schedule(this.clock.between(1, 6) * slow, () => {
-      if (box.disk !== disk) return;
-      // What was appended while this sync ran waits for the next one; so do those who wait on it.
-      disk.synced.push(...disk.unsynced.splice(0, batch));
-      disk.count += batch;
-      disk.syncing = false;
-      const due = disk.waiters.filter((waiter) => waiter.need <= disk.count);
-      disk.waiters = disk.waiters.filter((waiter) => waiter.need > disk.count);
-      if (disk.unsynced.length > 0) this.#sync(box, disk);
-      for (const waiter of due) waiter.act();
+  #sync(simulatedMachine: SimulatedMachine, disk: Disk): void {
+    if (disk.isSyncing) return;
+    disk.isSyncing = true;
+    const batchSize = disk.unsynced.length;
+    const slowdown = this.tuning.plant === 'tell-unsynced' ? 400 : 1;
+    this.clock.schedule(this.clock.between(1, 6) * slowdown, () => {
+      if (simulatedMachine.disk !== disk) return;
+      // Records appended while this sync ran, and replies that depend on them, wait for the next
+      // sync.
+      disk.synced.push(...disk.unsynced.splice(0, batchSize));
+      disk.syncedTotal += batchSize;
+      disk.isSyncing = false;
+      const dueWaiters = disk.waiters.filter((waiter) => waiter.requiredTotal <= disk.syncedTotal);
+      disk.waiters = disk.waiters.filter((waiter) => waiter.requiredTotal > disk.syncedTotal);
+      if (disk.unsynced.length > 0) this.#sync(simulatedMachine, disk);
+      for (const waiter of dueWaiters) waiter.act();
     });
   }
 
-  // Proxies
-  // ----------------------------------------------------------------------------------------
+  // Proxies ---------------------------------------------------------------------------------------
 
-  readonly #callers = new Map<Process<'proxy'>, CallerTable>();
-  readonly #attempts = new Map<string, { aborted: boolean }>();
+  readonly #waitingClients = new Map<Process<'proxy'>, WaitingClientTable>();
+  readonly #attempts = new Map<string, { isAborted: boolean }>();
   readonly #submissions = new Map<Process<'proxy'>, SubmissionTable>();
-  #callersOf(process: Process<'proxy'>): readonly Caller[] {
-    const list = [...(this.#callers.get(process)?.values() ?? [])];
-    this.#callers.delete(process);
-    return list;
+  #removeWaitingClients(process: Process<'proxy'>): readonly WaitingClient[] {
+    const clients = [...(this.#waitingClients.get(process)?.values() ?? [])];
+    this.#waitingClients.delete(process);
+    return clients;
   }
 
-  /** Hands a request to a proxy. */
-  #arrive(
+  /** Delivers a request from a client or a peer to a proxy. */
+  #deliverRequest(
     process: Process<'proxy'>,
-    asked: ClientRequest,
-    about: { submission: number; job: string },
-    caller: Caller & { mark: string | null },
+    request: ClientRequest,
+    submissionInfo: { submission: number; job: string },
+    client: WaitingClient & { attemptId: string | null },
   ): void {
-    this.#inside(process, () => {
-      const id = process.nextAsk;
-      process.nextAsk += 1;
-      const callers = this.#callers.get(process) ?? (new Map() as CallerTable);
-      callers.set(id, caller);
-      this.#callers.set(process, callers);
+    this.#runInProcess(process, () => {
+      const id = process.nextRequestId;
+      process.nextRequestId += 1;
+      const clients = this.#waitingClients.get(process) ?? (new Map() as WaitingClientTable);
+      clients.set(id, client);
+      this.#waitingClients.set(process, clients);
       const submissions = this.#submissions.get(process) ?? (new Map() as SubmissionTable);
-      submissions.set(id, about);
+      submissions.set(id, submissionInfo);
       this.#submissions.set(process, submissions);
-      this.#marks += 1;
-      if (this.tuning.plant === 'earn-twice' && asked.via !== null)
+      this.#tokenCount += 1;
+      if (this.tuning.plant === 'earn-twice' && request.via !== null)
         process.state = {
           ...process.state,
           retryTokens: Object.fromEntries(
-            Object.entries(process.state.retryTokens).map(([service, saved]) => [
+            Object.entries(process.state.retryTokens).map(([service, tokens]) => [
               service,
-              Math.min(3, saved + 0.15),
+              Math.min(3, tokens + 0.15),
             ]),
           ),
         };
-      this.#step(process, {
+      this.#dispatch(process, {
         kind: 'request-arrived',
         requestId: id,
-        clientRequest: asked,
+        clientRequest: request,
         randomNumbers: [0, 1, 2, 3, 4].map(() => this.clock.random()),
-        token: `mark-${this.#marks}`,
-        now: this.#now(process),
+        token: `mark-${this.#tokenCount}`,
+        now: this.#processTime(process),
       });
     });
   }
 
-  #proxyEffect(process: Process<'proxy'>, effect: ProxyEffect): void {
+  #applyProxyEffect(process: Process<'proxy'>, effect: ProxyEffect): void {
     const name = process.machine.name;
-    const acted = (): void => {
+    const recordAction = (): void => {
       this.history.push({
         kind: 'acted',
         at: this.clock.now(),
@@ -895,12 +940,12 @@
     };
     switch (effect.kind) {
       case 'request-feed': {
-        const askedAt = this.#now(process);
-        const box = this.machines.get(name);
-        const again = (): void => {
+        const askedAt = this.#processTime(process);
+        const simulatedMachine = this.machines.get(name);
+        const scheduleNextFeed = (): void => {
           this.clock.schedule(feedIntervalMs * this.clock.between(0.9, 1.1), () =>
-            this.#inside(process, () =>
-              this.#step(process, { kind: 'feed-due', now: this.#now(process) }),
+            this.#runInProcess(process, () =>
+              this.#dispatch(process, { kind: 'feed-due', now: this.#processTime(process) }),
             ),
           );
         };
@@ -908,9 +953,9 @@
           process,
           name,
           (_target, reply) => {
-            if (box?.agent) {
-              const agent = box.agent;
-              this.#askAgent(
+            if (simulatedMachine?.agent) {
+              const agent = simulatedMachine.agent;
+              this.#requestAgent(
                 agent,
                 (id) => ({
                   kind: 'proxy-request-received',
@@ -918,50 +963,59 @@
                   request: {
                     kind: 'feed',
                     report: effect.report,
-                    held: Feeds.heldParts(this.#held.get(process) ?? null),
+                    held: Feeds.heldParts(this.#feedSnapshots.get(process) ?? null),
                   },
-                  now: this.#now(agent),
+                  now: this.#processTime(agent),
                 }),
                 reply,
               );
             }
           },
           (body) => {
-            const held = Feeds.merge(this.#held.get(process) ?? null, body as FeedReply);
-            const agent = box?.agent;
-            if (agent && held.feed.leaseMs > 0 && agent.state.leaseUntil <= this.#now(agent))
+            const snapshot = Feeds.merge(
+              this.#feedSnapshots.get(process) ?? null,
+              body as FeedReply,
+            );
+            const agent = simulatedMachine?.agent;
+            if (
+              agent &&
+              snapshot.feed.leaseMs > 0 &&
+              agent.state.leaseUntil <= this.#processTime(agent)
+            )
               this.history.push({
                 kind: 'served-on',
                 at: this.clock.now(),
                 node: name,
-                majorityReachableMs: this.#reach.majorityReachableForMs(name),
+                majorityReachableMs: this.#network.majorityReachableForMs(name),
               });
-            this.#held.set(process, held);
-            this.#everPeers(held.feed);
+            this.#feedSnapshots.set(process, snapshot);
+            this.#recordPeerRows(snapshot.feed);
             const feed =
-              this.tuning.plant === 'old-rates' ? this.#oldRates(name, held.feed) : held.feed;
-            for (const row of feed.origins) this.#drained.set(row.address, row);
-            this.#step(process, {
+              this.tuning.plant === 'old-rates'
+                ? this.#feedWithOldRates(name, snapshot.feed)
+                : snapshot.feed;
+            for (const row of feed.origins) this.#originRows.set(row.address, row);
+            this.#dispatch(process, {
               kind: 'feed-received',
-              feed: this.#select(
+              feed: this.#feedForProxy(
                 feedWithFault(
                   this.tuning.plant,
                   feed,
-                  [...this.#drained.values()],
-                  [...this.#peers.values()].filter((row) => row.id !== name),
+                  [...this.#originRows.values()],
+                  [...this.#peerRows.values()].filter((row) => row.id !== name),
                 ),
                 process,
               ),
               askedAt,
-              now: this.#now(process),
+              now: this.#processTime(process),
             });
             if (this.tuning.plant === 'route-at-arrival')
               process.state = {
                 ...process.state,
                 requests: Object.fromEntries(
-                  Object.entries(process.state.requests).map(([id, each]) => [
+                  Object.entries(process.state.requests).map(([id, request]) => [
                     id,
-                    { ...each, revision: process.state.policy?.revision ?? 0 },
+                    { ...request, revision: process.state.policy?.revision ?? 0 },
                   ]),
                 ),
               };
@@ -976,111 +1030,113 @@
                 ),
                 ejectedUntil: {},
               };
-            this.#watchCopies(process);
-            again();
+            this.#recordCachedCopies(process);
+            scheduleNextFeed();
           },
-          again,
+          scheduleNextFeed,
         );
         return;
       }
       case 'query-agent': {
-        const done = (reply: ClaimReply): void => {
-          const told: ClaimReply =
+        const settleClaim = (reply: ClaimReply): void => {
+          const effectiveReply: ClaimReply =
             this.tuning.plant === 'claims-of-any-content' && reply.kind === 'other'
               ? { kind: 'granted' }
               : reply;
           if (effect.query.kind === 'claim')
-            this.#step(process, {
+            this.#dispatch(process, {
               kind: 'claim-answered',
               requestId: effect.requestId,
-              reply: told,
-              now: this.#now(process),
+              reply: effectiveReply,
+              now: this.#processTime(process),
             });
         };
         if (isClaimGrantedByFault(this.tuning.plant, effect.query)) {
-          this.clock.schedule(1, () => this.#inside(process, () => done({ kind: 'granted' })));
+          this.clock.schedule(1, () =>
+            this.#runInProcess(process, () => settleClaim({ kind: 'granted' })),
+          );
           return;
         }
-        const box = this.machines.get(name);
+        const simulatedMachine = this.machines.get(name);
         this.#call(
           process,
           name,
           (_target, reply) => {
-            if (box?.agent) {
-              const agent = box.agent;
-              this.#askAgent(
+            if (simulatedMachine?.agent) {
+              const agent = simulatedMachine.agent;
+              this.#requestAgent(
                 agent,
                 (id) => ({
                   kind: 'proxy-request-received',
                   requestId: id,
                   request: effect.query,
-                  now: this.#now(agent),
+                  now: this.#processTime(agent),
                 }),
                 reply,
               );
             }
           },
-          (body) => done(body as ClaimReply),
-          () => done({ kind: 'unreached' }),
+          (body) => settleClaim(body as ClaimReply),
+          () => settleClaim({ kind: 'unreached' }),
           proposalTimeoutMs + callTimeoutMs,
         );
         return;
       }
       case 'send-attempt': {
-        acted();
+        recordAction();
         if (effect.attempt > 0) this.history.push({ kind: 'repeat', at: this.clock.now() });
-        const about = this.#submissions.get(process)?.get(effect.requestId) ?? {
+        const submissionInfo = this.#submissions.get(process)?.get(effect.requestId) ?? {
           submission: -1,
           job: '',
         };
-        const state = { aborted: false };
+        const attemptState = { isAborted: false };
         this.#attempts.set(
-          `${name}/${process.clockFrom}/${effect.requestId}/${effect.attempt}`,
-          state,
+          `${name}/${process.clockZeroAt}/${effect.requestId}/${effect.attempt}`,
+          attemptState,
         );
-        const done = (answer: AttemptResponse): void =>
-          this.#inside(process, () => {
-            if (!state.aborted)
-              this.#step(process, {
+        const onResponse = (answer: AttemptResponse): void =>
+          this.#runInProcess(process, () => {
+            if (!attemptState.isAborted)
+              this.#dispatch(process, {
                 kind: 'attempt-answered',
                 requestId: effect.requestId,
                 attempt: effect.attempt,
                 answer,
-                now: this.#now(process),
+                now: this.#processTime(process),
               });
           });
-        const fail = (sent: 'nothing' | 'maybe', why: string): void =>
-          this.#inside(process, () => {
-            if (!state.aborted)
-              this.#step(process, {
+        const onFailure = (sent: 'nothing' | 'maybe', reason: string): void =>
+          this.#runInProcess(process, () => {
+            if (!attemptState.isAborted)
+              this.#dispatch(process, {
                 kind: 'attempt-failed',
                 requestId: effect.requestId,
                 attempt: effect.attempt,
                 sent: this.tuning.plant === 'repeat-unsafe' ? 'nothing' : sent,
-                why,
-                now: this.#now(process),
+                why: reason,
+                now: this.#processTime(process),
               });
           });
         if (effect.to.kind === 'origin')
-          this.#toOrigin(
+          this.#sendToOrigin(
             process,
             effect.to,
             effect.clientRequest,
             effect.attemptId,
             effect.sendBy,
-            about,
-            done,
-            fail,
+            submissionInfo,
+            onResponse,
+            onFailure,
           );
         else
-          this.#toPeer(
+          this.#sendToPeer(
             process,
             effect.to,
-            this.#granted(process, effect),
+            this.#requestForPeer(process, effect),
             effect.attemptId,
-            about,
-            done,
-            fail,
+            submissionInfo,
+            onResponse,
+            onFailure,
           );
         return;
       }
@@ -1089,28 +1145,28 @@
         return;
       case 'abort-attempt': {
         const attempt = this.#attempts.get(
-          `${name}/${process.clockFrom}/${effect.requestId}/${effect.attempt}`,
+          `${name}/${process.clockZeroAt}/${effect.requestId}/${effect.attempt}`,
         );
-        if (attempt !== undefined) attempt.aborted = true;
+        if (attempt !== undefined) attempt.isAborted = true;
         return;
       }
       case 'send-answer': {
-        const caller = this.#callers.get(process)?.get(effect.requestId);
-        this.#callers.get(process)?.delete(effect.requestId);
+        const client = this.#waitingClients.get(process)?.get(effect.requestId);
+        this.#waitingClients.get(process)?.delete(effect.requestId);
         if (
           this.tuning.plant === 'keep-relayed' &&
           effect.answer.body.kind === 'attempt' &&
           effect.answer.headers['reedyard-served'] === 'peer'
         )
-          this.#keepRelayed(process, effect.answer.body.answer);
-        // An attempt's answer was decided when the attempt was made; a copy is decided on here and
-        // now.
-        if (effect.answer.body.kind === 'copy') acted();
-        if (caller !== undefined) {
-          const shown = this.#shown(effect.answer, caller.mark);
+          this.#cacheForwardedResponse(process, effect.answer.body.answer);
+        // For a response to an attempt, the policy in use was recorded when the attempt was sent; a
+        // cached copy is served under the policy of this moment.
+        if (effect.answer.body.kind === 'copy') recordAction();
+        if (client !== undefined) {
+          const result = this.#resultOf(effect.answer, client.attemptId);
           this.clock.schedule(
-            this.#leave(name, process.machine.capacityBps ?? 8e6, effect.answer),
-            () => caller.done(process.alive ? shown : null),
+            this.#reserveLinkMs(name, process.machine.capacityBps ?? 8e6, effect.answer),
+            () => client.respond(process.alive ? result : null),
           );
         }
         return;
@@ -1120,8 +1176,8 @@
     }
   }
 
-  /** The request as a peer is handed it, with the attempts at origins that it is granted. */
-  #granted(
+  /** Returns the request for a peer, with the number of origin attempts delegated to the peer. */
+  #requestForPeer(
     process: Process<'proxy'>,
     effect: Extract<ProxyEffect, { kind: 'send-attempt' }>,
   ): ClientRequest {
@@ -1131,49 +1187,49 @@
     return effect.clientRequest;
   }
 
-  /** What each proxy's shell holds of its feed. */
-  readonly #held = new WeakMap<Process<'proxy'>, ProxyFeedSnapshot>();
-  readonly #peers = new Map<string, Feed['peers'][number]>();
-  #everPeers(feed: Feed): void {
-    for (const row of feed.peers) this.#peers.set(row.id, row);
+  /** Last feed of each proxy process, merged from its agent's replies. */
+  readonly #feedSnapshots = new WeakMap<Process<'proxy'>, ProxyFeedSnapshot>();
+  readonly #peerRows = new Map<string, Feed['peers'][number]>();
+  #recordPeerRows(feed: Feed): void {
+    for (const row of feed.peers) this.#peerRows.set(row.id, row);
   }
 
-  readonly #highest = new Map<string, Readonly<Record<string, number>>>();
+  readonly #highestQuotas = new Map<string, Readonly<Record<string, number>>>();
   /**
-   * The rates of the highest ceiling that a node ever knew: what a division in rates would leave in
-   * force.
+   * Injected fault: replaces each service's quota by the highest rate that the node ever received.
+   * A quota allocation in absolute rates would leave that rate in force.
    */
-  #oldRates(node: string, feed: Feed): Feed {
-    const known = this.#highest.get(node) ?? {};
-    const slices = Object.fromEntries(
+  #feedWithOldRates(node: string, feed: Feed): Feed {
+    const highestSoFar = this.#highestQuotas.get(node) ?? {};
+    const highestRates = Object.fromEntries(
       Object.entries(feed.slices).map(([service, rate]) => [
         service,
-        Math.max(rate, known[service] ?? 0),
+        Math.max(rate, highestSoFar[service] ?? 0),
       ]),
     );
-    this.#highest.set(node, slices);
-    return { ...feed, slices };
+    this.#highestQuotas.set(node, highestRates);
+    return { ...feed, slices: highestRates };
   }
 
-  #selectedRoutes = new Map<string, Feed['policy']>();
-  #select(feed: Feed, process: Process<'proxy'>): Feed {
+  #lastPolicies = new Map<string, Feed['policy']>();
+  #feedForProxy(feed: Feed, process: Process<'proxy'>): Feed {
     const { selection = 'paper' } = this.tuning;
-    if (feed.policy !== null) this.#selectedRoutes.set(process.machine.name, feed.policy);
+    if (feed.policy !== null) this.#lastPolicies.set(process.machine.name, feed.policy);
     return {
       ...feedWithSelection(
         selection,
-        { ...feed, policy: this.#selectedRoutes.get(process.machine.name) ?? null },
+        { ...feed, policy: this.#lastPolicies.get(process.machine.name) ?? null },
         process.machine.name,
       ),
       policy: feed.policy,
     };
   }
 
-  /** A planted fault: an answer that came through a peer is kept all the same. */
-  #keepRelayed(process: Process<'proxy'>, answer: AttemptResponse): void {
-    const body = answer.body as SimBody | null;
+  /** Injected fault: caches a response although it was received through a peer. */
+  #cacheForwardedResponse(process: Process<'proxy'>, response: AttemptResponse): void {
+    const body = response.body as SimBody | null;
     if (body === null || body.maxAgeMs === Infinity) return;
-    const now = this.#now(process);
+    const now = this.#processTime(process);
     const host = [...process.state.routes.keys()][0] ?? '';
     process.state = {
       ...process.state,
@@ -1181,9 +1237,9 @@
         key: Cache.key(host, body.target),
         service: body.service,
         status: 200,
-        headers: answer.headers,
+        headers: response.headers,
         body,
-        sizeBytes: answer.size,
+        sizeBytes: response.size,
         tags: body.tags,
         vary: {},
         storedAt: now,
@@ -1193,47 +1249,55 @@
     };
   }
 
-  /** ms until a reply has left a proxy. A relayed one costs a fifth: no look-up, no making. */
-  #leave(name: string, capacityBps: number, answer: ClientResponse): number {
-    if (answer.body.kind === 'problem') return 0;
-    // A large one streams beside the others; what counts is when it begins.
-    if (answer.body.kind === 'attempt' && !answer.body.answer.isComplete) return 0;
-    const size = answer.body.kind === 'copy' ? answer.body.copy.sizeBytes : answer.body.answer.size;
-    const relayed = answer.headers['reedyard-served'] === 'peer';
-    const work = ((8 * (size + 300)) / capacityBps) * 1_000 * (relayed ? 0.2 : 1);
-    const until = Math.max(this.clock.now(), this.#busyUntil.get(name) ?? 0) + work;
-    this.#busyUntil.set(name, until);
-    return until - this.clock.now();
+  /**
+   * Reserves a proxy's link for a response and returns the time until the response has left, in
+   * milliseconds. A forwarded response takes a fifth of the time, because the proxy neither looks it
+   * up nor creates it.
+   */
+  #reserveLinkMs(name: string, capacityBps: number, response: ClientResponse): number {
+    if (response.body.kind === 'problem') return 0;
+    // A large response is streamed in parallel with the others; only its start counts.
+    if (response.body.kind === 'attempt' && !response.body.answer.isComplete) return 0;
+    const sizeBytes =
+      response.body.kind === 'copy' ? response.body.copy.sizeBytes : response.body.answer.size;
+    const isForwarded = response.headers['reedyard-served'] === 'peer';
+    const transmitMs = ((8 * (sizeBytes + 300)) / capacityBps) * 1_000 * (isForwarded ? 0.2 : 1);
+    const freeAt = Math.max(this.clock.now(), this.#linkFreeAt.get(name) ?? 0) + transmitMs;
+    this.#linkFreeAt.set(name, freeAt);
+    return freeAt - this.clock.now();
   }
 
-  #shown(answer: ClientResponse, mark: string | null): Parameters<Caller['done']>[0] {
+  #resultOf(
+    response: ClientResponse,
+    attemptId: string | null,
+  ): Parameters<WaitingClient['respond']>[0] {
     const body =
-      answer.body.kind === 'copy'
-        ? (answer.body.copy.body as SimBody)
-        : answer.body.kind === 'attempt'
-          ? (answer.body.answer.body as SimBody)
+      response.body.kind === 'copy'
+        ? (response.body.copy.body as SimBody)
+        : response.body.kind === 'attempt'
+          ? (response.body.answer.body as SimBody)
           : null;
     const headers = {
-      ...answer.headers,
-      ...(answer.body.kind === 'copy' ? { 'sim-copied': 'yes' } : {}),
-      ...(mark === null ? {} : { 'reedyard-attempt': mark }),
+      ...response.headers,
+      ...(response.body.kind === 'copy' ? { 'sim-copied': 'yes' } : {}),
+      ...(attemptId === null ? {} : { 'reedyard-attempt': attemptId }),
     };
     return {
-      status: answer.status,
+      status: response.status,
       headers,
       body,
-      whole: true,
-      retryAfter: answer.headers['retry-after'] !== undefined,
-      why: answer.body.kind === 'problem' ? answer.body.detail : '',
+      isComplete: true,
+      retryAfter: response.headers['retry-after'] !== undefined,
+      reason: response.body.kind === 'problem' ? response.body.detail : '',
     };
   }
 
-  readonly #watchedAt = new Map<string, number>();
-  /** Copies held, told a few times a second to the checker of rule 12. */
-  #watchCopies(process: Process<'proxy'>): void {
+  readonly #copiesRecordedAt = new Map<string, number>();
+  /** Records a proxy's cached copies a few times a second, for the check of rule 12. */
+  #recordCachedCopies(process: Process<'proxy'>): void {
     const { name } = process.machine;
-    if (this.clock.now() - (this.#watchedAt.get(name) ?? -Infinity) < 400) return;
-    this.#watchedAt.set(name, this.clock.now());
+    if (this.clock.now() - (this.#copiesRecordedAt.get(name) ?? -Infinity) < 400) return;
+    this.#copiesRecordedAt.set(name, this.clock.now());
     for (const copy of process.state.cache.copies.values()) {
       const { target } = copy.body as SimBody;
       this.history.push({
@@ -1247,15 +1311,15 @@
     }
   }
 
-  #toOrigin(
+  #sendToOrigin(
     process: Process<'proxy'>,
     to: Extract<AttemptTarget, { kind: 'origin' }>,
-    asked: ClientRequest,
-    mark: string,
+    request: ClientRequest,
+    attemptId: string,
     sendBy: number,
-    about: { submission: number; job: string },
-    done: (answer: AttemptResponse) => void,
-    fail: (sent: 'nothing' | 'maybe', why: string) => void,
+    submissionInfo: { submission: number; job: string },
+    onResponse: (response: AttemptResponse) => void,
+    onFailure: (sent: 'nothing' | 'maybe', reason: string) => void,
   ): void {
     const from = process.machine;
     const { row } = to;
@@ -1264,42 +1328,43 @@
     if (
       origin === undefined ||
       !origin.alive ||
-      this.#reach.isCut(from.name, row.address) ||
-      this.#reach.isCut(row.address, from.name)
+      this.#network.isCut(from.name, row.address) ||
+      this.#network.isCut(row.address, from.name)
     ) {
-      // A refused conn answers at once; a cut one only by its limit.
+      // A refused connection fails immediately; over a cut path it fails after the connect timeout.
       this.clock.schedule(origin !== undefined && !origin.alive ? 1 : connectTimeoutMs, () =>
-        fail('nothing', 'connect'),
+        onFailure('nothing', 'connect'),
       );
       return;
     }
-    const identity = (): string => `${origin.service}/${origin.instance}/${origin.incarnation}`;
-    // The proof of identity comes first; nothing of the request is sent before, nor while this
-    // process is frozen.
+    const currentIdentity = (): string =>
+      `${origin.service}/${origin.instance}/${origin.incarnation}`;
+    // The origin's identity is verified first. Nothing of the request is sent before that, nor while
+    // this process is frozen.
     this.clock.schedule(2 * this.delay(from.name, row.address), () =>
-      this.#inside(process, () => {
-        if (this.#now(process) >= sendBy) {
-          fail('nothing', 'lease');
+      this.#runInProcess(process, () => {
+        if (this.#processTime(process) >= sendBy) {
+          onFailure('nothing', 'lease');
           return;
         }
-        const life = origin.incarnation;
+        const checkedIncarnation = origin.incarnation;
         if (!origin.alive) {
-          fail('nothing', 'connect');
+          onFailure('nothing', 'connect');
           return;
         }
-        if (identity() !== expected && this.tuning.plant !== 'no-identity') {
-          fail('nothing', 'identity');
+        if (currentIdentity() !== expected && this.tuning.plant !== 'no-identity') {
+          onFailure('nothing', 'identity');
           return;
         }
-        this.#carry(from.name, row.address, () => {
+        this.#transmit(from.name, row.address, () => {
           if (
             !origin.alive ||
-            (origin.incarnation !== life && this.tuning.plant !== 'no-identity')
+            (origin.incarnation !== checkedIncarnation && this.tuning.plant !== 'no-identity')
           ) {
-            fail('maybe', 'cut');
+            onFailure('maybe', 'cut');
             return;
           }
-          const unsafe = asked.method !== 'GET' && asked.method !== 'HEAD';
+          const isUnsafe = request.method !== 'GET' && request.method !== 'HEAD';
           this.history.push({
             kind: 'attempt',
             at: this.clock.now(),
@@ -1311,110 +1376,115 @@
             zone: origin.spec.zone,
             cold: origin.cold,
             expected,
-            host: asked.host,
-            target: asked.target,
-            method: asked.method,
-            submission: about.submission,
+            host: request.host,
+            target: request.target,
+            method: request.method,
+            submission: submissionInfo.submission,
           });
-          if (unsafe)
+          if (isUnsafe)
             this.history.push({
               kind: 'ran',
               at: this.clock.now(),
-              submission: about.submission,
-              job: about.job,
-              key: String(asked.headers['idempotency-key'] ?? '') || null,
+              submission: submissionInfo.submission,
+              job: submissionInfo.job,
+              key: String(request.headers['idempotency-key'] ?? '') || null,
             });
           const sentAt = this.clock.now();
           const madeAt = sentAt - 1_000 * origin.mode.aged;
-          const large = !unsafe && this.clock.random() < origin.mode.large;
+          const isLarge = !isUnsafe && this.clock.random() < origin.mode.large;
           this.clock.schedule(origin.mode.slowMs * this.clock.between(0.5, 1.5), () => {
-            if (!origin.alive || (unsafe && this.clock.random() < origin.mode.lose)) {
-              this.clock.schedule(1, () => fail('maybe', 'cut'));
+            if (!origin.alive || (isUnsafe && this.clock.random() < origin.mode.lose)) {
+              this.clock.schedule(1, () => onFailure('maybe', 'cut'));
               return;
             }
             if (this.clock.random() < origin.mode.garbage) {
-              fail('maybe', 'garbled');
+              onFailure('maybe', 'garbled');
               return;
             }
             if (this.clock.random() < origin.mode.short) {
               if (this.tuning.plant === 'short-as-whole')
-                done({
+                onResponse({
                   status: 200,
                   size: 10,
                   isComplete: true,
                   body: null,
-                  headers: { 'reedyard-stamp': identity(), 'reedyard-attempt': mark },
+                  headers: { 'reedyard-stamp': currentIdentity(), 'reedyard-attempt': attemptId },
                 });
-              else fail('maybe', 'short');
+              else onFailure('maybe', 'short');
               return;
             }
-            const tags = [...asked.target.matchAll(/tag-(\w+)/g)].map((found) => found[1] ?? '');
+            const tags = [...request.target.matchAll(/tag-(\w+)/g)].map((match) => match[1] ?? '');
             const maxAgeMs = 1_000 * (origin.spec.maxAge ?? 60);
             const body: SimBody = {
               service: origin.service,
-              target: asked.target,
-              job: about.job,
+              target: request.target,
+              job: submissionInfo.job,
               tags,
               madeAt,
               sentAt,
               maxAgeMs,
             };
-            const answer: AttemptResponse = {
+            const response: AttemptResponse = {
               status: 200,
-              size: large ? 3_000_000 : 2_000,
-              isComplete: !large,
+              size: isLarge ? 3_000_000 : 2_000,
+              isComplete: !isLarge,
               body,
               headers: {
-                'reedyard-stamp': identity(),
-                'reedyard-attempt': mark,
-                'content-length': large ? '3000000' : '2000',
+                'reedyard-stamp': currentIdentity(),
+                'reedyard-attempt': attemptId,
+                'content-length': isLarge ? '3000000' : '2000',
                 ...(origin.mode.aged > 0 ? { age: String(origin.mode.aged) } : {}),
-                ...(unsafe
+                ...(isUnsafe
                   ? { 'cache-control': 'no-store' }
                   : { 'cache-control': `max-age=${maxAgeMs / 1_000}` }),
                 ...(tags.length === 0 ? {} : { 'surrogate-key': tags.join(' ') }),
               },
             };
-            const foreign = this.clock.random() < origin.mode.foreign ? origin.previous : null;
-            origin.previous = answer;
-            const sent =
-              foreign === null
-                ? answer
+            const foreignResponse =
+              this.clock.random() < origin.mode.foreign ? origin.previous : null;
+            origin.previous = response;
+            const deliveredResponse =
+              foreignResponse === null
+                ? response
                 : this.tuning.plant === 'no-marks'
-                  ? { ...foreign, headers: { ...foreign.headers, 'reedyard-attempt': mark } }
-                  : foreign;
-            this.#carry(row.address, from.name, () => done(sent));
+                  ? {
+                      ...foreignResponse,
+                      headers: { ...foreignResponse.headers, 'reedyard-attempt': attemptId },
+                    }
+                  : foreignResponse;
+            this.#transmit(row.address, from.name, () => onResponse(deliveredResponse));
           });
         });
       }),
     );
   }
 
-  #toPeer(
+  #sendToPeer(
     process: Process<'proxy'>,
     to: Extract<AttemptTarget, { kind: 'peer' }>,
-    asked: ClientRequest,
-    mark: string,
-    about: { submission: number; job: string },
-    done: (answer: AttemptResponse) => void,
-    fail: (sent: 'nothing' | 'maybe', why: string) => void,
+    request: ClientRequest,
+    attemptId: string,
+    submissionInfo: { submission: number; job: string },
+    onResponse: (response: AttemptResponse) => void,
+    onFailure: (sent: 'nothing' | 'maybe', reason: string) => void,
   ): void {
     const from = process.machine.name;
-    const box = this.machines.get(to.row.id);
+    const simulatedMachine = this.machines.get(to.row.id);
     if (
-      box === undefined ||
-      box.proxy === null ||
-      this.#reach.isCut(from, to.row.id) ||
-      this.#reach.isCut(to.row.id, from)
+      simulatedMachine === undefined ||
+      simulatedMachine.proxy === null ||
+      this.#network.isCut(from, to.row.id) ||
+      this.#network.isCut(to.row.id, from)
     ) {
-      this.clock.schedule(box !== undefined && box.proxy === null ? 1 : connectTimeoutMs, () =>
-        fail('nothing', 'connect'),
+      this.clock.schedule(
+        simulatedMachine !== undefined && simulatedMachine.proxy === null ? 1 : connectTimeoutMs,
+        () => onFailure('nothing', 'connect'),
       );
       return;
     }
-    this.#carry(from, to.row.id, () => {
-      if (box.proxy === null) {
-        fail('maybe', 'cut');
+    this.#transmit(from, to.row.id, () => {
+      if (simulatedMachine.proxy === null) {
+        onFailure('maybe', 'cut');
         return;
       }
       this.history.push({
@@ -1422,22 +1492,22 @@
         at: this.clock.now(),
         from,
         to: to.row.id,
-        zone: box.machine.zone,
-        target: asked.target,
+        zone: simulatedMachine.machine.zone,
+        target: request.target,
       });
-      this.#arrive(box.proxy, { ...asked, via: from }, about, {
-        submission: about.submission,
-        mark,
-        done: (got) => {
-          if (got === null) {
-            this.#carry(to.row.id, from, () => fail('maybe', 'cut'));
+      this.#deliverRequest(simulatedMachine.proxy, { ...request, via: from }, submissionInfo, {
+        submission: submissionInfo.submission,
+        attemptId,
+        respond: (result) => {
+          if (result === null) {
+            this.#transmit(to.row.id, from, () => onFailure('maybe', 'cut'));
             return;
           }
-          this.#carry(to.row.id, from, () =>
-            done({
-              status: got.status,
-              headers: got.headers as AttemptResponse['headers'],
-              body: got.body,
+          this.#transmit(to.row.id, from, () =>
+            onResponse({
+              status: result.status,
+              headers: result.headers as AttemptResponse['headers'],
+              body: result.body,
               size: 2_000,
               isComplete: true,
             }),
@@ -1447,16 +1517,23 @@
     });
   }
 
-  // What the outside does -------------------------------------------------------------------------
+  // Origins, operators and clients ----------------------------------------------------------------
 
   #announce(origin: SimulatedOrigin): void {
     this.clock.schedule(this.clock.between(900, 1_100), () => this.#announce(origin));
     if (origin.alive && !origin.silent) this.describe(origin);
   }
 
-  readonly #carries = new Map<string, number>();
-  /** An origin describes itself to some node. */
-  describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
+  readonly #recordedCapacities = new Map<string, number>();
+  /**
+   * Sends an origin's description to the given node, or to a random one. `acknowledged` is called
+   * when a node first acknowledges that this incarnation is draining.
+   */
+  describe(
+    origin: ScenarioOrigin,
+    acknowledged: () => void = () => undefined,
+    node?: string,
+  ): void {
     const description = {
       service: origin.service,
       instance: origin.instance,
@@ -1474,9 +1551,9 @@
       { kind: 'describe', description },
       (reply) => {
         const { service, instance, incarnation, capacity } = description;
-        const told = `${service}/${instance}/${incarnation}`;
-        if (reply.status === 200 && this.#carries.get(told) !== capacity) {
-          this.#carries.set(told, capacity);
+        const incarnationKey = `${service}/${instance}/${incarnation}`;
+        if (reply.status === 200 && this.#recordedCapacities.get(incarnationKey) !== capacity) {
+          this.#recordedCapacities.set(incarnationKey, capacity);
           this.history.push({
             kind: 'carries',
             at: this.clock.now(),
@@ -1503,7 +1580,7 @@
             instance: description.instance,
             incarnation: description.incarnation,
           });
-          noticed();
+          acknowledged();
         }
       },
       this.#addressOf(origin),
@@ -1515,46 +1592,60 @@
   }
 
   /**
-   * A planted fault: an agent goes on for 4 s with an order that it has not acknowledged, though
-   * its caller is gone.
+   * Injected fault: an agent repeats a command that it has not acknowledged for up to 4 s, although
+   * its client no longer waits.
    */
-  #goOn(agent: Process<'agent'>, action: ApiAction): void {
-    for (let ms = 500; ms < proposalTimeoutMs; ms += 500) {
-      this.clock.schedule(ms, () => {
+  #repeatAction(agent: Process<'agent'>, action: ApiAction): void {
+    for (let delayMs = 500; delayMs < proposalTimeoutMs; delayMs += 500) {
+      this.clock.schedule(delayMs, () => {
         if (agent.alive)
-          this.#askAgent(
+          this.#requestAgent(
             agent,
-            (id) => ({ kind: 'action-received', requestId: id, action, now: this.#now(agent) }),
+            (id) => ({
+              kind: 'action-received',
+              requestId: id,
+              action,
+              now: this.#processTime(agent),
+            }),
             () => undefined,
           );
       });
     }
   }
 
-  /** Sends an action to the API of some live node. The caller may leave before it is answered. */
+  /**
+   * Sends an action to the API of the given node, or of a random running one. The returned function
+   * disconnects the client before the reply arrives.
+   */
   operate(
     action: ApiAction,
     done: (reply: { status: number; body: unknown }) => void,
     from = 'outside',
     node?: string,
   ): () => void {
-    const live = [...this.machines.values()].filter(
-      (box) => box.agent !== null && !box.agent.frozen,
+    const runningMachines = [...this.machines.values()].filter(
+      (simulatedMachine) => simulatedMachine.agent !== null && !simulatedMachine.agent.frozen,
     );
-    const box = node === undefined ? this.clock.pick(live) : this.machines.get(node);
-    if (box?.agent === undefined || box.agent === null) {
+    const simulatedMachine =
+      node === undefined ? this.clock.pick(runningMachines) : this.machines.get(node);
+    if (simulatedMachine?.agent === undefined || simulatedMachine.agent === null) {
       done({ status: 0, body: null });
       return () => undefined;
     }
-    const { agent } = box;
-    let over = false;
-    const [sentAt, cutOff] = [this.clock.now(), !this.#reach.reachesMajority(box.machine.name)];
-    const end = (reply: { status: number; body: unknown }): void => {
-      if (over) return;
-      over = true;
-      const { name } = box.machine;
-      const steady =
-        box.agent === agent && !agent.frozen && this.#reach.isSteadySince(name, sentAt);
+    const { agent } = simulatedMachine;
+    let isOver = false;
+    const [sentAt, isIsolated] = [
+      this.clock.now(),
+      !this.#network.reachesMajority(simulatedMachine.machine.name),
+    ];
+    const finish = (reply: { status: number; body: unknown }): void => {
+      if (isOver) return;
+      isOver = true;
+      const { name } = simulatedMachine.machine;
+      const isSteady =
+        simulatedMachine.agent === agent &&
+        !agent.frozen &&
+        this.#network.isSteadySince(name, sentAt);
       if (action.kind !== 'describe')
         this.history.push({
           kind: 'called',
@@ -1563,70 +1654,73 @@
           node: name,
           action: action.kind,
           status: reply.status,
-          cutOff,
-          isSteady: steady,
+          cutOff: isIsolated,
+          isSteady,
         });
       done(reply);
     };
-    const known = agent.state.registers.policy?.value as
+    const storedPolicy = agent.state.registers.policy?.value as
       { revision: number; document: unknown } | undefined;
     if (
       this.tuning.plant === 'local-reads' &&
       action.kind === 'get-policy' &&
-      known !== undefined
+      storedPolicy !== undefined
     ) {
       this.clock.schedule(2, () =>
-        end({ status: 200, body: { revision: known.revision, policy: known.document } }),
+        finish({
+          status: 200,
+          body: { revision: storedPolicy.revision, policy: storedPolicy.document },
+        }),
       );
       return () => undefined;
     }
-    this.clock.schedule(8_000, () => end({ status: 0, body: null }));
-    let askedAs: number | null = null;
-    let isGone = false;
-    const drop = (): void =>
-      this.#inside(agent, () => {
-        if (askedAs !== null && agent.asking.delete(askedAs))
-          this.#step(agent, {
+    this.clock.schedule(8_000, () => finish({ status: 0, body: null }));
+    let apiRequestId: number | null = null;
+    let hasLeft = false;
+    const disconnect = (): void =>
+      this.#runInProcess(agent, () => {
+        if (apiRequestId !== null && agent.pendingReplies.delete(apiRequestId))
+          this.#dispatch(agent, {
             kind: 'caller-disconnected',
-            requestId: askedAs,
-            now: this.#now(agent),
+            requestId: apiRequestId,
+            now: this.#processTime(agent),
           });
       });
-    this.#carry(from, box.machine.name, () => {
-      this.#askAgent(
+    this.#transmit(from, simulatedMachine.machine.name, () => {
+      this.#requestAgent(
         agent,
         (id) => {
-          askedAs = id;
-          return { kind: 'action-received', requestId: id, action, now: this.#now(agent) };
+          apiRequestId = id;
+          return { kind: 'action-received', requestId: id, action, now: this.#processTime(agent) };
         },
         (reply) => {
-          const told = replyWithFault(
+          const shownReply = replyWithFault(
             this.tuning.plant,
             reply as { status: number; body: unknown },
           );
-          if (this.tuning.plant === 'callers-unheeded' && told.status === 503)
-            this.#goOn(agent, action);
-          this.#carry(box.machine.name, from, () => end(told));
+          if (this.tuning.plant === 'callers-unheeded' && shownReply.status === 503)
+            this.#repeatAction(agent, action);
+          this.#transmit(simulatedMachine.machine.name, from, () => finish(shownReply));
         },
       );
-      if (isGone) drop();
+      if (hasLeft) disconnect();
     });
     return () => {
-      if (over) return;
-      over = true;
-      isGone = true;
-      if (this.tuning.plant === 'callers-unheeded') this.#goOn(agent, action);
-      else this.#carry(from, box.machine.name, drop);
+      if (isOver) return;
+      isOver = true;
+      hasLeft = true;
+      if (this.tuning.plant === 'callers-unheeded') this.#repeatAction(agent, action);
+      else this.#transmit(from, simulatedMachine.machine.name, disconnect);
     };
   }
 
-  #changes = 0;
-  /** An operator sends a policy until it is acknowledged; the same change id each time. */
+  #changeCount = 0;
+  /** Sends a policy until it is acknowledged, with the same change id in each attempt. */
   put(document: Policy, done: () => void = () => undefined, node?: string): void {
-    this.#changes += 1;
-    const changeId = `change-${this.#changes}`;
+    this.#changeCount += 1;
+    const changeId = `change-${this.#changeCount}`;
     this.history.push({ kind: 'proposed', at: this.clock.now(), changeId, document });
-    const attempt = (left: number): unknown =>
+    const attempt = (attemptsLeft: number): unknown =>
       this.operate(
         { kind: 'put-policy', document, ifMatch: null, changeId },
         (reply) => {
@@ -1642,10 +1736,10 @@
               document,
             });
             done();
-          } else if (left > 0) this.clock.schedule(500, () => attempt(left - 1));
+          } else if (attemptsLeft > 0) this.clock.schedule(500, () => attempt(attemptsLeft - 1));
         },
         'outside',
-        left === 20 ? node : undefined,
+        attemptsLeft === 20 ? node : undefined,
       );
     attempt(20);
   }
@@ -1672,10 +1766,10 @@
     done: () => void = () => undefined,
     node?: string,
   ): void {
-    const turned = this.clock.now();
-    this.#changes += 1;
-    const changeId = `change-${this.#changes}`;
-    const attempt = (left: number): unknown =>
+    const purgedFrom = this.clock.now();
+    this.#changeCount += 1;
+    const changeId = `change-${this.#changeCount}`;
+    const attempt = (attemptsLeft: number): unknown =>
       this.operate(
         { kind: 'purge', purge: { objects: [...objects], tags: [...tags] }, changeId },
         (reply) => {
@@ -1685,13 +1779,13 @@
               at: this.clock.now(),
               objects,
               tags,
-              purgedFrom: turned,
+              purgedFrom,
             });
             done();
-          } else if (left > 0) this.clock.schedule(500, () => attempt(left - 1));
+          } else if (attemptsLeft > 0) this.clock.schedule(500, () => attempt(attemptsLeft - 1));
         },
         'outside',
-        left === 10 ? node : undefined,
+        attemptsLeft === 10 ? node : undefined,
       );
     attempt(10);
   }
@@ -1701,10 +1795,10 @@
     done: () => void = () => undefined,
     node?: string,
   ): void {
-    this.#changes += 1;
-    const changeId = `change-${this.#changes}`;
+    this.#changeCount += 1;
+    const changeId = `change-${this.#changeCount}`;
     const sentAt = this.clock.now();
-    const attempt = (left: number): unknown =>
+    const attempt = (attemptsLeft: number): unknown =>
       this.operate(
         { kind: 'zone', zone, order, of: 'all', changeId },
         (reply) => {
@@ -1718,32 +1812,35 @@
               order,
             });
             done();
-          } else if (left > 0) this.clock.schedule(500, () => attempt(left - 1));
+          } else if (attemptsLeft > 0) this.clock.schedule(500, () => attempt(attemptsLeft - 1));
         },
         'outside',
-        left === 10 ? node : undefined,
+        attemptsLeft === 10 ? node : undefined,
       );
     attempt(10);
   }
 
-  /** What the platform knows: nodes that said they were ready when it last asked. */
+  /** Readiness of each front node, as the platform saw it at its last poll. */
   readonly ready = new Map<string, boolean>();
   watchReady(): void {
-    for (const box of this.machines.values()) {
-      if (box.machine.kind !== 'front') continue;
-      const { proxy } = box;
-      const answers =
+    for (const simulatedMachine of this.machines.values()) {
+      if (simulatedMachine.machine.kind !== 'front') continue;
+      const { proxy } = simulatedMachine;
+      const isReachable =
         proxy !== null &&
         proxy.alive &&
         !proxy.frozen &&
-        !this.#reach.isCut(box.machine.name, 'outside');
-      this.ready.set(box.machine.name, answers && ProxyCore.ready(proxy.state, this.#now(proxy)));
+        !this.#network.isCut(simulatedMachine.machine.name, 'outside');
+      this.ready.set(
+        simulatedMachine.machine.name,
+        isReachable && ProxyCore.ready(proxy.state, this.#processTime(proxy)),
+      );
     }
     this.clock.schedule(500, () => this.watchReady());
   }
 
-  #submission = 0;
-  /** A caller's request to a node. */
+  #submissionCount = 0;
+  /** Sends a client's request to a node. */
   submit(
     node: string,
     request: {
@@ -1752,26 +1849,26 @@
       target: string;
       job: string;
       key: string | null;
-      /** What its body holds; the job's name where it is left out. */ content?: string;
+      /** Content of the request body; the job's name if omitted. */ content?: string;
     },
     done: (status: number, outcome: string) => void,
   ): void {
-    this.#submission += 1;
-    const submission = this.#submission;
-    const box = this.machines.get(node);
-    if (box === undefined) return;
-    const { proxy } = box;
-    const askedAt = this.clock.now();
-    let over = false;
-    const end = (
+    this.#submissionCount += 1;
+    const submission = this.#submissionCount;
+    const simulatedMachine = this.machines.get(node);
+    if (simulatedMachine === undefined) return;
+    const { proxy } = simulatedMachine;
+    const submittedAt = this.clock.now();
+    let isOver = false;
+    const finish = (
       status: number,
       outcome: string,
-      more: Partial<Extract<Entry, { kind: 'got' }>> = {},
+      details: Partial<Extract<Entry, { kind: 'got' }>> = {},
     ): void => {
-      if (over) return;
-      over = true;
+      if (isOver) return;
+      isOver = true;
       if (status >= 200 && status < 300)
-        this.waits.push({ at: this.clock.now(), ms: this.clock.now() - askedAt });
+        this.waits.push({ at: this.clock.now(), ms: this.clock.now() - submittedAt });
       this.history.push({
         kind: 'got',
         at: this.clock.now(),
@@ -1790,7 +1887,7 @@
         host: request.host,
         target: request.target,
         copied: false,
-        ...more,
+        ...details,
       });
       done(status, outcome);
     };
@@ -1800,19 +1897,19 @@
       submission,
       job: request.job,
       node,
-      zone: box.machine.zone,
+      zone: simulatedMachine.machine.zone,
       method: request.method,
       target: request.target,
       key: request.key,
     });
-    this.clock.schedule(12_000, () => end(0, 'no answer'));
+    this.clock.schedule(12_000, () => finish(0, 'no answer'));
     if (proxy === null) {
-      this.clock.schedule(1, () => end(0, 'refused'));
+      this.clock.schedule(1, () => finish(0, 'refused'));
       return;
     }
     const headers = { ...(request.key === null ? {} : { 'idempotency-key': request.key }) };
     this.clock.schedule(this.delay('outside', node), () =>
-      this.#arrive(
+      this.#deliverRequest(
         proxy,
         {
           method: request.method,
@@ -1829,20 +1926,20 @@
         { submission, job: request.job },
         {
           submission,
-          mark: null,
-          done: (got) => {
-            if (got === null) {
-              end(0, 'cut');
+          attemptId: null,
+          respond: (result) => {
+            if (result === null) {
+              finish(0, 'cut');
               return;
             }
-            end(got.status, fieldOf(got.headers, 'reedyard-outcome'), {
-              served: fieldOf(got.headers, 'reedyard-served'),
-              stamp: fieldOf(got.headers, 'reedyard-stamp'),
-              retryAfter: got.retryAfter,
-              why: got.why,
-              body: got.body,
-              hasCompleteBody: got.whole,
-              copied: got.headers['sim-copied'] !== undefined,
+            finish(result.status, headerText(result.headers, 'reedyard-outcome'), {
+              served: headerText(result.headers, 'reedyard-served'),
+              stamp: headerText(result.headers, 'reedyard-stamp'),
+              retryAfter: result.retryAfter,
+              why: result.reason,
+              body: result.body,
+              hasCompleteBody: result.isComplete,
+              copied: result.headers['sim-copied'] !== undefined,
             });
           },
         },
