--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -102,7 +102,7 @@
 
 type SimulatedMachine = {
   readonly machine: Machine;
-  /** Name under which its processes run; two machines may use the same. */ readonly memberName: string;
+  /** Name of its processes; two machines may use the same. */ readonly memberName: string;
   agent: Process<'agent'> | null;
   proxy: Process<'proxy'> | null;
   replica: Process<'replica'> | null;
@@ -164,7 +164,9 @@
   readonly voting?: { readonly losses: number; readonly catchUpMs?: number };
 };
 
-/** Feeds the reducers of all processes with events and carries out their effects in virtual time. */
+/**
+ * Feeds the reducers of all processes with events and carries out their effects in virtual time.
+ */
 export class SimulatedFleet implements RequestedFleet {
   readonly clock: VirtualClock;
   readonly history: Entry[] = [];
@@ -1251,8 +1253,8 @@
 
   /**
    * Reserves a proxy's link for a response and returns the time until the response has left, in
-   * milliseconds. A forwarded response takes a fifth of the time, because the proxy neither looks it
-   * up nor creates it.
+   * milliseconds. A forwarded response takes a fifth of the time, because the proxy neither looks
+   * it up nor creates it.
    */
   #reserveLinkMs(name: string, capacityBps: number, response: ClientResponse): number {
     if (response.body.kind === 'problem') return 0;
@@ -1339,8 +1341,8 @@
     }
     const currentIdentity = (): string =>
       `${origin.service}/${origin.instance}/${origin.incarnation}`;
-    // The origin's identity is verified first. Nothing of the request is sent before that, nor while
-    // this process is frozen.
+    // The origin's identity is verified first. Nothing of the request is sent before that, nor
+    // while this process is frozen.
     this.clock.schedule(2 * this.delay(from.name, row.address), () =>
       this.#runInProcess(process, () => {
         if (this.#processTime(process) >= sendBy) {
