--- a/packages/testbed/src/hollow-child.ts
+++ b/packages/testbed/src/hollow-child.ts
@@ -1,11 +1,8 @@
-/** A process of the hollow fleet. */
+/** Entry point of a child process of a hollow fleet. */
 import { errorMessage } from '@reedyard/logging';
 import { HollowHost, type HostOperations } from './hollow-host.js';
 
-/**
- * A process of a hollow fleet: does what the bench that started it asks, and ends when that one
- * ends.
- */
+// Performs the operations that the parent process requests over IPC, and exits with the parent.
 const host = new HollowHost();
 process.on(
   'message',
@@ -14,9 +11,9 @@
     readonly method: keyof HostOperations;
     readonly words: readonly unknown[];
   }) => {
-    // Called with its host right below.
+    // The method is applied to its host below.
     // eslint-disable-next-line @typescript-eslint/unbound-method
-    const method = host[message.method] as (...words: readonly unknown[]) => Promise<unknown>;
+    const method = host[message.method] as (...args: readonly unknown[]) => Promise<unknown>;
     method.apply(host, [...message.words]).then(
       (value) => process.send?.({ id: message.id, value }),
       (thrown: unknown) => process.send?.({ id: message.id, fault: errorMessage(thrown) }),
--- a/packages/testbed/src/hollow-constants.ts
+++ b/packages/testbed/src/hollow-constants.ts
@@ -1,52 +1,61 @@
-/** Numbers of the hollow fleet, which counts what each role sends and does. */
+/** Constants of the hollow fleet. */
 
 /**
- * bytes of one copy of what one node knows of another's vector, for each delay in it: an upper
- * bound of the heap.
+ * Upper bound, in bytes of heap, for one delay in one node's copy of another node's load vector.
+ * Used to refuse a fleet that does not fit into memory.
  */
 export const heapBytesPerDelay = 64;
 
 /**
- * bytes that one node holds of another without vectors: an upper bound, to refuse what can't
- * fit.
+ * Upper bound, in bytes of heap, for what one node stores about another apart from load vectors.
+ * Used to refuse a fleet that does not fit into memory.
  */
 export const heapBytesPerNode = 4_000;
 
-/** real ms. A call that took this long is a fault of the test, not of what it measures. */
+/**
+ * Timeout of a call in milliseconds of real time. A call that takes longer shows a fault of the
+ * hollow fleet itself, not of the code that it measures.
+ */
 export const hollowCallTimeoutMs = 600_000;
 
-/** requests a second that one origin carries. */
+/** Capacity of one origin, in requests per second. */
 export const hollowOriginCapacityPerSecond = 500;
 
-/** bps that a proxy's callers ask of one object. */
+/** Average demand for one object at one proxy, in bits per second. */
 export const hollowObjectDemandBps = 200_000;
 
-/** ms. An origin describes itself again: the bench's stand-ins do so as often. */
+/**
+ * Interval at which an origin announces itself, in milliseconds. The origin stand-ins of the
+ * testbed use the same interval.
+ */
 export const hollowDescribeIntervalMs = 1_000;
 
-/** share of the machine's memory that a hollow fleet may take. */
+/** Largest share of the machine's memory that a hollow fleet may use. */
 export const hollowMemoryShare = 0.5;
 
-/** origins of one service: the deployments have four to nine. */
+/** Default number of origins per service. The example deployments have four to nine. */
 export const hollowOriginsPerService = 7;
 
 /**
- * ms. What is waited at most for replicas to found, for the quota leadership to be taken, or for
- * a change to reach all.
+ * Longest wait, in milliseconds of the fleet's clock, for the replicas to vote, for a quota leader
+ * to be elected, or for a change to reach all nodes.
  */
 export const hollowMaxWaitMs = 20_000;
 
-/** ms. Nodes begin spread over this long, so that their beats don't fall together. */
+/** Period in milliseconds over which node starts are spread, so that ticks do not coincide. */
 export const hollowStartSpreadMs = 500;
 
 /**
- * ms. One step of the fleet's common clock: a fifth of an agent's beat, so that times are told
- * to that.
+ * Step of the fleet's clock, in milliseconds. It is a fifth of the agent's tick interval, and the
+ * resolution of the measured times.
  */
 export const hollowStepMs = 10;
 
-/** requests a second that a proxy wants of all services: 1.1 million over 1,100 nodes. */
+/** Demand of one proxy over all services, in requests per second: 1.1 million for 1,100 nodes. */
 export const hollowProxyDemandPerSecond = 1_000;
 
-/** ms. Nodes run this long before anything is counted: two pings, four divisions, one lease. */
+/**
+ * Default time in milliseconds before counting begins: two ping rounds, four quota allocations and
+ * one lease.
+ */
 export const hollowWarmUpMs = 4_000;
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -1,4 +1,4 @@
-/** Hosts many hollow nodes in one process, on a stepped clock, and counts what they do. */
+/** Hosts many hollow nodes in one process on a stepped clock, and counts their calls and costs. */
 import { subscribe } from 'node:diagnostics_channel';
 import { mkdtempSync, rmSync } from 'node:fs';
 import type { ClientRequest, IncomingMessage } from 'node:http';
@@ -55,16 +55,16 @@
   hollowProxyDemandPerSecond,
 } from './hollow-constants.js';
 
-/** A hollow fleet that can't be run. */
+/** Thrown when a hollow fleet cannot be set up or a run of it fails. */
 export class HollowError extends CodedError {}
 
 /**
- * What a hollow node is counted as. The one that holds the quota leadership and the seeds are
- * agents with more to do.
+ * The role under which a hollow node's calls and costs are counted. The `holder` is the agent that
+ * holds the quota leadership; it and the seeds have more work than the other agents.
  */
 export type HollowRole = 'replica' | 'holder' | 'seed' | 'agent' | 'proxy';
 
-/** Where each address is served: by which process, as which role. */
+/** For each address, the port of the process that serves it and the role of the node there. */
 export type AddressDirectory = Readonly<
   Record<string, { readonly port: number; readonly role: HollowRole }>
 >;
@@ -81,7 +81,9 @@
   readonly founders: Readonly<Record<string, string>>;
   readonly seed: number;
   readonly startAt: number;
-  /** Records that it is told at once, so that a run need not begin with finding everybody. */
+  /**
+   * Node records pushed to the agent when it opens, so that a run does not start with discovery.
+   */
   readonly known: readonly NodeRecord[];
 };
 export type ProxySpec = {
@@ -98,137 +100,154 @@
   readonly startAt: number;
 };
 
-/** What is to be done at a node's API in a step. */
+/** An API action that a node performs in a step; its reply is stored under the tag. */
 export type NodeAction = {
   readonly node: string;
   readonly tag: string;
   readonly action: ApiAction;
 };
-/** Something whose arrival at every node is looked for. */
+/** A change whose arrival time at every node is recorded under the tag. */
 export type ArrivalWatch = {
   readonly tag: string;
   readonly what: 'config' | 'purge' | 'drain' | 'member';
   readonly key: string;
 };
 
-/** Messages and their bytes, heads and all; `from` asks, `to` answers. */
+/** Calls of one kind and their bytes with headers: `from` sends requests, `to` sends replies. */
 export type CallTraffic = {
   readonly from: HollowRole;
   readonly to: HollowRole;
   readonly kind: string;
   readonly calls: number;
+  /** Bytes of the requests, with their headers. */
   readonly askedBytes: number;
+  /** Bytes of the replies, with their headers. */
   readonly answeredBytes: number;
 };
 
 export type HostReport = {
   readonly flows: readonly CallTraffic[];
-  /** ms of a core inside the reducers, by role and event, and how many events there were. */
+  /** Processor milliseconds spent in the reducers, and the number of events, by role and event. */
   readonly reduced: readonly {
     readonly role: HollowRole;
     readonly event: string;
     readonly ms: number;
     readonly events: number;
   }[];
-  /** ms of a core of the whole process. */
+  /** Processor milliseconds used by the process so far. */
   readonly cpuMs: number;
-  /** bytes of the heap that are in use after a full collection; 0 where none could be forced. */
+  /** Bytes of heap in use after a full garbage collection; 0 when none could be forced. */
   readonly heap: number;
   readonly rss: number;
+  /** Number of calls that failed. */
   readonly lost: number;
-  /** What the first lost calls were, and why. */
+  /** Descriptions of the first failed calls, with their errors. */
   readonly faults: readonly string[];
+  /** Replies to API actions by tag; `at` is in milliseconds of the fleet's clock. */
   readonly answers: Readonly<
     Record<string, { readonly status: number; readonly at: number; readonly body: unknown }>
   >;
-  /** ms of the fleet's clock at which each node had what was looked for. */
+  /**
+   * Times at which nodes received each watched change, by tag, in milliseconds of the fleet's
+   * clock.
+   */
   readonly arrivals: Readonly<Record<string, readonly number[]>>;
+  /** Number of log lines by event. */
   readonly logs: Readonly<Record<string, number>>;
-  /** bytes of one node's state, by its fields. */
+  /** Serialized size of one node's state in bytes, by role and field. */
   readonly stateBytes: Readonly<Record<string, Readonly<Record<string, number>>>>;
 };
 
-/** A host as its fleet sees it, in this process or another. */
+/** Operations of a host, which runs in this process or in a child process. */
 export type HostOperations = {
   listen: () => Promise<number>;
-  directory: (known: AddressDirectory) => Promise<void>;
+  directory: (directory: AddressDirectory) => Promise<void>;
   replicas: (specs: readonly ReplicaSpec[]) => Promise<void>;
   agents: (specs: readonly AgentSpec[]) => Promise<void>;
   proxies: (specs: readonly ProxySpec[]) => Promise<void>;
   origins: (specs: readonly OriginSpec[]) => Promise<void>;
   watch: (watches: readonly ArrivalWatch[]) => Promise<void>;
-  /** One step of the common clock; resolves once nothing asked here is under way. */
-  step: (now: number, orders: readonly NodeAction[]) => Promise<number>;
-  /** Resolves once nothing asked here is under way, with how many calls were ever asked. */
+  /**
+   * Advances the clock and runs what is due; resolves once no call from this host is in flight,
+   * with the number of operations started so far.
+   */
+  step: (now: number, actions: readonly NodeAction[]) => Promise<number>;
+  /** Resolves once no operation of this host is in flight, with the number started so far. */
   settled: () => Promise<number>;
-  report: (whole: boolean) => Promise<HostReport>;
+  report: (withMemory: boolean) => Promise<HostReport>;
   close: () => Promise<void>;
 };
 
-/** A number in [0, 1) for a seed and a place. @example drawn(1, 7) */
-export const randomFraction = (seed: number, place: number): number => {
-  let mixed = Math.imul((seed ^ 0x9e3779b9) + Math.imul(place + 1, 0x85ebca6b), 0xc2b2ae35);
-  mixed ^= mixed >>> 15;
-  mixed = Math.imul(mixed, 0x27d4eb2f);
-  mixed ^= mixed >>> 13;
-  return (mixed >>> 0) / 4_294_967_296;
+/**
+ * Deterministic pseudorandom number in [0, 1) for a seed and an index.
+ *
+ * @example
+ * randomFraction(1, 7);
+ */
+export const randomFraction = (seed: number, index: number): number => {
+  let hash = Math.imul((seed ^ 0x9e3779b9) + Math.imul(index + 1, 0x85ebca6b), 0xc2b2ae35);
+  hash ^= hash >>> 15;
+  hash = Math.imul(hash, 0x27d4eb2f);
+  hash ^= hash >>> 13;
+  return (hash >>> 0) / 4_294_967_296;
 };
 
-/** What kind of call a body is. Registers that are fetched are told apart by their keys. */
+/** Kind of a call by its body. Calls on a register carry its key in the kind, except claims. */
 const callKindOf = (body: unknown): string => {
-  const inner = ((body as { readonly call?: unknown }).call ?? body) as {
+  const innerCall = ((body as { readonly call?: unknown }).call ?? body) as {
     readonly kind?: string;
     readonly key?: string;
   };
-  const kind = inner.kind ?? 'other';
-  return typeof inner.key === 'string' && !inner.key.startsWith('claim/')
-    ? `${kind}.${inner.key}`
+  const kind = innerCall.kind ?? 'other';
+  return typeof innerCall.key === 'string' && !innerCall.key.startsWith('claim/')
+    ? `${kind}.${innerCall.key}`
     : kind;
 };
 
-/** Bytes of a head as they go over the socket. */
-const headBytes = (first: string, headers: readonly (readonly [string, unknown])[]): number =>
+/** Size in bytes of a start line and headers as sent over the socket. */
+const headBytes = (startLine: string, headers: readonly (readonly [string, unknown])[]): number =>
   headers.reduce(
     (sum, [name, value]) => sum + name.length + String(value).length + 4,
-    first.length + 4,
+    startLine.length + 4,
   );
 
 type AgentNode = {
   readonly spec: AgentSpec;
   state: AgentState;
-  beatAt: number;
-  /** When it wants to be woken, at the latest. */ wakeAt: number;
-  next: number;
-  readonly asking: Map<number, (reply: unknown) => void>;
-  readonly orders: Map<number, string>;
+  nextTickAt: number;
+  /** Earliest wake-up that the agent has scheduled. */
+  wakeUpAt: number;
+  nextRequestId: number;
+  readonly pendingReplies: Map<number, (reply: unknown) => void>;
+  readonly actionTags: Map<number, string>;
 };
 type ReplicaNode = {
   readonly spec: ReplicaSpec;
   state: ReplicaState;
   readonly log: ReplicaLog;
-  beatAt: number;
-  next: number;
-  compacting: boolean;
-  readonly asking: Map<number, (reply: ReplicaReply) => void>;
+  nextTickAt: number;
+  nextRequestId: number;
+  isCompacting: boolean;
+  readonly pendingReplies: Map<number, (reply: ReplicaReply) => void>;
 };
 type ProxyNode = {
   readonly spec: ProxySpec;
-  askAt: number;
-  asking: boolean;
+  nextFeedAt: number;
+  isFetchingFeed: boolean;
   measuredAt: number;
-  held: ProxyFeedSnapshot | null;
+  feedSnapshot: ProxyFeedSnapshot | null;
   policy: unknown;
-  wants: Readonly<Record<string, number>>;
-  wantsAt: number;
-  draws: number;
+  demand: Readonly<Record<string, number>>;
+  demandAt: number;
+  drawCount: number;
 };
 
-let hosts = 0;
+let hostCount = 0;
 
 /**
- * Many hollow nodes in one process: the product's reducers, its calls over loopback sockets and its
- * log on disk, under a clock that the fleet advances step by step. A step takes what it takes, so
- * neither the machine's speed nor its load is in what is counted.
+ * Runs many hollow nodes in one process: the production reducers, calls over loopback sockets and
+ * the log on disk, under a clock that the fleet advances step by step. The clock stands still until
+ * a step has completed, so neither the machine's speed nor its load affects the counts.
  */
 export class HollowHost implements HostOperations {
   readonly #name: string;
@@ -236,126 +255,133 @@
   readonly #agents = new Map<string, AgentNode>();
   readonly #replicas = new Map<string, ReplicaNode>();
   readonly #proxies = new Map<string, ProxyNode>();
-  #origins: { readonly spec: OriginSpec; at: number }[] = [];
+  #origins: { readonly spec: OriginSpec; nextDescriptionAt: number }[] = [];
   #directory: AddressDirectory = {};
-  #listening: RpcServer | null = null;
+  #server: RpcServer | null = null;
   #now = 0;
-  #open = 0;
-  #started = 0;
-  #lost = 0;
-  readonly #faults: string[] = [];
-  #failed: unknown = null;
-  #waiting: (() => void)[] = [];
-  readonly #flows = new Map<string, { calls: number; asked: number; answered: number }>();
-  readonly #reduced = new Map<string, { ms: number; events: number }>();
-  readonly #answers: Record<
+  #inFlight = 0;
+  #startedOperations = 0;
+  #failedCalls = 0;
+  readonly #failureTexts: string[] = [];
+  #fatalError: unknown = null;
+  #idleWaiters: (() => void)[] = [];
+  readonly #traffic = new Map<
+    string,
+    { calls: number; requestBytes: number; replyBytes: number }
+  >();
+  readonly #reducerCosts = new Map<string, { ms: number; events: number }>();
+  readonly #actionReplies: Record<
     string,
     { readonly status: number; readonly at: number; readonly body: unknown }
   > = {};
   readonly #arrivals: Record<string, number[]> = {};
-  readonly #logs: Record<string, number> = {};
-  #watches: { readonly watch: ArrivalWatch; readonly left: Set<string> }[] = [];
+  readonly #logCounts: Record<string, number> = {};
+  #watches: { readonly watch: ArrivalWatch; readonly remaining: Set<string> }[] = [];
 
   constructor() {
-    hosts += 1;
-    this.#name = `${process.pid}-${hosts}`;
+    hostCount += 1;
+    this.#name = `${process.pid}-${hostCount}`;
     subscribe('http.client.response.finish', (message) =>
-      this.#count(
+      this.#countCall(
         message as { readonly request: ClientRequest; readonly response: IncomingMessage },
       ),
     );
   }
 
-  #count({
+  #countCall({
     request,
     response,
   }: {
     readonly request: ClientRequest;
     readonly response: IncomingMessage;
   }): void {
-    const [place = '', tag = ''] = request.path.split('?');
-    const [host, from, kind] = tag.split(';');
-    if (host !== this.#name) return;
-    const to = this.#directory[place.split('/')[1] ?? '']?.role ?? '?';
-    const key = `${from} ${to} ${kind}`;
-    const flow = this.#flows.get(key) ?? { calls: 0, asked: 0, answered: 0 };
-    // The tag is the test's own; a real call names the path alone.
-    flow.calls += 1;
-    flow.asked +=
-      headBytes(`POST /${place.split('/')[2] ?? ''} HTTP/1.1`, [
+    const [urlPath = '', query = ''] = request.path.split('?');
+    const [hostName, sender, kind] = query.split(';');
+    if (hostName !== this.#name) return;
+    const receiver = this.#directory[urlPath.split('/')[1] ?? '']?.role ?? '?';
+    const key = `${sender} ${receiver} ${kind}`;
+    const traffic = this.#traffic.get(key) ?? { calls: 0, requestBytes: 0, replyBytes: 0 };
+    // Only the hollow fleet appends a query to the path; a real call sends the path alone.
+    traffic.calls += 1;
+    traffic.requestBytes +=
+      headBytes(`POST /${urlPath.split('/')[2] ?? ''} HTTP/1.1`, [
         ...Object.entries(request.getHeaders()),
         ['Connection', 'keep-alive'],
       ]) + Number(request.getHeader('content-length') ?? 0);
-    flow.answered +=
+    traffic.replyBytes +=
       headBytes('HTTP/1.1 200 OK', Object.entries(response.headers)) +
       Number(response.headers['content-length'] ?? 0);
-    this.#flows.set(key, flow);
+    this.#traffic.set(key, traffic);
   }
 
-  #timed<T>(role: HollowRole, event: string, act: () => T): T {
-    // Processor time, not time passed: other processes of a busy machine take none of it.
-    const from = process.cpuUsage();
-    const result = act();
-    const used = process.cpuUsage(from);
+  #measureReducer<T>(role: HollowRole, event: string, reduce: () => T): T {
+    // Processor time rather than elapsed time, so that other processes on a busy machine don't
+    // count.
+    const usageBefore = process.cpuUsage();
+    const result = reduce();
+    const usage = process.cpuUsage(usageBefore);
     const key = `${role} ${event}`;
-    const sum = this.#reduced.get(key) ?? { ms: 0, events: 0 };
-    sum.ms += (used.user + used.system) / 1_000;
-    sum.events += 1;
-    this.#reduced.set(key, sum);
+    const cost = this.#reducerCosts.get(key) ?? { ms: 0, events: 0 };
+    cost.ms += (usage.user + usage.system) / 1_000;
+    cost.events += 1;
+    this.#reducerCosts.set(key, cost);
     return result;
   }
 
-  #begin(): void {
-    this.#open += 1;
-    this.#started += 1;
+  #beginOperation(): void {
+    this.#inFlight += 1;
+    this.#startedOperations += 1;
   }
-  #end(): void {
-    this.#open -= 1;
-    if (this.#open > 0) return;
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    waiting.forEach((each) => each());
+  #endOperation(): void {
+    this.#inFlight -= 1;
+    if (this.#inFlight > 0) return;
+    const waiters = this.#idleWaiters;
+    this.#idleWaiters = [];
+    waiters.forEach((resolve) => resolve());
   }
-  /** Does something that others wait for; what it brings about is begun before it ends. */
-  #during<T>(
+  /**
+   * Counts work as in flight until its handler has run, so that operations that the handler
+   * starts are counted before this one ends.
+   */
+  #trackOperation<T>(
     work: Promise<T>,
-    then: (result: T) => void,
-    otherwise: (thrown: unknown) => void,
+    onSuccess: (result: T) => void,
+    onFailure: (thrown: unknown) => void,
   ): void {
-    this.#begin();
+    this.#beginOperation();
     work
-      .then(then, otherwise)
+      .then(onSuccess, onFailure)
       .catch((thrown: unknown) => {
-        this.#failed = thrown;
+        this.#fatalError = thrown;
       })
-      .finally(() => this.#end());
+      .finally(() => this.#endOperation());
   }
 
   #call(
     role: HollowRole,
     to: string,
-    where: string,
+    callPath: string,
     body: unknown,
-    took: (reply: unknown) => void,
-    lost: () => void,
+    onReply: (reply: unknown) => void,
+    onFailure: () => void,
   ): void {
-    const place = this.#directory[to];
-    const sent =
-      place === undefined
-        ? Promise.reject(new HollowError('unknown', `nobody is at ${to}`))
+    const endpoint = this.#directory[to];
+    const reply =
+      endpoint === undefined
+        ? Promise.reject(new HollowError('unknown', `no node is registered at address ${to}`))
         : call(
-            `127.0.0.1:${place.port}`,
-            `/${to}${where}?${this.#name};${role};${callKindOf(body)}`,
+            `127.0.0.1:${endpoint.port}`,
+            `/${to}${callPath}?${this.#name};${role};${callKindOf(body)}`,
             body,
             hollowCallTimeoutMs,
           );
-    this.#during(sent, took, (thrown) => {
-      this.#lost += 1;
-      if (this.#faults.length < 10)
-        this.#faults.push(
+    this.#trackOperation(reply, onReply, (thrown) => {
+      this.#failedCalls += 1;
+      if (this.#failureTexts.length < 10)
+        this.#failureTexts.push(
           `${(this.#now / 1_000).toFixed(2)} s ${role} ${callKindOf(body)}: ${errorMessage(thrown)}`,
         );
-      lost();
+      onFailure();
     });
   }
 
@@ -363,26 +389,27 @@
     const handlers = new Proxy<Record<string, (body: unknown) => Promise<unknown>>>(
       {},
       {
-        get: (_, url) => (body: unknown) => this.#asked(String(url).split('?', 1)[0] ?? '', body),
+        get: (_, url) => (body: unknown) =>
+          this.#handleCall(String(url).split('?', 1)[0] ?? '', body),
       },
     );
-    this.#listening = await serveCalls({ host: '127.0.0.1', port: 0 }, handlers);
-    return this.#listening.port;
+    this.#server = await serveCalls({ host: '127.0.0.1', port: 0 }, handlers);
+    return this.#server.port;
   }
 
-  async directory(known: AddressDirectory): Promise<void> {
-    this.#directory = known;
+  async directory(directory: AddressDirectory): Promise<void> {
+    this.#directory = directory;
   }
 
-  #asked(place: string, body: unknown): Promise<unknown> {
-    const [, address = '', where] = place.split('/');
+  #handleCall(urlPath: string, body: unknown): Promise<unknown> {
+    const [, address = '', service] = urlPath.split('/');
     return new Promise((resolve, reject) => {
       const agent = this.#agents.get(address);
       const replica = this.#replicas.get(address);
-      if (where === 'replica' && replica !== undefined) {
-        const id = replica.next;
-        replica.next += 1;
-        replica.asking.set(id, (reply) => resolve(encodeReplicaReply(reply)));
+      if (service === 'replica' && replica !== undefined) {
+        const id = replica.nextRequestId;
+        replica.nextRequestId += 1;
+        replica.pendingReplies.set(id, (reply) => resolve(encodeReplicaReply(reply)));
         this.#reduceReplica(replica, {
           kind: 'request-received',
           requestId: id,
@@ -390,12 +417,12 @@
           now: this.#now,
         });
       } else if (agent !== undefined) {
-        const id = agent.next;
-        agent.next += 1;
-        agent.asking.set(id, resolve);
+        const id = agent.nextRequestId;
+        agent.nextRequestId += 1;
+        agent.pendingReplies.set(id, resolve);
         this.#reduceAgent(
           agent,
-          where === 'feed'
+          service === 'feed'
             ? {
                 kind: 'proxy-request-received',
                 requestId: id,
@@ -409,7 +436,7 @@
                 now: this.#now,
               },
         );
-      } else reject(new HollowError('unknown', `nobody is at ${address}`));
+      } else reject(new HollowError('unknown', `no node is served at address ${address}`));
     });
   }
 
@@ -420,9 +447,11 @@
         : event.kind === 'agent-request-received' || event.kind === 'proxy-request-received'
           ? `${event.kind}.${event.request.kind}`
           : event.kind;
-    const step = this.#timed(node.spec.role, label, () => reduceAgent(node.state, event));
-    node.state = step.state;
-    for (const effect of step.effects) this.#performAgent(node, effect);
+    const result = this.#measureReducer(node.spec.role, label, () =>
+      reduceAgent(node.state, event),
+    );
+    node.state = result.state;
+    for (const effect of result.effects) this.#performAgent(node, effect);
   }
 
   #performAgent(node: AgentNode, effect: AgentEffect): void {
@@ -449,21 +478,21 @@
         );
         return;
       case 'send-reply':
-        node.asking.get(effect.requestId)?.(effect.reply);
-        node.asking.delete(effect.requestId);
+        node.pendingReplies.get(effect.requestId)?.(effect.reply);
+        node.pendingReplies.delete(effect.requestId);
         return;
       case 'send-answer': {
-        const tag = node.orders.get(effect.requestId);
-        node.orders.delete(effect.requestId);
+        const tag = node.actionTags.get(effect.requestId);
+        node.actionTags.delete(effect.requestId);
         if (tag !== undefined && tag !== '')
-          this.#answers[tag] = { status: effect.status, at: this.#now, body: effect.body };
+          this.#actionReplies[tag] = { status: effect.status, at: this.#now, body: effect.body };
         return;
       }
       case 'schedule-wake-up':
-        node.wakeAt = Math.min(node.wakeAt, this.#now + effect.delayMs);
+        node.wakeUpAt = Math.min(node.wakeUpAt, this.#now + effect.delayMs);
         return;
       case 'log':
-        this.#logs[effect.event] = (this.#logs[effect.event] ?? 0) + 1;
+        this.#logCounts[effect.event] = (this.#logCounts[effect.event] ?? 0) + 1;
         return;
     }
   }
@@ -473,40 +502,40 @@
       event.kind === 'request-received'
         ? `asked.${callKindOf(encodeReplicaRequest(event.request))}`
         : event.kind;
-    const step = this.#timed('replica', label, () => reduceReplica(node.state, event));
-    node.state = step.state;
-    for (const effect of step.effects) this.#performReplica(node, effect);
+    const result = this.#measureReducer('replica', label, () => reduceReplica(node.state, event));
+    node.state = result.state;
+    for (const effect of result.effects) this.#performReplica(node, effect);
   }
 
   #performReplica(node: ReplicaNode, effect: ReplicaEffect): void {
-    const failed = (thrown: unknown): void => {
-      this.#failed = thrown;
+    const recordFailure = (thrown: unknown): void => {
+      this.#fatalError = thrown;
     };
     switch (effect.kind) {
       case 'append-records':
-        this.#during(node.log.append(effect.records), () => undefined, failed);
+        this.#trackOperation(node.log.append(effect.records), () => undefined, recordFailure);
         if (
           node.log.segmentBytes() > Math.max(snapshotAfterBytes, node.log.snapshotBytes() / 2) &&
-          !node.compacting
+          !node.isCompacting
         ) {
-          node.compacting = true;
-          this.#during(
+          node.isCompacting = true;
+          this.#trackOperation(
             node.log.compact(() => snapshotRecords(node.state)),
             () => {
-              node.compacting = false;
+              node.isCompacting = false;
             },
-            failed,
+            recordFailure,
           );
         }
         return;
       case 'send-reply':
-        this.#during(
+        this.#trackOperation(
           node.log.settled(),
           () => {
-            node.asking.get(effect.requestId)?.(effect.reply);
-            node.asking.delete(effect.requestId);
+            node.pendingReplies.get(effect.requestId)?.(effect.reply);
+            node.pendingReplies.delete(effect.requestId);
           },
-          failed,
+          recordFailure,
         );
         return;
       case 'send-request':
@@ -531,7 +560,7 @@
         );
         return;
       case 'log':
-        this.#logs[effect.event] = (this.#logs[effect.event] ?? 0) + 1;
+        this.#logCounts[effect.event] = (this.#logCounts[effect.event] ?? 0) + 1;
         return;
     }
   }
@@ -550,10 +579,10 @@
         spec,
         state: opened.state,
         log,
-        beatAt: this.#now,
-        next: 1,
-        compacting: false,
-        asking: new Map(),
+        nextTickAt: this.#now,
+        nextRequestId: 1,
+        isCompacting: false,
+        pendingReplies: new Map(),
       };
       this.#replicas.set(spec.address, node);
       for (const effect of opened.effects) this.#performReplica(node, effect);
@@ -564,11 +593,11 @@
     for (const spec of specs) {
       const node: AgentNode = {
         spec,
-        beatAt: spec.startAt,
-        wakeAt: Infinity,
-        next: 1,
-        asking: new Map(),
-        orders: new Map(),
+        nextTickAt: spec.startAt,
+        wakeUpAt: Infinity,
+        nextRequestId: 1,
+        pendingReplies: new Map(),
+        actionTags: new Map(),
         state: openAgent({
           self: spec.self,
           incarnation: `life-of-${spec.self.id}`,
@@ -596,23 +625,23 @@
     for (const spec of specs) {
       this.#proxies.set(spec.id, {
         spec,
-        askAt: spec.startAt,
-        asking: false,
+        nextFeedAt: spec.startAt,
+        isFetchingFeed: false,
         measuredAt: spec.startAt,
-        held: null,
+        feedSnapshot: null,
         policy: null,
-        wants: {},
-        wantsAt: -Infinity,
-        draws: 0,
+        demand: {},
+        demandAt: -Infinity,
+        drawCount: 0,
       });
     }
   }
 
   async origins(specs: readonly OriginSpec[]): Promise<void> {
-    const named = new Set(specs.map(({ description }) => description.instance));
+    const replacedInstances = new Set(specs.map(({ description }) => description.instance));
     this.#origins = [
-      ...this.#origins.filter(({ spec }) => !named.has(spec.description.instance)),
-      ...specs.map((spec) => ({ spec, at: spec.startAt })),
+      ...this.#origins.filter(({ spec }) => !replacedInstances.has(spec.description.instance)),
+      ...specs.map((spec) => ({ spec, nextDescriptionAt: spec.startAt })),
     ];
   }
 
@@ -621,7 +650,7 @@
       this.#arrivals[watch.tag] ??= [];
       return {
         watch,
-        left: new Set(
+        remaining: new Set(
           watch.what === 'member'
             ? [...this.#agents.keys()]
             : [
@@ -635,23 +664,23 @@
     });
   }
 
-  /** What a proxy tells: wants that move a little, and now and then what its callers asked for. */
-  #reportOf(node: ProxyNode): ProxyReport {
+  /** A proxy's report: demand that varies a little, and at intervals a traffic measurement. */
+  #buildReport(node: ProxyNode): ProxyReport {
     const { spec } = node;
     const draw = (): number => {
-      node.draws += 1;
-      return randomFraction(spec.seed, node.draws);
+      node.drawCount += 1;
+      return randomFraction(spec.seed, node.drawCount);
     };
-    if (this.#now - node.wantsAt >= demandIntervalMs) {
-      node.wantsAt = this.#now;
-      // As uneven as what callers that come by chance ask for in the time that a proxy counts,
-      // smoothed as it does.
+    if (this.#now - node.demandAt >= demandIntervalMs) {
+      node.demandAt = this.#now;
+      // Varies as much as randomly arriving requests do over the interval in which a proxy measures
+      // demand.
       const rate = hollowProxyDemandPerSecond / spec.services;
-      const uneven = Math.min(0.9, 1 / Math.sqrt((rate * demandIntervalMs) / 1_000));
-      node.wants = Object.fromEntries(
+      const variation = Math.min(0.9, 1 / Math.sqrt((rate * demandIntervalMs) / 1_000));
+      node.demand = Object.fromEntries(
         Array.from({ length: spec.services }, (_, index) => [
           `service-${index}`,
-          rate * (1 + uneven * (2 * draw() - 1)),
+          rate * (1 + variation * (2 * draw() - 1)),
         ]),
       );
     }
@@ -673,17 +702,17 @@
       };
     }
     return {
-      policyRevision: node.held?.feed.policyRevision ?? 0,
-      life: node.held?.feed.life ?? '',
+      policyRevision: node.feedSnapshot?.feed.policyRevision ?? 0,
+      life: node.feedSnapshot?.feed.life ?? '',
       proxyLife: `proxy-of-${spec.id}`,
-      purgeSeq: node.held?.feed.purgeSeq ?? 0,
+      purgeSeq: node.feedSnapshot?.feed.purgeSeq ?? 0,
       stopping: false,
-      wants: node.wants,
+      wants: node.demand,
       measure,
       counters: {
-        requests: node.draws,
-        attempts: node.draws,
-        fetched: node.draws,
+        requests: node.drawCount,
+        attempts: node.drawCount,
+        fetched: node.drawCount,
         forwarded: 0,
         repeats: 0,
         underWay: 0,
@@ -693,51 +722,54 @@
     };
   }
 
-  #ask(node: ProxyNode): void {
-    node.asking = true;
-    node.askAt = this.#now + feedIntervalMs;
+  #fetchFeed(node: ProxyNode): void {
+    node.isFetchingFeed = true;
+    node.nextFeedAt = this.#now + feedIntervalMs;
     this.#call(
       'proxy',
       node.spec.address,
       '/feed',
       {
         kind: 'feed',
-        report: this.#reportOf(node),
-        held: Feeds.heldParts(node.held),
+        report: this.#buildReport(node),
+        held: Feeds.heldParts(node.feedSnapshot),
       } satisfies ProxyQuery,
       (body) => {
-        node.held = Feeds.merge(node.held, body as FeedReply);
-        const { feed } = node.held;
-        node.asking = false;
+        node.feedSnapshot = Feeds.merge(node.feedSnapshot, body as FeedReply);
+        const { feed } = node.feedSnapshot;
+        node.isFetchingFeed = false;
         if (feed.policy !== null) node.policy = feed.policy.document;
-        for (const { watch, left } of this.#watches) {
-          if (!left.has(node.spec.id)) continue;
-          const here =
+        for (const { watch, remaining } of this.#watches) {
+          if (!remaining.has(node.spec.id)) continue;
+          const hasArrived =
             watch.what === 'config'
               ? feed.policyRevision >= Number(watch.key)
               : watch.what === 'purge'
                 ? feed.purges.some(({ purge }) => purge.tags.includes(watch.key))
                 : watch.what === 'drain' && !feed.origins.some((row) => row.instance === watch.key);
-          if (here) {
-            left.delete(node.spec.id);
+          if (hasArrived) {
+            remaining.delete(node.spec.id);
             this.#arrivals[watch.tag]?.push(this.#now);
           }
         }
       },
       () => {
-        node.asking = false;
+        node.isFetchingFeed = false;
       },
     );
   }
 
-  /** Nodes without a proxy, and everybody for a new member: looked at after each step. */
-  #look(): void {
-    for (const { watch, left } of this.#watches) {
-      for (const address of left) {
+  /**
+   * Records arrivals at agents after each step: at nodes without a proxy, and at every node for a
+   * new member. Arrivals at proxies are recorded with their feeds.
+   */
+  #recordArrivals(): void {
+    for (const { watch, remaining } of this.#watches) {
+      for (const address of remaining) {
         const node = this.#agents.get(address);
         if (node === undefined) continue;
         const { state } = node;
-        const here =
+        const hasArrived =
           watch.what === 'config'
             ? ((state.registers.policy?.value as { readonly revision: number } | undefined)
                 ?.revision ?? 0) >= Number(watch.key)
@@ -748,72 +780,72 @@
                     (key) => key.startsWith('drain/') && key.split('/')[2] === watch.key,
                   )
                 : state.gossip.records[`node/${watch.key}`] !== undefined;
-        if (here) {
-          left.delete(address);
+        if (hasArrived) {
+          remaining.delete(address);
           this.#arrivals[watch.tag]?.push(this.#now);
         }
       }
     }
   }
 
-  async step(now: number, orders: readonly NodeAction[]): Promise<number> {
+  async step(now: number, actions: readonly NodeAction[]): Promise<number> {
     this.#now = now;
-    this.#begin();
+    this.#beginOperation();
     for (const node of this.#replicas.values()) {
-      if (now < node.beatAt) continue;
-      node.beatAt += replicaTickIntervalMs;
+      if (now < node.nextTickAt) continue;
+      node.nextTickAt += replicaTickIntervalMs;
       this.#reduceReplica(node, { kind: 'tick', now });
     }
     for (const node of this.#agents.values()) {
-      if (now >= node.wakeAt) {
-        node.wakeAt = Infinity;
+      if (now >= node.wakeUpAt) {
+        node.wakeUpAt = Infinity;
         this.#reduceAgent(node, { kind: 'wake-up-due', now });
       }
-      if (now < node.beatAt) continue;
-      node.beatAt += agentTickIntervalMs;
+      if (now < node.nextTickAt) continue;
+      node.nextTickAt += agentTickIntervalMs;
       this.#reduceAgent(node, { kind: 'tick', now });
     }
     for (const node of this.#proxies.values())
-      if (now >= node.askAt && !node.asking) this.#ask(node);
-    const order = (to: string, tag: string, action: ApiAction): void => {
+      if (now >= node.nextFeedAt && !node.isFetchingFeed) this.#fetchFeed(node);
+    const perform = (to: string, tag: string, action: ApiAction): void => {
       const node = this.#agents.get(to);
       if (node === undefined) return;
-      const id = node.next;
-      node.next += 1;
-      node.orders.set(id, tag);
+      const id = node.nextRequestId;
+      node.nextRequestId += 1;
+      node.actionTags.set(id, tag);
       this.#reduceAgent(node, { kind: 'action-received', requestId: id, action, now });
     };
     for (const origin of this.#origins) {
-      if (now < origin.at) continue;
-      origin.at += hollowDescribeIntervalMs;
-      order(origin.spec.node, '', { kind: 'describe', description: origin.spec.description });
+      if (now < origin.nextDescriptionAt) continue;
+      origin.nextDescriptionAt += hollowDescribeIntervalMs;
+      perform(origin.spec.node, '', { kind: 'describe', description: origin.spec.description });
     }
-    for (const { node, tag, action } of orders) order(node, tag, action);
-    this.#end();
+    for (const { node, tag, action } of actions) perform(node, tag, action);
+    this.#endOperation();
     return this.settled();
   }
 
   async settled(): Promise<number> {
-    // One turn at the least, so that what came in just now is seen.
+    // Waits at least one turn of the event loop, so that calls that have just arrived are counted.
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
-    while (this.#open > 0)
+    while (this.#inFlight > 0)
       await new Promise<void>((resolve) => {
-        this.#waiting.push(resolve);
+        this.#idleWaiters.push(resolve);
       });
-    if (this.#failed !== null)
-      throw new HollowError('failed', errorMessage(this.#failed), { cause: this.#failed });
-    this.#look();
-    return this.#started;
+    if (this.#fatalError !== null)
+      throw new HollowError('failed', errorMessage(this.#fatalError), { cause: this.#fatalError });
+    this.#recordArrivals();
+    return this.#startedOperations;
   }
 
-  async report(whole: boolean): Promise<HostReport> {
+  async report(withMemory: boolean): Promise<HostReport> {
     const usage = process.cpuUsage();
-    const collect = (globalThis as { readonly gc?: () => void }).gc;
-    if (whole) collect?.();
+    const collectGarbage = (globalThis as { readonly gc?: () => void }).gc;
+    if (withMemory) collectGarbage?.();
     const memory = process.memoryUsage();
-    const sizes = (state: object): Readonly<Record<string, number>> =>
+    const fieldSizesOf = (state: object): Readonly<Record<string, number>> =>
       Object.fromEntries(
         Object.entries(state).map(([field, value]) => [
           field,
@@ -825,42 +857,42 @@
       [...this.#replicas.values()].at(-1),
     ];
     return {
-      flows: [...this.#flows].map(([key, { calls, asked, answered }]) => {
+      flows: [...this.#traffic].map(([key, { calls, requestBytes, replyBytes }]) => {
         const [from, to, kind] = key.split(' ');
         return {
           from: from as HollowRole,
           to: to as HollowRole,
           kind: kind ?? '',
           calls,
-          askedBytes: asked,
-          answeredBytes: answered,
+          askedBytes: requestBytes,
+          answeredBytes: replyBytes,
         };
       }),
-      reduced: [...this.#reduced].map(([key, sum]) => {
+      reduced: [...this.#reducerCosts].map(([key, sum]) => {
         const [role, event] = key.split(' ');
         return { role: role as HollowRole, event: event ?? '', ...sum };
       }),
       cpuMs: (usage.user + usage.system) / 1_000,
-      heap: whole && collect !== undefined ? memory.heapUsed + memory.external : 0,
+      heap: withMemory && collectGarbage !== undefined ? memory.heapUsed + memory.external : 0,
       rss: memory.rss,
-      lost: this.#lost,
-      faults: [...this.#faults],
-      answers: { ...this.#answers },
+      lost: this.#failedCalls,
+      faults: [...this.#failureTexts],
+      answers: { ...this.#actionReplies },
       arrivals: Object.fromEntries(
         Object.entries(this.#arrivals).map(([tag, times]) => [tag, [...times]]),
       ),
-      logs: { ...this.#logs },
-      stateBytes: !whole
+      logs: { ...this.#logCounts },
+      stateBytes: !withMemory
         ? {}
         : {
-            ...(agent === undefined ? {} : { [agent.spec.role]: sizes(agent.state) }),
-            ...(replica === undefined ? {} : { replica: sizes(replica.state) }),
+            ...(agent === undefined ? {} : { [agent.spec.role]: fieldSizesOf(agent.state) }),
+            ...(replica === undefined ? {} : { replica: fieldSizesOf(replica.state) }),
           },
     };
   }
 
   async close(): Promise<void> {
-    await this.#listening?.close();
+    await this.#server?.close();
     await Promise.all([...this.#replicas.values()].map(({ log }) => log.close()));
     rmSync(this.#folder, { recursive: true, force: true });
   }
--- a/packages/testbed/src/hollow.test.ts
+++ b/packages/testbed/src/hollow.test.ts
@@ -10,7 +10,7 @@
 import { feedIntervalMs } from '@reedyard/proxy';
 import { runHollowFleet, type HollowOptions, type HollowResult } from './hollow.js';
 
-const small: HollowOptions = {
+const smallOptions: HollowOptions = {
   nodes: 8,
   replicas: 3,
   zones: 4,
@@ -27,56 +27,57 @@
   processes: 0,
   probes: 1,
 };
-/** Calls or bytes that one node of a role sends in a second, of one kind. */
-const sent = (
+/** Calls or bytes of one kind per second at one node of a role. */
+const trafficOf = (
   result: HollowResult,
   role: keyof HollowResult['roles'],
   kind: string,
   field: 'callsOut' | 'callsIn' | 'bytesOut' | 'bytesIn' = 'callsOut',
 ): number => result.roles[role]?.byKind[kind]?.[field] ?? 0;
 /**
- * How a figure grows from the smaller fleet to the larger one: its power of the number of nodes.
+ * Exponent with which a figure grows with the number of nodes, from the smaller to the larger
+ * fleet.
  */
-const power = (few: number, many: number, ratio: number): number =>
-  Math.log(many / few) / Math.log(ratio);
+const growthExponent = (smaller: number, larger: number, ratio: number): number =>
+  Math.log(larger / smaller) / Math.log(ratio);
 
-test('a hollow fleet in one process: what a node sends grows no faster with the fleet than the capacity page says', async (t) => {
-  const few = await runHollowFleet(small);
-  const many = await runHollowFleet({ ...small, nodes: 16, proxies: 13 });
+test('traffic per node in a hollow fleet grows no faster with the fleet than the capacity page states', async (t) => {
+  const smaller = await runHollowFleet(smallOptions);
+  const larger = await runHollowFleet({ ...smallOptions, nodes: 16, proxies: 13 });
   const ratio = 16 / 8;
-  for (const result of [few, many]) {
+  for (const result of [smaller, larger]) {
     t.is(result.lost, 0);
     for (const [what, spread] of Object.entries(result.times)) {
       t.is(spread.missing, 0, what);
       t.is(spread.nodes, result.options.nodes, what);
     }
-    // A pull of each replica at each of its beats, an exchange and a feed at theirs, whatever the
-    // size of the fleet.
+    // Whatever the size of the fleet, an agent polls each replica once per poll interval and starts
+    // one gossip exchange per gossip interval, and a proxy fetches its feed once per feed interval.
     t.true(
-      sent(result, 'agent', 'pull') <= (1_000 / pollIntervalAtRestMs) * 3 * 1.05,
-      `${sent(result, 'agent', 'pull')} pulls`,
+      trafficOf(result, 'agent', 'pull') <= (1_000 / pollIntervalAtRestMs) * 3 * 1.05,
+      `${trafficOf(result, 'agent', 'pull')} polls`,
     );
     t.true(
-      sent(result, 'agent', 'exchange') <= (1_000 / gossipIntervalMs) * 1.05,
-      `${sent(result, 'agent', 'exchange')} exchanges`,
+      trafficOf(result, 'agent', 'exchange') <= (1_000 / gossipIntervalMs) * 1.05,
+      `${trafficOf(result, 'agent', 'exchange')} exchanges`,
     );
     t.true(
-      sent(result, 'proxy', 'feed') <= (1_000 / feedIntervalMs) * 1.05,
-      `${sent(result, 'proxy', 'feed')} feeds`,
+      trafficOf(result, 'proxy', 'feed') <= (1_000 / feedIntervalMs) * 1.05,
+      `${trafficOf(result, 'proxy', 'feed')} feeds`,
     );
-    // A division at each of its beats at the most, fetched once; a push for an exchange at the
-    // most.
+    // An agent fetches at most one quota allocation per allocation interval, and pushes at most
+    // once per exchange.
     t.true(
-      sent(result, 'agent', 'fetch.plan') <= (1_000 / allocationIntervalMs) * 1.3,
-      `${sent(result, 'agent', 'fetch.plan')} fetches of the division`,
+      trafficOf(result, 'agent', 'fetch.plan') <= (1_000 / allocationIntervalMs) * 1.3,
+      `${trafficOf(result, 'agent', 'fetch.plan')} fetches of the quota allocation`,
     );
-    t.true(sent(result, 'agent', 'push') <= sent(result, 'agent', 'exchange') * 1.05);
-    // A ping to each other node with a proxy, once for each draw at the most.
+    t.true(trafficOf(result, 'agent', 'push') <= trafficOf(result, 'agent', 'exchange') * 1.05);
+    // An agent pings each other node with a proxy at most once per ping round.
     t.true(
-      sent(result, 'agent', 'ping') <= result.options.proxies / (pingRoundIntervalMs / 1_000),
-      `${sent(result, 'agent', 'ping')} pings`,
+      trafficOf(result, 'agent', 'ping') <= result.options.proxies / (pingRoundIntervalMs / 1_000),
+      `${trafficOf(result, 'agent', 'ping')} pings`,
     );
-    // A replica hears from each node and of each ballot; nothing else asks it.
+    // A replica receives only the polls of each node and the calls of each proposal.
     t.true(
       (result.roles.replica?.callsIn ?? Infinity) <=
         result.options.nodes * (1_000 / pollIntervalAtRestMs + 1_000 / allocationIntervalMs) +
@@ -84,44 +85,56 @@
       `${result.roles.replica?.callsIn ?? NaN} calls to a replica`,
     );
   }
-  // Calls that must not grow with the fleet, and bytes that grow no faster than in proportion to
-  // it.
+  // The number of polls and exchanges per node must not grow with the fleet, and the bytes of
+  // exchanges and quota allocations must grow at most in proportion to the fleet.
   for (const kind of ['pull', 'exchange'])
-    t.true(power(sent(few, 'agent', kind), sent(many, 'agent', kind), ratio) <= 0.15, kind);
+    t.true(
+      growthExponent(trafficOf(smaller, 'agent', kind), trafficOf(larger, 'agent', kind), ratio) <=
+        0.15,
+      kind,
+    );
   for (const kind of ['exchange', 'fetch.plan'])
     t.true(
-      power(
-        sent(few, 'agent', kind, 'bytesIn') + sent(few, 'agent', kind, 'bytesOut'),
-        sent(many, 'agent', kind, 'bytesIn') + sent(many, 'agent', kind, 'bytesOut'),
+      growthExponent(
+        trafficOf(smaller, 'agent', kind, 'bytesIn') +
+          trafficOf(smaller, 'agent', kind, 'bytesOut'),
+        trafficOf(larger, 'agent', kind, 'bytesIn') + trafficOf(larger, 'agent', kind, 'bytesOut'),
         ratio,
       ) <= 1.3,
       `bytes of ${kind}`,
     );
   t.true(
-    power(sent(few, 'agent', 'pull', 'bytesIn'), sent(many, 'agent', 'pull', 'bytesIn'), ratio) <=
-      0.15,
-    'bytes of pulls',
+    growthExponent(
+      trafficOf(smaller, 'agent', 'pull', 'bytesIn'),
+      trafficOf(larger, 'agent', 'pull', 'bytesIn'),
+      ratio,
+    ) <= 0.15,
+    'bytes of polls',
   );
   t.true(
-    power(few.roles.replica?.callsIn ?? 0, many.roles.replica?.callsIn ?? 0, ratio) <= 1.1,
+    growthExponent(
+      smaller.roles.replica?.callsIn ?? 0,
+      larger.roles.replica?.callsIn ?? 0,
+      ratio,
+    ) <= 1.1,
     'calls to a replica',
   );
 });
 
-test('the hollow command names what is wrong with its words', (t) => {
+test('the hollow command reports an invalid argument in one line and exits with code 2', (t) => {
   const main = fileURLToPath(new URL('./main.js', import.meta.url));
-  for (const [words, told] of [
-    [[], /--nodes: found nothing; wanted a whole number/],
-    [['--nodes', 'many'], /--nodes: found "many"/],
+  for (const [args, expectedError] of [
+    [[], /--nodes: expected a whole number from 2 to 20000, found nothing/],
+    [['--nodes', 'many'], /--nodes: expected a whole number .*, found "many"/],
     [['--nodes', '3'], /more than the 3 of the replicas/],
-    [['--nodes', '16', '--seconds', '0'], /--seconds: found "0"/],
+    [['--nodes', '16', '--seconds', '0'], /--seconds: expected .*, found "0"/],
     [['--nodes', '16', '--nods', '3'], /nods/],
-    [['--nodes', '16', 'x'], /found "x"/],
-    [['--nodes', '20000', '--objects', '4'], /would take some .* GB; wanted at most/],
+    [['--nodes', '16', 'x'], /unexpected argument "x"/],
+    [['--nodes', '20000', '--objects', '4'], /would need about .* GB; at most .* GB may be used/],
   ] as const) {
-    const ended = spawnSync(process.execPath, [main, 'hollow', ...words], { encoding: 'utf8' });
-    t.is(ended.status, 2, words.join(' '));
-    t.regex(ended.stderr, told);
-    t.is(ended.stderr.trim().split('\n').length, 1, ended.stderr);
+    const child = spawnSync(process.execPath, [main, 'hollow', ...args], { encoding: 'utf8' });
+    t.is(child.status, 2, args.join(' '));
+    t.regex(child.stderr, expectedError);
+    t.is(child.stderr.trim().split('\n').length, 1, child.stderr);
   }
 });
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -1,4 +1,7 @@
-/** The hollow fleet: what each role of a large fleet sends and does. */
+/**
+ * Runs a hollow fleet: real reducers without real machines, to measure what each role sends and
+ * costs.
+ */
 import { fork } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import os from 'node:os';
@@ -35,9 +38,9 @@
   type ArrivalWatch,
 } from './hollow-host.js';
 
-/** What a hollow fleet is made of. */
+/** Size and contents of a hollow fleet, and the length of its run. */
 export type HollowOptions = {
-  /** Machines in all, with those of the replicas. */
+  /** Number of machines, including those of the replicas. */
   readonly nodes: number;
   readonly replicas: number;
   readonly zones: number;
@@ -45,39 +48,40 @@
   readonly origins: number;
   readonly services: number;
   readonly routes: number;
-  /** Purges a second. */
+  /** Purges per second. */
   readonly purges: number;
   /**
-   * Machines that run a proxy; the others run an agent alone, which is neither pinged nor given
-   * shares.
+   * Number of machines that run a proxy. The others run only an agent, which is neither pinged nor
+   * allocated a quota.
    */
   readonly proxies: number;
   /**
-   * Objects that each proxy measures one by one; without any no vector is told and no split
-   * computed.
+   * Number of objects that each proxy measures. With 0, no load vector is published and no routing
+   * table computed.
    */
   readonly objects: number;
-  /** s of the fleet's clock before anything is counted, and s that are counted. */
+  /** Seconds of the fleet's clock before counting begins. */
   readonly warm: number;
+  /** Seconds of the fleet's clock that are counted. */
   readonly seconds: number;
   readonly seed: number;
-  /** Processes that the agents are spread over; 0: everything in this one. */
+  /** Number of processes that share the agents; with 0, all nodes run in this process. */
   readonly processes: number;
   /**
-   * Times a config change, a purge, a drain notice and a new member are sent and timed, after the
-   * counting.
+   * Number of probes after the counting. Each probe sends a config change, a purge, a drain notice
+   * and a new member, and times their arrival.
    */
   readonly probes: number;
 };
 
-/** What one role sends and does, a node and a second of the fleet's clock. */
+/** Traffic and cost of one role, per node and per second of the fleet's clock. */
 export type RoleFigures = {
   readonly nodes: number;
   readonly callsOut: number;
   readonly callsIn: number;
   readonly bytesOut: number;
   readonly bytesIn: number;
-  /** ms of a core inside its reducer, a second. */
+  /** Processor milliseconds spent in the reducer. */
   readonly reducerMs: number;
   readonly byKind: Readonly<
     Record<
@@ -93,8 +97,8 @@
   readonly byEvent: Readonly<Record<string, { readonly ms: number; readonly events: number }>>;
 };
 /**
- * What one process used: ms of a core a second, and bytes in use after a collection; with what it
- * used before it had nodes.
+ * Resources used by one process: processor milliseconds per second, and bytes of heap after a
+ * garbage collection. The `floor` figures are those of the process before it has nodes.
  */
 export type ProcessFigures = {
   readonly part: string;
@@ -116,17 +120,20 @@
   readonly options: HollowOptions;
   readonly roles: Readonly<Partial<Record<HollowRole, RoleFigures>>>;
   readonly processes: readonly ProcessFigures[];
-  /** ms of the fleet's clock from sending it to each node. */
+  /**
+   * Delay from sending each sort of change to its arrival at the nodes, in milliseconds of the
+   * fleet's clock.
+   */
   readonly times: Readonly<Record<ArrivalWatch['what'], DelayDistribution>>;
   /**
-   * Calls and bytes by kind that one probe of each sort brought, over all nodes: what was sent
-   * while the probes ran, less as much of the steady traffic.
+   * Bytes that one probe adds over all nodes, by kind of call: the traffic while the probes ran,
+   * less the steady traffic of that time.
    */
   readonly probeBytes: Readonly<Record<string, number>>;
   readonly probeSeconds: number;
   readonly stateBytes: Readonly<Record<string, Readonly<Record<string, number>>>>;
   readonly policyBytes: number;
-  /** Calls without an answer since the counting began. */
+  /** Number of calls that failed since the counting began. */
   readonly lost: number;
   readonly faults: readonly string[];
   readonly logs: Readonly<Record<string, number>>;
@@ -135,30 +142,30 @@
 type FleetProcess = {
   readonly name: string;
   readonly host: HostOperations;
-  readonly end: () => Promise<void>;
+  readonly close: () => Promise<void>;
 };
 
-/** A host in a process of its own. */
+/** Starts a host in a child process and forwards its operations over IPC. */
 const forkHost = (name: string, heapMb: number): FleetProcess => {
   const child = fork(fileURLToPath(new URL('./hollow-child.js', import.meta.url)), {
     execArgv: ['--expose-gc', `--max-old-space-size=${heapMb}`],
     serialization: 'advanced',
     stdio: ['ignore', 'inherit', 'inherit', 'ipc'],
   });
-  const waiting = new Map<
+  const pendingCalls = new Map<
     number,
     { readonly resolve: (value: never) => void; readonly reject: (error: Error) => void }
   >();
-  let next = 1;
-  let gone = false;
-  const ended = new Promise<void>((resolve) =>
+  let nextCallId = 1;
+  let hasExited = false;
+  const exited = new Promise<void>((resolve) =>
     child.once('exit', (code, signal) => {
-      gone = true;
-      waiting.forEach(({ reject }) =>
+      hasExited = true;
+      pendingCalls.forEach(({ reject }) =>
         reject(
           new HollowError(
             'ended',
-            `the process of ${name} ended by itself: ${signal ?? `code ${code}`}`,
+            `the process of ${name} exited unexpectedly: ${signal ?? `code ${code}`}`,
           ),
         ),
       );
@@ -168,41 +175,41 @@
   child.on(
     'message',
     (message: { readonly id: number; readonly value?: never; readonly fault?: string }) => {
-      const asked = waiting.get(message.id);
-      waiting.delete(message.id);
-      if (message.fault === undefined) asked?.resolve(message.value as never);
-      else asked?.reject(new HollowError('failed', `${name}: ${message.fault}`));
+      const pendingCall = pendingCalls.get(message.id);
+      pendingCalls.delete(message.id);
+      if (message.fault === undefined) pendingCall?.resolve(message.value as never);
+      else pendingCall?.reject(new HollowError('failed', `${name}: ${message.fault}`));
     },
   );
-  const ask =
+  const forwardCall =
     (method: string) =>
-    (...words: readonly unknown[]): Promise<never> =>
+    (...args: readonly unknown[]): Promise<never> =>
       new Promise((resolve, reject) => {
-        if (gone) {
-          reject(new HollowError('ended', `the process of ${name} has ended`));
+        if (hasExited) {
+          reject(new HollowError('ended', `the process of ${name} has exited`));
           return;
         }
-        waiting.set(next, { resolve, reject });
-        child.send({ id: next, method, words });
-        next += 1;
+        pendingCalls.set(nextCallId, { resolve, reject });
+        child.send({ id: nextCallId, method, words: args });
+        nextCallId += 1;
       });
   const host = new Proxy(
     {},
-    { get: (_, method) => (method === 'then' ? undefined : ask(String(method))) },
+    { get: (_, method) => (method === 'then' ? undefined : forwardCall(String(method))) },
   ) as HostOperations;
   return {
     name,
     host,
-    end: async () => {
-      if (!gone) child.disconnect();
-      await ended;
+    close: async () => {
+      if (!hasExited) child.disconnect();
+      await exited;
     },
   };
 };
 
-const here = (name: string): FleetProcess => {
+const openHost = (name: string): FleetProcess => {
   const host = new HollowHost();
-  return { name, host, end: () => host.close() };
+  return { name, host, close: () => host.close() };
 };
 
 const policyOf = (options: HollowOptions, change: number): Policy => ({
@@ -224,34 +231,34 @@
   })),
 });
 
-const distributionOf = (times: readonly number[], expected: number): DelayDistribution => {
-  const sorted = [...times].sort((a, b) => a - b);
-  const at = (share: number): number =>
+const distributionOf = (delays: readonly number[], nodeCount: number): DelayDistribution => {
+  const sorted = [...delays].sort((a, b) => a - b);
+  const quantile = (share: number): number =>
     sorted[Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)] ?? NaN;
   return {
-    nodes: expected,
-    median: at(0.5),
-    p99: at(0.99),
+    nodes: nodeCount,
+    median: quantile(0.5),
+    p99: quantile(0.99),
     most: sorted.at(-1) ?? NaN,
-    missing: expected - sorted.length,
+    missing: nodeCount - sorted.length,
   };
 };
 
 /**
- * Runs a hollow fleet and counts what each role sends and does.
+ * Runs a hollow fleet and measures the traffic and cost of each role.
  *
  * @example
- * const result = await hollow({ nodes: 16, replicas: 3, zones: 4, regions: 2, origins: 7, services: 1, routes: 10, purges: 1, proxies: 13, objects: 0, warm: 4, seconds: 4, seed: 1, processes: 0, probes: 1 });
- * result.roles.agent?.callsOut // calls that one agent makes in a second
+ * const result = await runHollowFleet({ nodes: 16, replicas: 3, zones: 4, regions: 2, origins: 7, services: 1, routes: 10, purges: 1, proxies: 13, objects: 0, warm: 4, seconds: 4, seed: 1, processes: 0, probes: 1 });
+ * result.roles.agent?.callsOut // calls that one agent sends per second
  */
 export const runHollowFleet = async (
   options: HollowOptions,
-  tell: (text: string) => void = () => undefined,
+  reportProgress: (text: string) => void = () => undefined,
 ): Promise<HollowResult> => {
   const { nodes, replicas } = options;
-  const parts: FleetProcess[] =
+  const fleetProcesses: FleetProcess[] =
     options.processes === 0
-      ? ['replicas', 'holder', 'agents-1', 'proxies'].map(here)
+      ? ['replicas', 'holder', 'agents-1', 'proxies'].map(openHost)
       : [
           forkHost('replicas', 2_048),
           forkHost('holder', 3_072),
@@ -260,42 +267,46 @@
           ),
           forkHost('proxies', 2_048),
         ];
-  const [replicaPart, holderPart, proxyPart, ...agentParts] = [
-    parts[0],
-    parts[1],
-    parts.at(-1),
-    ...parts.slice(2, -1),
+  const [replicaProcess, holderProcess, proxyProcess, ...agentProcesses] = [
+    fleetProcesses[0],
+    fleetProcesses[1],
+    fleetProcesses.at(-1),
+    ...fleetProcesses.slice(2, -1),
   ] as [FleetProcess, FleetProcess, FleetProcess, ...FleetProcess[]];
   try {
     const ports = new Map(
-      await Promise.all(parts.map(async (part) => [part, await part.host.listen()] as const)),
+      await Promise.all(
+        fleetProcesses.map(
+          async (fleetProcess) => [fleetProcess, await fleetProcess.host.listen()] as const,
+        ),
+      ),
     );
-    const machine = (index: number): NodeIdentity => {
+    const machineAt = (index: number): NodeIdentity => {
       const ip = `10.${Math.floor(index / 62_500)}.${Math.floor(index / 250) % 250}.${(index % 250) + 1}`;
       const zone = index % options.zones;
-      const core = index < replicas;
+      const isCore = index < replicas;
       return {
-        id: core ? `core-${index + 1}` : `front-${String(index + 1).padStart(4, '0')}`,
+        id: isCore ? `core-${index + 1}` : `front-${String(index + 1).padStart(4, '0')}`,
         zone: `zone-${zone}`,
         region: `region-${zone % options.regions}`,
         address: `${ip}:7001`,
         proxy:
-          core || (index >= replicas + options.proxies && index < nodes)
+          isCore || (index >= replicas + options.proxies && index < nodes)
             ? null
             : { callers: `${ip}:8080`, peers: `${ip}:8081`, capacityBps: 1_000_000_000 },
-        replica: core ? { address: `${ip}:7101` } : null,
+        replica: isCore ? { address: `${ip}:7101` } : null,
       };
     };
-    // The newcomers of the probes are machines beyond the fleet's own.
-    const machines = Array.from({ length: nodes + options.probes }, (_, index) => machine(index));
+    // Each probe adds one machine, numbered after those of the fleet.
+    const machines = Array.from({ length: nodes + options.probes }, (_, index) => machineAt(index));
     const members = machines.slice(0, nodes);
     const holder = machines[replicas];
     const founders = Object.fromEntries(
       machines.slice(0, replicas).map((self) => [self.id, self.replica?.address ?? '']),
     );
     const seeds = machines.slice(0, Math.min(3, replicas)).map((self) => self.address);
-    const partOf = (index: number): FleetProcess =>
-      machines[index] === holder ? holderPart : agentParts[index % agentParts.length];
+    const processOf = (index: number): FleetProcess =>
+      machines[index] === holder ? holderProcess : agentProcesses[index % agentProcesses.length];
     const roleOf = (index: number): HollowRole =>
       machines[index] === holder
         ? 'holder'
@@ -305,60 +316,66 @@
     const directory: AddressDirectory = Object.fromEntries([
       ...machines.map(
         (self, index) =>
-          [self.address, { port: ports.get(partOf(index)) ?? 0, role: roleOf(index) }] as const,
+          [self.address, { port: ports.get(processOf(index)) ?? 0, role: roleOf(index) }] as const,
       ),
       ...Object.values(founders).map(
         (address) =>
-          [address, { port: ports.get(replicaPart) ?? 0, role: 'replica' as const }] as const,
+          [address, { port: ports.get(replicaProcess) ?? 0, role: 'replica' as const }] as const,
       ),
     ]);
-    await Promise.all(parts.map(({ host }) => host.directory(directory)));
+    await Promise.all(fleetProcesses.map(({ host }) => host.directory(directory)));
 
     let now = 0;
-    const step = async (orders: readonly NodeAction[] = []): Promise<void> => {
+    const step = async (actions: readonly NodeAction[] = []): Promise<void> => {
       now += hollowStepMs;
-      let before = await Promise.all(parts.map(({ host }) => host.step(now, orders)));
-      // Nothing is under way any more once all say so twice and none asked anything in between.
+      let startedBefore = await Promise.all(
+        fleetProcesses.map(({ host }) => host.step(now, actions)),
+      );
+      // The step is complete once two rounds in a row find no host with operations in flight and no
+      // host has started an operation in between.
       for (;;) {
-        const after = await Promise.all(parts.map(({ host }) => host.settled()));
-        if (after.every((count, index) => count === before[index])) return;
-        before = after;
+        const startedAfter = await Promise.all(fleetProcesses.map(({ host }) => host.settled()));
+        if (startedAfter.every((count, index) => count === startedBefore[index])) return;
+        startedBefore = startedAfter;
       }
     };
-    const reports = (whole: boolean): Promise<readonly HostReport[]> =>
-      Promise.all(parts.map(({ host }) => host.report(whole)));
-    const answerOf = async (tag: string): Promise<{ readonly status: number } | undefined> =>
-      (await reports(false))
+    const collectReports = (withMemory: boolean): Promise<readonly HostReport[]> =>
+      Promise.all(fleetProcesses.map(({ host }) => host.report(withMemory)));
+    const actionReplyOf = async (tag: string): Promise<{ readonly status: number } | undefined> =>
+      (await collectReports(false))
         .map((report) => report.answers[tag])
         .find((answer) => answer !== undefined);
-    const until = async (what: string, holds: () => Promise<boolean>): Promise<void> => {
-      const end = now + hollowMaxWaitMs;
-      while (!(await holds())) {
-        if (now > end)
+    const waitUntil = async (condition: string, isMet: () => Promise<boolean>): Promise<void> => {
+      const deadline = now + hollowMaxWaitMs;
+      while (!(await isMet())) {
+        if (now > deadline)
           throw new HollowError(
             'limit',
-            `${what}: not within ${hollowMaxWaitMs} ms of the fleet's clock`,
+            `${condition}: not reached within ${hollowMaxWaitMs} ms of the fleet's clock`,
           );
-        for (let each = 0; each < 10; each += 1) await step();
+        for (let index = 0; index < 10; index += 1) await step();
       }
     };
-    const logged = async (event: string): Promise<number> =>
-      (await reports(false)).reduce((sum, report) => sum + (report.logs[event] ?? 0), 0);
+    const loggedCountOf = async (event: string): Promise<number> =>
+      (await collectReports(false)).reduce((sum, report) => sum + (report.logs[event] ?? 0), 0);
 
-    // What the processes cost before they have nodes: steps of an empty fleet.
-    const emptyFrom = await reports(true);
-    for (let each = 0; each < 1_000 / hollowStepMs; each += 1) await step();
-    const empty = await reports(true);
+    // Measures the cost of the processes before they have nodes, over steps of an empty fleet.
+    const emptyBefore = await collectReports(true);
+    for (let index = 0; index < 1_000 / hollowStepMs; index += 1) await step();
+    const emptyAfter = await collectReports(true);
 
-    await replicaPart.host.replicas(
+    await replicaProcess.host.replicas(
       machines.slice(0, replicas).map((self) => ({
         name: self.id,
         address: self.replica?.address ?? '',
         others: Object.fromEntries(Object.entries(founders).filter(([name]) => name !== self.id)),
       })),
     );
-    await until('the replicas vote', async () => (await logged('replica.votes')) >= replicas);
-    tell('the replicas vote');
+    await waitUntil(
+      'a vote of every replica',
+      async () => (await loggedCountOf('replica.votes')) >= replicas,
+    );
+    reportProgress('all replicas vote');
 
     const agentSpec = (
       index: number,
@@ -382,17 +399,18 @@
       objects: options.objects,
     });
     const holderIndex = replicas;
-    await holderPart.host.agents([agentSpec(holderIndex, [], now)]);
-    await proxyPart.host.proxies([proxySpec(holderIndex, now)]);
-    // The first one alone takes the quota leadership, so that its process shows what the holder costs.
-    let tries = 0;
-    await until('the first policy', async () => {
-      if ((await answerOf(`first-${tries}`))?.status === 200) return true;
-      tries += 1;
+    await holderProcess.host.agents([agentSpec(holderIndex, [], now)]);
+    await proxyProcess.host.proxies([proxySpec(holderIndex, now)]);
+    // The first agent starts alone and wins the quota leadership, so that the figures of its
+    // process are those of the holder.
+    let attemptCount = 0;
+    await waitUntil('acceptance of the first policy', async () => {
+      if ((await actionReplyOf(`first-${attemptCount}`))?.status === 200) return true;
+      attemptCount += 1;
       await step([
         {
           node: holder.address,
-          tag: `first-${tries}`,
+          tag: `first-${attemptCount}`,
           action: {
             kind: 'put-policy',
             document: policyOf(options, 0),
@@ -401,21 +419,28 @@
           },
         },
       ]);
-      await until('an answer', async () => (await answerOf(`first-${tries}`)) !== undefined);
-      return (await answerOf(`first-${tries}`))?.status === 200;
+      await waitUntil(
+        'a reply to the first policy',
+        async () => (await actionReplyOf(`first-${attemptCount}`)) !== undefined,
+      );
+      return (await actionReplyOf(`first-${attemptCount}`))?.status === 200;
     });
-    await until('the quotaLeadership', async () => (await logged('quota-leadership.won')) > 0);
-    tell('the quotaLeadership is held');
+    await waitUntil(
+      'election of a quota leader',
+      async () => (await loggedCountOf('quota-leadership.won')) > 0,
+    );
+    reportProgress('a quota leader is elected');
 
-    const known: readonly NodeRecord[] = members.map((self) => ({
+    const knownRecords: readonly NodeRecord[] = members.map((self) => ({
       ...self,
       ready: false,
       staying: false,
       proxyLife: '',
       wants: {},
     }));
-    // One message a process, so that what all know is sent once.
-    const others = members.flatMap((self, index) =>
+    // One message per process, so that the records known to all agents are sent once to each
+    // process.
+    const otherMembers = members.flatMap((self, index) =>
       index === holderIndex
         ? []
         : [
@@ -427,26 +452,26 @@
           ],
     );
     await Promise.all(
-      agentParts.map((part) =>
-        part.host.agents(
-          others
-            .filter(({ index }) => partOf(index) === part)
-            .map(({ index, startAt }) => agentSpec(index, known, startAt)),
+      agentProcesses.map((fleetProcess) =>
+        fleetProcess.host.agents(
+          otherMembers
+            .filter(({ index }) => processOf(index) === fleetProcess)
+            .map(({ index, startAt }) => agentSpec(index, knownRecords, startAt)),
         ),
       ),
     );
-    await proxyPart.host.proxies(
-      others
+    await proxyProcess.host.proxies(
+      otherMembers
         .filter(({ self }) => self.proxy !== null)
         .map(({ index, startAt }) => proxySpec(index, startAt)),
     );
     await Promise.all(
-      [holderPart, ...agentParts].map((part) =>
-        part.host.origins(
+      [holderProcess, ...agentProcesses].map((fleetProcess) =>
+        fleetProcess.host.origins(
           Array.from({ length: options.origins }, (_, index): OriginSpec => {
-            const at = index % nodes;
+            const machineIndex = index % nodes;
             return {
-              node: machines[at]?.address ?? '',
+              node: machines[machineIndex]?.address ?? '',
               startAt:
                 now + hollowDescribeIntervalMs * randomFraction(options.seed, 2_000_000 + index),
               description: {
@@ -454,61 +479,67 @@
                 instance: `origin-${index}`,
                 incarnation: 1,
                 address: `10.200.${Math.floor(index / 250)}.${(index % 250) + 1}:9000`,
-                region: machines[at]?.region ?? '',
-                zone: machines[at]?.zone ?? '',
+                region: machines[machineIndex]?.region ?? '',
+                zone: machines[machineIndex]?.zone ?? '',
                 capacity: hollowOriginCapacityPerSecond,
                 state: 'warm',
                 draining: false,
               },
             };
           }).filter(
-            (spec) => partOf(machines.findIndex((self) => self.address === spec.node)) === part,
+            (spec) =>
+              processOf(machines.findIndex((self) => self.address === spec.node)) === fleetProcess,
           ),
         ),
       ),
     );
-    const someNode = (place: number): string =>
-      members[Math.floor(randomFraction(options.seed, place) * nodes)]?.address ?? '';
-    const purge = (node: string, tag: string): NodeAction => ({
+    const randomNodeAddress = (index: number): string =>
+      members[Math.floor(randomFraction(options.seed, index) * nodes)]?.address ?? '';
+    const purgeAction = (node: string, tag: string): NodeAction => ({
       node,
       tag,
       action: { kind: 'purge', purge: { objects: [], tags: [tag] }, changeId: tag },
     });
-    tell('all are there');
+    reportProgress('all nodes are started');
     for (let end = now + 1_000 * options.warm; now < end;) await step();
-    // A board that runs long holds a minute of purges: they are put on it at once.
-    const boarded = Math.round(options.purges * 60);
+    // In steady operation, the gossiped entries include the purges of the last minute. They are
+    // sent in one step, so that the warm-up need not last a minute.
+    const initialPurges = Math.round(options.purges * 60);
     await step(
-      Array.from({ length: boarded }, (_, index) =>
-        purge(someNode(3_000_000 + index), `boarded-${index}`),
+      Array.from({ length: initialPurges }, (_, index) =>
+        purgeAction(randomNodeAddress(3_000_000 + index), `boarded-${index}`),
       ),
     );
-    for (let end = now + (boarded > 0 ? 1_000 : 0); now < end;) await step();
-    tell('warm');
+    for (let end = now + (initialPurges > 0 ? 1_000 : 0); now < end;) await step();
+    reportProgress('warm-up is complete');
 
-    const before = await reports(true);
-    const from = now;
-    let purged = 0;
-    while (now < from + 1_000 * options.seconds) {
-      const due = Math.floor(((now - from) / 1_000) * options.purges) - purged;
+    const reportsBefore = await collectReports(true);
+    const countingFrom = now;
+    let sentPurges = 0;
+    while (now < countingFrom + 1_000 * options.seconds) {
+      const duePurges = Math.floor(((now - countingFrom) / 1_000) * options.purges) - sentPurges;
       await step(
-        Array.from({ length: due }, (_, index) =>
-          purge(someNode(4_000_000 + purged + index), `steady-${purged + index}`),
+        Array.from({ length: duePurges }, (_, index) =>
+          purgeAction(
+            randomNodeAddress(4_000_000 + sentPurges + index),
+            `steady-${sentPurges + index}`,
+          ),
         ),
       );
-      purged += due;
-      if ((now - from) % 1_000 === 0) tell(`${(now - from) / 1_000} s counted`);
+      sentPurges += duePurges;
+      if ((now - countingFrom) % 1_000 === 0)
+        reportProgress(`${(now - countingFrom) / 1_000} s counted`);
     }
-    const seconds = (now - from) / 1_000;
-    const after = await reports(true);
+    const seconds = (now - countingFrom) / 1_000;
+    const reportsAfter = await collectReports(true);
 
-    const sent: Record<ArrivalWatch['what'], number[]> = {
+    const arrivalDelays: Record<ArrivalWatch['what'], number[]> = {
       config: [],
       purge: [],
       drain: [],
       member: [],
     };
-    const expected: Record<ArrivalWatch['what'], number> = {
+    const expectedArrivals: Record<ArrivalWatch['what'], number> = {
       config: 0,
       purge: 0,
       drain: 0,
@@ -516,42 +547,42 @@
     };
     const probesFrom = now;
     for (let probe = 0; probe < options.probes; probe += 1) {
-      const draining = options.origins - 1 - probe;
+      const drainingOrigin = options.origins - 1 - probe;
       const revision = 2 + probe;
       const watches: readonly ArrivalWatch[] = [
         { tag: `config-${probe}`, what: 'config', key: String(revision) },
         { tag: `purge-${probe}`, what: 'purge', key: `probe-${probe}` },
-        ...(draining < 0
+        ...(drainingOrigin < 0
           ? []
-          : [{ tag: `drain-${probe}`, what: 'drain', key: `origin-${draining}` } as const]),
+          : [{ tag: `drain-${probe}`, what: 'drain', key: `origin-${drainingOrigin}` } as const]),
         { tag: `member-${probe}`, what: 'member', key: machines[nodes + probe]?.id ?? '' },
       ];
-      await Promise.all(parts.map(({ host }) => host.watch(watches)));
+      await Promise.all(fleetProcesses.map(({ host }) => host.watch(watches)));
       const newcomer = nodes + probe;
-      await partOf(newcomer).host.agents([agentSpec(newcomer, [], now)]);
-      await proxyPart.host.proxies([proxySpec(newcomer, now)]);
-      const begun = now;
-      const leaving: readonly OriginSpec[] = [
+      await processOf(newcomer).host.agents([agentSpec(newcomer, [], now)]);
+      await proxyProcess.host.proxies([proxySpec(newcomer, now)]);
+      const sentAt = now;
+      const drainingSpecs: readonly OriginSpec[] = [
         {
-          node: machines[draining % nodes]?.address ?? '',
+          node: machines[drainingOrigin % nodes]?.address ?? '',
           startAt: now,
           description: {
-            service: `service-${draining % options.services}`,
-            instance: `origin-${draining}`,
+            service: `service-${drainingOrigin % options.services}`,
+            instance: `origin-${drainingOrigin}`,
             incarnation: 1,
-            address: `10.200.${Math.floor(draining / 250)}.${(draining % 250) + 1}:9000`,
-            region: machines[draining % nodes]?.region ?? '',
-            zone: machines[draining % nodes]?.zone ?? '',
+            address: `10.200.${Math.floor(drainingOrigin / 250)}.${(drainingOrigin % 250) + 1}:9000`,
+            region: machines[drainingOrigin % nodes]?.region ?? '',
+            zone: machines[drainingOrigin % nodes]?.zone ?? '',
             capacity: hollowOriginCapacityPerSecond,
             state: 'warm',
             draining: true,
           },
         },
       ];
-      if (draining >= 0) await partOf(draining % nodes).host.origins(leaving);
+      if (drainingOrigin >= 0) await processOf(drainingOrigin % nodes).host.origins(drainingSpecs);
       await step([
         {
-          node: someNode(5_000_000 + probe),
+          node: randomNodeAddress(5_000_000 + probe),
           tag: `config-${probe}`,
           action: {
             kind: 'put-policy',
@@ -560,32 +591,45 @@
             changeId: `change-${probe}`,
           },
         },
-        purge(someNode(6_000_000 + probe), `probe-${probe}`),
+        purgeAction(randomNodeAddress(6_000_000 + probe), `probe-${probe}`),
       ]);
-      // Those that were there before this newcomer.
-      const there = nodes + probe;
-      const all = { config: there, purge: there, drain: draining < 0 ? 0 : there, member: there };
-      const arrivedOf = async (what: ArrivalWatch['what']): Promise<readonly number[]> =>
-        (await reports(false)).flatMap((report) => report.arrivals[`${what}-${probe}`] ?? []);
-      const end = now + hollowMaxWaitMs;
-      const whats = ['config', 'purge', 'drain', 'member'] as const;
+      // The nodes that were members before this newcomer.
+      const memberCount = nodes + probe;
+      const expectedCounts = {
+        config: memberCount,
+        purge: memberCount,
+        drain: drainingOrigin < 0 ? 0 : memberCount,
+        member: memberCount,
+      };
+      const arrivalsOf = async (what: ArrivalWatch['what']): Promise<readonly number[]> =>
+        (await collectReports(false)).flatMap(
+          (report) => report.arrivals[`${what}-${probe}`] ?? [],
+        );
+      const deadline = now + hollowMaxWaitMs;
+      const watchedKinds = ['config', 'purge', 'drain', 'member'] as const;
       for (;;) {
-        for (let each = 0; each < 10; each += 1) await step();
-        const counts = await Promise.all(whats.map(async (what) => (await arrivedOf(what)).length));
-        if (now >= end || whats.every((what, index) => (counts[index] ?? 0) >= all[what])) break;
+        for (let index = 0; index < 10; index += 1) await step();
+        const counts = await Promise.all(
+          watchedKinds.map(async (what) => (await arrivalsOf(what)).length),
+        );
+        if (
+          now >= deadline ||
+          watchedKinds.every((what, index) => (counts[index] ?? 0) >= expectedCounts[what])
+        )
+          break;
       }
-      for (const what of whats) {
-        sent[what].push(...(await arrivedOf(what)).map((at) => at - begun));
-        expected[what] += all[what];
+      for (const what of watchedKinds) {
+        arrivalDelays[what].push(...(await arrivalsOf(what)).map((at) => at - sentAt));
+        expectedArrivals[what] += expectedCounts[what];
       }
-      tell(
-        `probe ${probe + 1} of ${options.probes} has reached ${sent.config.length} of ${expected.config}`,
+      reportProgress(
+        `probe ${probe + 1} of ${options.probes} has reached ${arrivalDelays.config.length} of ${expectedArrivals.config}`,
       );
     }
-    const last = await reports(false);
+    const finalReports = await collectReports(false);
     const probeSeconds = (now - probesFrom) / 1_000;
 
-    const countOf = (role: HollowRole): number =>
+    const roleNodeCount = (role: HollowRole): number =>
       machines
         .slice(0, nodes)
         .filter((self, index) =>
@@ -595,98 +639,103 @@
               ? self.proxy !== null
               : roleOf(index) === role,
         ).length;
-    const sumFlows = (list: readonly HostReport[]): ReadonlyMap<string, CallTraffic> => {
+    const sumTraffic = (reports: readonly HostReport[]): ReadonlyMap<string, CallTraffic> => {
       const sums = new Map<string, CallTraffic>();
-      for (const flow of list.flatMap((report) => report.flows)) {
+      for (const flow of reports.flatMap((report) => report.flows)) {
         const key = `${flow.from} ${flow.to} ${flow.kind}`;
-        const old = sums.get(key);
+        const sum = sums.get(key);
         sums.set(
           key,
-          old === undefined
+          sum === undefined
             ? flow
             : {
                 ...flow,
-                calls: old.calls + flow.calls,
-                askedBytes: old.askedBytes + flow.askedBytes,
-                answeredBytes: old.answeredBytes + flow.answeredBytes,
+                calls: sum.calls + flow.calls,
+                askedBytes: sum.askedBytes + flow.askedBytes,
+                answeredBytes: sum.answeredBytes + flow.answeredBytes,
               },
         );
       }
       return sums;
     };
-    const less = (
-      late: readonly HostReport[],
-      early: readonly HostReport[],
+    const subtractTraffic = (
+      later: readonly HostReport[],
+      earlier: readonly HostReport[],
     ): readonly CallTraffic[] => {
-      const old = sumFlows(early);
-      return [...sumFlows(late)].map(([key, flow]) => {
-        const was = old.get(key);
-        return was === undefined
+      const earlierTraffic = sumTraffic(earlier);
+      return [...sumTraffic(later)].map(([key, flow]) => {
+        const earlierFlow = earlierTraffic.get(key);
+        return earlierFlow === undefined
           ? flow
           : {
               ...flow,
-              calls: flow.calls - was.calls,
-              askedBytes: flow.askedBytes - was.askedBytes,
-              answeredBytes: flow.answeredBytes - was.answeredBytes,
+              calls: flow.calls - earlierFlow.calls,
+              askedBytes: flow.askedBytes - earlierFlow.askedBytes,
+              answeredBytes: flow.answeredBytes - earlierFlow.answeredBytes,
             };
       });
     };
-    const steady = less(after, before);
-    const reducedOf = (
-      list: readonly HostReport[],
+    const steadyTraffic = subtractTraffic(reportsAfter, reportsBefore);
+    const reducerCostsOf = (
+      reports: readonly HostReport[],
       role: HollowRole,
     ): ReadonlyMap<string, { readonly ms: number; readonly events: number }> => {
       const sums = new Map<string, { ms: number; events: number }>();
-      for (const each of list.flatMap((report) => report.reduced))
-        if (each.role === role) {
-          const old = sums.get(each.event) ?? { ms: 0, events: 0 };
-          sums.set(each.event, { ms: old.ms + each.ms, events: old.events + each.events });
+      for (const cost of reports.flatMap((report) => report.reduced))
+        if (cost.role === role) {
+          const sum = sums.get(cost.event) ?? { ms: 0, events: 0 };
+          sums.set(cost.event, { ms: sum.ms + cost.ms, events: sum.events + cost.events });
         }
       return sums;
     };
     const figuresOf = (role: HollowRole): RoleFigures => {
-      const count = Math.max(1, countOf(role));
-      const each = (total: number): number => total / count / seconds;
+      const nodeCount = Math.max(1, roleNodeCount(role));
+      const perNodeSecond = (total: number): number => total / nodeCount / seconds;
       const kinds = [
         ...new Set(
-          steady.filter((flow) => flow.from === role || flow.to === role).map((flow) => flow.kind),
+          steadyTraffic
+            .filter((flow) => flow.from === role || flow.to === role)
+            .map((flow) => flow.kind),
         ),
       ].sort();
       const byKind = Object.fromEntries(
         kinds.map((kind) => {
-          const [out, into] = [
-            steady.filter((flow) => flow.kind === kind && flow.from === role),
-            steady.filter((flow) => flow.kind === kind && flow.to === role),
+          const [outbound, inbound] = [
+            steadyTraffic.filter((flow) => flow.kind === kind && flow.from === role),
+            steadyTraffic.filter((flow) => flow.kind === kind && flow.to === role),
           ];
           const sum = (
-            list: readonly CallTraffic[],
+            flows: readonly CallTraffic[],
             field: 'calls' | 'askedBytes' | 'answeredBytes',
-          ): number => list.reduce((total, flow) => total + flow[field], 0);
+          ): number => flows.reduce((total, flow) => total + flow[field], 0);
           return [
             kind,
             {
-              callsOut: each(sum(out, 'calls')),
-              callsIn: each(sum(into, 'calls')),
-              bytesOut: each(sum(out, 'askedBytes') + sum(into, 'answeredBytes')),
-              bytesIn: each(sum(out, 'answeredBytes') + sum(into, 'askedBytes')),
+              callsOut: perNodeSecond(sum(outbound, 'calls')),
+              callsIn: perNodeSecond(sum(inbound, 'calls')),
+              bytesOut: perNodeSecond(sum(outbound, 'askedBytes') + sum(inbound, 'answeredBytes')),
+              bytesIn: perNodeSecond(sum(outbound, 'answeredBytes') + sum(inbound, 'askedBytes')),
             },
           ];
         }),
       );
       const total = (field: 'callsOut' | 'callsIn' | 'bytesOut' | 'bytesIn'): number =>
         Object.values(byKind).reduce((sum, kind) => sum + kind[field], 0);
-      const [late, early] = [reducedOf(after, role), reducedOf(before, role)];
+      const [costsAfter, costsBefore] = [
+        reducerCostsOf(reportsAfter, role),
+        reducerCostsOf(reportsBefore, role),
+      ];
       const byEvent = Object.fromEntries(
-        [...late].map(([event, sum]) => [
+        [...costsAfter].map(([event, sum]) => [
           event,
           {
-            ms: each(sum.ms - (early.get(event)?.ms ?? 0)),
-            events: each(sum.events - (early.get(event)?.events ?? 0)),
+            ms: perNodeSecond(sum.ms - (costsBefore.get(event)?.ms ?? 0)),
+            events: perNodeSecond(sum.events - (costsBefore.get(event)?.events ?? 0)),
           },
         ]),
       );
       return {
-        nodes: countOf(role),
+        nodes: roleNodeCount(role),
         callsOut: total('callsOut'),
         callsIn: total('callsIn'),
         bytesOut: total('bytesOut'),
@@ -696,45 +745,45 @@
         byEvent,
       };
     };
-    const nodesIn = (part: FleetProcess): number =>
-      part === replicaPart
+    const nodeCountOf = (fleetProcess: FleetProcess): number =>
+      fleetProcess === replicaProcess
         ? replicas
-        : part === holderPart
+        : fleetProcess === holderProcess
           ? 1
-          : part === proxyPart
+          : fleetProcess === proxyProcess
             ? options.proxies
-            : members.filter((_, index) => partOf(index) === part).length;
-    const probeFlows = less(last, after);
+            : members.filter((_, index) => processOf(index) === fleetProcess).length;
+    const probeTraffic = subtractTraffic(finalReports, reportsAfter);
     const steadyBytes = new Map<string, number>();
-    for (const flow of steady)
+    for (const flow of steadyTraffic)
       steadyBytes.set(
         flow.kind,
         (steadyBytes.get(flow.kind) ?? 0) + flow.askedBytes + flow.answeredBytes,
       );
     const probeBytes: Record<string, number> = {};
-    for (const flow of probeFlows)
+    for (const flow of probeTraffic)
       probeBytes[flow.kind] = (probeBytes[flow.kind] ?? 0) + flow.askedBytes + flow.answeredBytes;
     return {
       options,
       roles: Object.fromEntries(
         (['replica', 'holder', 'seed', 'agent', 'proxy'] as const).flatMap((role) =>
-          countOf(role) === 0 ? [] : [[role, figuresOf(role)]],
+          roleNodeCount(role) === 0 ? [] : [[role, figuresOf(role)]],
         ),
       ),
-      processes: parts.map((part, index) => ({
-        part: part.name,
-        nodes: nodesIn(part),
-        cpuMs: ((after[index]?.cpuMs ?? 0) - (before[index]?.cpuMs ?? 0)) / seconds,
-        floorCpuMs: (empty[index]?.cpuMs ?? 0) - (emptyFrom[index]?.cpuMs ?? 0),
-        heap: after[index]?.heap ?? 0,
-        floorHeap: empty[index]?.heap ?? 0,
-        rss: after[index]?.rss ?? 0,
+      processes: fleetProcesses.map((fleetProcess, index) => ({
+        part: fleetProcess.name,
+        nodes: nodeCountOf(fleetProcess),
+        cpuMs: ((reportsAfter[index]?.cpuMs ?? 0) - (reportsBefore[index]?.cpuMs ?? 0)) / seconds,
+        floorCpuMs: (emptyAfter[index]?.cpuMs ?? 0) - (emptyBefore[index]?.cpuMs ?? 0),
+        heap: reportsAfter[index]?.heap ?? 0,
+        floorHeap: emptyAfter[index]?.heap ?? 0,
+        rss: reportsAfter[index]?.rss ?? 0,
       })),
       times: {
-        config: distributionOf(sent.config, expected.config),
-        purge: distributionOf(sent.purge, expected.purge),
-        drain: distributionOf(sent.drain, expected.drain),
-        member: distributionOf(sent.member, expected.member),
+        config: distributionOf(arrivalDelays.config, expectedArrivals.config),
+        purge: distributionOf(arrivalDelays.purge, expectedArrivals.purge),
+        drain: distributionOf(arrivalDelays.drain, expectedArrivals.drain),
+        member: distributionOf(arrivalDelays.member, expectedArrivals.member),
       },
       probeBytes: Object.fromEntries(
         Object.entries(probeBytes).map(([kind, bytes]) => [
@@ -751,38 +800,38 @@
       probeSeconds,
       stateBytes: Object.assign(
         {},
-        ...after.map((report) => report.stateBytes),
+        ...reportsAfter.map((report) => report.stateBytes),
       ) as HollowResult['stateBytes'],
       policyBytes: JSON.stringify(policyOf(options, 0)).length,
       lost:
-        last.reduce((sum, report) => sum + report.lost, 0) -
-        before.reduce((sum, report) => sum + report.lost, 0),
-      faults: last.flatMap((report) => report.faults).slice(0, 20),
-      logs: last.reduce<Record<string, number>>((sums, report) => {
+        finalReports.reduce((sum, report) => sum + report.lost, 0) -
+        reportsBefore.reduce((sum, report) => sum + report.lost, 0),
+      faults: finalReports.flatMap((report) => report.faults).slice(0, 20),
+      logs: finalReports.reduce<Record<string, number>>((sums, report) => {
         for (const [event, count] of Object.entries(report.logs))
           sums[event] = (sums[event] ?? 0) + count;
         return sums;
       }, {}),
     };
   } finally {
-    await Promise.allSettled(parts.map((part) => part.end()));
+    await Promise.allSettled(fleetProcesses.map((fleetProcess) => fleetProcess.close()));
   }
 };
 
 const help = `testbed hollow --nodes N [--replicas A] [--zones Z] [--regions R] [--origins O] [--routes T] [--purges P]
                  [--services S] [--proxies L] [--objects D] [--warm W] [--seconds S] [--probes K] [--processes J] [--seed X] [--json FILE]
 
-  --nodes N      machines in all, those of the replicas among them
-  --proxies L     machines with a proxy (all but those of the replicas); each pings each other
-  --purges P     purges a second           --objects D    objects that each proxy measures (0: no vectors)
-  --seconds S    s of the fleet's clock that are counted, after --warm W; --probes K changes are timed after them
-  --processes J  processes that the agents are spread over; three more hold the replicas, the quota leader, the proxies
+  --nodes N      number of machines, including those of the replicas
+  --proxies L    machines with a proxy (default: all but those of the replicas); each pings every other
+  --purges P     purges per second         --objects D    objects that each proxy measures (0: no load vectors)
+  --seconds S    seconds of the fleet's clock that are counted, after --warm W; then --probes K changes are timed
+  --processes J  processes that share the agents; three more run the replicas, the quota leader and the proxies
 `;
 
 const parseFlags = (
   argv: readonly string[],
 ): { readonly options: HollowOptions; readonly json: string | undefined } | null => {
-  const text = { type: 'string' } as const;
+  const stringFlag = { type: 'string' } as const;
   const { values, positionals } = ((): {
     readonly values: Readonly<Record<string, string | boolean | undefined>>;
     readonly positionals: readonly string[];
@@ -792,22 +841,22 @@
         args: [...argv],
         allowPositionals: true,
         options: {
-          nodes: text,
-          replicas: text,
-          zones: text,
-          regions: text,
-          origins: text,
-          services: text,
-          routes: text,
-          purges: text,
-          proxies: text,
-          objects: text,
-          warm: text,
-          seconds: text,
-          probes: text,
-          processes: text,
-          seed: text,
-          json: text,
+          nodes: stringFlag,
+          replicas: stringFlag,
+          zones: stringFlag,
+          regions: stringFlag,
+          origins: stringFlag,
+          services: stringFlag,
+          routes: stringFlag,
+          purges: stringFlag,
+          proxies: stringFlag,
+          objects: stringFlag,
+          warm: stringFlag,
+          seconds: stringFlag,
+          probes: stringFlag,
+          processes: stringFlag,
+          seed: stringFlag,
+          json: stringFlag,
           help: { type: 'boolean' },
         },
       });
@@ -817,98 +866,101 @@
   })();
   if (values['help'] === true) return null;
   if (positionals.length > 0)
-    throw new HollowError('usage', `found "${positionals.join(' ')}"; wanted nothing but flags`);
-  const read = (
+    throw new HollowError(
+      'usage',
+      `unexpected argument "${positionals.join(' ')}": expected only flags`,
+    );
+  const readNumber = (
     name: string,
-    otherwise: number | null,
-    least: number,
-    most: number,
-    whole = true,
+    defaultValue: number | null,
+    min: number,
+    max: number,
+    isInteger = true,
   ): number => {
-    const given = values[name];
-    if (given === undefined && otherwise !== null) return otherwise;
-    const number = Number(given);
+    const text = values[name];
+    if (text === undefined && defaultValue !== null) return defaultValue;
+    const number = Number(text);
     if (
-      typeof given !== 'string' ||
-      given.trim() === '' ||
+      typeof text !== 'string' ||
+      text.trim() === '' ||
       !Number.isFinite(number) ||
-      (whole && !Number.isInteger(number)) ||
-      number < least ||
-      number > most
+      (isInteger && !Number.isInteger(number)) ||
+      number < min ||
+      number > max
     )
       throw new HollowError(
         'usage',
-        `--${name}: found ${given === undefined ? 'nothing' : `"${String(given)}"`}; wanted a ${whole ? 'whole ' : ''}number from ${least} to ${most}`,
+        `--${name}: expected a ${isInteger ? 'whole ' : ''}number from ${min} to ${max}, found ${text === undefined ? 'nothing' : `"${String(text)}"`}`,
       );
     return number;
   };
-  const replicas = read('replicas', 3, 1, 99);
-  const nodes = read('nodes', null, 2, 20_000);
+  const replicas = readNumber('replicas', 3, 1, 99);
+  const nodes = readNumber('nodes', null, 2, 20_000);
   if (nodes <= replicas)
     throw new HollowError(
       'usage',
-      `--nodes: found "${nodes}"; wanted more than the ${replicas} of the replicas`,
+      `--nodes: expected more than the ${replicas} of the replicas, found "${nodes}"`,
     );
-  const zones = read('zones', 4, 1, 1_000);
-  const origins = read('origins', 7, 0, 10_000);
+  const zones = readNumber('zones', 4, 1, 1_000);
+  const origins = readNumber('origins', 7, 0, 10_000);
   const options: HollowOptions = {
     nodes,
     replicas,
     zones,
-    regions: read('regions', 1, 1, zones),
+    regions: readNumber('regions', 1, 1, zones),
     origins,
-    services: read(
+    services: readNumber(
       'services',
       Math.max(1, Math.round(origins / hollowOriginsPerService)),
       1,
       5_000,
     ),
-    routes: read('routes', 20, 1, 50_000),
-    purges: read('purges', 1, 0, 1_000, false),
-    proxies: read('proxies', nodes - replicas, 1, nodes - replicas),
-    objects: read('objects', 0, 0, 1_000),
-    warm: read('warm', hollowWarmUpMs / 1_000, 1, 3_600),
-    seconds: read('seconds', 4, 1, 3_600),
-    seed: read('seed', 1, 0, 2 ** 31 - 1),
-    processes: read('processes', 1, 1, 24),
-    probes: read('probes', 2, 0, 100),
+    routes: readNumber('routes', 20, 1, 50_000),
+    purges: readNumber('purges', 1, 0, 1_000, false),
+    proxies: readNumber('proxies', nodes - replicas, 1, nodes - replicas),
+    objects: readNumber('objects', 0, 0, 1_000),
+    warm: readNumber('warm', hollowWarmUpMs / 1_000, 1, 3_600),
+    seconds: readNumber('seconds', 4, 1, 3_600),
+    seed: readNumber('seed', 1, 0, 2 ** 31 - 1),
+    processes: readNumber('processes', 1, 1, 24),
+    probes: readNumber('probes', 2, 0, 100),
   };
-  // Each node holds a vector of each, and each vector a delay to each.
-  const wanted =
+  // Each node keeps a load vector of every node, and each vector has a delay to every node.
+  const requiredBytes =
     nodes ** 2 * (heapBytesPerNode + (options.objects > 0 ? nodes * heapBytesPerDelay : 0));
-  const most = os.totalmem() * hollowMemoryShare;
-  if (wanted > most)
+  const availableBytes = os.totalmem() * hollowMemoryShare;
+  if (requiredBytes > availableBytes)
     throw new HollowError(
       'usage',
-      `--nodes ${nodes}${options.objects > 0 ? ` --objects ${options.objects}` : ''}: would take some ${(wanted / 2 ** 30).toFixed(1)} GB; wanted at most ${(most / 2 ** 30).toFixed(1)} GB${options.objects > 0 ? ' (--objects 0 leaves the vectors out)' : ''}`,
+      `--nodes ${nodes}${options.objects > 0 ? ` --objects ${options.objects}` : ''}: would need about ${(requiredBytes / 2 ** 30).toFixed(1)} GB; at most ${(availableBytes / 2 ** 30).toFixed(1)} GB may be used${options.objects > 0 ? ' (--objects 0 omits the load vectors)' : ''}`,
     );
   return { options, json: values['json'] as string | undefined };
 };
 
-const round = (value: number): string =>
+const formatNumber = (value: number): string =>
   Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3);
 
-/** What is printed of a run. */
+/** The lines that summarize a run on standard output. */
 export const summaryLinesOf = (result: HollowResult): readonly string[] => [
   `hollow ${Object.entries(result.options)
     .map(([name, value]) => `${name}=${value}`)
     .join(' ')} lost=${result.lost}`,
   ...Object.entries(result.roles).map(
-    ([role, each]) =>
-      `  ${role.padEnd(7)} nodes=${each.nodes} a node and second: calls out=${round(each.callsOut)} in=${round(each.callsIn)} bytes out=${round(each.bytesOut)} in=${round(each.bytesIn)} reducer=${round(each.reducerMs)}ms`,
+    ([role, figures]) =>
+      `  ${role.padEnd(7)} nodes=${figures.nodes} a node and second: calls out=${formatNumber(figures.callsOut)} in=${formatNumber(figures.callsIn)} bytes out=${formatNumber(figures.bytesOut)} in=${formatNumber(figures.bytesIn)} reducer=${formatNumber(figures.reducerMs)}ms`,
   ),
-  ...Object.entries(result.roles).flatMap(([role, each]) =>
-    Object.entries(each.byKind)
+  ...Object.entries(result.roles).flatMap(([role, figures]) =>
+    Object.entries(figures.byKind)
       .sort(([, a], [, b]) => b.bytesOut + b.bytesIn - a.bytesOut - a.bytesIn)
       .slice(0, 5)
       .map(
         ([kind, sum]) =>
-          `    ${role.padEnd(7)} ${kind.padEnd(16)} calls out=${round(sum.callsOut)} in=${round(sum.callsIn)} bytes out=${round(sum.bytesOut)} in=${round(sum.bytesIn)}`,
+          `    ${role.padEnd(7)} ${kind.padEnd(16)} calls out=${formatNumber(sum.callsOut)} in=${formatNumber(sum.callsIn)} bytes out=${formatNumber(sum.bytesOut)} in=${formatNumber(sum.bytesIn)}`,
       ),
   ),
   ...result.processes.map(
-    (each) =>
-      `  process ${each.part.padEnd(8)} nodes=${each.nodes} cpu a node and second=${round((each.cpuMs - each.floorCpuMs) / Math.max(1, each.nodes))}ms (floor ${round(each.floorCpuMs)}ms) resident a node=${round((each.heap - each.floorHeap) / 1_024 / Math.max(1, each.nodes))}KB (floor ${round(each.floorHeap / 1_048_576)}MB)`,
+    (processFigures) =>
+      `  process ${processFigures.part.padEnd(8)} nodes=${processFigures.nodes} cpu a node and second=${formatNumber((processFigures.cpuMs - processFigures.floorCpuMs) / Math.max(1, processFigures.nodes))}ms (floor ${formatNumber(processFigures.floorCpuMs)}ms) resident a node=${formatNumber((processFigures.heap - processFigures.floorHeap) / 1_024 / Math.max(1, processFigures.nodes))}KB (floor ${formatNumber(processFigures.floorHeap / 1_048_576)}MB)`,
   ),
   ...Object.entries(result.times).map(
     ([what, spread]) =>
@@ -924,29 +976,29 @@
   ),
 ];
 
-/** The command. Exit codes: 0 done, 1 the run failed, 2 the words. */
+/** Runs the `hollow` command. Exit codes: 0 success, 1 the run failed, 2 invalid arguments. */
 export const runHollowCommand = async (argv: readonly string[]): Promise<number> => {
-  const words = ((): ReturnType<typeof parseFlags> | string => {
+  const flags = ((): ReturnType<typeof parseFlags> | string => {
     try {
       return parseFlags(argv);
     } catch (thrown) {
       return errorMessage(thrown);
     }
   })();
-  if (typeof words === 'string') {
-    process.stderr.write(`${words}\n`);
+  if (typeof flags === 'string') {
+    process.stderr.write(`${flags}\n`);
     return 2;
   }
-  if (words === null) {
+  if (flags === null) {
     process.stdout.write(help);
     return 0;
   }
   try {
-    const result = await runHollowFleet(words.options, (text) => process.stderr.write(`${text}\n`));
+    const result = await runHollowFleet(flags.options, (text) => process.stderr.write(`${text}\n`));
     for (const line of summaryLinesOf(result)) process.stdout.write(`${line}\n`);
-    if (words.json !== undefined)
+    if (flags.json !== undefined)
       writeFileSync(
-        words.json,
+        flags.json,
         `${JSON.stringify({ command: `npm run -s testbed -- hollow ${argv.join(' ')}`, ...result }, (_, value: unknown) => (typeof value === 'number' && !Number.isInteger(value) ? Number(value.toPrecision(6)) : value), 1)}\n`,
       );
     return 0;
--- a/packages/testbed/src/part-costs.ts
+++ b/packages/testbed/src/part-costs.ts
@@ -2,15 +2,19 @@
 import { computeRoutes, type LoadVector } from '@reedyard/server-selection';
 
 /**
- * What parts of an agent cost that no hollow fleet of the target's size can afford to run on every
- * node: one computation of the split, and one round of pings with its answers. ms of a core, told
- * as JSON. `node packages/testbed/dist/part-costs.js > docs/capacity/parts.json`
+ * Measures the parts of an agent that are too expensive to run on every node of a hollow fleet of
+ * the target size: one computation of the routing table, and one round of pings with its replies.
+ * Prints processor milliseconds as JSON.
+ *
+ * Usage: `node packages/testbed/dist/part-costs.js > docs/capacity/parts.json`
  */
-const timed = (act: () => void): number => {
-  const from = process.cpuUsage();
-  act();
-  const used = process.cpuUsage(from);
-  return (used.user + used.system) / 1_000;
+
+/** Processor time that a synchronous function uses, in milliseconds. */
+const measureCpuMs = (run: () => void): number => {
+  const usageBefore = process.cpuUsage();
+  run();
+  const usage = process.cpuUsage(usageBefore);
+  return (usage.user + usage.system) / 1_000;
 };
 const vectorsOf = (edges: number, objects: number): Readonly<Record<string, LoadVector>> =>
   Object.fromEntries(
@@ -52,13 +56,13 @@
     return {
       objects,
       edges,
-      cpuMs: timed(compute),
+      cpuMs: measureCpuMs(compute),
       vectorBytes: JSON.stringify(vectors['front-0']).length,
     };
   }),
 );
 
-const front = (index: number): NodeIdentity => ({
+const frontIdentity = (index: number): NodeIdentity => ({
   id: `front-${index}`,
   zone: 'zone-1',
   region: 'region-1',
@@ -68,8 +72,8 @@
 });
 
 /**
- * The second round of pings of an agent that knows so many others: its first beat brings the code
- * into shape.
+ * Cost of a round of pings of an agent that knows this many nodes. The second round is measured,
+ * because the first one also includes just-in-time compilation.
  */
 const pings = [64, 128, 256, 512, 1_100].map((nodes) => {
   const tellings = Object.fromEntries(
@@ -77,12 +81,18 @@
       `node/front-${index + 1}`,
       {
         revision: 1,
-        value: { ...front(index + 1), ready: true, staying: true, proxyLife: '', wants: {} },
+        value: {
+          ...frontIdentity(index + 1),
+          ready: true,
+          staying: true,
+          proxyLife: '',
+          wants: {},
+        },
       },
     ]),
   );
   let state: AgentState = openAgent({
-    self: front(0),
+    self: frontIdentity(0),
     incarnation: '',
     seeds: [],
     founders: {},
@@ -95,21 +105,21 @@
     request: { kind: 'push', tellings },
     now: 0,
   }).state;
-  const round = (
+  const runPingRound = (
     now: number,
   ): { readonly calls: number; readonly beatMs: number; readonly answersMs: number } => {
-    let sent: readonly number[] = [];
-    const beatMs = timed(() => {
+    let requestIds: readonly number[] = [];
+    const beatMs = measureCpuMs(() => {
       const step = reduceAgent(state, { kind: 'tick', now });
       state = step.state;
-      sent = step.effects.flatMap((effect) =>
+      requestIds = step.effects.flatMap((effect) =>
         effect.kind === 'send-request' && effect.path === '/agent' && effect.request.kind === 'ping'
           ? [effect.requestId]
           : [],
       );
     });
-    const answersMs = timed(() => {
-      for (const id of sent)
+    const answersMs = measureCpuMs(() => {
+      for (const id of requestIds)
         state = reduceAgent(state, {
           kind: 'reply-received',
           requestId: id,
@@ -117,10 +127,10 @@
           now: now + 1,
         }).state;
     });
-    return { calls: sent.length, beatMs, answersMs };
+    return { calls: requestIds.length, beatMs, answersMs };
   };
-  round(50);
-  return { nodes, ...round(3_000) };
+  runPingRound(50);
+  return { nodes, ...runPingRound(3_000) };
 });
 process.stdout.write(
   `${JSON.stringify({ command: 'node packages/testbed/dist/part-costs.js', split, pings }, null, 1)}\n`,
