--- a/packages/testbed/src/clock-jump.ts
+++ b/packages/testbed/src/clock-jump.ts
@@ -1,21 +1,21 @@
 /**
- * Loaded before a daemon by tests: its wall clock jumps five hours ahead at the first SIGUSR2, five
- * back at the second, and is right again at the third. It holds for the daemon's own code and for
- * its libraries.
+ * Preloaded into a program by tests. Each SIGUSR2 shifts the program's wall clock: the first to
+ * five hours ahead, the second to five hours behind, the third back to the right time. The replaced
+ * `Date` applies to the program's own code and to its libraries.
  */
-const True = Date;
-const offsets = [0, 5, -5];
-let place = 0;
-const offset = (): number => 3_600_000 * (offsets[place] ?? 0);
+const SystemDate = Date;
+const offsetsHours = [0, 5, -5];
+let offsetIndex = 0;
+const offsetMs = (): number => 3_600_000 * (offsetsHours[offsetIndex] ?? 0);
 process.on('SIGUSR2', () => {
-  place = (place + 1) % offsets.length;
+  offsetIndex = (offsetIndex + 1) % offsetsHours.length;
 });
-globalThis.Date = class extends True {
-  constructor(...given: readonly unknown[]) {
-    super(...((given.length === 0 ? [True.now() + offset()] : given) as [number]));
+globalThis.Date = class extends SystemDate {
+  constructor(...args: readonly unknown[]) {
+    super(...((args.length === 0 ? [SystemDate.now() + offsetMs()] : args) as [number]));
   }
   static override now(): number {
-    return True.now() + offset();
+    return SystemDate.now() + offsetMs();
   }
 } as unknown as DateConstructor;
 
--- a/packages/testbed/src/clocks.test.ts
+++ b/packages/testbed/src/clocks.test.ts
@@ -8,7 +8,7 @@
 import { smallDeployment, smallHost as host, smallPolicy as policy } from './small-deployment.js';
 import { logFieldsOf } from './trial.js';
 
-test('the wall clock jumps hours ahead and back in every process: copies, leases, keys and purges go on as before', async (t) => {
+test('jumps of the wall clock by hours in every process affect neither copies, leases, keys nor purges', async (t) => {
   const fleet = await Fleet.create(
     smallDeployment,
     mkdtempSync(path.join(os.tmpdir(), 'reedyard-')),
@@ -20,7 +20,7 @@
   fleet.startAll();
   await fleet.startOrigins();
   await fleet.waitUntil(
-    'the policy',
+    'acceptance of the policy',
     async () =>
       (await api(fleet.apiAddressOf('front-2'), 'PUT', '/v1/policy', policy)).status === 200,
   );
@@ -43,28 +43,34 @@
       key,
       job: key,
     });
-  await fleet.waitUntil('a copy', async () => (await get()).served === 'copy');
-  await fleet.waitUntil('a handover', async () => (await post('parcel-1')).status === 409);
-  const first = (await get()).body;
+  await fleet.waitUntil(
+    'a response from a cached copy',
+    async () => (await get()).served === 'copy',
+  );
+  await fleet.waitUntil(
+    'rejection of a repeated key',
+    async () => (await post('parcel-1')).status === 409,
+  );
+  const firstBody = (await get()).body;
   const hoursOff = (name: string): number => {
-    const last =
+    const lastLine =
       readFileSync(fleet.logFileOf(name, 'agent'), 'utf8').trim().split('\n').at(-1) ?? '';
-    return Math.round((Date.parse(logFieldsOf(last)['time'] ?? '') - Date.now()) / 3_600_000);
+    return Math.round((Date.parse(logFieldsOf(lastLine)['time'] ?? '') - Date.now()) / 3_600_000);
   };
   for (const [index, hours] of [5, -5, 0].entries()) {
     for (const name of fleet.names()) fleet.sendSignal(name, 'SIGUSR2');
-    // Kept for 60 s by its origin: five hours on by the wall clock it is the same copy, and the
-    // leases stand.
-    for (let each = 0; each < 20; each += 1) {
-      const seen = await get();
-      t.is(seen.status, 200);
-      t.is(seen.served, 'copy');
-      t.is(seen.body, first);
+    // The copy has a lifetime of 60 s. It is still served although the wall clock moves by five
+    // hours, and the leases remain valid.
+    for (let requests = 0; requests < 20; requests += 1) {
+      const response = await get();
+      t.is(response.status, 200);
+      t.is(response.served, 'copy');
+      t.is(response.body, firstBody);
     }
     t.is((await post('parcel-1')).status, 409);
     t.is((await post(`later-${index}`)).status, 200);
     await fleet.waitUntil(
-      'a policy at that hour',
+      'acceptance of a policy at that hour',
       async () =>
         (
           await api(
@@ -82,8 +88,8 @@
           )
         ).status === 200,
     );
-    // The jump took place: the log, which alone tells the wall clock's time, shows it.
-    await fleet.waitUntil('the log at that hour', () =>
+    // Log lines carry the time of the wall clock, and so confirm that the jump took place.
+    await fleet.waitUntil('a log line at that hour', () =>
       Promise.resolve(hoursOff('front-1') === hours),
     );
   }
@@ -96,7 +102,7 @@
     ).status,
     200,
   );
-  await fleet.waitUntil('the purge in force', async () =>
+  await fleet.waitUntil('effect of the purge', async () =>
     (await get()).body.includes('generation=1'),
   );
 });
--- a/packages/testbed/src/fleet.test.ts
+++ b/packages/testbed/src/fleet.test.ts
@@ -6,7 +6,7 @@
 import { api, Fleet } from './index.js';
 import { smallDeployment, smallHost as host, smallPolicy as policy } from './small-deployment.js';
 
-test('a fleet of real processes: one policy, callers served, copies purged, a key run once, a kill survived', async (t) => {
+test('a fleet of real processes applies policies and purges, runs a keyed request once and survives killed replicas', async (t) => {
   const fleet = await Fleet.create(
     smallDeployment,
     mkdtempSync(path.join(os.tmpdir(), 'reedyard-')),
@@ -15,7 +15,7 @@
   fleet.startAll();
   await fleet.startOrigins();
   await fleet.waitUntil(
-    'a majority of disks',
+    'acceptance of the policy by a majority of replicas',
     async () =>
       (
         await api(fleet.apiAddressOf('front-2'), 'PUT', '/v1/policy', policy, {
@@ -25,8 +25,8 @@
   );
   await fleet.waitUntilReady();
 
-  // A repeat under the same change id is harmless; a stale If-Match and a faulty policy change
-  // nothing.
+  // A repeat under the same change id is accepted without a new revision; a stale If-Match and an
+  // invalid policy are rejected without a change.
   t.is(
     (
       await api(fleet.apiAddressOf('core-1'), 'PUT', '/v1/policy', policy, {
@@ -52,16 +52,16 @@
   const get = (node: string, target: string): ReturnType<typeof sendRequest> =>
     sendRequest({ at: fleet.clientAddressOf(node), method: 'GET', host, target, service: 'store' });
   await fleet.waitUntil(
-    'a first answer',
+    'a first response',
     async () => (await get('front-1', '/sheets/1')).status === 200,
   );
-  const again = await get('front-1', '/sheets/1');
-  t.is(again.status, 200);
-  t.is(again.fault, null);
-  t.is(again.served, 'copy');
+  const secondResponse = await get('front-1', '/sheets/1');
+  t.is(secondResponse.status, 200);
+  t.is(secondResponse.fault, null);
+  t.is(secondResponse.served, 'copy');
   t.is((await get('front-1', '/elsewhere')).status, 404);
 
-  // After a purge the next answer is of the new generation.
+  // After a purge takes effect, responses are of the new generation.
   fleet.originStandIns.get('content-1')?.startNewGeneration();
   t.is(
     (
@@ -71,11 +71,11 @@
     ).status,
     200,
   );
-  await fleet.waitUntil('the purge in force', async () =>
+  await fleet.waitUntil('effect of the purge', async () =>
     (await get('front-1', '/sheets/1')).body.includes('generation=1'),
   );
 
-  // One key, three askers on two nodes: one run.
+  // Three concurrent requests with one key on two nodes run at most once.
   const post = (node: string, key: string): ReturnType<typeof sendRequest> =>
     sendRequest({
       at: fleet.clientAddressOf(node),
@@ -87,22 +87,24 @@
       job: key,
     });
   await fleet.waitUntil(
-    'an application share',
+    'a quota for the application service',
     async () => (await post('front-1', `warm-${Math.random()}`)).status === 200,
   );
-  const before = fleet.originStandIns.get('app-1')?.ran().length ?? 0;
-  const three = await Promise.all([
+  const runsBeforeFirst = fleet.originStandIns.get('app-1')?.ran().length ?? 0;
+  const results = await Promise.all([
     post('front-1', 'parcel-7'),
     post('front-2', 'parcel-7'),
     post('front-2', 'parcel-7'),
   ]);
-  t.true((fleet.originStandIns.get('app-1')?.ran().length ?? 0) - before <= 1);
-  t.true(three.filter((each) => each.status === 200).length <= 1);
-  t.true(three.every((each) => each.status === 200 || each.status === 409 || each.status === 503));
+  t.true((fleet.originStandIns.get('app-1')?.ran().length ?? 0) - runsBeforeFirst <= 1);
+  t.true(results.filter((each) => each.status === 200).length <= 1);
+  t.true(
+    results.every((each) => each.status === 200 || each.status === 409 || each.status === 503),
+  );
 
-  // The same key with another body is another request; a request without a key is refused. Neither
-  // is run.
-  const ran = fleet.originStandIns.get('app-1')?.ran().length ?? 0;
+  // A reused key with another body is rejected with 422, and a request without a key with 400.
+  // Neither runs.
+  const runsBefore = fleet.originStandIns.get('app-1')?.ran().length ?? 0;
   t.is(
     (
       await sendRequest({
@@ -130,10 +132,10 @@
     ).status,
     400,
   );
-  t.is(fleet.originStandIns.get('app-1')?.ran().length ?? 0, ran);
+  t.is(fleet.originStandIns.get('app-1')?.ran().length ?? 0, runsBefore);
 
-  // Several thousand routes: taken by one node, in force on another.
-  const many = {
+  // A policy with several thousand routes is accepted by one node and takes effect on another.
+  const manyRoutesPolicy = {
     ...policy,
     routes: [
       ...policy.routes,
@@ -146,16 +148,16 @@
     ],
   };
   await fleet.waitUntil(
-    'thousands of routes taken',
+    'acceptance of thousands of routes',
     async () =>
       (
-        await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', many, {
+        await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', manyRoutesPolicy, {
           'reedyard-change-id': 'many',
         })
       ).status === 200,
   );
   await fleet.waitUntil(
-    'thousands of routes in force',
+    'effect of thousands of routes',
     async () =>
       (
         await sendRequest({
@@ -174,11 +176,11 @@
   );
   t.is((await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', '{"services":')).status, 400);
 
-  // One replica killed: still acknowledged. Two: refused with a time to come back, and callers are
-  // told not ready.
+  // With one of three replicas killed, policies are still accepted. With two killed, they are
+  // rejected with Retry-After, and clients get 503.
   await fleet.kill('core-1');
   await fleet.waitUntil(
-    'a policy without one replica',
+    'acceptance of a policy without one replica',
     async () =>
       (
         await api(
@@ -191,19 +193,19 @@
       ).status === 200,
   );
   await fleet.waitUntil(
-    'the newer policy in force',
+    'effect of the newer policy',
     async () => (await post('front-2', 'x')).status === 404,
   );
   await fleet.kill('core-2');
   await fleet.waitUntil(
-    'not ready without a majority',
+    'status 503 without a majority of replicas',
     async () => (await get('front-1', '/sheets/1')).status === 503,
   );
-  const lost = await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', policy);
-  t.is(lost.status, 503);
-  t.truthy(lost.headers['retry-after']);
+  const refusedPut = await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', policy);
+  t.is(refusedPut.status, 503);
+  t.truthy(refusedPut.headers['retry-after']);
 
-  // Back with their disks: the newer policy, not the first.
+  // After the replicas restart with their disks, the newer policy is still stored.
   fleet.start('core-1');
   fleet.start('core-2');
   await fleet.waitUntilReady();
--- a/packages/testbed/src/index.ts
+++ b/packages/testbed/src/index.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes on one machine. */
+/** Exports of the testbed, which runs a fleet of real processes on one machine. */
 export {
   api,
   type ApiResponse as ApiAnswer,
--- a/packages/testbed/src/small-deployment.ts
+++ b/packages/testbed/src/small-deployment.ts
@@ -1,8 +1,9 @@
-/** A small deployment for tests with real processes. */
+/** A small deployment and policy for tests with real processes. */
 import type { Deployment } from './index.js';
 
 /**
- * The smallest fleet with everything in it: two fronts, three disks, one origin of each service.
+ * The smallest complete fleet: two front machines, three core machines with replicas, and one
+ * origin for each service.
  */
 export const smallDeployment: Deployment = {
   name: 'small',
@@ -19,8 +20,9 @@
   ],
 };
 
-/** Callers' host in tests of the small fleet, and a policy for it. */
+/** Host that clients request in tests of the small fleet. */
 export const smallHost = 'depot.example';
+/** Policy of the small fleet, with a cacheable route and a route that requires a key. */
 export const smallPolicy = {
   services: { store: { ceiling: 300, coldRate: 20 }, application: { ceiling: 300, coldRate: 20 } },
   routes: [
--- a/packages/testbed/src/sockets.test.ts
+++ b/packages/testbed/src/sockets.test.ts
@@ -28,25 +28,29 @@
   ],
 };
 
-/** Bytes sent as they are; what comes back until the other side closes or the limit passes. */
-const raw = (at: string, text: string): Promise<string> =>
+/**
+ * Sends raw bytes; resolves with the bytes received until the server closes the connection or 3 s
+ * pass without activity.
+ */
+const sendRaw = (address: string, text: string): Promise<string> =>
   new Promise((resolve) => {
-    const cut = at.lastIndexOf(':');
-    let got = '';
-    const socket = net.connect({ host: at.slice(0, cut), port: Number(at.slice(cut + 1)) }, () =>
-      socket.write(text),
+    const portSeparator = address.lastIndexOf(':');
+    let received = '';
+    const socket = net.connect(
+      { host: address.slice(0, portSeparator), port: Number(address.slice(portSeparator + 1)) },
+      () => socket.write(text),
     );
     socket.on('data', (chunk) => {
-      got += String(chunk);
+      received += String(chunk);
     });
-    socket.on('error', () => resolve(got));
-    socket.on('close', () => resolve(got));
+    socket.on('error', () => resolve(received));
+    socket.on('close', () => resolve(received));
     socket.setTimeout(3_000, () => {
       socket.destroy();
     });
   });
 
-test('over real sockets: origins that lie, lose, cut short or change who they are; callers that misbehave; a freeze and a cut', async (t) => {
+test('proxies over real sockets withstand faulty and renamed origins, faulty clients, a frozen process and a network partition', async (t) => {
   const fleet = await Fleet.create(
     smallDeployment,
     mkdtempSync(path.join(os.tmpdir(), 'reedyard-')),
@@ -58,33 +62,33 @@
   fleet.startAll();
   await fleet.startOrigins();
   await fleet.waitUntil(
-    'the policy',
+    'acceptance of the policy',
     async () =>
       (await api(fleet.apiAddressOf('core-1'), 'PUT', '/v1/policy', policy)).status === 200,
   );
   await fleet.waitUntilReady();
   const [store, app] = [fleet.originStandIns.get('content-1'), fleet.originStandIns.get('app-1')];
   if (store === undefined || app === undefined) {
-    t.fail('no origins');
+    t.fail('the origin stand-ins content-1 and app-1 were not started');
     return;
   }
-  let number = 0;
-  const next = (): number => {
-    number += 1;
-    return number;
+  let lastNumber = 0;
+  const nextNumber = (): number => {
+    lastNumber += 1;
+    return lastNumber;
   };
   const get = (
     target: string,
-    more: { headers?: Record<string, string>; method?: string } = {},
+    options: { headers?: Record<string, string>; method?: string } = {},
     node = 'front-1',
   ): Promise<RequestResult> =>
     sendRequest({
       at: fleet.clientAddressOf(node),
-      method: more.method ?? 'GET',
+      method: options.method ?? 'GET',
       host,
       target,
       service: 'store',
-      ...(more.headers === undefined ? {} : { headers: more.headers }),
+      ...(options.headers === undefined ? {} : { headers: options.headers }),
     });
   const post = (job: string): Promise<RequestResult> =>
     sendRequest({
@@ -96,12 +100,12 @@
       job,
     });
   await fleet.waitUntil(
-    'both services',
+    'responses of both services',
     async () =>
-      (await get('/live/0')).status === 200 && (await post(`warm-${next()}`)).status === 200,
+      (await get('/live/0')).status === 200 && (await post(`warm-${nextNumber()}`)).status === 200,
   );
-  const settle = (blank: typeof store, target: () => Promise<RequestResult>): Promise<void> => {
-    blank.setMode({
+  const restore = (standIn: typeof store, request: () => Promise<RequestResult>): Promise<void> => {
+    standIn.setMode({
       short: false,
       garbage: false,
       leftover: false,
@@ -109,93 +113,105 @@
       lose: false,
       slowMs: 0,
     });
-    return fleet.waitUntil('sound again', async () => (await target()).status === 200);
+    return fleet.waitUntil(
+      'a valid response after the fault',
+      async () => (await request()).status === 200,
+    );
   };
 
-  // No success out of a short, garbled or corrupted answer; each is told at once, with a time to
-  // come back.
+  // A truncated, garbled or corrupted origin response never becomes a success; the client gets an
+  // error with Retry-After.
   for (const mode of [{ short: true }, { garbage: true }, { corrupt: true }]) {
     store.setMode(mode);
-    const seen = await get(`/live/${next()}`);
-    t.true(seen.status >= 500, JSON.stringify(mode));
-    t.true(seen.retryAfter, JSON.stringify(mode));
-    await settle(store, () => get(`/live/${next()}`));
+    const response = await get(`/live/${nextNumber()}`);
+    t.true(response.status >= 500, JSON.stringify(mode));
+    t.true(response.retryAfter, JSON.stringify(mode));
+    await restore(store, () => get(`/live/${nextNumber()}`));
   }
 
-  // An answer that nobody asked for is never taken for the next one.
+  // An unsolicited origin response is never used for the next request.
   store.setMode({ leftover: true });
-  for (let each = 0; each < 30; each += 1) t.is((await get(`/live/${next()}`)).fault, null);
-  await settle(store, () => get(`/live/${next()}`));
+  for (let index = 0; index < 30; index += 1)
+    t.is((await get(`/live/${nextNumber()}`)).fault, null);
+  await restore(store, () => get(`/live/${nextNumber()}`));
 
-  // Run and lost: told as unknown, and run once.
+  // A request that ran and whose response was lost has the outcome unknown, and runs only once.
   app.setMode({ lose: true });
   const lost = await post('lost-1');
   t.is(lost.status, 502);
   t.is(lost.outcome, 'unknown');
   t.is(app.ran().filter((each) => each.id === 'lost-1').length, 1);
-  await settle(app, () => post(`after-${next()}`));
+  await restore(app, () => post(`after-${nextNumber()}`));
 
-  // Another service at the address: nothing of a request reaches it. (Where the old conn closed
-  // under a request, that is told as unknown; the next one learns that it was not run.)
-  const before = app.ran().length;
-  const got = app.requestCount();
+  // If another service answers at the origin's address, no request reaches it. The first request
+  // may get an unknown outcome because its open connection closes; the next one gets not-run.
+  const runsBefore = app.ran().length;
+  const requestsBefore = app.requestCount();
   app.rename({ service: 'stranger', instance: 'app-1', incarnation: 2 });
   t.true([502, 503].includes((await post('stray-0')).status));
   const refused = await post('stray-1');
   t.is(refused.status, 503);
   t.is(refused.outcome, 'not-run');
-  t.is(app.ran().length, before);
-  t.is(app.requestCount(), got);
+  t.is(app.ran().length, runsBefore);
+  t.is(app.requestCount(), requestsBefore);
   app.rename({ service: 'application', instance: 'app-1', incarnation: 3 });
   await fleet.waitUntil(
-    'the new incarnation',
-    async () => (await post(`again-${next()}`)).status === 200,
+    'a response of the new incarnation',
+    async () => (await post(`again-${nextNumber()}`)).status === 200,
   );
 
-  // Conditional, range and head requests, from an answer kept whole.
-  const whole = await get('/sheets/7?size=3000');
-  t.is(whole.status, 200);
-  const part = await get('/sheets/7?size=3000', { headers: { range: 'bytes=10-19' } });
-  t.is(part.status, 206);
-  t.is(part.body, whole.body.slice(10, 20));
+  // Conditional, range and HEAD requests are served from a cached complete response.
+  const fullResponse = await get('/sheets/7?size=3000');
+  t.is(fullResponse.status, 200);
+  const rangeResponse = await get('/sheets/7?size=3000', { headers: { range: 'bytes=10-19' } });
+  t.is(rangeResponse.status, 206);
+  t.is(rangeResponse.body, fullResponse.body.slice(10, 20));
   t.is((await get('/sheets/7?size=3000', { headers: { range: 'bytes=9000-' } })).status, 416);
   t.is(
     (await get('/sheets/7?size=3000', { headers: { 'if-none-match': '"store-0-3000"' } })).status,
     304,
   );
-  const head = await get('/sheets/7?size=3000', { method: 'HEAD' });
-  t.is(head.status, 200);
-  t.is(head.body, '');
+  const headResponse = await get('/sheets/7?size=3000', { method: 'HEAD' });
+  t.is(headResponse.status, 200);
+  t.is(headResponse.body, '');
 
-  // Many at once for one object: one fetch.
+  // Concurrent requests for one object are collapsed into at most two fetches.
   store.setMode({ slowMs: 100 });
-  const fetches = store.requestCount();
-  const many = await Promise.all(Array.from({ length: 20 }, () => get('/sheets/collapsed')));
-  t.true(many.every((each) => each.status === 200 && each.fault === null));
-  t.true(store.requestCount() - fetches <= 2);
-  await settle(store, () => get(`/live/${next()}`));
+  const fetchesBefore = store.requestCount();
+  const concurrentResponses = await Promise.all(
+    Array.from({ length: 20 }, () => get('/sheets/collapsed')),
+  );
+  t.true(concurrentResponses.every((each) => each.status === 200 && each.fault === null));
+  t.true(store.requestCount() - fetchesBefore <= 2);
+  await restore(store, () => get(`/live/${nextNumber()}`));
 
-  // A large answer streams whole.
-  const large = await get('/live/big?size=5000000');
-  t.is(large.status, 200);
-  t.is(large.fault, null);
-  t.is(large.body.length, 5_000_000);
+  // A large response is streamed completely.
+  const largeResponse = await get('/live/big?size=5000000');
+  t.is(largeResponse.status, 200);
+  t.is(largeResponse.fault, null);
+  t.is(largeResponse.body.length, 5_000_000);
 
-  // Callers that misbehave.
-  const at = fleet.clientAddressOf('front-1');
-  t.regex(await raw(at, 'nonsense\r\n\r\n'), /^HTTP\/1\.1 400/);
+  // Malformed, oversized and unroutable client requests are rejected with the matching status.
+  const address = fleet.clientAddressOf('front-1');
+  t.regex(await sendRaw(address, 'nonsense\r\n\r\n'), /^HTTP\/1\.1 400/);
   t.regex(
-    await raw(at, `GET /a/../sheets/1 HTTP/1.1\r\nhost: ${host}\r\nconnection: close\r\n\r\n`),
+    await sendRaw(
+      address,
+      `GET /a/../sheets/1 HTTP/1.1\r\nhost: ${host}\r\nconnection: close\r\n\r\n`,
+    ),
     /^HTTP\/1\.1 400/,
   );
   t.regex(
-    await raw(at, `GET /sheets/1 HTTP/1.1\r\nhost: ${host}\r\nx: ${'y'.repeat(20_000)}\r\n\r\n`),
+    await sendRaw(
+      address,
+      `GET /sheets/1 HTTP/1.1\r\nhost: ${host}\r\nx: ${'y'.repeat(20_000)}\r\n\r\n`,
+    ),
     /^HTTP\/1\.1 431/,
   );
   t.is(
     (
       await sendRequest({
-        at,
+        at: address,
         method: 'POST',
         host,
         target: '/handovers',
@@ -206,13 +222,21 @@
     413,
   );
   t.is(
-    (await sendRequest({ at, method: 'POST', host, target: '/sheets/1', service: 'store' })).status,
+    (
+      await sendRequest({
+        at: address,
+        method: 'POST',
+        host,
+        target: '/sheets/1',
+        service: 'store',
+      })
+    ).status,
     405,
   );
   t.is(
     (
       await sendRequest({
-        at,
+        at: address,
         method: 'GET',
         host: 'nobody.example',
         target: '/',
@@ -221,10 +245,10 @@
     ).status,
     404,
   );
-  // A caller can't pass itself off as a peer or set the project's own fields.
+  // A client can neither impersonate a peer nor set the project's own header fields.
   t.is(
     (
-      await get(`/live/${next()}`, {
+      await get(`/live/${nextNumber()}`, {
         headers: {
           'reedyard-expect': 'stranger/x/1',
           'reedyard-via': 'front-2',
@@ -237,17 +261,17 @@
     ).status,
     200,
   );
-  const heard = store.lastRequestHeaders();
-  t.is(heard.host, host);
-  t.regex(String(heard['x-forwarded-for']), /^192\.0\.2\.1, 127\./);
-  t.regex(String(heard.via), /^1\.1 front-1 \(reedyard\)/);
-  t.is(heard['reedyard-via'], undefined);
-  t.is(heard['x-hop'], undefined);
-  t.is(heard['x-end'], '2');
+  const receivedHeaders = store.lastRequestHeaders();
+  t.is(receivedHeaders.host, host);
+  t.regex(String(receivedHeaders['x-forwarded-for']), /^192\.0\.2\.1, 127\./);
+  t.regex(String(receivedHeaders.via), /^1\.1 front-1 \(reedyard\)/);
+  t.is(receivedHeaders['reedyard-via'], undefined);
+  t.is(receivedHeaders['x-hop'], undefined);
+  t.is(receivedHeaders['x-end'], '2');
 
-  // Frozen through a purge, a proxy serves no old copy when it thaws.
-  const old = await get('/sheets/frozen');
-  t.is(old.status, 200);
+  // A proxy that was frozen during a purge does not serve the purged copy after it thaws.
+  const responseBefore = await get('/sheets/frozen');
+  t.is(responseBefore.status, 200);
   fleet.freeze('front-1');
   store.startNewGeneration();
   t.is(
@@ -258,43 +282,43 @@
     ).status,
     200,
   );
-  const leaseOver = performance.now() + 2_200;
-  await fleet.waitUntil('the lease to run out', () =>
-    Promise.resolve(performance.now() > leaseOver),
+  const leaseExpiredAt = performance.now() + 2_200;
+  await fleet.waitUntil('expiry of the lease', () =>
+    Promise.resolve(performance.now() > leaseExpiredAt),
   );
-  const asked = get('/sheets/frozen');
+  const pendingResponse = get('/sheets/frozen');
   fleet.thaw('front-1');
-  const thawed = await asked;
+  const responseAfterThaw = await pendingResponse;
   t.true(
-    thawed.status === 503 || thawed.body.includes('generation=1'),
-    `${thawed.status} ${thawed.body.slice(0, 40)}`,
+    responseAfterThaw.status === 503 || responseAfterThaw.body.includes('generation=1'),
+    `${responseAfterThaw.status} ${responseAfterThaw.body.slice(0, 40)}`,
   );
-  await fleet.waitUntil('served anew', async () =>
+  await fleet.waitUntil('a response of the new generation', async () =>
     (await get('/sheets/frozen')).body.includes('generation=1'),
   );
 
-  // Cut off, a node says so; healed, it serves.
+  // An isolated node responds with 503; after the partition heals, it serves again.
   fleet.cut('front-2');
   await fleet.waitUntil(
-    'the cut noticed',
+    'status 503 from the isolated node',
     async () => (await get('/sheets/7?size=3000', {}, 'front-2')).status === 503,
     5_000,
   );
   fleet.heal();
   await fleet.waitUntilReady(['front-2']);
   await fleet.waitUntil(
-    'serving after the cut',
+    'a response after the partition healed',
     async () => (await get('/sheets/7?size=3000', {}, 'front-2')).status === 200,
   );
 
-  // Stopped with a warning: not ready first, and what is under way ends well.
+  // During a graceful shutdown, a request in flight completes.
   store.setMode({ slowMs: 600 });
-  const sofar = store.requestCount();
-  const underWay = get(`/live/${next()}`);
-  await fleet.waitUntil('an attempt under way', () =>
-    Promise.resolve(store.requestCount() > sofar),
+  const attemptsBefore = store.requestCount();
+  const inFlight = get(`/live/${nextNumber()}`);
+  await fleet.waitUntil('an attempt in flight', () =>
+    Promise.resolve(store.requestCount() > attemptsBefore),
   );
-  const stopped = fleet.stop('front-1', 'proxy');
-  t.is((await underWay).status, 200);
-  await stopped;
+  const stopping = fleet.stop('front-1', 'proxy');
+  t.is((await inFlight).status, 200);
+  await stopping;
 });
--- a/packages/testbed/src/testbed.ts
+++ b/packages/testbed/src/testbed.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes on one machine. */
+/** Runs a fleet of real processes on one machine. */
 
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdirSync, openSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -14,12 +14,13 @@
 import type { Deployment, Machine } from '@reedyard/topology';
 import { CodedError } from '@reedyard/logging';
 
-/** A bench that can't be set up. */
+/** Thrown when a testbed cannot be set up, or when an expected condition is not reached. */
 export class TestbedError extends CodedError {}
 
+/** The programs of the fleet that the testbed starts as processes. */
 export type Program = 'agent' | 'proxy' | 'replica';
 
-/** ms one way between two regions. */
+/** Simulated one-way delay between two regions, in milliseconds. */
 const interRegionDelayMs = 6;
 const packages = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
 const findFreePort = (): Promise<number> =>
@@ -33,18 +34,18 @@
   });
 
 const ownerFileName = 'bench.pid';
-/** The running bench that a folder belongs to, if any. */
+/** Process id of another running testbed that uses a folder, or null. */
 const otherOwnerOf = (folder: string): number | null => {
   try {
-    const owner = Number(readFileSync(path.join(folder, ownerFileName), 'utf8'));
-    process.kill(owner, 0);
-    return owner === process.pid ? null : owner;
+    const ownerPid = Number(readFileSync(path.join(folder, ownerFileName), 'utf8'));
+    process.kill(ownerPid, 0);
+    return ownerPid === process.pid ? null : ownerPid;
   } catch {
     return null;
   }
 };
 
-/** An answer of the API. */
+/** A response of an agent's API. */
 export type ApiResponse = {
   readonly status: number;
   readonly body: never;
@@ -52,27 +53,23 @@
 };
 
 /**
- * Asks an agent's API.
+ * Sends a request to an agent's API and parses the JSON response.
  *
  * @example
  * await api('127.0.0.1:7080', 'GET', '/v1/status');
  */
 export const api = (
-  at: string,
+  address: string,
   method: string,
   target: string,
-  document?: unknown,
+  payload?: unknown,
   headers: Readonly<Record<string, string>> = {},
 ): Promise<ApiResponse> =>
   new Promise((resolve, reject) => {
     const text =
-      document === undefined
-        ? ''
-        : typeof document === 'string'
-          ? document
-          : JSON.stringify(document);
+      payload === undefined ? '' : typeof payload === 'string' ? payload : JSON.stringify(payload);
     const request = http.request(
-      `http://${at}${target}`,
+      `http://${address}${target}`,
       {
         method,
         timeout: 10_000,
@@ -96,7 +93,7 @@
         );
       },
     );
-    request.on('timeout', () => request.destroy(new Error('no answer')));
+    request.on('timeout', () => request.destroy(new Error('no response within 10 s')));
     request.on('error', reject);
     request.end(text);
   });
@@ -104,7 +101,10 @@
 type FleetNode = {
   readonly machine: Machine;
   readonly host: string;
-  /** Where its programs listen: another address than the host's where relays stand before them. */
+  /**
+   * Address on which the node's programs listen; differs from `host` if relays are in front of
+   * them.
+   */
   readonly programHost: string;
   readonly relays: Relay[];
   readonly settingsFile: string;
@@ -112,56 +112,62 @@
   readonly processes: Map<Program, ChildProcess>;
 };
 
-/** Stands between a machine's address and its processes, so that its conns can be cut. */
+/**
+ * Forwards connections from a node's address to its programs, so that a test can block or delay
+ * them.
+ */
 class Relay {
-  readonly #pairs = new Set<{ readonly from: string; readonly ends: readonly net.Socket[] }>();
+  readonly #connections = new Set<{
+    readonly from: string;
+    readonly sockets: readonly net.Socket[];
+  }>();
   #server: net.Server | null = null;
   constructor(
     readonly host: string,
     readonly targetHost: string,
     readonly isBlocked: (from: string) => boolean,
-    readonly delayOf: (from: string) => number,
+    readonly delayMsOf: (from: string) => number,
   ) {}
 
   open(port: number): Promise<void> {
-    this.#server = net.createServer((outer) => {
-      const from = outer.remoteAddress ?? '';
-      outer.on('error', () => undefined);
-      // Over a cut nothing comes back, not even a refusal.
+    this.#server = net.createServer((inbound) => {
+      const from = inbound.remoteAddress ?? '';
+      inbound.on('error', () => undefined);
+      // A network partition returns nothing, not even a refused connection.
       if (this.isBlocked(from)) {
-        outer.pause();
+        inbound.pause();
         return;
       }
-      const inner = net.connect({ host: this.targetHost, port });
-      const pair = { from, ends: [outer, inner] };
-      this.#pairs.add(pair);
-      for (const end of pair.ends) {
-        end.on('error', () => pair.ends.forEach((each) => each.destroy()));
-        end.on('close', () => {
-          this.#pairs.delete(pair);
-          pair.ends.forEach((each) => each.destroy());
+      const outbound = net.connect({ host: this.targetHost, port });
+      const connection = { from, sockets: [inbound, outbound] };
+      this.#connections.add(connection);
+      for (const socket of connection.sockets) {
+        socket.on('error', () => connection.sockets.forEach((paired) => paired.destroy()));
+        socket.on('close', () => {
+          this.#connections.delete(connection);
+          connection.sockets.forEach((paired) => paired.destroy());
         });
       }
-      const delay = this.delayOf(from);
-      if (delay === 0) {
-        outer.pipe(inner);
-        inner.pipe(outer);
+      const delayMs = this.delayMsOf(from);
+      if (delayMs === 0) {
+        inbound.pipe(outbound);
+        outbound.pipe(inbound);
         return;
       }
-      // Between regions: every piece, and the end, a little later and in order.
-      for (const [source, sink] of [
-        [outer, inner],
-        [inner, outer],
+      // Between regions, delays every chunk and the end of the stream, and preserves their order.
+      for (const [readable, writable] of [
+        [inbound, outbound],
+        [outbound, inbound],
       ] as const) {
-        source.on('data', (chunk: Buffer) =>
+        readable.on('data', (chunk: Buffer) =>
           setTimeout(() => {
-            if (!sink.destroyed) sink.write(chunk);
-          }, delay),
+            if (!writable.destroyed) writable.write(chunk);
+          }, delayMs),
         );
-        source.on('end', () =>
+        readable.on('end', () =>
           setTimeout(() => {
-            if (!sink.destroyed) sink.end();
-          }, delay),
+            if (!writable.destroyed) writable.end();
+          }, delayMs),
         );
       }
     });
@@ -172,30 +178,33 @@
     });
   }
 
-  /** What is under way over a new cut stops without a word. */
+  /** Pauses the open connections from blocked addresses, without closing them. */
   pauseBlockedConnections(): void {
-    for (const { from, ends } of this.#pairs)
+    for (const { from, sockets } of this.#connections)
       if (this.isBlocked(from))
-        for (const end of ends) {
-          end.unpipe();
-          end.pause();
+        for (const socket of sockets) {
+          socket.unpipe();
+          socket.pause();
         }
   }
-  /** Conns that a cut has silenced are gone for good once it heals. */
+  /** Destroys the paused connections: once a partition heals, they do not resume. */
   dropPausedConnections(): void {
-    for (const { ends } of this.#pairs) for (const end of ends) if (end.isPaused()) end.destroy();
+    for (const { sockets } of this.#connections)
+      for (const socket of sockets) if (socket.isPaused()) socket.destroy();
   }
   close(): void {
     this.#server?.close();
-    for (const { ends } of this.#pairs) ends.forEach((end) => end.destroy());
+    for (const { sockets } of this.#connections) sockets.forEach((socket) => socket.destroy());
   }
 }
 
-/** A whole fleet on this machine; each of its machines has a loopback address of its own. */
+/**
+ * A complete fleet on this machine, in which each simulated machine has its own loopback address.
+ */
 export class Fleet {
-  readonly #members = new Map<string, FleetNode>();
+  readonly #nodes = new Map<string, FleetNode>();
   readonly originStandIns = new Map<string, OriginStandIn>();
-  /** Pairs of addresses between which nothing passes, one way each. */
+  /** Blocked directions, as `FROM>TO` addresses. */
   readonly #cuts = new Set<string>();
 
   private constructor(
@@ -205,24 +214,30 @@
     readonly preload: readonly string[],
   ) {}
 
-  /** Lays out settings; starts nothing. @example const fleet = await Fleet.lay(deployment, '.run/small') */
+  /**
+   * Writes the settings of every node and opens the relays; starts no program.
+   *
+   * @example
+   * const fleet = await Fleet.create(deployment, '.run/small');
+   */
   static async create(
     deployment: Deployment,
     folder: string,
     options: {
       readonly relays?: boolean;
       readonly trace?: boolean;
-      /** Modules that each program loads first. */ readonly preload?: readonly string[];
+      /** Modules that each program loads before its main module. */
+      readonly preload?: readonly string[];
     } = {},
   ): Promise<Fleet> {
-    // A network of its own, so that several benches may run at once.
+    // A separate loopback network, so that several testbeds can run at the same time.
     const network = `127.${10 + (process.pid % 200)}.${1 + Math.floor(Math.random() * 250)}`;
     const fleet = new Fleet(deployment, path.resolve(folder), network, options.preload ?? []);
-    const owner = otherOwnerOf(fleet.folder);
-    if (owner !== null)
+    const ownerPid = otherOwnerOf(fleet.folder);
+    if (ownerPid !== null)
       throw new TestbedError(
         'in use',
-        `${fleet.folder}: in use by the bench of process ${owner}; wanted another --folder`,
+        `${fleet.folder}: in use by the testbed of process ${ownerPid}; choose another --folder`,
       );
     rmSync(fleet.folder, { recursive: true, force: true });
     mkdirSync(fleet.folder, { recursive: true });
@@ -237,34 +252,36 @@
   }
 
   /**
-   * Lays out one machine at the next address: one of the deployment, or another that goes by the
-   * name of one.
+   * Adds a node at the next address: a machine of the deployment, or a second node that runs under
+   * the name of such a machine.
    */
   async addNode(
     machine: Machine,
-    relayed: boolean,
-    trace: boolean,
-    place: string = machine.name,
+    hasRelays: boolean,
+    tracesRequests: boolean,
+    nodeName: string = machine.name,
   ): Promise<void> {
-    const index = this.#members.size;
+    const index = this.#nodes.size;
     const host = this.#hostOf(index);
-    const listeningHost = relayed ? `${this.network}.${index + 101}` : host;
+    const listeningHost = hasRelays ? `${this.network}.${index + 101}` : host;
     const { machines } = this.deployment;
-    const disks = machines.filter((each) => each.kind !== 'front');
+    const replicaMachines = machines.filter((each) => each.kind !== 'front');
     const founders = Object.fromEntries(
-      disks.map((each) => [each.name, `${this.#hostOf(machines.indexOf(each))}:7101`]),
+      replicaMachines.map((each) => [each.name, `${this.#hostOf(machines.indexOf(each))}:7101`]),
     );
-    const home = path.join(this.folder, place);
-    mkdirSync(home, { recursive: true });
+    const nodeFolder = path.join(this.folder, nodeName);
+    mkdirSync(nodeFolder, { recursive: true });
     const settings = {
       name: machine.name,
       host,
-      ...(relayed ? { listen: listeningHost } : {}),
+      ...(hasRelays ? { listen: listeningHost } : {}),
       zone: machine.zone,
       region: machine.region,
-      seeds: disks.slice(0, 3).map((each) => `${this.#hostOf(machines.indexOf(each))}:7001`),
+      seeds: replicaMachines
+        .slice(0, 3)
+        .map((each) => `${this.#hostOf(machines.indexOf(each))}:7001`),
       founders,
-      dataFolder: path.join(home, 'data'),
+      dataFolder: path.join(nodeFolder, 'data'),
       agent: { port: 7001, apiPort: 7080, feedPort: await findFreePort() },
       ...(machine.kind === 'front'
         ? {
@@ -272,76 +289,78 @@
               port: 8080,
               peerPort: 8081,
               capacityBps: machine.capacityBps ?? 80_000_000,
-              ...(trace ? { trace } : {}),
+              ...(tracesRequests ? { trace: tracesRequests } : {}),
             },
           }
         : { replica: { port: 7101 } }),
     };
-    const settingsFile = path.join(home, 'settings.json');
+    const settingsFile = path.join(nodeFolder, 'settings.json');
     writeFileSync(settingsFile, `${JSON.stringify(settings, null, 2)}\n`);
     const relays: Relay[] = [];
-    if (relayed) {
-      const regionOf = (from: string): string =>
-        machines.find((each) => this.#members.get(each.name)?.host === from)?.region ??
+    if (hasRelays) {
+      const sourceRegionOf = (from: string): string =>
+        machines.find((each) => this.#nodes.get(each.name)?.host === from)?.region ??
         machine.region;
-      // Cuts are between machines: callers, operators and origins come from outside, past the
-      // relays.
+      // Partitions are between machines only: clients, operators and origins connect to the
+      // programs directly, without relays.
       for (const port of machine.kind === 'front' ? [7001, 8081] : [7001, 7101]) {
         const relay = new Relay(
           host,
           listeningHost,
           (from) => this.#cuts.has(`${from}>${host}`),
-          (from) => (regionOf(from) === machine.region ? 0 : interRegionDelayMs),
+          (from) => (sourceRegionOf(from) === machine.region ? 0 : interRegionDelayMs),
         );
         await relay.open(port);
         relays.push(relay);
       }
     }
-    this.#members.set(place, {
+    this.#nodes.set(nodeName, {
       machine,
       host,
       programHost: listeningHost,
       relays,
       settingsFile,
-      folder: home,
+      folder: nodeFolder,
       processes: new Map(),
     });
   }
 
-  /** Names other seeds, by machine, in the settings of all that start from now on. */
+  /**
+   * Writes other seeds, given by node name, to the settings that programs read at their next start.
+   */
   setSeeds(names: readonly string[]): void {
-    const seeds = names.map((name) => `${this.#member(name).host}:7001`);
-    for (const { settingsFile } of this.#members.values())
+    const seeds = names.map((name) => `${this.#nodeOf(name).host}:7001`);
+    for (const { settingsFile } of this.#nodes.values())
       writeFileSync(
         settingsFile,
         `${JSON.stringify({ ...(JSON.parse(readFileSync(settingsFile, 'utf8')) as object), seeds }, null, 2)}\n`,
       );
   }
-  /** Files of a kind that a machine's programs wrote. */
+  /** Path of the log file of a node's program. */
   logFileOf(name: string, program: Program): string {
-    return path.join(this.#member(name).folder, `${program}.log`);
+    return path.join(this.#nodeOf(name).folder, `${program}.log`);
   }
   isRunning(name: string, program: Program): boolean {
-    return this.#member(name).processes.has(program);
+    return this.#nodeOf(name).processes.has(program);
   }
   nodeNames(): readonly string[] {
-    return [...this.#members.keys()];
+    return [...this.#nodes.keys()];
   }
 
-  #member(name: string): FleetNode {
-    const member = this.#members.get(name);
-    if (member === undefined) throw new TestbedError('unknown', `no machine is named ${name}`);
-    return member;
+  #nodeOf(name: string): FleetNode {
+    const node = this.#nodes.get(name);
+    if (node === undefined) throw new TestbedError('unknown', `unknown node ${name}`);
+    return node;
   }
 
   programsOf(name: string): readonly Program[] {
-    return this.#member(name).machine.kind === 'front' ? ['agent', 'proxy'] : ['replica', 'agent'];
+    return this.#nodeOf(name).machine.kind === 'front' ? ['agent', 'proxy'] : ['replica', 'agent'];
   }
   apiAddressOf(name: string): string {
-    return `${this.#member(name).programHost}:7080`;
+    return `${this.#nodeOf(name).programHost}:7080`;
   }
   clientAddressOf(name: string): string {
-    return `${this.#member(name).programHost}:8080`;
+    return `${this.#nodeOf(name).programHost}:8080`;
   }
   names(kind?: Machine['kind']): readonly string[] {
     return this.deployment.machines
@@ -349,44 +368,44 @@
       .map((machine) => machine.name);
   }
 
-  /** Starts a machine's programs, or one of them. */
+  /** Starts those of a node's programs that are not running, or only the given program. */
   start(name: string, only?: Program): void {
-    const member = this.#member(name);
+    const node = this.#nodeOf(name);
     for (const program of this.programsOf(name)) {
-      if ((only !== undefined && only !== program) || member.processes.has(program)) continue;
-      const out = openSync(path.join(member.folder, `${program}.log`), 'a');
+      if ((only !== undefined && only !== program) || node.processes.has(program)) continue;
+      const logFile = openSync(path.join(node.folder, `${program}.log`), 'a');
       const child = spawn(
         process.execPath,
         [
           ...this.preload.flatMap((module) => ['--import', module]),
           path.join(packages, program, 'dist/main.js'),
           '--settings',
-          member.settingsFile,
+          node.settingsFile,
         ],
-        { stdio: ['ignore', out, out] },
+        { stdio: ['ignore', logFile, logFile] },
       );
-      closeSync(out);
+      closeSync(logFile);
       child.on('exit', () => {
-        if (member.processes.get(program) === child) member.processes.delete(program);
+        if (node.processes.get(program) === child) node.processes.delete(program);
       });
-      member.processes.set(program, child);
+      node.processes.set(program, child);
     }
   }
 
   #signal(name: string, signal: NodeJS.Signals, only?: Program): Promise<void> {
-    const ends = [...this.#member(name).processes].flatMap(([program, child]) => {
+    const exits = [...this.#nodeOf(name).processes].flatMap(([program, child]) => {
       if (only !== undefined && only !== program) return [];
-      const end = new Promise<void>((resolve) => {
+      const exit = new Promise<void>((resolve) => {
         if (child.exitCode !== null || child.signalCode !== null) resolve();
         else child.once('exit', () => resolve());
       });
       child.kill(signal);
-      return [end];
+      return [exit];
     });
-    return Promise.all(ends).then(() => undefined);
+    return Promise.all(exits).then(() => undefined);
   }
 
-  /** Any signal, such as one that a preloaded module waits for. */
+  /** Sends a signal to a node's programs, for example to a preloaded module. */
   sendSignal(name: string, signal: NodeJS.Signals): void {
     void this.#signal(name, signal);
   }
@@ -403,39 +422,41 @@
     void this.#signal(name, 'SIGCONT', only);
   }
   /**
-   * Cuts a machine off from all others, both ways, or only what it sends or hears. Needs relays.
+   * Isolates a node from all others: in both directions, or only for the connections that it opens
+   * (`out`) or accepts (`in`). Has no effect without relays.
    */
-  cut(name: string, way: 'both' | 'out' | 'in' = 'both'): void {
-    const { host } = this.#member(name);
-    for (const other of this.#members.values()) {
+  cut(name: string, direction: 'both' | 'out' | 'in' = 'both'): void {
+    const { host } = this.#nodeOf(name);
+    for (const other of this.#nodes.values()) {
       if (other.host === host) continue;
-      if (way !== 'in') this.#cuts.add(`${host}>${other.host}`);
-      if (way !== 'out') this.#cuts.add(`${other.host}>${host}`);
+      if (direction !== 'in') this.#cuts.add(`${host}>${other.host}`);
+      if (direction !== 'out') this.#cuts.add(`${other.host}>${host}`);
     }
-    for (const member of this.#members.values())
-      member.relays.forEach((relay) => relay.pauseBlockedConnections());
+    for (const node of this.#nodes.values())
+      node.relays.forEach((relay) => relay.pauseBlockedConnections());
   }
-  /** Cuts one machine's way to another. */
+  /** Blocks connections from one node to another. Has no effect without relays. */
   blockDirection(from: string, to: string): void {
-    this.#cuts.add(`${this.#member(from).host}>${this.#member(to).host}`);
-    this.#member(to).relays.forEach((relay) => relay.pauseBlockedConnections());
+    this.#cuts.add(`${this.#nodeOf(from).host}>${this.#nodeOf(to).host}`);
+    this.#nodeOf(to).relays.forEach((relay) => relay.pauseBlockedConnections());
   }
+  /** Ends all network partitions and drops the connections that they paused. */
   heal(): void {
     this.#cuts.clear();
-    for (const member of this.#members.values())
-      member.relays.forEach((relay) => relay.dropPausedConnections());
+    for (const node of this.#nodes.values())
+      node.relays.forEach((relay) => relay.dropPausedConnections());
   }
-  /** Takes a dead machine's disk away. */
+  /** Deletes the data folder of a stopped node. */
   wipe(name: string): void {
-    rmSync(path.join(this.#member(name).folder, 'data'), { recursive: true, force: true });
+    rmSync(path.join(this.#nodeOf(name).folder, 'data'), { recursive: true, force: true });
   }
 
   startAll(): void {
     for (const name of this.names()) this.start(name);
   }
 
-  async startOrigins(heard?: OriginStandInOptions['onRequest']): Promise<void> {
-    const apis = this.names().map((name) => this.apiAddressOf(name));
+  async startOrigins(onRequest?: OriginStandInOptions['onRequest']): Promise<void> {
+    const apiAddresses = this.names().map((name) => this.apiAddressOf(name));
     for (const [index, origin] of this.deployment.origins.entries()) {
       this.originStandIns.set(
         origin.instance,
@@ -444,24 +465,31 @@
           incarnation: 1,
           host: `${this.network}.${200 + index}`,
           port: 9000,
-          agentApis: [...apis.slice(index % apis.length), ...apis.slice(0, index % apis.length)],
+          agentApis: [
+            ...apiAddresses.slice(index % apiAddresses.length),
+            ...apiAddresses.slice(0, index % apiAddresses.length),
+          ],
           announceIntervalMs: 1_000,
           maxAge: origin.maxAge ?? 60,
-          ...(heard === undefined ? {} : { onRequest: heard }),
+          ...(onRequest === undefined ? {} : { onRequest: onRequest }),
         }),
       );
     }
   }
 
-  /** Waits for something to become true, asking every 50 ms; throws once the limit has passed. */
-  async waitUntil(what: string, holds: () => Promise<boolean>, limitMs = 30_000): Promise<void> {
-    const end = performance.now() + limitMs;
+  /** Polls a condition every 50 ms until it holds; throws a TestbedError after the timeout. */
+  async waitUntil(
+    condition: string,
+    isMet: () => Promise<boolean>,
+    timeoutMs = 30_000,
+  ): Promise<void> {
+    const deadline = performance.now() + timeoutMs;
     for (;;) {
-      if (await holds().catch(() => false)) return;
-      if (performance.now() > end)
+      if (await isMet().catch(() => false)) return;
+      if (performance.now() > deadline)
         throw new TestbedError(
           'limit',
-          `${what}: not within ${limitMs} ms; logs are in ${this.folder}`,
+          `${condition}: not reached within ${timeoutMs} ms; logs are in ${this.folder}`,
         );
       await new Promise((resolve) => {
         setTimeout(resolve, 50);
@@ -471,10 +499,10 @@
 
   async waitUntilReady(
     names: readonly string[] = this.names('front'),
-    limitMs = 30_000,
+    timeoutMs = 30_000,
   ): Promise<void> {
     await this.waitUntil(
-      'all ready',
+      'readiness of the proxies',
       async () =>
         (
           await Promise.all(
@@ -482,8 +510,8 @@
               api(this.clientAddressOf(name), 'GET', '/.well-known/reedyard/ready'),
             ),
           )
-        ).every((answer) => answer.status === 200),
-      limitMs,
+        ).every((response) => response.status === 200),
+      timeoutMs,
     );
   }
 
@@ -491,8 +519,8 @@
     for (const name of this.nodeNames()) this.thaw(name);
     await Promise.all([
       ...this.nodeNames().map((name) => this.kill(name)),
-      ...[...this.originStandIns.values()].map((blank) => blank.stop()),
+      ...[...this.originStandIns.values()].map((originStandIn) => originStandIn.stop()),
     ]);
-    for (const member of this.#members.values()) member.relays.forEach((relay) => relay.close());
+    for (const node of this.#nodes.values()) node.relays.forEach((relay) => relay.close());
   }
 }
--- a/packages/testbed/src/trial.test.ts
+++ b/packages/testbed/src/trial.test.ts
@@ -6,7 +6,7 @@
 import { smallDeployment } from './small-deployment.js';
 import { logFieldsOf, playTrial } from './trial.js';
 
-test('a trial of real processes through every kind of fault: the rules that no machine is too slow for are kept', async (t) => {
+test('a trial of real processes with every kind of fault breaks none of the rules that hold on a slow machine', async (t) => {
   const report = await playTrial({
     example: 'brandlhuber',
     deployment: smallDeployment,
@@ -20,11 +20,12 @@
   });
   t.deepEqual(report.violations, []);
   t.true(report.faults.length > 0);
-  // It saw something: callers asked, proxies made attempts or answered from copies.
+  // Guards against an empty trial: clients sent requests, and proxies made attempts or served
+  // copies.
   t.true(report.asked > 200 && report.attempts > 100, JSON.stringify(report));
 });
 
-test('a line of a log is read back as its pairs', (t) => {
+test('a log line is parsed into its fields, with quoted values unescaped', (t) => {
   t.deepEqual(
     logFieldsOf(
       'time=2026-01-01T00:00:00.000Z event=trace.stored keys="a.example/x b.example/y?z=\\"1\\""',
