--- a/packages/testbed/src/main.ts
+++ b/packages/testbed/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The testbed's command line. */
+/** The command line of the testbed. */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
 import { createInterface } from 'node:readline';
@@ -16,21 +16,21 @@
 testbed hollow --nodes N [...]
 testbed slopes FOLDER
 
-  trial            plays a scenario of the simulator on real processes and judges it by the same
-                   checkers; exit code 1 if a rule broke. simulator --help names the scenarios
+  trial            plays a scenario of the simulator on real processes and checks the same rules;
+                   exit code 1 if a rule was broken. simulator --help lists the scenarios
 
-  hollow           counts what each role of a large fleet sends and does; hollow --help tells its flags
-  slopes           fits the hollow runs kept in a folder (nodes-16.json, origins-70.json, ...): slopes.json and plots
+  hollow           measures traffic and cost of each role in a large fleet; hollow --help lists its flags
+  slopes           fits the hollow runs stored in a folder (nodes-16.json, origins-70.json, ...): slopes.json and plots
 
   FOLDER           an example: deployment.json, policy.json, callers.json
-  --rate N         callers' requests a second (none if left out)
-  --folder RUN     where settings, data and logs go (.run)
-  --no-policy      send no policy: do it yourself with reedyard policy put
-  --for SECONDS    end by itself after so long
+  --rate N         client requests per second (default: none)
+  --folder RUN     folder for settings, data and logs (default: .run)
+  --no-policy      do not send a policy; send it yourself with reedyard policy put
+  --for SECONDS    exit after this time
 
 Commands on standard input:
   start|kill|stop NAME [agent|proxy|replica]     freeze|thaw NAME [agent|proxy|replica]
-  cut NAME [both|in|out]     heal     wipe NAME (dead ones)
+  cut NAME [both|in|out]     heal     wipe NAME (stopped nodes only)
   origin INSTANCE {"slowMs":500,"lose":true,"garbage":true,"short":true,"leftover":true,"corrupt":true,"state":"cold","draining":true}
   rename INSTANCE {"service":"…","instance":"…","incarnation":2}
   report     nodes     quit
@@ -56,17 +56,17 @@
   process.stdout.write(help);
   process.exit(values.help ? 0 : 2);
 }
-const read = <T>(name: string): T =>
+const readJson = <T>(name: string): T =>
   JSON.parse(readFileSync(path.join(example, name), 'utf8')) as T;
-const say = (text: string): void => {
+const print = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
 /**
- * One kind of request in callers.json: a target with `#N` for a number under N, the low ones more
- * often.
+ * One kind of request in callers.json. In its target, `#N` stands for a random number below N, with
+ * low numbers more frequent.
  */
-type CallerKind = {
+type RequestKindSpec = {
   readonly weight: number;
   readonly method: string;
   readonly host: string;
@@ -75,74 +75,76 @@
   readonly key?: boolean;
 };
 
-const laid = await (async (): Promise<Fleet | string> => {
+const createdFleet = await (async (): Promise<Fleet | string> => {
   try {
-    return await Fleet.create(read<Deployment>('deployment.json'), values.folder, { relays: true });
+    return await Fleet.create(readJson<Deployment>('deployment.json'), values.folder, {
+      relays: true,
+    });
   } catch (thrown) {
     return errorMessage(thrown);
   }
 })();
-if (typeof laid === 'string') {
-  process.stderr.write(`${laid}\n`);
+if (typeof createdFleet === 'string') {
+  process.stderr.write(`${createdFleet}\n`);
   process.exit(2);
 }
-const fleet = laid;
-let over = false;
-const end = async (code: number): Promise<void> => {
-  if (over) return;
-  over = true;
+const fleet = createdFleet;
+let isEnding = false;
+const stopAndExit = async (code: number): Promise<void> => {
+  if (isEnding) return;
+  isEnding = true;
   await fleet.stopAll();
   process.exit(code);
 };
-process.on('SIGINT', () => void end(0));
-process.on('SIGTERM', () => void end(0));
+process.on('SIGINT', () => void stopAndExit(0));
+process.on('SIGTERM', () => void stopAndExit(0));
 
 try {
   fleet.startAll();
   await fleet.startOrigins();
-  say(
+  print(
     `started: ${fleet.names().length} machines, ${fleet.originStandIns.size} origins; settings and logs in ${values.folder}`,
   );
   const front = fleet.names('front')[0] ?? '';
   if (!values['no-policy']) {
     await fleet.waitUntil(
-      'the policy',
+      'acceptance of the policy',
       async () =>
-        (await api(fleet.apiAddressOf(front), 'PUT', '/v1/policy', read('policy.json'))).status ===
-        200,
+        (await api(fleet.apiAddressOf(front), 'PUT', '/v1/policy', readJson('policy.json')))
+          .status === 200,
     );
     await fleet.waitUntilReady();
-    say('the policy is in force and every front is ready');
+    print('the policy is in force and every front is ready');
   }
   for (const name of fleet.names())
-    say(
+    print(
       `  ${name.padEnd(10)} api ${fleet.apiAddressOf(name)}${fleet.names('front').includes(name) ? `  callers ${fleet.clientAddressOf(name)}` : ''}`,
     );
 } catch (thrown) {
   process.stderr.write(`${errorMessage(thrown)}\n`);
-  await end(1);
+  await stopAndExit(1);
 }
 
 const ready = new Map<string, boolean>();
-const watch = setInterval(() => {
+const readinessTimer = setInterval(() => {
   for (const name of fleet.names('front')) {
     api(fleet.clientAddressOf(name), 'GET', '/.well-known/reedyard/ready').then(
-      (answer) => ready.set(name, answer.status === 200),
+      (response) => ready.set(name, response.status === 200),
       () => ready.set(name, false),
     );
   }
 }, 250);
 const kinds = (): readonly RequestKind[] =>
-  read<readonly CallerKind[]>('callers.json').map((kind) => ({
+  readJson<readonly RequestKindSpec[]>('callers.json').map((kind) => ({
     weight: kind.weight,
-    createRequest: (chance) => ({
+    createRequest: (random) => ({
       method: kind.method,
       host: kind.host,
       service: kind.service,
-      target: kind.target.replace(/#(\d+)/g, (_, most: string) =>
-        String(Math.floor(Number(most) * chance() ** 2.5)),
+      target: kind.target.replace(/#(\d+)/g, (_, bound: string) =>
+        String(Math.floor(Number(bound) * random() ** 2.5)),
       ),
-      ...(kind.key === true ? { key: `key-${Math.floor(chance() * 1e15)}` } : {}),
+      ...(kind.key === true ? { key: `key-${Math.floor(random() * 1e15)}` } : {}),
     }),
   }));
 const load =
@@ -153,16 +155,16 @@
         kinds: kinds(),
         random: Math.random,
         chooseAddress: () => {
-          const up = fleet.names('front').filter((name) => ready.get(name) === true);
-          const one = up[Math.floor(Math.random() * up.length)];
-          return one === undefined ? undefined : fleet.clientAddressOf(one);
+          const readyNames = fleet.names('front').filter((name) => ready.get(name) === true);
+          const chosen = readyNames[Math.floor(Math.random() * readyNames.length)];
+          return chosen === undefined ? undefined : fleet.clientAddressOf(chosen);
         },
       });
 const report = async (): Promise<void> => {
   if (load !== null) {
-    const felt = summarizeResults(load.results);
-    say(
-      `callers: ${felt.all} answers, by status ${JSON.stringify(felt.countByStatus)}, served by ${JSON.stringify(felt.served)}, faults ${felt.faults.length}${felt.faults
+    const summary = summarizeResults(load.results);
+    print(
+      `callers: ${summary.all} answers, by status ${JSON.stringify(summary.countByStatus)}, served by ${JSON.stringify(summary.served)}, faults ${summary.faults.length}${summary.faults
         .slice(0, 3)
         .map((fault) => `\n  ${fault}`)
         .join('')}`,
@@ -170,8 +172,8 @@
   }
   for (const name of fleet.names('front')) {
     const status = await api(fleet.apiAddressOf(name), 'GET', '/v1/status').then(
-      (answer) =>
-        answer.body as {
+      (response) =>
+        response.body as {
           policyRevision: number;
           proxy: Record<string, number>;
           notices: number;
@@ -180,15 +182,15 @@
       () => null,
     );
     if (status === null) {
-      say(`  ${name.padEnd(10)} no answer`);
+      print(`  ${name.padEnd(10)} no answer`);
       continue;
     }
     const counter = (key: string): number => status.proxy?.[key] ?? 0;
-    const away = Object.values(status.split).filter((row) =>
+    const remoteRows = Object.values(status.split).filter((row) =>
       row.some((pair) => (pair as [string, number])[0] !== name),
     ).length;
-    say(
-      `  ${name.padEnd(10)} revision ${status.policyRevision}  requests ${counter('requests')}  copies ${counter('served.copy')}  forwarded ${counter('forwarded')}  fetched ${counter('fetched')}  attempts ${counter('attempts')}  repeats ${counter('repeats')}  notices ${status.notices}  rows ${Object.keys(status.split).length} (${away} with peers)`,
+    print(
+      `  ${name.padEnd(10)} revision ${status.policyRevision}  requests ${counter('requests')}  copies ${counter('served.copy')}  forwarded ${counter('forwarded')}  fetched ${counter('fetched')}  attempts ${counter('attempts')}  repeats ${counter('repeats')}  notices ${status.notices}  rows ${Object.keys(status.split).length} (${remoteRows} with peers)`,
     );
   }
 };
@@ -199,7 +201,7 @@
   stop: ([name = '', only]) => fleet.stop(name, only as Program | undefined),
   freeze: ([name = '', only]) => fleet.freeze(name, only as Program | undefined),
   thaw: ([name = '', only]) => fleet.thaw(name, only as Program | undefined),
-  cut: ([name = '', way]) => fleet.cut(name, way as 'both' | undefined),
+  cut: ([name = '', direction]) => fleet.cut(name, direction as 'both' | undefined),
   heal: () => fleet.heal(),
   wipe: ([name = '']) => fleet.wipe(name),
   origin: ([instance = '', ...mode]) =>
@@ -208,15 +210,15 @@
     fleet.originStandIns.get(instance)?.rename(JSON.parse(identity.join(' ')) as object),
   report,
   nodes: () =>
-    say(
+    print(
       [...fleet.names()]
         .map(
           (name) => `${name} ${fleet.apiAddressOf(name)} ready ${String(ready.get(name) ?? '-')}`,
         )
         .join('\n'),
     ),
-  quit: () => end(0),
-  help: () => say(help),
+  quit: () => stopAndExit(0),
+  help: () => print(help),
 };
 if (values.for !== undefined)
   setTimeout(
@@ -224,24 +226,24 @@
       void (load === null ? Promise.resolve() : load.stop().then(() => undefined))
         .then(report)
         .then(() => {
-          clearInterval(watch);
-          return end(0);
+          clearInterval(readinessTimer);
+          return stopAndExit(0);
         });
     },
     1_000 * Number(values.for),
   );
 createInterface({ input: process.stdin }).on('line', (line) => {
-  const [word = '', ...rest] = line.trim().split(/\s+/);
-  if (word === '') return;
-  const command = commands[word];
+  const [commandName = '', ...rest] = line.trim().split(/\s+/);
+  if (commandName === '') return;
+  const command = commands[commandName];
   if (command === undefined) {
-    say(`no command is named ${word}; try help`);
+    print(`unknown command ${commandName}; try help`);
     return;
   }
   Promise.resolve()
     .then(() => command(rest))
     .then(
-      () => say(`done: ${line.trim()}`),
-      (thrown: unknown) => say(errorMessage(thrown)),
+      () => print(`done: ${line.trim()}`),
+      (thrown: unknown) => print(errorMessage(thrown)),
     );
 });
--- a/packages/testbed/src/trial-command.ts
+++ b/packages/testbed/src/trial-command.ts
@@ -1,4 +1,4 @@
-/** The trial command: plays, judges and reports. */
+/** The `trial` command: plays a scenario on real processes, checks the rules and reports. */
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { scenarios } from '@reedyard/simulator';
@@ -15,47 +15,47 @@
   readonly folder?: string | undefined;
 };
 
-const numberOf = (name: string, text: string | undefined): number | undefined => {
+const parsePositiveNumber = (name: string, text: string | undefined): number | undefined => {
   if (text === undefined) return undefined;
   if (!/^\d+(?:\.\d+)?$/.test(text) || Number(text) <= 0)
-    throw new TestbedError('usage', `--${name}: found "${text}"; wanted a number over 0`);
+    throw new TestbedError('usage', `--${name}: expected a number greater than 0, found "${text}"`);
   return Number(text);
 };
 
 /**
- * The command: checks its words, plays the trial, tells what was seen. Exit codes: 0 all rules
- * kept, 1 one broke, 2 the words.
+ * Runs the `trial` command: checks the arguments, plays the trial and prints its report. Exit
+ * codes: 0 no rule was broken, 1 a rule was broken, 2 invalid arguments or a failed setup.
  */
 export const runTrialCommand = async (
   example: string | undefined,
   words: TrialFlags,
 ): Promise<number> => {
-  const say = (text: string): void => {
+  const print = (text: string): void => {
     process.stdout.write(`${text}\n`);
   };
   try {
-    const file = (name: string): string => path.join(example ?? '', name);
-    if (example === undefined || !existsSync(file('deployment.json')))
+    const pathOf = (name: string): string => path.join(example ?? '', name);
+    if (example === undefined || !existsSync(pathOf('deployment.json')))
       throw new TestbedError(
         'usage',
-        `no example at ${example ?? '(nothing)'}; wanted a folder with deployment.json and policy.json`,
+        `no example at ${example ?? '(nothing)'}; expected a folder with deployment.json and policy.json`,
       );
     const scenario = words.scenario ?? '';
     if (scenarios[scenario] === undefined)
       throw new TestbedError(
         'usage',
-        `no scenario is named "${scenario}"; there are ${Object.keys(scenarios).join(', ')}`,
+        `unknown scenario "${scenario}"; known scenarios: ${Object.keys(scenarios).join(', ')}`,
       );
     const [seed = 1, seconds, rate] = [
-      numberOf('seed', words.seed),
-      numberOf('seconds', words.seconds),
-      numberOf('rate', words.rate),
+      parsePositiveNumber('seed', words.seed),
+      parsePositiveNumber('seconds', words.seconds),
+      parsePositiveNumber('rate', words.rate),
     ];
     const name = path.basename(path.resolve(example));
     const report = await playTrial({
       example: name,
-      deployment: JSON.parse(readFileSync(file('deployment.json'), 'utf8')) as Deployment,
-      policy: Schemas.policy(JSON.parse(readFileSync(file('policy.json'), 'utf8'))),
+      deployment: JSON.parse(readFileSync(pathOf('deployment.json'), 'utf8')) as Deployment,
+      policy: Schemas.policy(JSON.parse(readFileSync(pathOf('policy.json'), 'utf8'))),
       scenario,
       seed,
       folder: words.folder ?? '.run',
@@ -63,9 +63,9 @@
       ...(rate === undefined ? {} : { rate }),
     });
     for (const { at, what } of report.faults)
-      say(`  fault at ${(at / 1_000).toFixed(3)} s: ${what}`);
-    for (const text of report.refused) say(`  refused: ${text}`);
-    say(
+      print(`  fault at ${(at / 1_000).toFixed(3)} s: ${what}`);
+    for (const text of report.refused) print(`  refused: ${text}`);
+    print(
       `trial example=${name} scenario=${scenario} seed=${seed} asked=${report.asked} served=${(100 * report.share).toFixed(2)}% attempts-and-copies=${report.attempts} repeats=${report.repeats} rest=${JSON.stringify(
         Object.fromEntries(
           Object.entries(report.rest)
@@ -75,8 +75,10 @@
       )} broken=${[...new Set(report.violations.map((violation) => violation.rule))].join(',') || 'none'}`,
     );
     for (const violation of report.violations)
-      say(`  rule ${violation.rule} at ${(violation.at / 1_000).toFixed(3)} s: ${violation.what}`);
-    say(
+      print(
+        `  rule ${violation.rule} at ${(violation.at / 1_000).toFixed(3)} s: ${violation.what}`,
+      );
+    print(
       `  replay: npm run -s testbed -- trial ${example} --scenario ${scenario} --seed ${seed}${seconds === undefined ? '' : ` --seconds ${seconds}`}${rate === undefined ? '' : ` --rate ${rate}`}`,
     );
     return report.violations.length === 0 ? 0 : 1;
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -1,4 +1,6 @@
-/** Plays a scenario of the simulator on real processes, and reads its history from their logs. */
+/**
+ * Plays a scenario of the simulator on real processes, and completes its history from their logs.
+ */
 import { readFileSync } from 'node:fs';
 import http from 'node:http';
 import { sendRequest } from '@reedyard/client-stand-in';
@@ -19,7 +21,12 @@
 import type { Deployment } from '@reedyard/topology';
 import { api, Fleet, TestbedError } from './index.js';
 
-/** One line of a log as its pairs. @example pairsOf('time=… event="a b" n=1').event // 'a b' */
+/**
+ * Parses the fields of a log line.
+ *
+ * @example
+ * logFieldsOf('time=… event="a b" n=1').event // 'a b'
+ */
 export const logFieldsOf = (line: string): Readonly<Record<string, string>> =>
   Object.fromEntries(
     [...line.matchAll(/([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)/g)].map(([, key = '', value = '']) => [
@@ -28,56 +35,58 @@
     ]),
   );
 
-/** A report's body, read back from what a stand-in origin sends. */
+/** Parses a response body of an origin stand-in into the form that the checkers expect. */
 const responseBodyOf = (
   method: string,
   target: string,
   text: string,
   startedAt: number,
 ): SimBody | null => {
-  const tags = [...target.matchAll(/tag-(\w+)/g)].map((found) => found[1] ?? '');
+  const tags = [...target.matchAll(/tag-(\w+)/g)].map((match) => match[1] ?? '');
   if (method === 'POST') {
-    const { ran = '', by = '' } = JSON.parse(text) as { ran?: string; by?: string };
+    const { ran: jobId = '', by: server = '' } = JSON.parse(text) as { ran?: string; by?: string };
     return {
-      service: by.split('/', 1)[0] ?? '',
+      service: server.split('/', 1)[0] ?? '',
       target,
-      job: ran,
+      job: jobId,
       tags,
       madeAt: 0,
       sentAt: 0,
       maxAgeMs: Infinity,
     };
   }
-  const found = /^(\S+) (\S+) generation=\d+ made=(\d+) sent=(\d+) life=(\d+) /.exec(text);
-  return found === null
+  const match = /^(\S+) (\S+) generation=\d+ made=(\d+) sent=(\d+) life=(\d+) /.exec(text);
+  return match === null
     ? null
     : {
-        service: found[1] ?? '',
-        target: found[2] ?? '',
+        service: match[1] ?? '',
+        target: match[2] ?? '',
         job: '',
         tags,
-        madeAt: Number(found[3]) - startedAt,
-        sentAt: Number(found[4]) - startedAt,
-        maxAgeMs: Number(found[5]),
+        madeAt: Number(match[3]) - startedAt,
+        sentAt: Number(match[4]) - startedAt,
+        maxAgeMs: Number(match[5]),
       };
 };
 
-/** A fleet of real processes that a scenario plays on, and that writes what the checkers judge. */
+/**
+ * A fleet of real processes on which a scenario runs, and which records a history for the checkers.
+ */
 export class TrialFleet implements RequestedFleet {
   readonly clock: VirtualClock;
   readonly history: Entry[] = [];
   readonly ready = new Map<string, boolean>();
   readonly origins: readonly ScenarioOrigin[];
   readonly refused: string[] = [];
-  readonly #startedAt = Date.now();
-  readonly #began = performance.now();
-  readonly #applied = new Map<ScenarioOrigin, string>();
-  readonly #carries = new Map<string, number>();
+  readonly #startedAtWallClock = Date.now();
+  readonly #startedAtMonotonic = performance.now();
+  readonly #appliedStates = new Map<ScenarioOrigin, string>();
+  readonly #recordedCapacities = new Map<string, number>();
   #holder: string | undefined;
   #seeds: readonly string[] = [];
-  #submission = 0;
-  #changes = 0;
-  readonly #beats: NodeJS.Timeout[] = [];
+  #lastSubmission = 0;
+  #changeCount = 0;
+  readonly #timers: NodeJS.Timeout[] = [];
 
   constructor(
     readonly fleet: Fleet,
@@ -96,10 +105,14 @@
       capacity: spec.capacity,
       mode: { slowMs: 5, lose: 0, garbage: 0, short: 0, foreign: 0, aged: 0, large: 0 },
     }));
-    // Virtual time follows the true one; what is due runs in its own order.
-    this.#beats.push(setInterval(() => this.clock.runUntil(performance.now() - this.#began), 2));
-    this.#beats.push(setInterval(() => this.origins.forEach((origin) => this.#apply(origin)), 50));
-    this.#beats.push(setInterval(() => this.#watch(), 500));
+    // Virtual time follows real time; due timers run in the order of the virtual clock.
+    this.#timers.push(
+      setInterval(() => this.clock.runUntil(performance.now() - this.#startedAtMonotonic), 2),
+    );
+    this.#timers.push(
+      setInterval(() => this.origins.forEach((origin) => this.#applyState(origin)), 50),
+    );
+    this.#timers.push(setInterval(() => this.#pollFleet(), 500));
   }
 
   get deployment(): Deployment {
@@ -113,20 +126,20 @@
     this.fleet.setSeeds(names.map((name) => name.split('/', 1)[0] ?? name));
   }
   #now(): number {
-    return performance.now() - this.#began;
+    return performance.now() - this.#startedAtMonotonic;
   }
-  /** A moment of the wall clock, in ms since the trial began. */
-  at(wallMs: number): number {
-    return wallMs - this.#startedAt;
+  /** Converts wall clock time to milliseconds since the trial began. */
+  trialTimeOf(wallClockMs: number): number {
+    return wallClockMs - this.#startedAtWallClock;
   }
   stopTimers(): void {
-    this.#beats.forEach((beat) => clearInterval(beat));
+    this.#timers.forEach((timer) => clearInterval(timer));
   }
 
-  /** What an origin heard, as it heard it. */
+  /** Records a request that an origin received, as an attempt and, if unsafe, as an execution. */
   readonly recordAttempt = (
     request: http.IncomingMessage,
-    by: {
+    origin: {
       readonly service: string;
       readonly instance: string;
       readonly incarnation: number;
@@ -137,7 +150,7 @@
   ): void => {
     const from = /.*1\.1 ([\w-]+) \(reedyard\)/.exec(String(request.headers.via ?? ''))?.[1] ?? '';
     const submission = Number(request.headers['x-submission'] ?? -1);
-    const { service, instance, incarnation, zone, cold } = by;
+    const { service, instance, incarnation, zone, cold } = origin;
     this.history.push({
       kind: 'attempt',
       at: this.#now(),
@@ -154,7 +167,7 @@
       method: request.method ?? '',
       submission,
     });
-    if (by.unsafe)
+    if (origin.unsafe)
       this.history.push({
         kind: 'ran',
         at: this.#now(),
@@ -164,11 +177,11 @@
       });
   };
 
-  /** Makes a stand-in origin what the scenario wants it to be. */
-  #apply(origin: ScenarioOrigin): void {
-    const blank = this.fleet.originStandIns.get(origin.spec.instance);
-    if (blank === undefined) return;
-    const wanted = JSON.stringify([
+  /** Brings an origin stand-in into the state that the scenario requires. */
+  #applyState(origin: ScenarioOrigin): void {
+    const standIn = this.fleet.originStandIns.get(origin.spec.instance);
+    if (standIn === undefined) return;
+    const requiredState = JSON.stringify([
       origin.alive,
       origin.service,
       origin.instance,
@@ -179,29 +192,29 @@
       origin.capacity,
       origin.mode,
     ]);
-    const before = this.#applied.get(origin);
-    if (before === wanted) return;
-    this.#applied.set(origin, wanted);
-    const [wasAlive, service, instance, incarnation] = JSON.parse(before ?? '[true]') as [
+    const previousState = this.#appliedStates.get(origin);
+    if (previousState === requiredState) return;
+    this.#appliedStates.set(origin, requiredState);
+    const [wasAlive, service, instance, incarnation] = JSON.parse(previousState ?? '[true]') as [
       boolean,
       string?,
       string?,
       number?,
     ];
-    if (wasAlive && !origin.alive) blank.crash();
+    if (wasAlive && !origin.alive) standIn.crash();
     if (
-      before !== undefined &&
+      previousState !== undefined &&
       (service !== origin.service ||
         instance !== origin.instance ||
         incarnation !== origin.incarnation)
     )
-      blank.rename({
+      standIn.rename({
         service: origin.service,
         instance: origin.instance,
         incarnation: origin.incarnation,
       });
     const { foreign, ...mode } = origin.mode;
-    blank.setMode(
+    standIn.setMode(
       {
         ...mode,
         leftover: foreign,
@@ -212,14 +225,14 @@
       },
       origin.alive && !origin.silent,
     );
-    if (!wasAlive && origin.alive) blank.restart();
-    this.#carry(origin, this.#now());
+    if (!wasAlive && origin.alive) standIn.restart();
+    this.#recordCapacity(origin, this.#now());
   }
-  #carry(origin: ScenarioOrigin, sentAt: number): void {
+  #recordCapacity(origin: ScenarioOrigin, sentAt: number): void {
     const { service, instance, incarnation, capacity } = origin;
     const name = `${service}/${instance}/${incarnation}`;
-    if (this.#carries.get(name) === capacity) return;
-    this.#carries.set(name, capacity);
+    if (this.#recordedCapacities.get(name) === capacity) return;
+    this.#recordedCapacities.set(name, capacity);
     this.history.push({
       kind: 'carries',
       at: this.#now(),
@@ -231,28 +244,31 @@
     });
   }
 
-  /** Asks as the platform does who is ready, and who has the quotaLeadership. */
-  #watch(): void {
+  /**
+   * Polls which proxies are ready, as the platform does, and which node holds the quota
+   * leadership.
+   */
+  #pollFleet(): void {
     for (const name of this.fleet.names('front')) {
-      const box = this.fleet.clientAddressOf(name);
+      const clientAddress = this.fleet.clientAddressOf(name);
       const request = http.request(
-        `http://${box}/.well-known/reedyard/ready`,
+        `http://${clientAddress}/.well-known/reedyard/ready`,
         { timeout: 400 },
         (response) => {
           response.resume();
           this.ready.set(name, response.statusCode === 200);
         },
       );
-      request.on('timeout', () => request.destroy(new Error('late')));
+      request.on('timeout', () => request.destroy(new Error('timeout')));
       request.on('error', () => this.ready.set(name, false));
       request.end();
     }
-    const asked = this.clock.pick(this.places().filter((name) => this.runs(name)));
-    if (asked !== undefined)
-      api(this.fleet.apiAddressOf(asked), 'GET', '/v1/shares').then(
-        (answer) => {
-          if (answer.status === 200)
-            this.#holder = (answer.body as { holder: string | null }).holder ?? undefined;
+    const polledNode = this.clock.pick(this.places().filter((name) => this.runs(name)));
+    if (polledNode !== undefined)
+      api(this.fleet.apiAddressOf(polledNode), 'GET', '/v1/shares').then(
+        (response) => {
+          if (response.status === 200)
+            this.#holder = (response.body as { holder: string | null }).holder ?? undefined;
         },
         () => undefined,
       );
@@ -288,59 +304,62 @@
   cut(from: string, to: string): void {
     this.fleet.blockDirection(from, to);
   }
-  isolate(name: string, way: 'both' | 'out' | 'in' = 'both'): void {
-    this.fleet.cut(name, way);
+  isolate(name: string, direction: 'both' | 'out' | 'in' = 'both'): void {
+    this.fleet.cut(name, direction);
   }
   heal(): void {
     this.fleet.heal();
   }
   twin(name: string): string {
-    const place = `${name}~2`;
-    const machine = this.deployment.machines.find((each) => each.name === name);
+    const twinName = `${name}~2`;
+    const machine = this.deployment.machines.find((candidate) => candidate.name === name);
     if (machine !== undefined)
-      void this.fleet.addNode(machine, true, true, place).then(() => this.fleet.start(place));
-    return place;
+      void this.fleet.addNode(machine, true, true, twinName).then(() => this.fleet.start(twinName));
+    return twinName;
   }
   fault(what: string): void {
     this.history.push({ kind: 'fault', at: this.#now(), what });
   }
 
-  /** Sends an operator's call to some node until it is acknowledged. */
+  /**
+   * Sends an operator request to a node. Retries at most `retries` times, until a response accepts
+   * or rejects the request.
+   */
   #operate(
     method: string,
     target: string,
     document: unknown,
     changeId: string,
-    tries: number,
-    done: (body: never) => void,
+    retries: number,
+    onSuccess: (body: never) => void,
     node?: string,
   ): void {
     const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
-    const again = (): void => {
-      if (tries > 0)
+    const retryLater = (): void => {
+      if (retries > 0)
         this.clock.in(500, () =>
-          this.#operate(method, target, document, changeId, tries - 1, done),
+          this.#operate(method, target, document, changeId, retries - 1, onSuccess),
         );
     };
     if (chosenNode === undefined) {
-      again();
+      retryLater();
       return;
     }
     api(this.fleet.apiAddressOf(chosenNode), method, target, document, {
       'reedyard-change-id': changeId,
-    }).then((answer) => {
-      if (answer.status === 200) done(answer.body);
-      else if (answer.status === 422 || answer.status === 400)
-        this.refused.push(`${method} ${target}: ${JSON.stringify(answer.body).slice(0, 200)}`);
-      else again();
-    }, again);
+    }).then((response) => {
+      if (response.status === 200) onSuccess(response.body);
+      else if (response.status === 422 || response.status === 400)
+        this.refused.push(`${method} ${target}: ${JSON.stringify(response.body).slice(0, 200)}`);
+      else retryLater();
+    }, retryLater);
   }
-  #change(): string {
-    this.#changes += 1;
-    return `trial-${this.#changes}`;
+  #nextChangeId(): string {
+    this.#changeCount += 1;
+    return `trial-${this.#changeCount}`;
   }
   put(document: Policy, done: () => void = () => undefined, node?: string): void {
-    const changeId = this.#change();
+    const changeId = this.#nextChangeId();
     this.history.push({ kind: 'proposed', at: this.#now(), changeId, document });
     this.#operate(
       'PUT',
@@ -367,7 +386,7 @@
       'GET',
       '/v1/policy',
       undefined,
-      this.#change(),
+      this.#nextChangeId(),
       0,
       (body: { revision: number }) => {
         this.history.push({ kind: 'read', at: this.#now(), askedAt, revision: body.revision });
@@ -379,9 +398,9 @@
     tags: readonly string[],
     done: () => void = () => undefined,
   ): void {
-    const turned = this.#now();
-    this.#operate('POST', '/v1/purges', { objects, tags }, this.#change(), 10, () => {
-      this.history.push({ kind: 'purged', at: this.#now(), objects, tags, turned });
+    const sentAt = this.#now();
+    this.#operate('POST', '/v1/purges', { objects, tags }, this.#nextChangeId(), 10, () => {
+      this.history.push({ kind: 'purged', at: this.#now(), objects, tags, turned: sentAt });
       done();
     });
   }
@@ -391,7 +410,7 @@
       'PUT',
       `/v1/zones/${zone}`,
       { order },
-      this.#change(),
+      this.#nextChangeId(),
       10,
       (body: { revision: number }) => {
         this.history.push({
@@ -407,15 +426,15 @@
     );
   }
   describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
-    this.#apply(origin);
+    this.#applyState(origin);
     const { instance, incarnation, draining } = origin;
     const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
-    const blank = this.fleet.originStandIns.get(origin.spec.instance);
-    if (chosenNode === undefined || blank === undefined || !origin.alive) return;
-    blank.announceTo(this.fleet.apiAddressOf(chosenNode)).then(
-      (taken) => {
+    const standIn = this.fleet.originStandIns.get(origin.spec.instance);
+    if (chosenNode === undefined || standIn === undefined || !origin.alive) return;
+    standIn.announceTo(this.fleet.apiAddressOf(chosenNode)).then(
+      (isAccepted) => {
         if (
-          !taken ||
+          !isAccepted ||
           !draining ||
           this.history.some(
             (entry) =>
@@ -444,10 +463,10 @@
     },
     done: (status: number, outcome: string) => void,
   ): void {
-    this.#submission += 1;
-    const submission = this.#submission;
+    this.#lastSubmission += 1;
+    const submission = this.#lastSubmission;
     const { method, host, target, job, key } = request;
-    const machine = this.deployment.machines.find((each) => each.name === node);
+    const machine = this.deployment.machines.find((candidate) => candidate.name === node);
     this.history.push({
       kind: 'asked',
       at: this.#now(),
@@ -468,14 +487,14 @@
       timeoutMs: 12_000,
       ...(key === null ? {} : { key }),
       headers: { 'x-submission': String(submission) },
-    }).then((seen) => {
-      const good = seen.status >= 200 && seen.status < 300;
-      const problem =
-        good || seen.body === ''
+    }).then((result) => {
+      const isSuccess = result.status >= 200 && result.status < 300;
+      const problemDetail =
+        isSuccess || result.body === ''
           ? ''
           : (() => {
               try {
-                return (JSON.parse(seen.body) as { detail?: string }).detail ?? '';
+                return (JSON.parse(result.body) as { detail?: string }).detail ?? '';
               } catch {
                 return '';
               }
@@ -486,61 +505,63 @@
         submission,
         job,
         node,
-        status: seen.status,
-        outcome: seen.outcome,
-        served: seen.served,
-        retryAfter: seen.retryAfter,
-        why: problem,
-        stamp: seen.stamp,
-        body: good ? responseBodyOf(method, target, seen.body, this.#startedAt) : null,
-        whole: seen.fault === null,
+        status: result.status,
+        outcome: result.outcome,
+        served: result.served,
+        retryAfter: result.retryAfter,
+        why: problemDetail,
+        stamp: result.stamp,
+        body: isSuccess
+          ? responseBodyOf(method, target, result.body, this.#startedAtWallClock)
+          : null,
+        whole: result.fault === null,
         method,
         host,
         target,
-        copied: seen.aged && seen.served !== 'origin',
+        copied: result.aged && result.served !== 'origin',
       });
-      done(seen.status, seen.outcome);
+      done(result.status, result.outcome);
     });
   }
 
-  /** What the proxies' logs tell of their moves. */
+  /** Adds the events in the proxies' logs to the history, and sorts the history by time. */
   readProxyLogs(): void {
     const machines = new Map(this.deployment.machines.map((machine) => [machine.name, machine]));
-    for (const place of this.fleet.names('front')) {
-      for (const line of readFileSync(this.fleet.logFileOf(place, 'proxy'), 'utf8').split('\n')) {
+    for (const name of this.fleet.names('front')) {
+      for (const line of readFileSync(this.fleet.logFileOf(name, 'proxy'), 'utf8').split('\n')) {
         if (!line.includes('event=trace.')) continue;
-        const pairs = logFieldsOf(line);
-        const at = this.at(Date.parse(pairs['time'] ?? ''));
-        const { zone = '', region = '' } = machines.get(place) ?? {};
-        if (pairs['event'] === 'trace.attempt' || pairs['event'] === 'trace.copy')
+        const fields = logFieldsOf(line);
+        const atMs = this.trialTimeOf(Date.parse(fields['time'] ?? ''));
+        const { zone = '', region = '' } = machines.get(name) ?? {};
+        if (fields['event'] === 'trace.attempt' || fields['event'] === 'trace.copy')
           this.history.push({
             kind: 'acted',
-            at,
-            node: place,
-            revision: Number(pairs['revision']),
+            at: atMs,
+            node: name,
+            revision: Number(fields['revision']),
           });
-        if (pairs['event'] === 'trace.attempt' && Number(pairs['attempt']) > 0)
-          this.history.push({ kind: 'repeat', at });
-        if (pairs['event'] === 'trace.relay')
+        if (fields['event'] === 'trace.attempt' && Number(fields['attempt']) > 0)
+          this.history.push({ kind: 'repeat', at: atMs });
+        if (fields['event'] === 'trace.relay')
           this.history.push({
             kind: 'relay',
-            at,
-            from: pairs['from'] ?? '',
-            to: place,
+            at: atMs,
+            from: fields['from'] ?? '',
+            to: name,
             zone,
-            target: pairs['target'] ?? '',
+            target: fields['target'] ?? '',
           });
-        if (pairs['event'] === 'trace.stored')
-          for (const key of (pairs['keys'] ?? '').split(' '))
+        if (fields['event'] === 'trace.stored')
+          for (const key of (fields['keys'] ?? '').split(' '))
             if (key !== '') {
-              const cut = key.indexOf('/');
+              const pathStart = key.indexOf('/');
               this.history.push({
                 kind: 'stored',
-                at,
-                node: place,
+                at: atMs,
+                node: name,
                 region,
-                host: key.slice(0, cut),
-                target: key.slice(cut),
+                host: key.slice(0, pathStart),
+                target: key.slice(pathStart),
               });
             }
       }
@@ -549,6 +570,7 @@
   }
 }
 
+/** Scenario of a trial and where it runs. */
 export type TrialOptions = {
   readonly example: string;
   readonly deployment: Deployment;
@@ -558,11 +580,16 @@
   readonly folder: string;
   readonly seconds?: number;
   readonly rate?: number;
-  /** Which rules judge it; all where left out. */ readonly rules?: readonly number[];
+  /** Rules to check; all rules if omitted. */
+  readonly rules?: readonly number[];
 };
+/** Outcome of a trial. */
 export type TrialReport = {
+  /** Number of client requests. */
   readonly asked: number;
+  /** Share of the requests that succeeded. */
   readonly share: number;
+  /** Number of the other requests by status and outcome. */
   readonly rest: Readonly<Record<string, number>>;
   readonly violations: readonly Violation[];
   readonly refused: readonly string[];
@@ -572,37 +599,38 @@
 };
 
 /**
- * Plays a scenario of the simulator on a whole fleet of real processes, and has the same checkers
- * judge it.
+ * Plays a scenario of the simulator on a complete fleet of real processes, and checks its history
+ * against the simulator's rules.
  *
  * @example
- * const report = await trial({ example: 'brandlhuber', deployment, policy, scenario: 'calm', seed: 1, folder: '.run' });
+ * const report = await playTrial({ example: 'brandlhuber', deployment, policy, scenario: 'calm', seed: 1, folder: '.run' });
  */
 export const playTrial = async (options: TrialOptions): Promise<TrialReport> => {
   const scenario = scenarios[options.scenario];
   if (scenario === undefined)
     throw new TestbedError(
       'unknown',
-      `no scenario is named ${options.scenario}; there are ${Object.keys(scenarios).join(', ')}`,
+      `unknown scenario ${options.scenario}; known scenarios: ${Object.keys(scenarios).join(', ')}`,
     );
-  const used = scenario.policy?.(options.policy) ?? options.policy;
-  const laid = await Fleet.create(options.deployment, options.folder, {
+  const scenarioPolicy = scenario.policy?.(options.policy) ?? options.policy;
+  const processFleet = await Fleet.create(options.deployment, options.folder, {
     relays: true,
     trace: true,
   });
-  const fleet = new TrialFleet(laid, options.seed);
+  const fleet = new TrialFleet(processFleet, options.seed);
   try {
-    laid.startAll();
-    await laid.startOrigins(fleet.recordAttempt);
-    // Some scenarios wipe disks while the fleet is founded: their time runs from the start, as callers' does.
-    fleet.put(used);
+    processFleet.startAll();
+    await processFleet.startOrigins(fleet.recordAttempt);
+    // The times of the scenario and of the clients count from the start of the processes, because
+    // some scenarios wipe disks while the fleet is being founded.
+    fleet.put(scenarioPolicy);
     const end = 1_000 * (options.seconds ?? scenario.seconds);
     const factor = { rate: options.rate ?? scenario.rate ?? 120, skew: null as string | null };
     fleet.clock.in(6_000, () =>
       startCallers(
         fleet,
         options.example,
-        used,
+        scenarioPolicy,
         () => factor.rate,
         end - 2_000,
         () => factor.skew,
@@ -610,7 +638,7 @@
     );
     scenario.play({
       fleet,
-      policy: used,
+      policy: scenarioPolicy,
       factor,
       end,
       sample: () => sampleOf(options.example, fleet.clock),
@@ -620,7 +648,7 @@
     });
   } finally {
     fleet.stopTimers();
-    await laid.stopAll();
+    await processFleet.stopAll();
   }
   fleet.readProxyLogs();
   return {
