--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -69,11 +69,13 @@
   Record<string, { readonly port: number; readonly role: HollowRole }>
 >;
 
+/** A replica that the host opens. */
 export type ReplicaSpec = {
   readonly name: string;
   readonly address: string;
   readonly others: Readonly<Record<string, string>>;
 };
+/** An agent that the host opens. */
 export type AgentSpec = {
   readonly self: NodeIdentity;
   readonly role: HollowRole;
@@ -86,6 +88,7 @@
    */
   readonly known: readonly NodeRecord[];
 };
+/** A proxy that the host simulates: a client of its agent's feed. */
 export type ProxySpec = {
   readonly id: string;
   readonly address: string;
@@ -94,6 +97,7 @@
   readonly services: number;
   readonly objects: number;
 };
+/** An origin that announces itself to a node at regular intervals. */
 export type OriginSpec = {
   readonly node: string;
   readonly description: Extract<ApiAction, { kind: 'describe' }>['description'];
@@ -125,6 +129,7 @@
   readonly answeredBytes: number;
 };
 
+/** Traffic, costs and arrivals that a host has counted so far. */
 export type HostReport = {
   readonly flows: readonly CallTraffic[];
   /** Processor milliseconds spent in the reducers, and the number of events, by role and event. */
@@ -168,8 +173,8 @@
   origins: (specs: readonly OriginSpec[]) => Promise<void>;
   watch: (watches: readonly ArrivalWatch[]) => Promise<void>;
   /**
-   * Advances the clock and runs what is due; resolves once no call from this host is in flight,
-   * with the number of operations started so far.
+   * Advances the clock and runs the ticks and actions that are due. Resolves once no operation of
+   * this host is in flight, with the number of operations started so far.
    */
   step: (now: number, actions: readonly NodeAction[]) => Promise<number>;
   /** Resolves once no operation of this host is in flight, with the number started so far. */
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -109,6 +109,10 @@
   readonly floorHeap: number;
   readonly rss: number;
 };
+/**
+ * Distribution of the delays at the nodes that a change reached, in milliseconds. `missing` is the
+ * number of the other nodes.
+ */
 export type DelayDistribution = {
   readonly nodes: number;
   readonly median: number;
@@ -116,6 +120,7 @@
   readonly most: number;
   readonly missing: number;
 };
+/** Figures of a run of a hollow fleet. */
 export type HollowResult = {
   readonly options: HollowOptions;
   readonly roles: Readonly<Partial<Record<HollowRole, RoleFigures>>>;
@@ -890,7 +895,7 @@
     )
       throw new HollowError(
         'usage',
-        `--${name}: expected a ${isInteger ? 'whole ' : ''}number from ${min} to ${max}, found ${text === undefined ? 'nothing' : `"${String(text)}"`}`,
+        `--${name}: found ${text === undefined ? 'nothing' : `"${String(text)}"`}; expected a ${isInteger ? 'whole ' : ''}number from ${min} to ${max}`,
       );
     return number;
   };
@@ -899,7 +904,7 @@
   if (nodes <= replicas)
     throw new HollowError(
       'usage',
-      `--nodes: expected more than the ${replicas} of the replicas, found "${nodes}"`,
+      `--nodes: found "${nodes}"; expected more than the ${replicas} of the replicas`,
     );
   const zones = readNumber('zones', 4, 1, 1_000);
   const origins = readNumber('origins', 7, 0, 10_000);
