--- a/packages/testbed/src/trial.test.ts
+++ b/packages/testbed/src/trial.test.ts
@@ -2,7 +2,7 @@
 import os from 'node:os';
 import path from 'node:path';
 import { mkdtempSync } from 'node:fs';
-import { exampleOf } from '@reedyard/simulator';
+import { loadExample } from '@reedyard/simulator';
 import { smallDeployment } from './small-deployment.js';
 import { logFieldsOf, playTrial } from './trial.js';
 
@@ -10,7 +10,7 @@
   const report = await playTrial({
     example: 'brandlhuber',
     deployment: smallDeployment,
-    policy: exampleOf('brandlhuber').policy,
+    policy: loadExample('brandlhuber').policy,
     scenario: 'everything',
     seed: 4,
     seconds: 24,
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -8,13 +8,13 @@
 import {
   availability,
   type Entry,
-  judge,
-  type RequestedFleet,
-  sampleOf,
+  findViolations,
+  type FleetUnderLoad,
+  randomRequest,
   type ScenarioOrigin,
   scenarios,
-  type SimBody,
-  startCallers,
+  type SimulatedBody,
+  startClients,
   type Violation,
   VirtualClock,
 } from '@reedyard/simulator';
@@ -41,7 +41,7 @@
   target: string,
   text: string,
   startedAt: number,
-): SimBody | null => {
+): SimulatedBody | null => {
   const tags = [...target.matchAll(/tag-(\w+)/g)].map((match) => match[1] ?? '');
   if (method === 'POST') {
     const { ran: jobId = '', by: server = '' } = JSON.parse(text) as { ran?: string; by?: string };
@@ -72,7 +72,7 @@
 /**
  * A fleet of real processes on which a scenario runs, and which records a history for the checkers.
  */
-export class TrialFleet implements RequestedFleet {
+export class TrialFleet implements FleetUnderLoad {
   readonly clock: VirtualClock;
   readonly history: Entry[] = [];
   readonly ready = new Map<string, boolean>();
@@ -263,7 +263,7 @@
       request.on('error', () => this.ready.set(name, false));
       request.end();
     }
-    const polledNode = this.clock.pick(this.places().filter((name) => this.runs(name)));
+    const polledNode = this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     if (polledNode !== undefined)
       api(this.fleet.apiAddressOf(polledNode), 'GET', '/v1/shares').then(
         (response) => {
@@ -274,10 +274,10 @@
       );
   }
 
-  places(): readonly string[] {
+  machineNames(): readonly string[] {
     return this.fleet.nodeNames();
   }
-  runs(name: string): boolean {
+  isRunning(name: string): boolean {
     return this.fleet.isRunning(name, 'agent');
   }
   holder(): string | undefined {
@@ -310,7 +310,7 @@
   heal(): void {
     this.fleet.heal();
   }
-  twin(name: string): string {
+  startDuplicate(name: string): string {
     const twinName = `${name}~2`;
     const machine = this.deployment.machines.find((candidate) => candidate.name === name);
     if (machine !== undefined)
@@ -318,7 +318,7 @@
     return twinName;
   }
   fault(what: string): void {
-    this.history.push({ kind: 'fault', at: this.#now(), what });
+    this.history.push({ kind: 'fault', at: this.#now(), label: what });
   }
 
   /**
@@ -334,10 +334,11 @@
     onSuccess: (body: never) => void,
     node?: string,
   ): void {
-    const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
+    const chosenNode =
+      node ?? this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     const retryLater = (): void => {
       if (retries > 0)
-        this.clock.in(500, () =>
+        this.clock.schedule(500, () =>
           this.#operate(method, target, document, changeId, retries - 1, onSuccess),
         );
     };
@@ -400,7 +401,7 @@
   ): void {
     const sentAt = this.#now();
     this.#operate('POST', '/v1/purges', { objects, tags }, this.#nextChangeId(), 10, () => {
-      this.history.push({ kind: 'purged', at: this.#now(), objects, tags, turned: sentAt });
+      this.history.push({ kind: 'purged', at: this.#now(), objects, tags, purgedFrom: sentAt });
       done();
     });
   }
@@ -428,7 +429,8 @@
   describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
     this.#applyState(origin);
     const { instance, incarnation, draining } = origin;
-    const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
+    const chosenNode =
+      node ?? this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     const standIn = this.fleet.originStandIns.get(origin.spec.instance);
     if (chosenNode === undefined || standIn === undefined || !origin.alive) return;
     standIn.announceTo(this.fleet.apiAddressOf(chosenNode)).then(
@@ -451,7 +453,7 @@
     );
   }
 
-  ask(
+  submit(
     node: string,
     request: {
       method: string;
@@ -514,7 +516,7 @@
         body: isSuccess
           ? responseBodyOf(method, target, result.body, this.#startedAtWallClock)
           : null,
-        whole: result.fault === null,
+        hasCompleteBody: result.fault === null,
         method,
         host,
         target,
@@ -625,26 +627,29 @@
     // some scenarios wipe disks while the fleet is being founded.
     fleet.put(scenarioPolicy);
     const end = 1_000 * (options.seconds ?? scenario.seconds);
-    const factor = { rate: options.rate ?? scenario.rate ?? 120, skew: null as string | null };
-    fleet.clock.in(6_000, () =>
-      startCallers(
+    const factor = {
+      rate: options.rate ?? scenario.rate ?? 120,
+      crowdedZone: null as string | null,
+    };
+    fleet.clock.schedule(6_000, () =>
+      startClients(
         fleet,
         options.example,
         scenarioPolicy,
         () => factor.rate,
         end - 2_000,
-        () => factor.skew,
+        () => factor.crowdedZone,
       ),
     );
     scenario.play({
       fleet,
       policy: scenarioPolicy,
-      factor,
-      end,
-      sample: () => sampleOf(options.example, fleet.clock),
+      traffic: factor,
+      endMs: end,
+      sample: () => randomRequest(options.example, fleet.clock),
     });
     await new Promise<void>((resolve) => {
-      fleet.clock.in(end + 13_000, resolve);
+      fleet.clock.schedule(end + 13_000, resolve);
     });
   } finally {
     fleet.stopTimers();
@@ -653,12 +658,12 @@
   fleet.readProxyLogs();
   return {
     ...availability(fleet.history, 8_000),
-    violations: judge(fleet.history, options.rules),
+    violations: findViolations(fleet.history, options.rules),
     refused: fleet.refused,
     attempts: fleet.history.filter((entry) => entry.kind === 'acted').length,
     repeats: fleet.history.filter((entry) => entry.kind === 'repeat').length,
     faults: fleet.history.flatMap((entry) =>
-      entry.kind === 'fault' ? [{ at: entry.at, what: entry.what }] : [],
+      entry.kind === 'fault' ? [{ at: entry.at, what: entry.label }] : [],
     ),
   };
 };
