--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -317,8 +317,8 @@
       void this.fleet.addNode(machine, true, true, twinName).then(() => this.fleet.start(twinName));
     return twinName;
   }
-  fault(what: string): void {
-    this.history.push({ kind: 'fault', at: this.#now(), label: what });
+  fault(label: string): void {
+    this.history.push({ kind: 'fault', at: this.#now(), label });
   }
 
   /**
@@ -359,7 +359,7 @@
     this.#changeCount += 1;
     return `trial-${this.#changeCount}`;
   }
-  put(document: Policy, done: () => void = () => undefined, node?: string): void {
+  put(document: Policy, onSuccess: () => void = () => undefined, node?: string): void {
     const changeId = this.#nextChangeId();
     this.history.push({ kind: 'proposed', at: this.#now(), changeId, document });
     this.#operate(
@@ -376,7 +376,7 @@
           revision: body.revision,
           document,
         });
-        done();
+        onSuccess();
       },
       node,
     );
@@ -426,7 +426,7 @@
       },
     );
   }
-  describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
+  describe(origin: ScenarioOrigin, onNoticed: () => void = () => undefined, node?: string): void {
     this.#applyState(origin);
     const { instance, incarnation, draining } = origin;
     const chosenNode =
@@ -447,7 +447,7 @@
         )
           return;
         this.history.push({ kind: 'drained', at: this.#now(), instance, incarnation });
-        noticed();
+        onNoticed();
       },
       () => undefined,
     );
@@ -626,8 +626,8 @@
     // The times of the scenario and of the clients count from the start of the processes, because
     // some scenarios wipe disks while the fleet is being founded.
     fleet.put(scenarioPolicy);
-    const end = 1_000 * (options.seconds ?? scenario.seconds);
-    const factor = {
+    const endMs = 1_000 * (options.seconds ?? scenario.seconds);
+    const traffic = {
       rate: options.rate ?? scenario.rate ?? 120,
       crowdedZone: null as string | null,
     };
@@ -636,20 +636,20 @@
         fleet,
         options.example,
         scenarioPolicy,
-        () => factor.rate,
-        end - 2_000,
-        () => factor.crowdedZone,
+        () => traffic.rate,
+        endMs - 2_000,
+        () => traffic.crowdedZone,
       ),
     );
     scenario.play({
       fleet,
       policy: scenarioPolicy,
-      traffic: factor,
-      endMs: end,
+      traffic,
+      endMs,
       sample: () => randomRequest(options.example, fleet.clock),
     });
     await new Promise<void>((resolve) => {
-      fleet.clock.schedule(end + 13_000, resolve);
+      fleet.clock.schedule(endMs + 13_000, resolve);
     });
   } finally {
     fleet.stopTimers();
