--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -349,7 +349,7 @@
     const actionReplyOf = async (tag: string): Promise<{ readonly status: number } | undefined> =>
       (await collectReports(false))
         .map((report) => report.answers[tag])
-        .find((answer) => answer !== undefined);
+        .find((reply) => reply !== undefined);
     const waitUntil = async (condition: string, isMet: () => Promise<boolean>): Promise<void> => {
       const deadline = now + hollowMaxWaitMs;
       while (!(await isMet())) {
