--- a/packages/proxy/src/attempt-results.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -148,13 +148,13 @@
     handleAttemptFailure(transition, id, number, 'maybe', doubtful);
     return;
   }
-  if (answer.proof?.misdirected === true) {
+  if (answer.originEvidence?.isMisdirected === true) {
     transition.effects.push({ kind: 'abort-attempt', requestId: id, attempt: number });
     handleAttemptFailure(transition, id, number, 'nothing', 'identity');
     return;
   }
   const notRun =
-    answer.proof?.notRun ??
+    answer.originEvidence?.notRun ??
     (headerText(answer.headers, 'reedyard-outcome') === 'not-run' && answer.status === 503);
   const turnedAway =
     notRun ||
@@ -174,7 +174,7 @@
   // A word of being turned away is passed on for an unsafe request only where it is proved.
   const final =
     (!turnedAway ||
-      (safe && answer.status === 429 && answer.proof === undefined) ||
+      (safe && answer.status === 429 && answer.originEvidence === undefined) ||
       isOriginGatewayError(answer)) &&
     !mayTryAgain;
   const ended = endAttempt(transition, request, number, {
@@ -186,7 +186,7 @@
   });
   if (ended === undefined) return;
   if (!notRun)
-    recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, answer.proof);
+    recordResponse(transition, attempt.to.id, state.now - attempt.openedAt, answer.originEvidence);
   if (attempt.to.kind === 'origin' && notRun) pauseFullOrigin(transition, attempt.to.id);
   // What is read whole leaves its conn ready for the next.
   const drop = (): void => {
--- a/packages/proxy/src/caller-connection.test.ts
+++ b/packages/proxy/src/client-connection.test.ts
@@ -1,28 +1,31 @@
 import test from 'ava';
-import { CallerConnections } from './caller-connection.js';
-import { searchCaller, type CallerReduce } from './testing/caller-world.js';
+import { ClientConnections } from './client-connection.js';
+import { searchClientConnection, type ClientReduce } from './testing/client-connection-model.js';
 
 test('every order of pipelined requests, answers, bytes that are no request and a caller who leaves keeps the rules', (t) => {
-  const { broken, worlds } = searchCaller(CallerConnections.reduce);
+  const { broken, worlds } = searchClientConnection(ClientConnections.reduce);
   t.log(`${worlds} worlds`);
   t.is(broken, null);
 });
 
 /** Each safeguard planted out, and the invariant that breaks without it. */
-const plants: Readonly<Record<string, { readonly reduce: CallerReduce; readonly breaks: string }>> =
+const plants: Readonly<Record<string, { readonly reduce: ClientReduce; readonly breaks: string }>> =
   {
     'any answer may close the connection': {
       reduce: (state, event) => {
-        const newest = event.kind === 'answer-ready' ? event.number : state.newest;
-        const step = CallerConnections.reduce({ ...state, newest }, event);
-        const { newest: after } = step.state;
-        return { ...step, state: { ...step.state, newest: Math.max(state.newest, after) } };
+        const newest = event.kind === 'answer-ready' ? event.number : state.newestNumber;
+        const step = ClientConnections.reduce({ ...state, newestNumber: newest }, event);
+        const { newestNumber: after } = step.state;
+        return {
+          ...step,
+          state: { ...step.state, newestNumber: Math.max(state.newestNumber, after) },
+        };
       },
       breaks: 'closed before a request that was read',
     },
     'a request behind an answer that closes is begun': {
       reduce: (state, event) =>
-        CallerConnections.reduce(
+        ClientConnections.reduce(
           event.kind === 'request-read' ? { ...state, closing: false } : state,
           event,
         ),
@@ -30,7 +33,7 @@
     },
     'what is no request is refused at once': {
       reduce: (state, event) =>
-        CallerConnections.reduce(
+        ClientConnections.reduce(
           event.kind === 'unreadable' ? { ...state, unanswered: [] } : state,
           event,
         ),
@@ -38,7 +41,7 @@
     },
     'only the first of the pipelined requests learns that its caller left': {
       reduce: (state, event) =>
-        CallerConnections.reduce(
+        ClientConnections.reduce(
           event.kind === 'closed' ? { ...state, unanswered: state.unanswered.slice(0, 1) } : state,
           event,
         ),
@@ -48,6 +51,6 @@
 
 for (const [name, { reduce, breaks }] of Object.entries(plants)) {
   test(`planted: ${name}`, (t) => {
-    t.is(searchCaller(reduce).broken, breaks);
+    t.is(searchClientConnection(reduce).broken, breaks);
   });
 }
--- a/packages/proxy/src/caller-connection.ts
+++ b/packages/proxy/src/client-connection.ts
@@ -17,9 +17,9 @@
 export type RefusalStatus = 400 | 408 | 431;
 
 /** What is known of one caller's connection. */
-export type CallerConnection = {
+export type ClientConnection = {
   /** Number of the newest request whose head was read; 0 before the first. */
-  readonly newest: number;
+  readonly newestNumber: number;
   /** Requests begun whose answers were not yet handed over whole. */
   readonly unanswered: readonly number[];
   /** Whether an answer that closes the connection was written. */
@@ -30,7 +30,7 @@
 };
 
 /** What happens to one caller's connection. */
-export type CallerConnectionEvent =
+export type ClientConnectionEvent =
   | { readonly kind: 'head-read' }
   /** The request with this number was read whole, or is answered before it was. */
   | { readonly kind: 'request-read'; readonly number: number }
@@ -41,7 +41,7 @@
   | { readonly kind: 'closed' };
 
 /** What the shell has to do. */
-export type CallerConnectionEffect =
+export type ClientConnectionEffect =
   | { readonly kind: 'begin'; readonly number: number }
   | { readonly kind: 'write'; readonly number: number; readonly close: boolean }
   | { readonly kind: 'refuse'; readonly status: RefusalStatus }
@@ -49,14 +49,14 @@
   | { readonly kind: 'left'; readonly numbers: readonly number[] };
 
 /** A step of the connection. */
-export type CallerConnectionStep = {
-  readonly state: CallerConnection;
-  readonly effects: readonly CallerConnectionEffect[];
+export type ClientConnectionStep = {
+  readonly state: ClientConnection;
+  readonly effects: readonly ClientConnectionEffect[];
 };
 
-const unchanged = (state: CallerConnection): CallerConnectionStep => ({ state, effects: [] });
+const unchanged = (state: ClientConnection): ClientConnectionStep => ({ state, effects: [] });
 
-const requestRead = (state: CallerConnection, number: number): CallerConnectionStep => {
+const requestRead = (state: ClientConnection, number: number): ClientConnectionStep => {
   const stale = state.closing || state.refusal !== null || state.unanswered.includes(number);
   if (stale) return unchanged(state);
   return {
@@ -66,19 +66,19 @@
 };
 
 const answerReady = (
-  state: CallerConnection,
+  state: ClientConnection,
   number: number,
   wantsClose: boolean,
-): CallerConnectionStep => {
+): ClientConnectionStep => {
   if (!state.unanswered.includes(number)) return unchanged(state);
-  const close = wantsClose && number === state.newest;
+  const close = wantsClose && number === state.newestNumber;
   return {
     state: { ...state, closing: state.closing || close },
     effects: [{ kind: 'write', number, close }],
   };
 };
 
-const answerFlushed = (state: CallerConnection, number: number): CallerConnectionStep => {
+const answerFlushed = (state: ClientConnection, number: number): ClientConnectionStep => {
   const unanswered = state.unanswered.filter((each) => each !== number);
   const next = { ...state, unanswered };
   if (state.refusal === null || state.closing || unanswered.length > 0) return unchanged(next);
@@ -88,34 +88,34 @@
   };
 };
 
-const unreadable = (state: CallerConnection, status: RefusalStatus): CallerConnectionStep => {
+const unreadable = (state: ClientConnection, status: RefusalStatus): ClientConnectionStep => {
   if (state.refusal !== null || state.closing) return unchanged(state);
   const next = { ...state, refusal: status };
   if (state.unanswered.length > 0) return unchanged(next);
   return { state: { ...next, closing: true }, effects: [{ kind: 'refuse', status }] };
 };
 
-const closed = (state: CallerConnection): CallerConnectionStep => ({
+const closed = (state: ClientConnection): ClientConnectionStep => ({
   state: { ...state, closed: true, unanswered: [] },
   effects: state.unanswered.length > 0 ? [{ kind: 'left', numbers: state.unanswered }] : [],
 });
 
 /** The reducer of a caller's connection. */
-export const CallerConnections = {
+export const ClientConnections = {
   open: {
-    newest: 0,
+    newestNumber: 0,
     unanswered: [],
     closing: false,
     refusal: null,
     closed: false,
-  } satisfies CallerConnection as CallerConnection,
+  } satisfies ClientConnection as ClientConnection,
 
   /** @example CallerConnections.reduce(CallerConnections.open, { kind: 'head-read' }).state.newest // 1 */
-  reduce: (state: CallerConnection, event: CallerConnectionEvent): CallerConnectionStep => {
+  reduce: (state: ClientConnection, event: ClientConnectionEvent): ClientConnectionStep => {
     if (state.closed) return unchanged(state);
     switch (event.kind) {
       case 'head-read':
-        return unchanged({ ...state, newest: state.newest + 1 });
+        return unchanged({ ...state, newestNumber: state.newestNumber + 1 });
       case 'request-read':
         return requestRead(state, event.number);
       case 'answer-ready':
--- a/packages/proxy/src/caller-bounds.ts
+++ b/packages/proxy/src/client-limits.ts
@@ -9,7 +9,7 @@
 const defaultMaxBodyBytes = 1024 * 1024;
 
 /** Bounds on what one caller sends over one connection. */
-export type CallerBounds = {
+export type ClientLimits = {
   readonly headBytes: number;
   readonly bodyBytes: number;
   /** ms from the first byte of a head to its last. */
@@ -29,9 +29,9 @@
 const minRequestTimeoutMs = 60_000;
 
 /** Bounds on callers, and what a server does to keep them. */
-export const CallerBounds = {
+export const ClientLimits = {
   /** @example CallerBounds.of({ idleMs: 15_000 }).idleMs // 15000 */
-  of: (callers: Policy['callers']): CallerBounds => ({
+  of: (callers: Policy['callers']): ClientLimits => ({
     headBytes: callers?.headBytes ?? maxRequestHeadBytes,
     bodyBytes: callers?.bodyBytes ?? defaultMaxBodyBytes,
     headMs: callers?.headMs ?? requestHeadTimeoutMs,
@@ -39,12 +39,12 @@
   }),
 
   /** Seconds told in `Keep-Alive`: whole ones, never less than the bound. */
-  promisedSeconds: ({ idleMs }: CallerBounds): number => Math.ceil(idleMs / 1_000),
+  keepAliveSeconds: ({ idleMs }: ClientLimits): number => Math.ceil(idleMs / 1_000),
 
   /** ms that a resting connection is kept: what was told, and a margin. */
-  keptMs: (bounds: CallerBounds): number =>
-    CallerBounds.promisedSeconds(bounds) * 1_000 + idleMarginMs,
+  keepAliveTimeoutMs: (bounds: ClientLimits): number =>
+    ClientLimits.keepAliveSeconds(bounds) * 1_000 + idleMarginMs,
 
   /** ms from the first byte of a request to the last of its body. */
-  requestMs: ({ headMs }: CallerBounds): number => Math.max(minRequestTimeoutMs, 2 * headMs),
+  requestMs: ({ headMs }: ClientLimits): number => Math.max(minRequestTimeoutMs, 2 * headMs),
 } as const;
--- a/packages/proxy/src/client-request-reader.ts
+++ b/packages/proxy/src/client-request-reader.ts
@@ -1,8 +1,8 @@
 /** Reads a client's or a peer's request: its body up to a bound, and what the reducer needs of it. */
 import { createHash } from 'node:crypto';
 import type http from 'node:http';
-import type { WireFormat } from './dialect.js';
-import { passable } from './read-answer.js';
+import type { WireFormat } from './wire-format.js';
+import { forwardableHeaders } from './response-reader.js';
 import type { ClientRequest } from './state.js';
 
 /** Reads a body; calls `onEnd` with all of it, or `onTooLarge` once it passes the bound. */
@@ -59,7 +59,7 @@
     method,
     target,
     host: headers.host ?? '',
-    headers: passable(headers),
+    headers: forwardableHeaders(headers),
     via: isFromPeer ? String(peer ?? 'unnamed') : null,
     bodyBytes: body.length,
     digest: hasDigest ? digestOf(method, target, body) : null,
--- a/packages/proxy/src/caller-answer.ts
+++ b/packages/proxy/src/client-response-writer.ts
@@ -5,12 +5,12 @@
 import type http from 'node:http';
 import type { Readable } from 'node:stream';
 import type { Headers } from '@reedyard/cache';
-import type { WireFormat } from './dialect.js';
-import { present, stamped } from './present.js';
+import type { WireFormat } from './wire-format.js';
+import { conditionalResponseOf, stripOriginIdFields } from './conditional-response.js';
 import type { ClientResponse, ClientRequest } from './state.js';
 
 /** Where an answer goes, and what of it depends on who asked. */
-export type AnswerTarget = {
+export type ResponseTarget = {
   readonly response: http.ServerResponse;
   readonly asked: ClientRequest;
   readonly dialect: WireFormat;
@@ -35,23 +35,28 @@
  * The fields that the one who asked is shown with a status: a peer all, a caller by the dialect.
  */
 const shownFields = (
-  { asked, dialect, hopFields }: AnswerTarget,
+  { asked, dialect, hopFields }: ResponseTarget,
   answer: ClientResponse,
   status: number,
   headers: Headers,
 ): http.OutgoingHttpHeaders => {
-  const vouched = stamped(status, originStatusOf(answer), headers, dialect.stamps);
+  const vouched = stripOriginIdFields(status, originStatusOf(answer), headers, dialect.stamps);
   const { 'reedyard-attempt': _correlation, connection: _connection, ...peerFields } = vouched;
   const { 'reedyard-spent': _spent, ...callerFields } = peerFields;
   const retryMs = answer.retryMs ?? null;
   const shown =
     asked.via === null
-      ? dialect.toCaller({ status, headers: callerFields, asked: asked.headers, retryMs })
+      ? dialect.clientResponseHeaders({
+          status,
+          headers: callerFields,
+          asked: asked.headers,
+          retryMs,
+        })
       : peerFields;
   return { ...shown, ...hopFields } as http.OutgoingHttpHeaders;
 };
 
-const writeProblem = (target: AnswerTarget, answer: ClientResponse, problem: Problem): void => {
+const writeProblem = (target: ResponseTarget, answer: ClientResponse, problem: Problem): void => {
   const { response, asked } = target;
   const { status } = answer;
   const { title, detail, outcome } = problem;
@@ -65,7 +70,7 @@
   response.end(asked.method === 'HEAD' ? undefined : text);
 };
 
-const writeWhole = (target: AnswerTarget, answer: ClientResponse, held: AnswerBody): void => {
+const writeWhole = (target: ResponseTarget, answer: ClientResponse, held: AnswerBody): void => {
   const { response, asked } = target;
   const { status, headers } = answer;
   const bodiless = asked.method === 'HEAD' && answer.body.kind === 'attempt';
@@ -74,14 +79,14 @@
     response.end();
     return;
   }
-  const shown = present(asked.method, asked.headers, status, headers, held.size);
+  const shown = conditionalResponseOf(asked.method, asked.headers, status, headers, held.size);
   response.writeHead(shown.status, shownFields(target, answer, shown.status, shown.headers));
   const body = (held.body as Buffer).subarray(shown.from, shown.to);
   response.end(asked.method === 'HEAD' ? undefined : body);
 };
 
 /** Passes an answer on as it comes; one that was cut must not look like a whole one. */
-const writeStream = (target: AnswerTarget, answer: ClientResponse, body: Readable): void => {
+const writeStream = (target: ResponseTarget, answer: ClientResponse, body: Readable): void => {
   const { response } = target;
   const { status, headers } = answer;
   response.writeHead(status, shownFields(target, answer, status, headers));
@@ -98,7 +103,10 @@
  * @example
  * const stream = writeAnswer({ response, asked, dialect, hopFields: { via } }, answer);
  */
-export const writeAnswer = (target: AnswerTarget, answer: ClientResponse): Readable | null => {
+export const writeClientResponse = (
+  target: ResponseTarget,
+  answer: ClientResponse,
+): Readable | null => {
   const { response } = target;
   const held = answer.body.kind === 'problem' ? null : bodyOf(answer.body);
   const stream = held === null || held.isComplete ? null : (held.body as Readable);
--- a/packages/proxy/src/caller-sockets.test.ts
+++ b/packages/proxy/src/client-sockets.test.ts
@@ -5,18 +5,18 @@
 import { maxBufferedBodyBytes } from './buffering.js';
 import {
   type Harness,
-  originRow,
+  originEndpoint,
   policyOf,
-  RawCaller,
+  RawClient,
   startHarness,
-  until,
+  waitUntil,
 } from './testing/proxy-harness.js';
 import {
-  answerOf,
-  ownFields,
+  responseBytes,
+  responseFieldsFor,
   type Script,
   type ScriptedOrigin,
-  soundAnswer,
+  validResponse,
   startScriptedOrigin,
 } from './testing/scripted-origin.js';
 
@@ -28,7 +28,7 @@
   readonly #held = new Map<string, () => void>();
 
   readonly script: Script = (request, socket) => {
-    this.#held.set(request.path, () => socket.write(soundAnswer(request)));
+    this.#held.set(request.path, () => socket.write(validResponse(request)));
   };
 
   get paths(): readonly string[] {
@@ -49,7 +49,7 @@
 ): Promise<Stage> => {
   const origin = await startScriptedOrigin(script);
   const policy = { revision: 1, document: policyOf(callers, limits) };
-  const harness = await startHarness({ policy, origins: [originRow(origin.port)] });
+  const harness = await startHarness({ policy, origins: [originEndpoint(origin.port)] });
   t.teardown(async () => {
     harness.close();
     await origin.close();
@@ -57,23 +57,23 @@
   return { origin, harness };
 };
 
-const statuses = (caller: RawCaller): readonly number[] =>
-  caller.answers().map(({ status }) => status);
+const statuses = (caller: RawClient): readonly number[] =>
+  caller.responses().map(({ status }) => status);
 
-const ended = (caller: RawCaller): boolean => caller.ended || caller.closed;
+const ended = (caller: RawClient): boolean => caller.ended || caller.closed;
 
 test('pipelined requests: answers in their order, also where some are refused or time out', async (t) => {
   const held = new HeldAnswers();
   const { harness } = await stage(t, held.script);
-  const caller = await RawCaller.connect(harness.port);
+  const caller = await RawClient.connect(harness.port);
   caller.send('GET', '/read/1', 'r1');
   caller.send('GET', '/nowhere', 'r2');
   caller.send('GET', '/read/silent', 'r3', '', 'x-left-ms: 300\r\n');
   caller.send('GET', '/read/4', 'r4');
-  await until(() => held.paths.length === 3);
+  await waitUntil(() => held.paths.length === 3);
   held.release('/read/4');
   held.release('/read/1');
-  const answers = await caller.first(4);
+  const answers = await caller.waitForResponses(4);
   t.deepEqual(statuses(caller), [200, 404, 504, 200]);
   t.deepEqual([answers[0]?.body, answers[3]?.body], ['/read/1', '/read/4']);
   t.is(caller.text.match(/x-stamp/g)?.length, 2);
@@ -87,37 +87,37 @@
   for (const [status, bytes] of Object.entries(cases)) {
     const held = new HeldAnswers();
     const { harness } = await stage(t, held.script);
-    const caller = await RawCaller.connect(harness.port);
+    const caller = await RawClient.connect(harness.port);
     caller.send('POST', '/order/1', 'r1', 'pay');
     caller.socket.write(bytes);
-    await until(() => held.paths.length === 1);
-    const probe = await RawCaller.connect(harness.port);
+    await waitUntil(() => held.paths.length === 1);
+    const probe = await RawClient.connect(harness.port);
     probe.socket.write(bytes);
-    await probe.first(1);
+    await probe.waitForResponses(1);
     t.deepEqual(statuses(probe), [Number(status)]);
     t.deepEqual(statuses(caller), [], `an answer before its own: ${caller.text}`);
     held.release('/order/1');
-    await until(() => ended(caller));
+    await waitUntil(() => ended(caller));
     t.deepEqual(statuses(caller), [200, Number(status)]);
-    t.is(caller.answers()[0]?.body, '/order/1');
+    t.is(caller.responses()[0]?.body, '/order/1');
   }
 });
 
 test('a head that is slow to come, behind a request at work, is refused only after its own answer', async (t) => {
   const held = new HeldAnswers();
   const { harness } = await stage(t, held.script, { headMs: 50 });
-  await until(() => harness.server.headersTimeout === 50);
-  const caller = await RawCaller.connect(harness.port);
+  await waitUntil(() => harness.server.headersTimeout === 50);
+  const caller = await RawClient.connect(harness.port);
   caller.send('POST', '/order/1', 'r1', 'pay');
   caller.socket.write('GET /read/2 HTTP/1.1\r\nhost:');
-  await until(() => held.paths.length === 1);
-  const probe = await RawCaller.connect(harness.port);
+  await waitUntil(() => held.paths.length === 1);
+  const probe = await RawClient.connect(harness.port);
   probe.socket.write('GET /read/2 HTTP/1.1\r\nhost:');
-  await probe.first(1);
+  await probe.waitForResponses(1);
   t.deepEqual(statuses(probe), [408]);
   t.deepEqual(statuses(caller), []);
   held.release('/order/1');
-  await until(() => ended(caller));
+  await waitUntil(() => ended(caller));
   t.deepEqual(statuses(caller), [200, 408]);
 });
 
@@ -125,19 +125,19 @@
   const { harness } = await stage(
     t,
     (request, socket) => {
-      socket.write(soundAnswer(request));
+      socket.write(validResponse(request));
     },
     { headMs: 50, idleMs: 60_000 },
   );
-  await until(() => harness.server.headersTimeout === 50);
-  const resting = await RawCaller.connect(harness.port);
+  await waitUntil(() => harness.server.headersTimeout === 50);
+  const resting = await RawClient.connect(harness.port);
   // Once this later one is refused, the resting one was looked at too.
-  const slow = await RawCaller.connect(harness.port);
+  const slow = await RawClient.connect(harness.port);
   slow.socket.write('GET /read/1 HTTP/1.1\r\n');
-  await slow.first(1);
+  await slow.waitForResponses(1);
   t.deepEqual(statuses(slow), [408]);
   resting.send('GET', '/read/1', 'r1');
-  await resting.first(1);
+  await resting.waitForResponses(1);
   t.deepEqual(statuses(resting), [200]);
 });
 
@@ -145,49 +145,49 @@
   const held = new HeldAnswers();
   const never = { requestMs: 600_000, attemptMs: 600_000 };
   const { origin, harness } = await stage(t, held.script, {}, never);
-  const caller = await RawCaller.connect(harness.port);
+  const caller = await RawClient.connect(harness.port);
   for (const number of [1, 2, 3]) caller.send('GET', `/read/${number}`, `r${number}`);
-  await until(() => held.paths.length === 3);
+  await waitUntil(() => held.paths.length === 3);
   caller.socket.destroy();
-  await until(() => origin.sockets.every((socket) => socket.closed));
-  await until(() => harness.proxy.inFlightCount() === 0);
+  await waitUntil(() => origin.sockets.every((socket) => socket.closed));
+  await waitUntil(() => harness.proxy.inFlightCount() === 0);
   t.deepEqual(harness.proxy.task.peek().requests, {});
 });
 
 test('while it stops, each pipelined request at work gets its answer, and the last one closes', async (t) => {
   const held = new HeldAnswers();
   const { harness } = await stage(t, held.script);
-  const caller = await RawCaller.connect(harness.port);
+  const caller = await RawClient.connect(harness.port);
   caller.send('GET', '/read/1', 'r1');
   caller.send('POST', '/order/2', 'r2', 'pay');
   caller.send('GET', '/read/3', 'r3');
-  await until(() => held.paths.length === 3);
+  await waitUntil(() => held.paths.length === 3);
   harness.proxy.stop();
   held.release('/read/1');
-  await caller.first(1);
+  await caller.waitForResponses(1);
   held.release('/order/2');
-  await caller.first(2);
+  await caller.waitForResponses(2);
   held.release('/read/3');
-  await until(() => ended(caller));
+  await waitUntil(() => ended(caller));
   t.deepEqual(statuses(caller), [200, 200, 200]);
-  const closing = caller.answers().map(({ head }) => /connection: close/i.test(head));
+  const closing = caller.responses().map(({ head }) => /connection: close/i.test(head));
   t.deepEqual(closing, [false, false, true]);
 });
 
 test('what is sent behind an answer that closes is not begun', async (t) => {
   const held = new HeldAnswers();
   const { origin, harness } = await stage(t, held.script);
-  const caller = await RawCaller.connect(harness.port);
+  const caller = await RawClient.connect(harness.port);
   caller.send('GET', '/read/1', 'r1');
   caller.send('GET', '/read/2', 'r2');
-  await until(() => held.paths.length === 2);
+  await waitUntil(() => held.paths.length === 2);
   harness.proxy.stop();
   held.release('/read/2');
   const { task } = harness.proxy;
-  await until(() => Object.keys(task.peek().requests).length === 1);
+  await waitUntil(() => Object.keys(task.peek().requests).length === 1);
   caller.send('POST', '/order/3', 'r3', 'pay');
   held.release('/read/1');
-  await until(() => ended(caller));
+  await waitUntil(() => ended(caller));
   t.deepEqual(statuses(caller), [200, 200]);
   t.deepEqual(
     origin.requests.map(({ path }) => path),
@@ -198,52 +198,52 @@
 test('an answer is under way until its caller has all of it', async (t) => {
   const size = maxBufferedBodyBytes + 8_000_000;
   const { harness } = await stage(t, (request, socket) => {
-    const fields = { ...ownFields(request), 'content-length': String(size) };
-    socket.write(answerOf(200, fields, '') + 'x'.repeat(size));
+    const fields = { ...responseFieldsFor(request), 'content-length': String(size) };
+    socket.write(responseBytes(200, fields, '') + 'x'.repeat(size));
   });
-  const caller = await RawCaller.connect(harness.port);
+  const caller = await RawClient.connect(harness.port);
   caller.send('GET', '/read/large', 'r1');
-  await until(() => caller.text.length > 0);
+  await waitUntil(() => caller.text.length > 0);
   caller.socket.pause();
-  await until(() => Object.keys(harness.proxy.task.peek().requests).length === 0);
+  await waitUntil(() => Object.keys(harness.proxy.task.peek().requests).length === 0);
   harness.proxy.stop();
   t.is(harness.proxy.inFlightCount(), 1);
   caller.socket.resume();
-  await caller.first(1);
-  t.is(caller.answers()[0]?.body.length, size);
-  await until(() => harness.proxy.inFlightCount() === 0);
+  await caller.waitForResponses(1);
+  t.is(caller.responses()[0]?.body.length, size);
+  await waitUntil(() => harness.proxy.inFlightCount() === 0);
 });
 
 test('resting connections are kept for the time in force, and told no other', async (t) => {
   const { harness } = await stage(
     t,
     (request, socket) => {
-      socket.write(soundAnswer(request));
+      socket.write(validResponse(request));
     },
     { idleMs: 44_500 },
   );
   const accepted: Socket[] = [];
   harness.server.on('connection', (socket: Socket) => accepted.push(socket));
   /** What was told of the rest, and whether it is kept that long and at most two seconds longer. */
-  const restOf = async (caller: RawCaller, id: string): Promise<readonly [string, boolean]> => {
-    const before = caller.answers().length;
+  const restOf = async (caller: RawClient, id: string): Promise<readonly [string, boolean]> => {
+    const before = caller.responses().length;
     caller.send('GET', '/read/1', id);
-    const answers = await caller.first(before + 1);
+    const answers = await caller.waitForResponses(before + 1);
     const told = /keep-alive: timeout=(\d+)/i.exec(answers[before]?.head ?? '')?.[1];
-    await until(() => accepted[0]?.timeout !== 0);
+    await waitUntil(() => accepted[0]?.timeout !== 0);
     const margin = (accepted[0]?.timeout ?? 0) - 1_000 * Number(told);
     return [told ?? '', margin >= 500 && margin <= 2_000];
   };
-  const caller = await RawCaller.connect(harness.port);
-  await until(() => accepted.length === 1 && harness.server.keepAliveTimeout === 45_900);
+  const caller = await RawClient.connect(harness.port);
+  await waitUntil(() => accepted.length === 1 && harness.server.keepAliveTimeout === 45_900);
   t.deepEqual(await restOf(caller, 'r1'), ['45', true]);
   // A newer config holds for the connections that are there.
   harness.feed.policy = { revision: 2, document: policyOf({ idleMs: 90_000 }) };
-  await until(() => harness.server.keepAliveTimeout === 90_900);
+  await waitUntil(() => harness.server.keepAliveTimeout === 90_900);
   t.deepEqual(await restOf(caller, 'r2'), ['90', true]);
   // One that says nothing goes back to the default.
   harness.feed.policy = { revision: 3, document: policyOf() };
-  await until(() => harness.server.keepAliveTimeout === 30_900);
+  await waitUntil(() => harness.server.keepAliveTimeout === 30_900);
   t.deepEqual(await restOf(caller, 'r3'), ['30', true]);
 });
 
@@ -252,16 +252,16 @@
   const { harness } = await stage(t, held.script, { idleMs: 1 });
   const accepted: Socket[] = [];
   harness.server.on('connection', (socket: Socket) => accepted.push(socket));
-  const caller = await RawCaller.connect(harness.port);
+  const caller = await RawClient.connect(harness.port);
   caller.send('GET', '/read/1', 'r1');
   caller.send('GET', '/read/2', 'r2');
-  await until(() => held.paths.length === 2);
+  await waitUntil(() => held.paths.length === 2);
   t.is(accepted[0]?.timeout, 0);
   held.release('/read/1');
-  await caller.first(1);
+  await caller.waitForResponses(1);
   t.is(accepted[0]?.timeout, 0);
   held.release('/read/2');
-  await caller.first(2);
+  await caller.waitForResponses(2);
   t.deepEqual(statuses(caller), [200, 200]);
 });
 
@@ -269,19 +269,21 @@
   const { harness } = await stage(
     t,
     (request, socket) => {
-      socket.write(soundAnswer(request));
+      socket.write(validResponse(request));
     },
     { headBytes: 40_000, bodyBytes: 5_000_000 },
     { bodyBytes: 5_000_000 },
   );
   const probe = async (headBytes: number, bodyBytes: number): Promise<readonly number[]> => {
-    const caller = await RawCaller.connect(harness.port);
+    const caller = await RawClient.connect(harness.port);
     const more = `x-long: ${'x'.repeat(headBytes)}\r\n`;
     caller.send('POST', '/order/1', 'r1', 'x'.repeat(bodyBytes), more);
-    await caller.first(1);
+    await caller.waitForResponses(1);
     return statuses(caller);
   };
-  await until(() => 'maxHeaderSize' in harness.server && harness.server.maxHeaderSize === 40_000);
+  await waitUntil(
+    () => 'maxHeaderSize' in harness.server && harness.server.maxHeaderSize === 40_000,
+  );
   t.deepEqual(await probe(39_000, 5_000_000), [200]);
   t.deepEqual(await probe(41_000, 1), [431]);
   t.deepEqual(await probe(10, 5_000_001), [413]);
--- a/packages/proxy/src/present.ts
+++ b/packages/proxy/src/conditional-response.ts
@@ -4,7 +4,7 @@
 import type { Headers } from '@reedyard/cache';
 
 /** How a whole answer is shown to one caller: a 304, a part, or all of it. */
-export type Shown = {
+export type ConditionalResponse = {
   readonly status: number;
   readonly headers: Headers;
   readonly from: number;
@@ -22,14 +22,14 @@
  * @example
  * present('GET', { range: 'bytes=0-1' }, 200, { etag: '"a"' }, 10) // 206, bytes 0 to 2 of 10
  */
-export const present = (
+export const conditionalResponseOf = (
   method: string,
   asked: Headers,
   status: number,
   headers: Headers,
   size: number,
-): Shown => {
-  const whole: Shown = {
+): ConditionalResponse => {
+  const whole: ConditionalResponse = {
     status,
     headers: { ...headers, 'content-length': String(size) },
     from: 0,
@@ -93,7 +93,7 @@
  * @example
  * stamped(416, 200, { seal: 'a', etag: '"b"' }, ['seal']) // { etag: '"b"' }
  */
-export const stamped = (
+export const stripOriginIdFields = (
   status: number,
   originStatus: number | null,
   headers: Headers,
--- a/packages/proxy/src/connection.test.ts
+++ b/packages/proxy/src/connection.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { Connections, type Connection, type ConnectionEvent } from './connection.js';
-import { search, type Reduce, type SearchBounds } from './testing/connection-world.js';
+import { search, type Reduce, type SearchBounds } from './testing/connection-model.js';
 
 /** Everything may happen. */
 const wide: SearchBounds = {
@@ -119,7 +119,7 @@
 test('a connection that rested too long for an attempt is not used, and the attempt not sent', (t) => {
   const attempt = 1;
   const played: readonly ConnectionEvent[] = [
-    { kind: 'assign', attempt, mostIdleMs: 10, now: 0 },
+    { kind: 'assign', attempt, maxIdleMs: 10, now: 0 },
     { kind: 'handing', attempt },
     { kind: 'written', attempt },
     {
@@ -135,9 +135,12 @@
     Connections.opened(0),
   );
   const take = (now: number, mostIdleMs: number): readonly string[] =>
-    Connections.reduce(idle, { kind: 'assign', attempt: 2, mostIdleMs, now }).effects.map(
-      ({ kind }) => kind,
-    );
+    Connections.reduce(idle, {
+      kind: 'assign',
+      attempt: 2,
+      maxIdleMs: mostIdleMs,
+      now,
+    }).effects.map(({ kind }) => kind);
   t.deepEqual(take(104, 1_000), ['send']);
   t.deepEqual(take(105, 1_000), ['unfit', 'destroy']);
   t.deepEqual(take(15, 11), ['send']);
--- a/packages/proxy/src/connection.ts
+++ b/packages/proxy/src/connection.ts
@@ -12,7 +12,7 @@
 import type { SendProgress } from '@reedyard/attempts';
 
 /** What ties an answer to the attempt under way. */
-export type AnswerEvidence = {
+export type MatchEvidence = {
   /** Why it can't be this attempt's answer; null where nothing speaks against it. */
   readonly unsound: string | null;
   /** It names no request: nothing but its place on the connection ties it to the attempt. */
@@ -34,7 +34,7 @@
 export type Connection = {
   readonly phase: 'idle' | 'busy' | 'closed';
   /** Attempts that were ever handed to it. */
-  readonly used: number;
+  readonly attemptCount: number;
   readonly idleSince: number;
   readonly idleLimitMs: number;
   readonly carried: Carried | null;
@@ -48,7 +48,7 @@
   | {
       readonly kind: 'answer-head';
       readonly restMs: number | null;
-      readonly evidence: AnswerEvidence;
+      readonly evidence: MatchEvidence;
     }
   /** Enough of the answer is there to pass it on: all of it (`whole`), or its begin. */
   | { readonly kind: 'answer-ready'; readonly whole: boolean; readonly now: number }
@@ -65,7 +65,7 @@
 export type AssignEvent = {
   readonly kind: 'assign';
   readonly attempt: number;
-  readonly mostIdleMs: number;
+  readonly maxIdleMs: number;
   readonly now: number;
 };
 
@@ -124,7 +124,7 @@
   const { attempt } = event;
   if (state.phase === 'busy') return { state, effects: [{ kind: 'unfit', attempt }] };
   const rested = event.now - state.idleSince;
-  const stale = state.used > 0 && rested >= Math.min(event.mostIdleMs, state.idleLimitMs);
+  const stale = state.attemptCount > 0 && rested >= Math.min(event.maxIdleMs, state.idleLimitMs);
   if (state.phase === 'closed' || stale) return destroyed(state, [{ kind: 'unfit', attempt }]);
   const carried: Carried = {
     attempt,
@@ -159,7 +159,7 @@
   if (carried.sent === 'nothing') return lost(state, 'unasked');
   if (carried.answer !== 'none') return lost(state, 'surplus');
   const { unsound, anonymous } = event.evidence;
-  const doubt = anonymous && state.used > 1 ? 'unmarked' : null;
+  const doubt = anonymous && state.attemptCount > 1 ? 'unmarked' : null;
   const next: Carried = {
     ...carried,
     answer: 'head',
@@ -189,7 +189,11 @@
 
 const handing = (state: Connection, carried: Carried): ConnectionStep => {
   if (carried.sent !== 'nothing') return unchanged(state);
-  return unchanged({ ...state, used: state.used + 1, carried: { ...carried, sent: 'handed' } });
+  return unchanged({
+    ...state,
+    attemptCount: state.attemptCount + 1,
+    carried: { ...carried, sent: 'handed' },
+  });
 };
 
 const written = (state: Connection, carried: Carried): ConnectionStep => {
@@ -225,7 +229,7 @@
   /** A connection that was opened (and proved, where origins prove who they are) at `now`. */
   opened: (now: number): Connection => ({
     phase: 'idle',
-    used: 0,
+    attemptCount: 0,
     idleSince: now,
     idleLimitMs: 0,
     carried: null,
--- a/packages/proxy/src/endpoint-selection.ts
+++ b/packages/proxy/src/endpoint-selection.ts
@@ -6,7 +6,7 @@
 import { isIdempotentMethod } from '@reedyard/attempts';
 import { type Route, Routes } from '@reedyard/schemas';
 import { placementKey, objectKey, rendezvousOwner } from '@reedyard/server-selection';
-import type { Proof } from './dialect.js';
+import type { OriginEvidence } from './wire-format.js';
 import { minEjectionMs } from './ejection-timing.js';
 import { responseTimeGain } from './response-times.js';
 import {
@@ -351,7 +351,7 @@
   transition: Transition,
   name: string,
   ms: number,
-  proof: Proof | undefined,
+  proof: OriginEvidence | undefined,
 ): void => {
   const old = transition.state.originHealth[name];
   const told = proof?.load;
--- a/packages/proxy/src/exchange.ts
+++ b/packages/proxy/src/exchange.ts
@@ -10,14 +10,14 @@
 import { CodedError, errorMessage } from '@reedyard/logging';
 import { idleCloseMarginMs, idleConnectionMs } from './connection-timing.js';
 import {
-  type AnswerEvidence,
+  type MatchEvidence,
   type Connection,
   type ConnectionEffect,
   type ConnectionEvent,
   Connections,
 } from './connection.js';
-import type { Proof } from './dialect.js';
-import { readAnswer, type ReadAnswer } from './read-answer.js';
+import type { OriginEvidence } from './wire-format.js';
+import { readResponse, type ReadResponse } from './response-reader.js';
 import type { AttemptResponse } from './state.js';
 
 /** An attempt that brought no sound answer. */
@@ -52,28 +52,31 @@
 };
 
 /** What an answer's status and fields show. */
-export type Judgement = { readonly evidence: AnswerEvidence; readonly proof?: Proof };
+export type ResponseJudgement = {
+  readonly evidence: MatchEvidence;
+  readonly proof?: OriginEvidence;
+};
 
 /** A socket, the state of its connection, and the agent that sends over it alone. */
 export class OpenConnection {
   state: Connection;
   /** Bytes read when the last answer ended; more of them are surplus. */
-  bytesAtRest: number;
+  bytesReadAtRest: number;
   readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
   #given = false;
 
   constructor(readonly socket: net.Socket) {
     this.state = Connections.opened(performance.now());
-    this.bytesAtRest = socket.bytesRead;
+    this.bytesReadAtRest = socket.bytesRead;
     const once = { createConnection: (): net.Socket => this.#give() };
     Object.assign(this.agent, once);
   }
 
   /** Whether it may be handed an attempt without waiting. */
-  get quiet(): boolean {
+  get isQuiet(): boolean {
     const { bytesRead, readable, readableLength, writable } = this.socket;
     const open = readable && writable;
-    return open && bytesRead === this.bytesAtRest && readableLength === 0;
+    return open && bytesRead === this.bytesReadAtRest && readableLength === 0;
   }
 
   reduce(event: ConnectionEvent): readonly ConnectionEffect[] {
@@ -102,11 +105,11 @@
   /\bclose\b/i.test(headers.connection ?? '') ? null : parsedRestMs(headers);
 
 /** What one attempt needs of its surroundings. */
-export type ExchangeParts = AttemptCallbacks & {
+export type ExchangeOptions = AttemptCallbacks & {
   readonly connection: OpenConnection;
   readonly out: OutgoingRequest;
   readonly attempt: number;
-  readonly judge: (response: http.IncomingMessage) => Judgement;
+  readonly judge: (response: http.IncomingMessage) => ResponseJudgement;
   /** The connection may carry another attempt. */
   readonly rest: () => void;
 };
@@ -116,12 +119,12 @@
   #ready: AttemptResponse | null = null;
   #request: http.ClientRequest | null = null;
   #response: http.IncomingMessage | null = null;
-  #judgement: Judgement | null = null;
+  #judgement: ResponseJudgement | null = null;
   #failure: { readonly message: string; readonly cause?: unknown } = { message: 'broken off' };
   /** Bytes behind the answer that came with its last ones. */
   #surplus = false;
 
-  constructor(private readonly parts: ExchangeParts) {}
+  constructor(private readonly parts: ExchangeOptions) {}
 
   start(): void {
     const { connection, out } = this.parts;
@@ -158,7 +161,7 @@
     const { attempt, out } = this.parts;
     const { evidence } = this.#judgement;
     this.#dispatch({ kind: 'answer-head', attempt, restMs, evidence });
-    readAnswer(out.method, response, {
+    readResponse(out.method, response, {
       ready: (answer) => this.#readyAnswer(response, answer),
       unusable: (why, message, cause) => {
         this.#failure = { message, cause };
@@ -167,9 +170,9 @@
     });
   }
 
-  #readyAnswer(response: http.IncomingMessage, answer: ReadAnswer): void {
+  #readyAnswer(response: http.IncomingMessage, answer: ReadResponse): void {
     const proof = this.#judgement?.proof;
-    this.#ready = { ...answer, ...(proof === undefined ? {} : { proof }) };
+    this.#ready = { ...answer, ...(proof === undefined ? {} : { originEvidence: proof }) };
     if (answer.isComplete) {
       this.#ended('answer-ready');
       return;
@@ -181,7 +184,7 @@
 
   #ended(kind: 'answer-ready' | 'answer-ended'): void {
     const { attempt, connection } = this.parts;
-    connection.bytesAtRest = connection.socket.bytesRead;
+    connection.bytesReadAtRest = connection.socket.bytesRead;
     if (this.#request?.writableFinished === true) this.#dispatch({ kind: 'written', attempt });
     this.#dispatch({ kind, attempt, whole: true, now: performance.now() });
     if (this.#surplus) this.#dispatch({ kind: 'surplus' });
@@ -236,9 +239,9 @@
 
   /** What the connection knows against an answer goes with what its fields prove. */
   #withUnsound(answer: AttemptResponse, unsound: string | null): AttemptResponse {
-    const { proof } = answer;
+    const { originEvidence: proof } = answer;
     return proof === undefined || unsound === null
       ? answer
-      : { ...answer, proof: { ...proof, unsound } };
+      : { ...answer, originEvidence: { ...proof, mismatch: unsound } };
   }
 }
--- a/packages/proxy/src/caller-server.ts
+++ b/packages/proxy/src/inbound-server.ts
@@ -4,37 +4,37 @@
  */
 import http from 'node:http';
 import type { Socket } from 'node:net';
-import { CallerBounds } from './caller-bounds.js';
+import { ClientLimits } from './client-limits.js';
 import {
-  CallerConnections,
-  type CallerConnection,
-  type CallerConnectionEvent,
-  type CallerConnectionEffect,
+  ClientConnections,
+  type ClientConnection,
+  type ClientConnectionEvent,
+  type ClientConnectionEffect,
   type RefusalStatus,
-} from './caller-connection.js';
+} from './client-connection.js';
 
 /** ms. How often connections that are slow to send a request are looked for. */
 const SLOW_REQUEST_CHECK_MS = 1_000;
 
 /** One request's place on its connection. */
-export type CallerTurn = {
+export type RequestTurn = {
   /** Tells that the request was read; false where it may not be begun. */
   readonly begin: (left: () => void) => boolean;
   /** Whether its answer, which is about to be written, closes the connection. */
-  readonly closes: (wanted: boolean) => boolean;
+  readonly startResponse: (wanted: boolean) => boolean;
 };
 
 /** Serves one request; `turn` says whether it may be begun. */
-export type CallerHandler = (
+export type InboundHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
-  turn: CallerTurn,
+  turn: RequestTurn,
 ) => void;
 
 /** A server whose bounds follow the config. */
-export type CallerServer = {
+export type InboundServer = {
   readonly server: http.Server;
-  readonly setBounds: (bounds: CallerBounds) => void;
+  readonly setLimits: (bounds: ClientLimits) => void;
   /** Answers begun and not yet handed over whole to the callers' connections. */
   readonly unanswered: () => number;
 };
@@ -53,7 +53,7 @@
 
 /** One connection: the reducer's state, and those to tell when the caller leaves. */
 class TrackedConnection {
-  #state: CallerConnection = CallerConnections.open;
+  #state: ClientConnection = ClientConnections.open;
   /** The request that is being read; let go once it is begun. */
   #reading: http.IncomingMessage | null = null;
   readonly #leavers = new Map<number, () => void>();
@@ -69,8 +69,8 @@
     return this.socket.bytesRead === 0;
   }
 
-  dispatch(event: CallerConnectionEvent): readonly CallerConnectionEffect[] {
-    const { state, effects } = CallerConnections.reduce(this.#state, event);
+  dispatch(event: ClientConnectionEvent): readonly ClientConnectionEffect[] {
+    const { state, effects } = ClientConnections.reduce(this.#state, event);
     this.#state = state;
     for (const effect of effects) {
       if (effect.kind === 'refuse') this.#refuse(effect.status);
@@ -88,12 +88,12 @@
   }
 
   /** A request whose head was read. */
-  turn(request: http.IncomingMessage, response: http.ServerResponse): CallerTurn {
+  turn(request: http.IncomingMessage, response: http.ServerResponse): RequestTurn {
     // Node bounds the rest after each answer by itself, but not the one before the first request.
-    if (this.#state.newest === 0) this.socket.setTimeout(0);
+    if (this.#state.newestNumber === 0) this.socket.setTimeout(0);
     this.#reading = request;
     this.dispatch({ kind: 'head-read' });
-    const number = this.#state.newest;
+    const number = this.#state.newestNumber;
     response.once('finish', () => {
       this.#leavers.delete(number);
       this.dispatch({ kind: 'answer-flushed', number });
@@ -105,7 +105,7 @@
         if (begun) this.#leavers.set(number, left);
         return begun;
       },
-      closes: (wanted) =>
+      startResponse: (wanted) =>
         this.dispatch({ kind: 'answer-ready', number, wantsClose: wanted }).some(
           (effect) => effect.kind === 'write' && effect.close,
         ),
@@ -125,24 +125,24 @@
  * @example
  * const { server } = openCallerServer(CallerBounds.of(undefined), (request, response, turn) => {});
  */
-export const openCallerServer = (first: CallerBounds, handle: CallerHandler): CallerServer => {
+export const openInboundServer = (first: ClientLimits, handle: InboundHandler): InboundServer => {
   let bounds = first;
   const connections = new Map<Socket, TrackedConnection>();
   const server = http.createServer({ connectionsCheckingInterval: SLOW_REQUEST_CHECK_MS });
-  const setBounds = (next: CallerBounds): void => {
+  const setBounds = (next: ClientLimits): void => {
     bounds = next;
     // The parser takes this for each new connection; Node's types don't list it as a property.
     Object.assign(server, { maxHeaderSize: next.headBytes });
     server.headersTimeout = next.headMs;
-    server.requestTimeout = CallerBounds.requestMs(next);
+    server.requestTimeout = ClientLimits.requestMs(next);
     // Node tells the whole seconds of this in `Keep-Alive`.
-    server.keepAliveTimeout = CallerBounds.keptMs(next);
+    server.keepAliveTimeout = ClientLimits.keepAliveTimeoutMs(next);
   };
   setBounds(first);
   server.on('connection', (socket: Socket) => {
     const connection = new TrackedConnection(socket);
     connections.set(socket, connection);
-    socket.setTimeout(CallerBounds.keptMs(bounds));
+    socket.setTimeout(ClientLimits.keepAliveTimeoutMs(bounds));
     socket.once('close', () => {
       connections.delete(socket);
       connection.dispatch({ kind: 'closed' });
@@ -166,5 +166,5 @@
   });
   const unanswered = (): number =>
     [...connections.values()].reduce((sum, each) => sum + each.unanswered, 0);
-  return { server, setBounds, unanswered };
+  return { server, setLimits: setBounds, unanswered };
 };
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,11 +1,14 @@
 /** The caching proxy: the reducer, its host, and the process. */
 export { ProxyCore } from './core.js';
 export * from './state.js';
-export { present, stamped } from './present.js';
-export * from './dialect.js';
+export {
+  conditionalResponseOf as present,
+  stripOriginIdFields as stamped,
+} from './conditional-response.js';
+export * from './wire-format.js';
 export type { ProxySettings } from './proxy-host.js';
 export { runProxy } from './run.js';
-export { Feeds, type FeedSnapshot as HeldFeed } from './feed-snapshot.js';
+export { Feeds, type FeedSnapshot as ProxyFeedSnapshot } from './feed-snapshot.js';
 export { connectTimeoutMs } from './connection-timing.js';
 export { feedIntervalMs } from './feed-timing.js';
 export { demandIntervalMs, measurementIntervalMs } from './reporting.js';
--- a/packages/proxy/src/own-responses.ts
+++ b/packages/proxy/src/local-responses.ts
@@ -1,7 +1,7 @@
 /** Responses that the proxy gives itself, of a request that was never begun. */
 import type http from 'node:http';
 import { retryAfterSeconds } from '@reedyard/agent';
-import type { CallerTurn } from './caller-server.js';
+import type { RequestTurn } from './inbound-server.js';
 
 /** Why a request is rejected. */
 export type Rejection = {
@@ -13,11 +13,11 @@
 /** Rejects a request: nothing of it was executed. */
 export const writeRejection = (
   response: http.ServerResponse,
-  turn: CallerTurn | null,
+  turn: RequestTurn | null,
   { status, title, detail }: Rejection,
 ): void => {
   const text = JSON.stringify({ type: 'about:blank', title, status, detail, outcome: 'not-run' });
-  const closes = turn === null || turn.closes(true);
+  const closes = turn === null || turn.startResponse(true);
   response.writeHead(status, {
     'content-type': 'application/problem+json',
     'content-length': Buffer.byteLength(text),
@@ -30,7 +30,7 @@
 /** Rejects a request of which perhaps not all was read, once it is its connection's turn. */
 export const rejectUnread = (
   response: http.ServerResponse,
-  turn: CallerTurn,
+  turn: RequestTurn,
   rejection: Rejection,
 ): void => {
   if (turn.begin(() => undefined)) writeRejection(response, turn, rejection);
--- a/packages/proxy/src/node-http-client.test.ts
+++ b/packages/proxy/src/node-http-client.test.ts
@@ -3,12 +3,12 @@
 import http from 'node:http';
 import { errorMessage } from '@reedyard/logging';
 import {
-  answerOf,
+  responseBytes,
   startScriptedOrigin,
   type Script,
   type ScriptedOrigin,
 } from './testing/scripted-origin.js';
-import { until } from './testing/proxy-harness.js';
+import { waitUntil } from './testing/proxy-harness.js';
 
 /**
  * What the proxy relies on: Node's HTTP client and its agent send a request once, or not at all.
@@ -46,7 +46,7 @@
   origin.requests.map(({ path }) => path);
 
 const answerPaths: Script = (request, socket) => {
-  socket.write(answerOf(200, {}, request.path));
+  socket.write(responseBytes(200, {}, request.path));
 };
 
 test('Node repeats nothing: a reset, a close or a half-close after the request', async (t) => {
@@ -77,7 +77,7 @@
 
 test('Node repeats nothing: after `Connection: close` the next request gets a new connection', async (t) => {
   const { origin, ask } = await start(t, (request, socket) => {
-    socket.end(answerOf(200, { connection: 'close' }, request.path));
+    socket.end(responseBytes(200, { connection: 'close' }, request.path));
   });
   t.deepEqual([await ask('/1'), await ask('/2')], ['200', '200']);
   t.deepEqual(
@@ -100,11 +100,11 @@
 
 test('Node takes bytes behind a whole answer for no answer', async (t) => {
   const { origin, ask } = await start(t, (request, socket) => {
-    const own = answerOf(200, {}, request.path);
-    socket.write(request.path === '/1' ? own + answerOf(500, {}, 'surplus') : own);
+    const own = responseBytes(200, {}, request.path);
+    socket.write(request.path === '/1' ? own + responseBytes(500, {}, 'surplus') : own);
   });
   t.is(await ask('/1'), '200');
-  await until(() => origin.sockets[0]?.closed === true);
+  await waitUntil(() => origin.sockets[0]?.closed === true);
   t.is(await ask('/2'), '200');
   t.deepEqual(paths(origin), ['/1', '/2']);
 });
--- a/packages/proxy/src/conns.test.ts
+++ b/packages/proxy/src/origin-connections.test.ts
@@ -2,8 +2,8 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
-import { OriginConnections } from './conns.js';
-import { ownWireFormat } from './dialect.js';
+import { OriginConnections } from './origin-connections.js';
+import { reedyardWireFormat } from './wire-format.js';
 
 test('an attempt is not sent over a conn that came too late for what it was decided on', async (t) => {
   const paths: string[] = [];
@@ -35,7 +35,7 @@
   };
   const send = (sendBy: number): Promise<string> =>
     new Promise((resolve) => {
-      new OriginConnections('127.0.0.1', ownWireFormat).send(
+      new OriginConnections('127.0.0.1', reedyardWireFormat).sendToOrigin(
         row,
         {
           method: 'GET',
@@ -44,7 +44,7 @@
           body: Buffer.alloc(0),
           safe: true,
         },
-        { origin: row, mark: 'm', leftMs: 1_000, headers: {} },
+        { origin: row, correlationId: 'm', remainingMs: 1_000, headers: {} },
         { sendBy, fresh: false },
         { done: () => resolve('answered'), fail: (error) => resolve(`${error.why} ${error.sent}`) },
       );
--- a/packages/proxy/src/conns.ts
+++ b/packages/proxy/src/origin-connections.ts
@@ -9,13 +9,13 @@
 import { errorMessage } from '@reedyard/logging';
 import { originIdOf } from './endpoint-selection.js';
 import { connectTimeoutMs, idleConnectionMs, plainConnectTimeoutMs } from './connection-timing.js';
-import type { WireFormat, ToOrigin } from './dialect.js';
+import type { WireFormat, OriginAttempt } from './wire-format.js';
 import { minEjectionMs } from './ejection-timing.js';
 import {
   type AttemptCallbacks,
   AttemptError,
   Exchange,
-  type Judgement,
+  type ResponseJudgement,
   OpenConnection,
   type OutgoingRequest,
   type InFlightAttempt,
@@ -38,11 +38,11 @@
   readonly address: string;
   /** Who must prove to be there before anything is sent; null where nobody is asked. */
   readonly identity: string | null;
-  readonly judge: (response: http.IncomingMessage) => Judgement;
+  readonly judge: (response: http.IncomingMessage) => ResponseJudgement;
 };
 
 /** When an attempt may be sent, and over what. */
-export type SendTerms = {
+export type SendConditions = {
   /** Nothing of it is sent from this moment on, however long the connection took. */
   readonly sendBy: number;
   /** Only over a connection that carried nothing before. */
@@ -102,7 +102,7 @@
   });
 
 /** The name under which connections to a peer are kept. */
-export const peerName = (row: PeerEndpoint): string => `peer ${row.id} ${row.address}`;
+export const peerKeyOf = (row: PeerEndpoint): string => `peer ${row.id} ${row.address}`;
 
 /** Connections to origins and peers. */
 export class OriginConnections {
@@ -119,7 +119,7 @@
   ) {}
 
   /** Closes resting connections to origins and peers that are no longer told of. */
-  keepOnly(names: ReadonlySet<string>): void {
+  closeIdleExcept(names: ReadonlySet<string>): void {
     for (const [name, list] of this.#idle) {
       if (names.has(name)) continue;
       list.forEach((connection) => connection.socket.destroy());
@@ -128,18 +128,18 @@
   }
 
   /** Makes one attempt at an origin. */
-  send(
+  sendToOrigin(
     row: OriginEndpoint,
     out: OutgoingRequest,
-    attempt: ToOrigin,
-    terms: SendTerms,
+    attempt: OriginAttempt,
+    terms: SendConditions,
     ends: AttemptCallbacks,
   ): InFlightAttempt {
     const name = originIdOf(row);
-    const judge = (response: http.IncomingMessage): Judgement => {
+    const judge = (response: http.IncomingMessage): ResponseJudgement => {
       const status = response.statusCode ?? 0;
-      const proof = this.dialect.fromOrigin(status, response.headers, attempt);
-      const { unsound, anonymous = false } = proof;
+      const proof = this.dialect.readOriginResponse(status, response.headers, attempt);
+      const { mismatch: unsound, anonymous = false } = proof;
       return { proof, evidence: { unsound, anonymous } };
     };
     const identity = this.dialect.identity === 'asked' ? name : null;
@@ -150,15 +150,15 @@
   sendToPeer(
     row: PeerEndpoint,
     out: OutgoingRequest,
-    terms: SendTerms,
+    terms: SendConditions,
     ends: AttemptCallbacks,
   ): InFlightAttempt {
-    const judge = ({ headers }: http.IncomingMessage): Judgement => {
+    const judge = ({ headers }: http.IncomingMessage): ResponseJudgement => {
       const foreign = headers['reedyard-attempt'] !== out.headers['reedyard-attempt'];
       return { evidence: { unsound: foreign ? 'foreign' : null, anonymous: false } };
     };
     return this.#send(
-      { name: peerName(row), address: row.address, identity: null, judge },
+      { name: peerKeyOf(row), address: row.address, identity: null, judge },
       out,
       terms,
       ends,
@@ -168,7 +168,7 @@
   #send(
     to: Destination,
     out: OutgoingRequest,
-    terms: SendTerms,
+    terms: SendConditions,
     ends: AttemptCallbacks,
   ): InFlightAttempt {
     this.#attempts += 1;
@@ -209,9 +209,9 @@
     const mostIdleMs = safe ? idleConnectionMs : minEjectionMs / 2;
     const list = this.#idle.get(name) ?? [];
     for (let connection = list.pop(); connection !== undefined; connection = list.pop()) {
-      if (!connection.quiet) connection.reduce({ kind: 'surplus' });
+      if (!connection.isQuiet) connection.reduce({ kind: 'surplus' });
       const now = performance.now();
-      const effects = connection.reduce({ kind: 'assign', attempt, mostIdleMs, now });
+      const effects = connection.reduce({ kind: 'assign', attempt, maxIdleMs: mostIdleMs, now });
       if (effects.some((effect) => effect.kind === 'send')) return connection;
       connection.socket.destroy();
     }
@@ -221,7 +221,7 @@
   /** Keeps a connection for the next attempt, once Node is done with the last one. */
   #rest(name: string, connection: OpenConnection): void {
     setImmediate(() => {
-      if (!connection.quiet) {
+      if (!connection.isQuiet) {
         connection.reduce({ kind: 'surplus' });
         connection.socket.destroy();
         return;
@@ -248,7 +248,7 @@
     try {
       const connection = await this.#connected(socket, to);
       socket.once('close', () => this.#drop(name, connection));
-      connection.reduce({ kind: 'assign', attempt, mostIdleMs: 0, now: performance.now() });
+      connection.reduce({ kind: 'assign', attempt, maxIdleMs: 0, now: performance.now() });
       return connection;
     } catch (thrown) {
       socket.destroy();
@@ -266,10 +266,10 @@
     const connection = new OpenConnection(socket);
     if (to.identity === null) return connection;
     await askIdentity(connection, to);
-    connection.bytesAtRest = socket.bytesRead;
+    connection.bytesReadAtRest = socket.bytesRead;
     // The agent has to have the socket back first.
     await nextEventLoopTurn();
-    if (!connection.quiet) throw new Error('closed after its proof');
+    if (!connection.isQuiet) throw new Error('closed after its proof');
     return connection;
   }
 }
--- a/packages/proxy/src/origin-sockets.test.ts
+++ b/packages/proxy/src/origin-sockets.test.ts
@@ -3,18 +3,18 @@
 import { maxBufferedBodyBytes } from './buffering.js';
 import {
   type Harness,
-  originRow,
+  originEndpoint,
   policyOf,
-  RawCaller,
+  RawClient,
   startHarness,
-  until,
+  waitUntil,
 } from './testing/proxy-harness.js';
 import {
-  answerOf,
-  ownFields,
+  responseBytes,
+  responseFieldsFor,
   type Script,
   type ScriptedOrigin,
-  soundAnswer,
+  validResponse,
   startScriptedOrigin,
 } from './testing/scripted-origin.js';
 
@@ -23,7 +23,7 @@
 const stage = async (t: ExecutionContext, script: Script, limits: object = {}): Promise<Stage> => {
   const origin = await startScriptedOrigin(script);
   const policy = { revision: 1, document: policyOf({}, limits) };
-  const harness = await startHarness({ policy, origins: [originRow(origin.port)] });
+  const harness = await startHarness({ policy, origins: [originEndpoint(origin.port)] });
   t.teardown(async () => {
     harness.close();
     await origin.close();
@@ -38,14 +38,14 @@
   id: string,
   body = '',
   more = '',
-): Promise<RawCaller> => {
-  const caller = await RawCaller.connect(harness.port);
+): Promise<RawClient> => {
+  const caller = await RawClient.connect(harness.port);
   caller.send(method, path, id, body, more);
-  await caller.first(1);
+  await caller.waitForResponses(1);
   return caller;
 };
 
-const statusOf = (caller: RawCaller): number | undefined => caller.answers()[0]?.status;
+const statusOf = (caller: RawClient): number | undefined => caller.responses()[0]?.status;
 
 test('a connection that breaks after the request: one run, and an answer that promises nothing', async (t) => {
   for (const breakIt of ['reset', 'close', 'half-close'] as const) {
@@ -63,7 +63,7 @@
 
 test('what may not run twice goes over a new connection once the resting one is closed', async (t) => {
   const setting = await stage(t, (request, socket) => {
-    socket.write(soundAnswer(request));
+    socket.write(validResponse(request));
   });
   t.is(statusOf(await ask(setting, 'POST', '/order/1', 'r1', 'a')), 200);
   const [first] = setting.origin.sockets;
@@ -77,33 +77,33 @@
 
 test('a surplus answer, with the last bytes or later, is given to nobody', async (t) => {
   const setting = await stage(t, (request, socket) => {
-    const own = soundAnswer(request);
+    const own = validResponse(request);
     if (request.path === '/read/1')
-      socket.write(own + answerOf(200, ownFields(request), 'surplus'));
+      socket.write(own + responseBytes(200, responseFieldsFor(request), 'surplus'));
     else socket.write(own);
   });
   for (const number of [1, 2, 3]) {
     const caller = await ask(setting, 'GET', `/read/${number}`, `r${number}`);
-    t.is(caller.answers()[0]?.body, `/read/${number}`);
+    t.is(caller.responses()[0]?.body, `/read/${number}`);
   }
   t.not(setting.origin.requests[0]?.connection, setting.origin.requests[1]?.connection);
   const [, resting] = setting.origin.sockets;
-  resting?.write(answerOf(200, { 'x-request': 'r3', 'x-stamp': 'sealed' }, 'stale'));
+  resting?.write(responseBytes(200, { 'x-request': 'r3', 'x-stamp': 'sealed' }, 'stale'));
   for (const number of [4, 5]) {
     const caller = await ask(setting, 'GET', `/read/${number}`, `r${number}`);
     t.false(caller.text.includes('stale'));
-    if (statusOf(caller) === 200) t.is(caller.answers()[0]?.body, `/read/${number}`);
+    if (statusOf(caller) === 200) t.is(caller.responses()[0]?.body, `/read/${number}`);
     else t.is(statusOf(caller), 502);
   }
 });
 
 test('bytes that are no answer, behind a whole one, take nothing from it', async (t) => {
   const setting = await stage(t, (request, socket) => {
-    socket.write(`${soundAnswer(request)}\0\0 no answer \0\0`);
+    socket.write(`${validResponse(request)}\0\0 no answer \0\0`);
   });
   const caller = await ask(setting, 'POST', '/order/1', 'r1', 'pay');
   t.is(statusOf(caller), 200);
-  t.is(caller.answers()[0]?.body, '/order/1');
+  t.is(caller.responses()[0]?.body, '/order/1');
   t.is(statusOf(await ask(setting, 'POST', '/order/2', 'r2', 'pay')), 200);
   t.deepEqual(
     setting.origin.requests.map(({ connection }) => connection),
@@ -114,30 +114,31 @@
 test('an answer after our timeout is given to nobody', async (t) => {
   const late: { write: () => void }[] = [];
   const setting = await stage(t, (request, socket) => {
-    if (request.path === '/read/1') late.push({ write: () => socket.write(soundAnswer(request)) });
-    else socket.write(soundAnswer(request));
+    if (request.path === '/read/1')
+      late.push({ write: () => socket.write(validResponse(request)) });
+    else socket.write(validResponse(request));
   });
   const first = await ask(setting, 'GET', '/read/1', 'r1', '', 'x-left-ms: 200\r\n');
   t.is(statusOf(first), 504);
   late.forEach(({ write }) => write());
   const second = await ask(setting, 'GET', '/read/2', 'r2');
-  t.is(second.answers()[0]?.body, '/read/2');
+  t.is(second.responses()[0]?.body, '/read/2');
   t.is(setting.origin.requests.at(-1)?.connection, 1);
 });
 
 test('an answer cut short never looks whole: small, chunked and streamed', async (t) => {
   const large = maxBufferedBodyBytes + 1_000_000;
   const setting = await stage(t, (request, socket) => {
-    const fields = ownFields(request);
+    const fields = responseFieldsFor(request);
     if (request.path === '/order/small') {
-      socket.end(answerOf(200, { ...fields, 'content-length': '10' }, 'short'));
+      socket.end(responseBytes(200, { ...fields, 'content-length': '10' }, 'short'));
     } else if (request.path === '/order/chunked') {
-      const head = answerOf(200, { ...fields, 'transfer-encoding': 'chunked' }, '');
+      const head = responseBytes(200, { ...fields, 'transfer-encoding': 'chunked' }, '');
       socket.end(`${head.replace(/content-length: 0\r\n/, '')}5\r\nshort\r\n`);
     } else if (request.path === '/order/unbounded') {
-      socket.end(answerOf(200, fields, '').replace(/content-length: 0\r\n/, '') + 'short');
+      socket.end(responseBytes(200, fields, '').replace(/content-length: 0\r\n/, '') + 'short');
     } else {
-      const head = answerOf(200, { ...fields, 'content-length': String(large) }, '');
+      const head = responseBytes(200, { ...fields, 'content-length': String(large) }, '');
       socket.end(head + 'x'.repeat(large - 10_000));
     }
   });
@@ -147,7 +148,7 @@
     t.false(caller.text.includes('x-stamp'), kind);
   }
   const caller = await ask(setting, 'GET', '/read/streamed', 'streamed');
-  t.deepEqual(caller.answers(), []);
+  t.deepEqual(caller.responses(), []);
   t.true((caller.ended || caller.closed) && caller.text.length < large);
 });
 
@@ -157,19 +158,19 @@
     t,
     (request, socket) => {
       socket.pause();
-      socket.write(answerOf(429, { ...ownFields(request), 'x-not-run': '1' }, ''));
+      socket.write(responseBytes(429, { ...responseFieldsFor(request), 'x-not-run': '1' }, ''));
     },
     { bodyBytes: moreThanBuffersHold },
   );
-  setting.origin.readBodies = false;
+  setting.origin.readsBodies = false;
   const body = 'x'.repeat(moreThanBuffersHold);
   t.is(statusOf(await ask(setting, 'POST', '/order/1', 'r1', body)), 503);
-  setting.origin.readBodies = true;
+  setting.origin.readsBodies = true;
   setting.origin.script = (request, socket) => {
-    socket.write(soundAnswer(request));
+    socket.write(validResponse(request));
   };
   const second = ask(setting, 'POST', '/order/2', 'r2', 'pay');
-  await until(() => setting.origin.sockets.length === 2);
+  await waitUntil(() => setting.origin.sockets.length === 2);
   setting.origin.sockets[0]?.resetAndDestroy();
   t.is(statusOf(await second), 200);
 });
@@ -185,8 +186,8 @@
 
 test('an unmarked "not run" is believed only where it can answer nothing else', async (t) => {
   const setting = await stage(t, (request, socket) => {
-    const refusal = answerOf(503, { 'x-not-run': '1' }, '');
-    socket.write(request.path === '/read/sound' ? soundAnswer(request) : refusal);
+    const refusal = responseBytes(503, { 'x-not-run': '1' }, '');
+    socket.write(request.path === '/read/sound' ? validResponse(request) : refusal);
   });
   // Over a new connection it can only be the answer to this request.
   t.is(statusOf(await ask(setting, 'POST', '/order/1', 'r1', 'pay')), 503);
@@ -199,7 +200,7 @@
 
 test('an origin restarted at its address under another id: proof that nothing ran, then the new one', async (t) => {
   const setting = await stage(t, (request, socket) => {
-    socket.write(soundAnswer(request));
+    socket.write(validResponse(request));
   });
   for (let number = 0; number < 10; number += 1) {
     await ask(setting, 'GET', `/read/${number}`, `w${number}`);
@@ -208,19 +209,19 @@
   setting.origin.script = (request, socket) => {
     if (request.headers['x-intended'] === 'i2') {
       ran += 1;
-      socket.write(soundAnswer(request));
+      socket.write(validResponse(request));
     } else {
-      socket.write(answerOf(421, { 'x-request': request.headers['x-request'] ?? '' }, ''));
+      socket.write(responseBytes(421, { 'x-request': request.headers['x-request'] ?? '' }, ''));
     }
   };
   const { port } = setting.origin;
-  setting.harness.feed.origins = [originRow(port, 'i1'), originRow(port, 'i2')];
+  setting.harness.feed.origins = [originEndpoint(port, 'i1'), originEndpoint(port, 'i2')];
   const { task } = setting.harness.proxy;
-  await until(() => task.peek().feed?.origins.length === 2);
+  await waitUntil(() => task.peek().feed?.origins.length === 2);
   const bodies: (string | undefined)[] = [];
   for (let number = 0; number < 8; number += 1) {
     const caller = await ask(setting, 'POST', `/order/${number}`, `r${number}`, 'pay');
-    bodies.push(caller.answers()[0]?.body);
+    bodies.push(caller.responses()[0]?.body);
   }
   t.deepEqual(
     bodies,
@@ -232,18 +233,18 @@
 test('a streamed answer that nobody takes gives its connection back', async (t) => {
   const large = maxBufferedBodyBytes + 4_000_000;
   const setting = await stage(t, (request, socket) => {
-    const fields = { ...ownFields(request), 'content-length': String(large) };
+    const fields = { ...responseFieldsFor(request), 'content-length': String(large) };
     const foreign = { ...fields, 'x-request': 'another' };
-    const head = answerOf(200, request.path === '/order/foreign' ? foreign : fields, '');
+    const head = responseBytes(200, request.path === '/order/foreign' ? foreign : fields, '');
     socket.write(head + 'x'.repeat(large));
   });
   const caller = await ask(setting, 'POST', '/order/foreign', 'r1', 'pay');
   t.is(statusOf(caller), 502);
-  await until(() => setting.origin.sockets[0]?.closed === true);
-  const leaver = await RawCaller.connect(setting.harness.port);
+  await waitUntil(() => setting.origin.sockets[0]?.closed === true);
+  const leaver = await RawClient.connect(setting.harness.port);
   leaver.send('GET', '/read/left', 'r2');
-  await until(() => leaver.text.length > 0);
+  await waitUntil(() => leaver.text.length > 0);
   leaver.socket.destroy();
-  await until(() => setting.origin.sockets.every((socket) => socket.closed));
+  await waitUntil(() => setting.origin.sockets.every((socket) => socket.closed));
   t.pass();
 });
--- a/packages/proxy/src/outgoing-request.ts
+++ b/packages/proxy/src/outgoing-request.ts
@@ -1,8 +1,8 @@
 /** The request that goes to an origin or a peer, made of the client's. */
 import type http from 'node:http';
 import type { OutgoingRequest } from './exchange.js';
-import type { WireFormat } from './dialect.js';
-import { passable } from './read-answer.js';
+import type { WireFormat } from './wire-format.js';
+import { forwardableHeaders } from './response-reader.js';
 import type { ClientRequest, ProxyEffect } from './state.js';
 
 /** What is known of the client's request when an attempt is sent. */
@@ -55,7 +55,7 @@
   wireFormat: WireFormat,
 ): OutgoingHeaders => {
   const { request, clientRequest, body } = incoming;
-  const headers: OutgoingHeaders = passable(request.headers);
+  const headers: OutgoingHeaders = forwardableHeaders(request.headers);
   if (effect.isCacheable) {
     for (const field of conditionalFields) delete headers[field];
     headers['accept-encoding'] = 'identity';
@@ -63,7 +63,7 @@
   headers['x-forwarded-for'] = forwardedFor(incoming);
   headers.via = [request.headers.via, name.via].filter(isDefined).join(', ');
   headers.host = clientRequest.host;
-  Object.assign(headers, wireFormat.left(effect.timeoutMs));
+  Object.assign(headers, wireFormat.remainingTimeFields(effect.timeoutMs));
   if (effect.to.kind === 'peer') Object.assign(headers, peerFields(effect, name.node));
   delete headers['content-length'];
   if (body.length > 0 || !methodsWithoutBody.includes(clientRequest.method))
--- a/packages/proxy/src/proxy-host.ts
+++ b/packages/proxy/src/proxy-host.ts
@@ -19,19 +19,19 @@
 import { Routes } from '@reedyard/schemas';
 import type { Settings } from '@reedyard/settings';
 import { type EventQueue, Task } from '@reedyard/task-loop';
-import { writeAnswer } from './caller-answer.js';
-import { CallerBounds } from './caller-bounds.js';
-import { type CallerServer, type CallerTurn, openCallerServer } from './caller-server.js';
+import { writeClientResponse } from './client-response-writer.js';
+import { ClientLimits } from './client-limits.js';
+import { type InboundServer, type RequestTurn, openInboundServer } from './inbound-server.js';
 import { originIdOf } from './endpoint-selection.js';
 import { clientRequestOf, isPlainTarget, readBody } from './client-request-reader.js';
-import { type AttemptError, OriginConnections, peerName } from './conns.js';
+import { type AttemptError, OriginConnections, peerKeyOf } from './origin-connections.js';
 import { ProxyCore } from './core.js';
-import type { WireFormat } from './dialect.js';
+import type { WireFormat } from './wire-format.js';
 import type { InFlightAttempt } from './exchange.js';
 import { feedIntervalMs } from './feed-timing.js';
 import { Feeds, type FeedSnapshot } from './feed-snapshot.js';
 import { outgoingRequest, type ProxyName } from './outgoing-request.js';
-import { rejectUnread, writeHealth, writeRejection } from './own-responses.js';
+import { rejectUnread, writeHealth, writeRejection } from './local-responses.js';
 import type {
   ClientResponse,
   AttemptResponse,
@@ -62,7 +62,7 @@
 /** What a proxy needs of its surroundings: who answers for its agent, and where its log goes. */
 export type ProxyDependencies = {
   readonly logger: Logger;
-  readonly askAgent: (query: ProxyQuery, timeoutMs?: number) => Promise<unknown>;
+  readonly queryAgent: (query: ProxyQuery, timeoutMs?: number) => Promise<unknown>;
 };
 
 /** What is kept of a client's request; the reducer knows it by its id alone. */
@@ -73,7 +73,7 @@
   readonly clientRequest: ClientRequest;
   /** The attempt of a peer that this request is; null from a client. */
   readonly attemptId: string | null;
-  readonly turn: CallerTurn;
+  readonly turn: RequestTurn;
 };
 
 type EffectOf<Kind extends ProxyEffect['kind']> = Extract<ProxyEffect, { kind: Kind }>;
@@ -98,7 +98,7 @@
   readonly #attempts = new Map<string, InFlightAttempt>();
   /** Answers that are passed on as they come, by request. */
   readonly #streams = new Map<number, Readable>();
-  readonly #servers: { readonly server: CallerServer; readonly isForPeers: boolean }[] = [];
+  readonly #servers: { readonly server: InboundServer; readonly isForPeers: boolean }[] = [];
   #feed: FeedSnapshot | null = null;
   #nextRequestId = 1;
   /** The bounds of the config that the servers follow. */
@@ -149,7 +149,7 @@
 
   /** Serves clients, or peers, on a port. */
   serve(isForPeers: boolean, port: number): Promise<http.Server> {
-    const server = openCallerServer(this.#boundsFor(isForPeers), (request, response, turn) =>
+    const server = openInboundServer(this.#boundsFor(isForPeers), (request, response, turn) =>
       this.#handleRequest(request, response, turn, isForPeers),
     );
     this.#servers.push({ server, isForPeers });
@@ -180,7 +180,7 @@
     this.#isClosed = true;
     clearTimeout(this.#tickTimer);
     clearInterval(this.#traceTimer);
-    this.#connections.keepOnly(new Set());
+    this.#connections.closeIdleExcept(new Set());
   }
 
   #listen(server: http.Server, port: number): Promise<http.Server> {
@@ -192,10 +192,10 @@
   }
 
   /** Peers add fields of their own to a head. */
-  #boundsFor(isForPeers: boolean): CallerBounds {
-    const bounds = CallerBounds.of(this.task.peek().policy?.document.callers);
+  #boundsFor(isForPeers: boolean): ClientLimits {
+    const bounds = ClientLimits.of(this.task.peek().policy?.document.callers);
     if (!isForPeers) return bounds;
-    return { ...CallerBounds.of(undefined), headBytes: bounds.headBytes + peerHeadBytes };
+    return { ...ClientLimits.of(undefined), headBytes: bounds.headBytes + peerHeadBytes };
   }
 
   /** Makes the servers follow the config in force, also for the connections that are there. */
@@ -204,7 +204,7 @@
     if (bounds === this.#appliedBounds) return;
     this.#appliedBounds = bounds;
     for (const { server, isForPeers } of this.#servers)
-      server.setBounds(this.#boundsFor(isForPeers));
+      server.setLimits(this.#boundsFor(isForPeers));
   }
 
   #tickIn(ms: number): void {
@@ -235,7 +235,7 @@
   #handleRequest(
     request: http.IncomingMessage,
     response: http.ServerResponse,
-    turn: CallerTurn,
+    turn: RequestTurn,
     isFromPeer: boolean,
   ): void {
     const servesHealth = !isFromPeer && this.#settings.proxy.readyPort === undefined;
@@ -278,7 +278,7 @@
   #maxBodyBytes(host: string, target: string): number {
     const { routes, policy } = this.task.peek();
     const ofRoute = Routes.find(routes, host, target)?.limits.bodyBytes;
-    return ofRoute ?? CallerBounds.of(policy?.document.callers).bodyBytes;
+    return ofRoute ?? ClientLimits.of(policy?.document.callers).bodyBytes;
   }
 
   /** Begins a request that was read, unless its connection is closed. */
@@ -286,7 +286,7 @@
     id: number,
     request: http.IncomingMessage,
     response: http.ServerResponse,
-    turn: CallerTurn,
+    turn: RequestTurn,
     body: Buffer,
     isFromPeer: boolean,
   ): void {
@@ -382,12 +382,15 @@
     const origin = effect.to.row;
     const attempt = {
       origin,
-      mark: effect.attemptId,
-      leftMs: effect.timeoutMs,
+      correlationId: effect.attemptId,
+      remainingMs: effect.timeoutMs,
       headers: open.request.headers,
     };
-    Object.assign(outgoing.headers, this.#wireFormat.toOrigin(attempt));
-    this.#attempts.set(name, this.#connections.send(origin, outgoing, attempt, terms, callbacks));
+    Object.assign(outgoing.headers, this.#wireFormat.originRequestFields(attempt));
+    this.#attempts.set(
+      name,
+      this.#connections.sendToOrigin(origin, outgoing, attempt, terms, callbacks),
+    );
   }
 
   #attemptAnswered(effect: EffectOf<'send-attempt'>, answer: AttemptResponse): void {
@@ -414,14 +417,14 @@
 
   #write(id: number, open: OpenRequest, answer: ClientResponse): void {
     const { response, clientRequest, turn, attemptId } = open;
-    const closes = turn.closes(this.#isStopping || answer.headers.connection === 'close');
+    const closes = turn.startResponse(this.#isStopping || answer.headers.connection === 'close');
     const hopFields = {
       via: this.#name.via,
       ...(attemptId === null ? {} : { 'reedyard-attempt': attemptId }),
       ...(closes ? { connection: 'close' } : {}),
     };
     const wireFormat = this.#wireFormat;
-    const stream = writeAnswer(
+    const stream = writeClientResponse(
       { response, asked: clientRequest, dialect: wireFormat, hopFields },
       answer,
     );
@@ -436,7 +439,7 @@
       if (query.kind !== 'claim') return;
       this.task.put({ kind: 'claim-answered', requestId, reply, now: now() });
     };
-    this.#dependencies.askAgent(query, proposalTimeoutMs + callTimeoutMs).then(
+    this.#dependencies.queryAgent(query, proposalTimeoutMs + callTimeoutMs).then(
       (reply) => answered(reply as ClaimReply),
       () => answered({ kind: 'unreached' }),
     );
@@ -446,7 +449,7 @@
     const askedAt = now();
     const held = Feeds.heldParts(this.#feed);
     this.#dependencies
-      .askAgent({ kind: 'feed', report, held })
+      .queryAgent({ kind: 'feed', report, held })
       .then(
         (reply) => this.#feedReceived(reply as FeedReply, askedAt),
         () => undefined,
@@ -458,8 +461,8 @@
     this.#feed = Feeds.merge(this.#feed, reply);
     const { feed } = this.#feed;
     this.task.put({ kind: 'feed-received', feed, askedAt, now: now() });
-    const names = [...feed.origins.map(originIdOf), ...feed.peers.map(peerName)];
-    this.#connections.keepOnly(new Set(names));
+    const names = [...feed.origins.map(originIdOf), ...feed.peers.map(peerKeyOf)];
+    this.#connections.closeIdleExcept(new Set(names));
   }
 
   #scheduleFeed(): void {
--- a/packages/proxy/src/request-rules.ts
+++ b/packages/proxy/src/request-rules.ts
@@ -5,7 +5,7 @@
 import type { Attempt } from '@reedyard/attempts';
 import type { CachedResponse } from '@reedyard/cache';
 import { type Policy, type Route, Routes, type RouteTable } from '@reedyard/schemas';
-import { CallerBounds } from './caller-bounds.js';
+import { ClientLimits } from './client-limits.js';
 import { isHomeRegion, isIdempotentRequest } from './endpoint-selection.js';
 import { maxQueueWaitMs } from './serving.js';
 import type { ClientRequest, AttemptResponse, ProxyRequest, ProxyState } from './state.js';
@@ -49,7 +49,7 @@
       detail: `This route takes ${route.methods.join(', ')}.`,
       more: { allow: route.methods.join(', ') },
     };
-  const most = route.limits.bodyBytes ?? CallerBounds.of(callers).bodyBytes;
+  const most = route.limits.bodyBytes ?? ClientLimits.of(callers).bodyBytes;
   if (asked.bodyBytes > most)
     return {
       status: 413,
@@ -128,7 +128,7 @@
 ): string | null => {
   const attempt = request.attempts[number];
   if (attempt === undefined) return 'unknown attempt';
-  if (answer.proof !== undefined) return answer.proof.unsound;
+  if (answer.originEvidence !== undefined) return answer.originEvidence.mismatch;
   if (headerText(answer.headers, 'reedyard-attempt') !== `${request.token}-${number}`)
     return 'foreign';
   const stamp = headerText(answer.headers, 'reedyard-stamp');
@@ -152,6 +152,6 @@
  * its answer and is passed on.
  */
 export const isOriginGatewayError = (answer: AttemptResponse): boolean =>
-  answer.proof !== undefined &&
-  !answer.proof.notRun &&
+  answer.originEvidence !== undefined &&
+  !answer.originEvidence.notRun &&
   (answer.status === 502 || answer.status === 504);
--- a/packages/proxy/src/read-answer.ts
+++ b/packages/proxy/src/response-reader.ts
@@ -28,7 +28,7 @@
  * @example
  * passable({ connection: 'x-a', 'x-a': '1', accept: '*' }) // { accept: '*' }
  */
-export const passable = (
+export const forwardableHeaders = (
   headers: http.IncomingHttpHeaders,
   own = false,
 ): Record<string, string | string[]> => {
@@ -43,7 +43,7 @@
 };
 
 /** An answer that can be passed on, whole or at its begin. */
-export type ReadAnswer = {
+export type ReadResponse = {
   readonly status: number;
   readonly headers: Record<string, string | string[]>;
   /** A buffer where it is whole, or else the stream of all its bytes. */
@@ -53,8 +53,8 @@
 };
 
 /** Told once, of the first that happens. */
-export type AnswerReader = {
-  readonly ready: (answer: ReadAnswer) => void;
+export type ResponseCallbacks = {
+  readonly ready: (answer: ReadResponse) => void;
   readonly unusable: (why: string, message: string, cause?: unknown) => void;
 };
 
@@ -78,10 +78,10 @@
  * @example
  * readAnswer('GET', response, { ready: pass, unusable: fail });
  */
-export const readAnswer = (
+export const readResponse = (
   method: string,
   response: http.IncomingMessage,
-  { ready, unusable }: AnswerReader,
+  { ready, unusable }: ResponseCallbacks,
 ): void => {
   if (!lengthKnown(method, response)) {
     response.on('error', () => undefined);
@@ -89,7 +89,7 @@
     return;
   }
   const status = response.statusCode ?? 0;
-  const headers = passable(response.headers, true);
+  const headers = forwardableHeaders(response.headers, true);
   const chunks: Buffer[] = [];
   let size = 0;
   const onData = (chunk: Buffer): void => {
--- a/packages/proxy/src/run.ts
+++ b/packages/proxy/src/run.ts
@@ -4,7 +4,7 @@
 import { type Logger, openLogger } from '@reedyard/logging';
 import { call } from '@reedyard/rpc';
 import { shutdownTimeoutMs } from '@reedyard/settings';
-import { ownWireFormat, type WireFormat } from './dialect.js';
+import { reedyardWireFormat, type WireFormat } from './wire-format.js';
 import { feedIntervalMs } from './feed-timing.js';
 import { openProxy, type ProxyHost, type ProxySettings } from './proxy-host.js';
 import { unreadyServingMs } from './shutdown-timing.js';
@@ -81,13 +81,13 @@
  */
 export const runProxy = async (
   settings: ProxySettings,
-  wireFormat: WireFormat = ownWireFormat,
+  wireFormat: WireFormat = reedyardWireFormat,
 ): Promise<void> => {
   const logger = openLogger({ program: 'proxy', node: settings.name });
   const feedAddress = `127.0.0.1:${settings.agent.feedPort}`;
   const proxy = openProxy(settings, wireFormat, {
     logger,
-    askAgent: (query, timeoutMs) => call(feedAddress, '/feed', query, timeoutMs),
+    queryAgent: (query, timeoutMs) => call(feedAddress, '/feed', query, timeoutMs),
   });
   const servers = await openServers(proxy, settings);
   logger.info('started', { callers: settings.proxy.port, peers: settings.proxy.peerPort });
--- a/packages/proxy/src/signals.test.ts
+++ b/packages/proxy/src/signals.test.ts
@@ -8,12 +8,12 @@
 import type { ExecutionContext } from 'ava';
 import { serveCalls } from '@reedyard/rpc';
 import { maxBufferedBodyBytes } from './buffering.js';
-import { originRow, policyOf, RawCaller, until } from './testing/proxy-harness.js';
+import { originEndpoint, policyOf, RawClient, waitUntil } from './testing/proxy-harness.js';
 import {
-  answerOf,
+  responseBytes,
   type Script,
   type ScriptedOrigin,
-  type SeenRequest,
+  type ReceivedRequest,
   startScriptedOrigin,
 } from './testing/scripted-origin.js';
 
@@ -23,9 +23,9 @@
 const identity = { service: 'store', instance: 'i1', incarnation: 0 };
 const stamp = 'store/i1/0';
 
-const sound = (request: SeenRequest, body = request.path): string => {
+const sound = (request: ReceivedRequest, body = request.path): string => {
   const correlation = request.headers['reedyard-attempt'] ?? '';
-  return answerOf(200, { 'reedyard-stamp': stamp, 'reedyard-attempt': correlation }, body);
+  return responseBytes(200, { 'reedyard-stamp': stamp, 'reedyard-attempt': correlation }, body);
 };
 
 /** An origin that proves who it is and holds back all else until the test lets it go. */
@@ -34,7 +34,7 @@
 
   readonly script: Script = (request, socket) => {
     if (request.path === '/.well-known/reedyard-identity') {
-      socket.write(answerOf(200, {}, JSON.stringify(identity)));
+      socket.write(responseBytes(200, {}, JSON.stringify(identity)));
     } else if (request.path === '/read/large') {
       const whole = sound(request, 'x'.repeat(maxBufferedBodyBytes + 1_000_000));
       socket.write(whole.slice(0, -1_000));
@@ -75,7 +75,7 @@
   flushes: 0,
   policy: { revision: 1, document: policyOf({}, { requestMs: 600_000, attemptMs: 600_000 }) },
   policyRevision: 1,
-  origins: [originRow(origin.port)],
+  origins: [originEndpoint(origin.port)],
   peers: [],
   emptied: [],
   split: {},
@@ -125,16 +125,16 @@
     await feed.close();
     rmSync(folder, { recursive: true });
   });
-  await until(() => output.includes('policy.in-force') || child.exitCode !== null);
+  await waitUntil(() => output.includes('policy.in-force') || child.exitCode !== null);
   return { child, port, output: () => output };
 };
 
 /** Pipelined requests on one connection, one that may not be repeated, and a streamed answer. */
-const sendRequests = async (port: number): Promise<readonly RawCaller[]> => {
+const sendRequests = async (port: number): Promise<readonly RawClient[]> => {
   const [pipelined, ordering, streaming] = await Promise.all([
-    RawCaller.connect(port),
-    RawCaller.connect(port),
-    RawCaller.connect(port),
+    RawClient.connect(port),
+    RawClient.connect(port),
+    RawClient.connect(port),
   ]);
   for (const number of [1, 2, 3]) pipelined.send('GET', `/read/${number}`, `r${number}`);
   ordering.send('POST', '/order/1', 'r4', 'pay');
@@ -142,8 +142,8 @@
   return [pipelined, ordering, streaming];
 };
 
-const served = (callers: readonly RawCaller[]): readonly (readonly number[])[] =>
-  callers.map((caller) => caller.answers().map(({ status }) => status));
+const served = (callers: readonly RawClient[]): readonly (readonly number[])[] =>
+  callers.map((caller) => caller.responses().map(({ status }) => status));
 
 test('SIGHUP and SIGTERM in the middle of requests: each is answered whole, and run once', async (t) => {
   const held = new HeldOrigin();
@@ -151,15 +151,15 @@
   t.teardown(() => origin.close());
   const { child, port, output } = await startProgram(t, origin);
   const callers = await sendRequests(port);
-  await until(() => held.size === 5 && (callers[2]?.text.length ?? 0) > maxBufferedBodyBytes);
+  await waitUntil(() => held.size === 5 && (callers[2]?.text.length ?? 0) > maxBufferedBodyBytes);
   child.kill('SIGHUP');
-  await until(() => output().includes('hangup') || child.exitCode !== null);
+  await waitUntil(() => output().includes('hangup') || child.exitCode !== null);
   child.kill('SIGTERM');
-  await until(() => output().includes('stopping') || child.exitCode !== null);
+  await waitUntil(() => output().includes('stopping') || child.exitCode !== null);
   held.releaseAll();
-  await until(() => callers.every((caller) => caller.ended || caller.closed));
+  await waitUntil(() => callers.every((caller) => caller.ended || caller.closed));
   t.deepEqual(served(callers), [[200, 200, 200], [200], [200]]);
-  await until(() => child.exitCode !== null || child.signalCode !== null);
+  await waitUntil(() => child.exitCode !== null || child.signalCode !== null);
   t.is(child.exitCode, 0);
   const targets = origin.requests.map(({ path: target }) => target);
   const runs = targets.filter((target) => !target.startsWith('/.')).sort();
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -8,7 +8,7 @@
   ProxyReport,
 } from '@reedyard/agent';
 import type { CachedResponse, Headers, CacheState } from '@reedyard/cache';
-import type { Load, Proof } from './dialect.js';
+import type { OriginLoad, OriginEvidence } from './wire-format.js';
 import type { Policy, Route, RouteTable } from '@reedyard/schemas';
 import type { Attempt, SendProgress } from '@reedyard/attempts';
 
@@ -42,7 +42,7 @@
    * What an origin's answer proves, in the dialect that it was spoken to in; left out: by its own
    * fields.
    */
-  readonly proof?: Proof;
+  readonly originEvidence?: OriginEvidence;
 };
 
 /** Where an attempt goes. */
@@ -92,7 +92,7 @@
   readonly meanResponseMs: number;
   readonly lastResponseAt: number;
   /** What it last told of itself, and how many of that were ours. */
-  readonly load: (Load & { readonly at: number; readonly own: number }) | null;
+  readonly load: (OriginLoad & { readonly at: number; readonly own: number }) | null;
   /** Failures since it last answered soundly. */
   readonly failures: number;
 };
--- a/packages/proxy/src/testing/caller-world.ts
+++ b/packages/proxy/src/testing/client-connection-model.ts
@@ -5,12 +5,12 @@
  * in the order of their requests, and nothing follows one that closes the connection.
  */
 import {
-  CallerConnections,
-  type CallerConnection,
-  type CallerConnectionEffect,
-  type CallerConnectionEvent,
-  type CallerConnectionStep,
-} from '../caller-connection.js';
+  ClientConnections,
+  type ClientConnection,
+  type ClientConnectionEffect,
+  type ClientConnectionEvent,
+  type ClientConnectionStep,
+} from '../client-connection.js';
 
 /** A request as it really went. */
 type Request = {
@@ -22,7 +22,7 @@
 };
 
 type World = {
-  readonly state: CallerConnection;
+  readonly state: ClientConnection;
   readonly requests: readonly Request[];
   readonly unreadable: boolean;
   readonly refused: boolean;
@@ -31,15 +31,15 @@
 };
 
 /** A reducer to search, sound or with a safeguard planted out. */
-export type CallerReduce = (
-  state: CallerConnection,
-  event: CallerConnectionEvent,
-) => CallerConnectionStep;
+export type ClientReduce = (
+  state: ClientConnection,
+  event: ClientConnectionEvent,
+) => ClientConnectionStep;
 
 const MOST_REQUESTS = 3;
 
 const firstWorld: World = {
-  state: CallerConnections.open,
+  state: ClientConnections.open,
   requests: [],
   unreadable: false,
   refused: false,
@@ -83,7 +83,7 @@
   return owed ? breakWith(refused, 'a refusal in the place of an answer') : refused;
 };
 
-const perform = (world: World, effect: CallerConnectionEffect): World => {
+const perform = (world: World, effect: ClientConnectionEffect): World => {
   switch (effect.kind) {
     case 'begin':
       return begin(world, effect.number);
@@ -99,25 +99,25 @@
   }
 };
 
-const dispatch = (world: World, reduce: CallerReduce, event: CallerConnectionEvent): World => {
+const dispatch = (world: World, reduce: ClientReduce, event: ClientConnectionEvent): World => {
   const { state, effects } = reduce(world.state, event);
   return effects.reduce(perform, { ...world, state });
 };
 
-const close = (world: World, reduce: CallerReduce): World => {
+const close = (world: World, reduce: ClientReduce): World => {
   const closed = dispatch({ ...world, closed: true }, reduce, { kind: 'closed' });
   const forgotten = closed.requests.some(({ begun, flushed, left }) => begun && !flushed && !left);
   return forgotten ? breakWith(closed, 'a request whose caller left goes on') : closed;
 };
 
-const flush = (world: World, reduce: CallerReduce, number: number): World => {
+const flush = (world: World, reduce: ClientReduce, number: number): World => {
   const flushed = withRequest(world, number, { flushed: true });
   const after = dispatch(flushed, reduce, { kind: 'answer-flushed', number });
   const ends = world.requests[number - 1]?.written === 'closing';
   return ends ? close(after, reduce) : after;
 };
 
-const answersOf = (world: World, reduce: CallerReduce): readonly World[] =>
+const answersOf = (world: World, reduce: ClientReduce): readonly World[] =>
   world.requests.flatMap((request, index) => {
     const number = index + 1;
     const found: World[] = [];
@@ -133,7 +133,7 @@
     return found;
   });
 
-const nextWorlds = (world: World, reduce: CallerReduce): readonly World[] => {
+const nextWorlds = (world: World, reduce: ClientReduce): readonly World[] => {
   if (world.closed || world.refused) return [];
   const found: World[] = [...answersOf(world, reduce), close(world, reduce)];
   const { requests, unreadable } = world;
@@ -170,8 +170,8 @@
  * @example
  * searchCaller(CallerConnections.reduce).broken // null
  */
-export const searchCaller = (
-  reduce: CallerReduce,
+export const searchClientConnection = (
+  reduce: ClientReduce,
 ): { readonly worlds: number; readonly broken: string | null } => {
   const seen = new Set<string>();
   const frontier: World[] = [firstWorld];
--- a/packages/proxy/src/testing/connection-world.ts
+++ b/packages/proxy/src/testing/connection-model.ts
@@ -231,7 +231,7 @@
   wire: number,
 ): World | null => {
   const attempt = world.attempts.length;
-  const event: ConnectionEvent = { kind: 'assign', attempt, mostIdleMs: 10, now: 0 };
+  const event: ConnectionEvent = { kind: 'assign', attempt, maxIdleMs: 10, now: 0 };
   const { world: next, effects } = dispatch(world, options, wire, event);
   if (!effects.some((effect) => effect.kind === 'send')) return null;
   const used = next.wires[wire];
--- a/packages/proxy/src/testing/proxy-harness.ts
+++ b/packages/proxy/src/testing/proxy-harness.ts
@@ -7,19 +7,19 @@
 import type { Policy } from '@reedyard/schemas';
 import { SettingsReader } from '@reedyard/settings';
 import { ProxyCore } from '../core.js';
-import { ownWireFormat, type WireFormat } from '../dialect.js';
+import { reedyardWireFormat, type WireFormat } from '../wire-format.js';
 import { openProxy, type ProxyHost, type ProxySettings } from '../proxy-host.js';
 
 const HOST = '127.0.0.1';
 const SERVICE = 'store';
 
 /** A dialect in which each request names its origin, and answers echo the request's id. */
-export const namedDialect: WireFormat = {
-  ...ownWireFormat,
+export const testWireFormat: WireFormat = {
+  ...reedyardWireFormat,
   identity: 'named',
   deadlineMs: (headers) => Number(headers['x-left-ms'] ?? Infinity),
-  toOrigin: ({ origin }) => ({ 'x-intended': origin.instance }),
-  fromOrigin: (status, headers, { headers: asked }) => {
+  originRequestFields: ({ origin }) => ({ 'x-intended': origin.instance }),
+  readOriginResponse: (status, headers, { headers: asked }) => {
     const echoed = headers['x-request'];
     const misdirected = status === 421;
     const notRun = headers['x-not-run'] !== undefined || misdirected;
@@ -27,7 +27,14 @@
     const unmarked = notRun ? null : 'unmarked';
     const unsound = echoed === undefined ? unmarked : marked ? null : 'foreign';
     const anonymous = echoed === undefined;
-    return { unsound, notRun, misdirected, load: null, coldMs: null, anonymous };
+    return {
+      mismatch: unsound,
+      notRun,
+      isMisdirected: misdirected,
+      load: null,
+      coldMs: null,
+      anonymous,
+    };
   },
   stamps: ['x-stamp'],
 };
@@ -56,7 +63,7 @@
 });
 
 /** An origin at a port. */
-export const originRow = (port: number, instance = 'i1'): OriginEndpoint => ({
+export const originEndpoint = (port: number, instance = 'i1'): OriginEndpoint => ({
   service: SERVICE,
   instance,
   incarnation: 0,
@@ -96,7 +103,7 @@
   });
 
 /** Waits for a condition; the verdict is the test's own, which times out if it never holds. */
-export const until = async (holds: () => boolean): Promise<void> => {
+export const waitUntil = async (holds: () => boolean): Promise<void> => {
   while (!holds()) await nextTurn();
 };
 
@@ -149,10 +156,10 @@
   const askAgent = (call: ProxyQuery): Promise<unknown> =>
     Promise.resolve(call.kind === 'feed' ? { ...feedOf(feed), revisions } : { kind: 'granted' });
   const logger = { info: log, warn: log, error: log };
-  const proxy = openProxy(settingsOf(name), namedDialect, { logger, askAgent });
+  const proxy = openProxy(settingsOf(name), testWireFormat, { logger, queryAgent: askAgent });
   const server = await proxy.serve(false, 0);
   const peers = await proxy.serve(true, 0);
-  await until(() => ProxyCore.ready(proxy.task.peek(), performance.now()));
+  await waitUntil(() => ProxyCore.ready(proxy.task.peek(), performance.now()));
   return {
     proxy,
     feed,
@@ -171,14 +178,14 @@
 };
 
 /** An answer as a caller read it. */
-export type RawAnswer = {
+export type RawResponse = {
   readonly status: number;
   readonly head: string;
   readonly body: string;
 };
 
 /** A caller that writes raw bytes over one connection and keeps all that it reads. */
-export class RawCaller {
+export class RawClient {
   text = '';
   ended = false;
   closed = false;
@@ -196,13 +203,13 @@
     });
   }
 
-  static async connect(port: number): Promise<RawCaller> {
+  static async connect(port: number): Promise<RawClient> {
     const socket = net.connect({ host: HOST, port, allowHalfOpen: true });
     await new Promise<void>((resolve, reject) => {
       socket.once('connect', resolve);
       socket.once('error', reject);
     });
-    return new RawCaller(socket);
+    return new RawClient(socket);
   }
 
   send(method: string, path: string, id: string, body = '', more = ''): void {
@@ -212,8 +219,8 @@
   }
 
   /** All answers that were read whole, in their order. */
-  answers(): readonly RawAnswer[] {
-    const found: RawAnswer[] = [];
+  responses(): readonly RawResponse[] {
+    const found: RawResponse[] = [];
     let rest = this.text;
     for (;;) {
       const end = rest.indexOf('\r\n\r\n');
@@ -228,8 +235,8 @@
   }
 
   /** The first answers, once there are that many. */
-  async first(count: number): Promise<readonly RawAnswer[]> {
-    await until(() => this.answers().length >= count || this.ended || this.closed);
-    return this.answers();
+  async waitForResponses(count: number): Promise<readonly RawResponse[]> {
+    await waitUntil(() => this.responses().length >= count || this.ended || this.closed);
+    return this.responses();
   }
 }
--- a/packages/proxy/src/testing/scripted-origin.ts
+++ b/packages/proxy/src/testing/scripted-origin.ts
@@ -5,7 +5,7 @@
 import net from 'node:net';
 
 /** One request as the origin read it. */
-export type SeenRequest = {
+export type ReceivedRequest = {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
@@ -15,23 +15,23 @@
 };
 
 /** What a script does with a request that was read. */
-export type Script = (request: SeenRequest, socket: net.Socket) => void;
+export type Script = (request: ReceivedRequest, socket: net.Socket) => void;
 
 /** A running scripted origin. */
 export type ScriptedOrigin = {
   readonly port: number;
-  readonly requests: SeenRequest[];
+  readonly requests: ReceivedRequest[];
   /** Sockets of all connections that were ever accepted. */
   readonly sockets: net.Socket[];
   script: Script;
   /** Whether bodies are waited for; a request is otherwise seen with its head. */
-  readBodies: boolean;
+  readsBodies: boolean;
   readonly close: () => Promise<void>;
 };
 
 const HEAD_END = '\r\n\r\n';
 
-const parseHead = (head: string): Omit<SeenRequest, 'body' | 'connection'> => {
+const parseHead = (head: string): Omit<ReceivedRequest, 'body' | 'connection'> => {
   const [first = '', ...lines] = head.split('\r\n');
   const [method = '', path = ''] = first.split(' ');
   const fields = lines.map((line): [string, string] => {
@@ -57,7 +57,7 @@
       const end = this.#text.indexOf(HEAD_END);
       if (end < 0) return;
       const head = parseHead(this.#text.slice(0, end));
-      const length = this.origin.readBodies ? Number(head.headers['content-length'] ?? 0) : 0;
+      const length = this.origin.readsBodies ? Number(head.headers['content-length'] ?? 0) : 0;
       const bodyAt = end + HEAD_END.length;
       if (this.#text.length < bodyAt + length) return;
       const body = this.#text.slice(bodyAt, bodyAt + length);
@@ -84,7 +84,7 @@
     requests: [],
     sockets: [],
     script,
-    readBodies: true,
+    readsBodies: true,
     close: () =>
       new Promise((resolve) => {
         origin.sockets.forEach((socket) => socket.destroy());
@@ -105,13 +105,13 @@
 };
 
 /** Fields of an answer that belongs to a request, in the dialect of the tests. */
-export const ownFields = (request: SeenRequest): Readonly<Record<string, string>> => ({
+export const responseFieldsFor = (request: ReceivedRequest): Readonly<Record<string, string>> => ({
   'x-request': request.headers['x-request'] ?? '',
   'x-stamp': 'sealed',
 });
 
 /** The bytes of an answer. */
-export const answerOf = (
+export const responseBytes = (
   status: number,
   fields: Readonly<Record<string, string>>,
   body: string,
@@ -122,5 +122,5 @@
 };
 
 /** A sound answer to a request, with its path as the body. */
-export const soundAnswer = (request: SeenRequest): string =>
-  answerOf(200, ownFields(request), request.path);
+export const validResponse = (request: ReceivedRequest): string =>
+  responseBytes(200, responseFieldsFor(request), request.path);
--- a/packages/proxy/src/warm.test.ts
+++ b/packages/proxy/src/warm.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { SettingsReader } from '@reedyard/settings';
-import { type WireFormat, ownWireFormat } from './dialect.js';
+import { type WireFormat, reedyardWireFormat } from './wire-format.js';
 import type { ProxySettings } from './proxy-host.js';
 import { warmUp, warmUpConcurrency, warmUpRequests } from './warm.js';
 
@@ -19,13 +19,13 @@
 ) as ProxySettings;
 /** A dialect in which an answer is sound once it carries the request's own number. */
 const numbered: WireFormat = {
-  ...ownWireFormat,
+  ...reedyardWireFormat,
   identity: 'named',
-  toOrigin: () => ({}),
-  fromOrigin: (_status, headers, { headers: asked }) => ({
-    unsound: headers.number === asked.number ? null : 'foreign',
+  originRequestFields: () => ({}),
+  readOriginResponse: (_status, headers, { headers: asked }) => ({
+    mismatch: headers.number === asked.number ? null : 'foreign',
     notRun: false,
-    misdirected: false,
+    isMisdirected: false,
     load: null,
     coldMs: null,
   }),
@@ -45,5 +45,5 @@
     return asked > 10;
   });
   t.true(cut.played <= 10 && cut.served === cut.played);
-  t.deepEqual(await warmUp(ownWireFormat, settings, () => false), { played: 0, served: 0 });
+  t.deepEqual(await warmUp(reedyardWireFormat, settings, () => false), { played: 0, served: 0 });
 });
--- a/packages/proxy/src/warm.ts
+++ b/packages/proxy/src/warm.ts
@@ -9,7 +9,7 @@
   type ProxyQuery,
 } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
-import type { WireFormat } from './dialect.js';
+import type { WireFormat } from './wire-format.js';
 import { openProxy, type ProxySettings } from './proxy-host.js';
 
 /** ms. Warming up ends after this at the latest: a share of a core takes some seconds for it. */
@@ -127,7 +127,7 @@
     dialect,
     {
       logger: quiet,
-      askAgent: (asked: ProxyQuery) =>
+      queryAgent: (asked: ProxyQuery) =>
         Promise.resolve(
           asked.kind === 'feed'
             ? {
--- a/packages/proxy/src/dialect.ts
+++ b/packages/proxy/src/wire-format.ts
@@ -9,17 +9,21 @@
  * What an origin tells of itself with an answer: requests that it works on, that wait, and how many
  * it works on at once.
  */
-export type Load = { readonly running: number; readonly waiting: number; readonly slots: number };
+export type OriginLoad = {
+  readonly running: number;
+  readonly waiting: number;
+  readonly slots: number;
+};
 
 /** What an origin's answer proves, as far as the next move depends on it. */
-export type Proof = {
+export type OriginEvidence = {
   /** Why it can't be taken for the answer to this attempt, or null if it is that. */
-  readonly unsound: string | null;
+  readonly mismatch: string | null;
   /** It says that the request did not run there. */
   readonly notRun: boolean;
   /** Another one than was meant has the address; nothing ran. */
-  readonly misdirected: boolean;
-  readonly load: Load | null;
+  readonly isMisdirected: boolean;
+  readonly load: OriginLoad | null;
   /** ms. How much longer it says that it is cold; null where it says nothing. */
   readonly coldMs: number | null;
   /** It names no request: nothing but its place on the connection ties it to this one. */
@@ -27,15 +31,15 @@
 };
 
 /** One attempt at an origin. */
-export type ToOrigin = {
+export type OriginAttempt = {
   readonly origin: OriginEndpoint;
-  readonly mark: string;
-  /** ms that its answer is waited for. */ readonly leftMs: number;
+  readonly correlationId: string;
+  /** ms that its answer is waited for. */ readonly remainingMs: number;
   readonly headers: Headers;
 };
 
 /** What of an answer its caller is shown. */
-export type ToCaller = {
+export type ResponseToClient = {
   readonly status: number;
   readonly headers: Headers;
   readonly asked: Headers;
@@ -58,10 +62,14 @@
   /** ms that a caller will wait; null where it does not say. */
   readonly deadlineMs: (headers: Headers) => number | null;
   /** The fields that tell how much of that time is left. */
-  readonly left: (ms: number) => Readonly<Record<string, string>>;
-  readonly toOrigin: (attempt: ToOrigin) => Readonly<Record<string, string>>;
-  readonly fromOrigin: (status: number, headers: Headers, attempt: ToOrigin) => Proof;
-  readonly toCaller: (answer: ToCaller) => Headers;
+  readonly remainingTimeFields: (ms: number) => Readonly<Record<string, string>>;
+  readonly originRequestFields: (attempt: OriginAttempt) => Readonly<Record<string, string>>;
+  readonly readOriginResponse: (
+    status: number,
+    headers: Headers,
+    attempt: OriginAttempt,
+  ) => OriginEvidence;
+  readonly clientResponseHeaders: (answer: ResponseToClient) => Headers;
   /** Fields by which an origin vouches for an answer: shown only with the status that it gave. */
   readonly stamps: readonly string[];
   /**
@@ -77,28 +85,28 @@
 const origin = (row: OriginEndpoint): string => `${row.service}/${row.instance}/${row.incarnation}`;
 
 /** The project's own way (docs/api.md). */
-export const ownWireFormat: WireFormat = {
+export const reedyardWireFormat: WireFormat = {
   identity: 'asked',
   readyPath: '/.well-known/reedyard/ready',
   livePath: '/.well-known/reedyard/live',
   deadlineMs: () => null,
-  left: () => ({}),
-  toOrigin: ({ origin: row, mark }) => ({
+  remainingTimeFields: () => ({}),
+  originRequestFields: ({ origin: row, correlationId: mark }) => ({
     'reedyard-attempt': mark,
     'reedyard-expect': origin(row),
   }),
-  fromOrigin: (status, headers, { origin: row, mark }) => ({
-    unsound:
+  readOriginResponse: (status, headers, { origin: row, correlationId: mark }) => ({
+    mismatch:
       headers['reedyard-attempt'] !== mark
         ? 'foreign'
         : headers['reedyard-stamp'] !== origin(row)
           ? 'stamp'
           : null,
     notRun: status === 503 && headers['reedyard-outcome'] === 'not-run',
-    misdirected: false,
+    isMisdirected: false,
     load: null,
     coldMs: null,
   }),
-  toCaller: ({ headers }) => headers,
+  clientResponseHeaders: ({ headers }) => headers,
   stamps: ['reedyard-stamp'],
 };
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -23,7 +23,7 @@
   connectTimeoutMs,
   feedIntervalMs,
   Feeds,
-  type HeldFeed,
+  type ProxyFeedSnapshot,
   ProxyCore,
   type ProxyEffect,
   type ProxyEvent,
@@ -1126,7 +1126,7 @@
   }
 
   /** What each proxy's shell holds of its feed. */
-  readonly #held = new WeakMap<Process<'proxy'>, HeldFeed>();
+  readonly #held = new WeakMap<Process<'proxy'>, ProxyFeedSnapshot>();
   readonly #peers = new Map<string, Feed['peers'][number]>();
   #everPeers(feed: Feed): void {
     for (const row of feed.peers) this.#peers.set(row.id, row);
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -27,7 +27,7 @@
   demandIntervalMs,
   feedIntervalMs,
   Feeds,
-  type HeldFeed,
+  type ProxyFeedSnapshot,
   measurementIntervalMs,
 } from '@reedyard/proxy';
 import {
@@ -210,7 +210,7 @@
   askAt: number;
   asking: boolean;
   measuredAt: number;
-  held: HeldFeed | null;
+  held: ProxyFeedSnapshot | null;
   policy: unknown;
   wants: Readonly<Record<string, number>>;
   wantsAt: number;
