--- a/packages/agent/src/agent.test.ts
+++ b/packages/agent/src/agent.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { parse, stringify } from 'devalue';
 import { recordValue } from '@reedyard/gossip';
-import { type Description, Schemas } from '@reedyard/schemas';
+import { type OriginDescription, Schemas } from '@reedyard/schemas';
 import { originRefreshIntervalMs } from './api/api-actions.js';
 import type { WatchedRegister } from './control/control-state.js';
 import { learnRegister } from './control/polling.js';
@@ -59,7 +59,7 @@
   document: Schemas.policy({ services, routes: [], ...more }),
   changes: [],
 });
-const told = (more: Partial<Description> = {}): Description => ({
+const told = (more: Partial<OriginDescription> = {}): OriginDescription => ({
   service: 's',
   instance: 'i',
   incarnation: 0,
@@ -191,7 +191,8 @@
 
 test('an older description changes nothing, here and in what is heard from others', (t) => {
   const key = 'origin/s/i';
-  const known = (state: AgentState): Description => recordValue(state.gossip, key) as Description;
+  const known = (state: AgentState): OriginDescription =>
+    recordValue(state.gossip, key) as OriginDescription;
   let state = acted(
     opened(),
     { kind: 'describe', description: told({ sequence: 5, state: 'cold' }) },
--- a/packages/agent/src/api/api-actions.ts
+++ b/packages/agent/src/api/api-actions.ts
@@ -5,7 +5,7 @@
 import { publishRecord, recordValue, replaceValueLocally } from '@reedyard/gossip';
 import { rateOf } from '@reedyard/quota-division';
 import { leaseDurationMs } from '@reedyard/replica';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import { servingAllowanceMs, isUnreachable, unreachableResponse } from '../control/reachability.js';
 import { policyOf, quotaAllocationOf, toleratesLosses, zonesOf } from '../control/registers.js';
 import { hasReadyQuotas } from '../feed/feed.js';
@@ -44,7 +44,7 @@
 };
 
 /** Whether all of a description but its number was told already, lately enough. */
-const isAnnounced = (state: AgentState, key: string, told: Description): boolean => {
+const isAnnounced = (state: AgentState, key: string, told: OriginDescription): boolean => {
   const held = state.gossip.records[key];
   if (held === undefined || held.isExpired) return false;
   if (
@@ -52,8 +52,11 @@
     mayPredateZoneRestore(state, told.zone, held.seenAt)
   )
     return false;
-  const known = held.value as Description;
-  const fields = new Set([...Object.keys(told), ...Object.keys(known)] as (keyof Description)[]);
+  const known = held.value as OriginDescription;
+  const fields = new Set([
+    ...Object.keys(told),
+    ...Object.keys(known),
+  ] as (keyof OriginDescription)[]);
   return [...fields].every((field) => field === 'sequence' || told[field] === known[field]);
 };
 
@@ -63,7 +66,7 @@
   else appendToJournal(transition, [{ key, value: true }], id, done);
 };
 
-const olderIncarnation = (known: Description): ActionReply => ({
+const olderIncarnation = (known: OriginDescription): ActionReply => ({
   status: 409,
   body: {
     type: 'about:blank',
@@ -78,19 +81,19 @@
  * incarnation.
  */
 const descriptionToAnnounce = (
-  known: Description | null,
-  sent: Description,
+  known: OriginDescription | null,
+  sent: OriginDescription,
   isLate: boolean,
-): Description => {
+): OriginDescription => {
   if (known !== null && isLate) return known;
   const drainsOn = known !== null && known.incarnation === sent.incarnation && known.draining;
   return { ...sent, draining: sent.draining || drainsOn };
 };
 
-const describe = (transition: Transition, id: number, description: Description): void => {
+const describe = (transition: Transition, id: number, description: OriginDescription): void => {
   const key = originKey(description);
   const known =
-    (recordValue(transition.state.gossip, key) as Description | null | undefined) ?? null;
+    (recordValue(transition.state.gossip, key) as OriginDescription | null | undefined) ?? null;
   if (known !== null && known.incarnation > description.incarnation) {
     answer(transition, id, olderIncarnation(known));
     return;
--- a/packages/agent/src/api/status.ts
+++ b/packages/agent/src/api/status.ts
@@ -7,7 +7,7 @@
  */
 import { majorityOf } from '@reedyard/consensus';
 import { leaseDurationMs, type ReplicaReply } from '@reedyard/replica';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import type { RoutingTable } from '@reedyard/server-selection';
 import type { PollOutcome, LastPollReply, ReplicaView } from '../control/control-state.js';
 import { isUnreachable } from '../control/reachability.js';
@@ -76,7 +76,10 @@
 };
 
 /** An origin as this node knows it, and whether it gets traffic. */
-export type OriginStatus = Description & { readonly admitted: boolean; readonly reason?: string };
+export type OriginStatus = OriginDescription & {
+  readonly admitted: boolean;
+  readonly reason?: string;
+};
 
 /** Everything that `GET /v1/status` answers. */
 export type NodeStatus = {
--- a/packages/agent/src/gossip/gossip-exchange.ts
+++ b/packages/agent/src/gossip/gossip-exchange.ts
@@ -9,7 +9,7 @@
   publishRecord,
   sampleView,
 } from '@reedyard/gossip';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import { eagerPollingDurationMs } from '../control/lease.js';
 import { updateMovedReplicas } from '../membership/known-replicas.js';
 import { isOutdated } from '../origins/origins.js';
@@ -126,7 +126,7 @@
   newKeys: readonly string[],
 ): void => {
   for (const key of newKeys.filter((each) => each.startsWith('origin/'))) {
-    const heard = updates[key]?.value as Description | null | undefined;
+    const heard = updates[key]?.value as OriginDescription | null | undefined;
     const own = before.gossip.records[key];
     if (!heard || own === undefined || !isOutdated(before, heard)) continue;
     const { gossip } = transition.state;
--- a/packages/agent/src/messages.ts
+++ b/packages/agent/src/messages.ts
@@ -3,7 +3,7 @@
  * Fields that are sent or stored keep their names, since versions run side by side.
  */
 import type { ReplicaRequest, ReplicaReply } from '@reedyard/replica';
-import type { Description, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
+import type { OriginDescription, ZoneOrder, Policy, Purge } from '@reedyard/schemas';
 import type { GossipExchange, GossipExchangeReply, RecordUpdate } from '@reedyard/gossip';
 import type { RoutingTable } from '@reedyard/server-selection';
 
@@ -221,7 +221,7 @@
       readonly changeId: string;
     }
   | { readonly kind: 'get-policy' }
-  | { readonly kind: 'describe'; readonly description: Description }
+  | { readonly kind: 'describe'; readonly description: OriginDescription }
   | { readonly kind: 'withdraw'; readonly instance: string }
   | { readonly kind: 'purge'; readonly purge: Purge; readonly changeId: string }
   | {
--- a/packages/agent/src/origins/origins.ts
+++ b/packages/agent/src/origins/origins.ts
@@ -1,7 +1,7 @@
 /** The origins that gossip tells of, and which of them get traffic. */
 
 import { liveRecords, recordValue } from '@reedyard/gossip';
-import type { Description } from '@reedyard/schemas';
+import type { OriginDescription } from '@reedyard/schemas';
 import { policyOf, zonesOf, zonesWithClosedOrigins } from '../control/registers.js';
 import type { AgentState } from '../state.js';
 
@@ -12,7 +12,10 @@
 export const restoreSettleMs = 500;
 
 /** Why an origin gets no traffic, or null if it does. */
-export const exclusionReason = (state: AgentState, description: Description): string | null => {
+export const exclusionReason = (
+  state: AgentState,
+  description: OriginDescription,
+): string | null => {
   const service = policyOf(state)?.document.services[description.service];
   if (service === undefined) return 'no policy allows this service';
   if (service.instances !== undefined && !service.instances.includes(description.instance))
@@ -28,7 +31,7 @@
 };
 
 /** The journal's key of a notice that an incarnation of an origin drains. */
-export const drainKey = (description: Description): string =>
+export const drainKey = (description: OriginDescription): string =>
   `drain/${description.service}/${description.instance}/${description.incarnation}`;
 
 /** Bars every incarnation of an instance of this name, for as long as the journal entry lasts. */
@@ -41,7 +44,7 @@
 export const mayPredateZoneRestore = (state: AgentState, zone: string, heardAt: number): boolean =>
   heardAt < (state.zonesRestoredAt[zone] ?? -Infinity) + restoreSettleMs;
 
-const isOlder = (told: Description, known: Description): boolean =>
+const isOlder = (told: OriginDescription, known: OriginDescription): boolean =>
   told.incarnation < known.incarnation ||
   (told.incarnation === known.incarnation &&
     told.sequence !== undefined &&
@@ -49,25 +52,26 @@
     told.sequence < known.sequence);
 
 /** Whether a description is older than the one known of the same origin. */
-export const isOutdated = (state: AgentState, description: Description): boolean => {
-  const known = recordValue(state.gossip, originKey(description)) as Description | null | undefined;
+export const isOutdated = (state: AgentState, description: OriginDescription): boolean => {
+  const known = recordValue(state.gossip, originKey(description)) as
+    OriginDescription | null | undefined;
   return known !== undefined && known !== null && isOlder(description, known);
 };
 
 /** The key of an origin's record in gossip. */
-export const originKey = (description: Description): string =>
+export const originKey = (description: OriginDescription): string =>
   `origin/${description.service}/${description.instance}`;
 
 /** Every origin heard of. Of two at one address only the one heard later counts. */
 export const originsOf = (
   state: AgentState,
 ): readonly {
-  readonly description: Description;
+  readonly description: OriginDescription;
   readonly heardAt: number;
   readonly exclusionReason: string | null;
 }[] => {
   const all = liveRecords(state.gossip, 'origin/').map(([, value, seenAt]) => ({
-    description: value as Description,
+    description: value as OriginDescription,
     seenAt,
   }));
   return all.map(({ description, seenAt }) => ({
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -66,7 +66,7 @@
     Object.fromEntries(nodes.map(({ id, wants }) => [id, wants[service] ?? 0]));
   return Object.fromEntries(
     Object.entries(rateLimits).map(([service, rateLimit]) => {
-      const allowed = quotaNodesOf(Routes.homesOf(routes, service));
+      const allowed = quotaNodesOf(Routes.homeRegionsOf(routes, service));
       return [service, allocateQuotas(rateLimit, allowed, demandFor(service))];
     }),
   );
--- a/packages/config-templates/src/config-templates.test.ts
+++ b/packages/config-templates/src/config-templates.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { parametersOf, TemplateError, resolve } from './index.js';
+import { parseParameters, TemplateError, resolveTemplate } from './index.js';
 
 const template = {
   services: { store: { ceiling: '{{ceiling:400}}', coldRate: '{{cold}}' } },
@@ -7,19 +7,20 @@
 };
 
 test('parameters keep their type, defaults hold, and what lacks or is unknown is refused by name', (t) => {
-  t.deepEqual(resolve(template, parametersOf(['cold=5', 'domain=a.example']), []), {
+  t.deepEqual(resolveTemplate(template, parseParameters(['cold=5', 'domain=a.example']), []), {
     services: { store: { ceiling: 400, coldRate: 5 } },
     routes: [{ name: 'sheets', host: 'www.a.example', path: '/s/', service: 'store' }],
   });
   t.is(
-    t.throws(() => resolve(template, { cold: 5 }, []), { instanceOf: TemplateError })?.message,
+    t.throws(() => resolveTemplate(template, { cold: 5 }, []), { instanceOf: TemplateError })
+      ?.message,
     'parameters without a value: domain',
   );
   t.regex(
-    t.throws(() => resolve(template, { cold: 5, domain: 'x', typo: 1 }, []))?.message ?? '',
+    t.throws(() => resolveTemplate(template, { cold: 5, domain: 'x', typo: 1 }, []))?.message ?? '',
     /no parameter typo/,
   );
-  t.throws(() => parametersOf(['nonsense']), { instanceOf: TemplateError });
+  t.throws(() => parseParameters(['nonsense']), { instanceOf: TemplateError });
 });
 
 test('overlays change, add and remove, in their order, and leave what they were given as it was', (t) => {
@@ -32,7 +33,7 @@
   };
   const before = JSON.stringify(base);
   t.deepEqual(
-    resolve(base, {}, [
+    resolveTemplate(base, {}, [
       { services: { store: { ceiling: 2 } } },
       { routes: { a: { path: '/z' }, b: null, c: { path: '/c' } } },
       { services: { news: { ceiling: 3 } } },
--- a/packages/config-templates/src/index.ts
+++ b/packages/config-templates/src/index.ts
@@ -1,2 +1,6 @@
 /** Configuration documents from templates and overlays. */
-export { parametersOf, resolve, TemplateError } from './config-templates.js';
+export {
+  parametersOf as parseParameters,
+  resolve as resolveTemplate,
+  TemplateError,
+} from './config-templates.js';
--- a/packages/logging/src/index.ts
+++ b/packages/logging/src/index.ts
@@ -2,8 +2,8 @@
 export {
   CodedError,
   errorMessage,
-  type Fields,
-  formatLine,
+  type Fields as LogFields,
+  formatLine as formatLogLine,
   type Logger,
   openLogger,
 } from './logging.js';
--- a/packages/planner/src/index.ts
+++ b/packages/planner/src/index.ts
@@ -1,2 +1,7 @@
 /** What an order would move, before it is sent. */
-export { type Intent, type Known, type Moves, plan } from './planner.js';
+export {
+  type Intent as IntendedChange,
+  type Known as SystemState,
+  type Moves as ChangePlan,
+  plan,
+} from './planner.js';
--- a/packages/planner/src/planner.test.ts
+++ b/packages/planner/src/planner.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { NodeRecord } from '@reedyard/agent';
-import { Schemas, type Description } from '@reedyard/schemas';
-import { plan, type Known } from './index.js';
+import { Schemas, type OriginDescription } from '@reedyard/schemas';
+import { plan, type SystemState } from './index.js';
 
 const node = (id: string, zone: string, region: string, want: number): NodeRecord => ({
   id,
@@ -15,7 +15,7 @@
   proxyLife: '',
   wants: { store: want },
 });
-const origin = (instance: string, zone: string): Description => ({
+const origin = (instance: string, zone: string): OriginDescription => ({
   service: 'store',
   instance,
   incarnation: 1,
@@ -30,7 +30,7 @@
   services: { store: { ceiling: 100, coldRate: 5 } },
   routes: [{ name: 'sheets', host: 'a.example', path: '/sheets/', service: 'store' }],
 });
-const known: Known = {
+const known: SystemState = {
   policy,
   emptied: [],
   nodes: [node('a', 'west', 'r', 10), node('b', 'west', 'r', 10), node('c', 'north', 'r', 10)],
--- a/packages/planner/src/planner.ts
+++ b/packages/planner/src/planner.ts
@@ -8,7 +8,7 @@
   type QuotaNode,
   type QuotaShares,
 } from '@reedyard/quota-division';
-import { Routes, type Description, type Policy, type Route } from '@reedyard/schemas';
+import { Routes, type OriginDescription, type Policy, type Route } from '@reedyard/schemas';
 
 /** What the fleet is now, as its own API tells it. */
 export type Known = {
@@ -17,7 +17,7 @@
   /** Zones whose origins get nothing, the emptied ones among them. */
   readonly closedOrigins?: readonly string[];
   readonly nodes: readonly NodeRecord[];
-  readonly origins: readonly Description[];
+  readonly origins: readonly OriginDescription[];
   readonly slices: Readonly<Record<string, QuotaShares>>;
 };
 
@@ -88,7 +88,7 @@
 };
 
 const standing = (
-  origin: Description,
+  origin: OriginDescription,
   policy: Policy,
   closed: readonly string[],
   emptied: readonly string[],
@@ -163,7 +163,7 @@
         );
 
   const shares = services.flatMap((service) => {
-    const homes = Routes.homesOf(policy.routes, service);
+    const homes = Routes.homeRegionsOf(policy.routes, service);
     const allowed =
       homes === undefined ? seats : seats.filter((seat) => homes.includes(seat.region));
     const bound = boundAfter(service);
--- a/packages/reedyard/src/client.ts
+++ b/packages/reedyard/src/api-client.ts
@@ -12,7 +12,7 @@
   /** No node answered, or no majority was reached; it may be sent again with the same change id. */
   unreached: 4,
   /** Asked whether something is so (ready), and it is not. */
-  not: 5,
+  conditionNotMet: 5,
 } as const;
 
 /** A call that did not bring what was asked. */
@@ -126,7 +126,7 @@
  * @example
  * (await askEach(['127.0.0.1:7080'], '/v1/status')).get('127.0.0.1:7080')
  */
-export const askEach = async (
+export const getFromAllNodes = async (
   nodes: readonly string[],
   target: string,
 ): Promise<ReadonlyMap<string, unknown>> => {
--- a/packages/reedyard/src/base.ts
+++ b/packages/reedyard/src/base-command.ts
@@ -1,9 +1,9 @@
 /** What the commands of the command line share: flags, calls of the API, output. */
 import { randomUUID } from 'node:crypto';
 import { Args, Command, Flags } from '@oclif/core';
-import { parametersOf, TemplateError, resolve } from '@reedyard/config-templates';
+import { parseParameters, TemplateError, resolveTemplate } from '@reedyard/config-templates';
 import { Schemas, SchemaError, type Policy } from '@reedyard/schemas';
-import { ask, ClientError, exitCodes, readDocument } from './client.js';
+import { ask, ClientError, exitCodes, readDocument } from './api-client.js';
 
 /** What every command has: nodes to ask, `--json`, and the exit codes. */
 export abstract class BaseCommand extends Command {
@@ -17,7 +17,7 @@
       default: '127.0.0.1:7080',
     }),
   };
-  static changeFlag = Flags.string({
+  static changeIdFlag = Flags.string({
     description: 'change id: sent again with the same one, a change is made once',
     default: async () => randomUUID(),
     defaultHelp: async () => 'a random one',
@@ -40,13 +40,17 @@
    * The one whole policy that a file, its parameters and its overlays come to, checked as a node
    * checks it.
    */
-  protected policyOf(
+  protected readPolicy(
     file: string,
     flags: { readonly param: readonly string[]; readonly overlay: readonly string[] },
   ): Policy {
     try {
       return Schemas.policy(
-        resolve(readDocument(file), parametersOf(flags.param), flags.overlay.map(readDocument)),
+        resolveTemplate(
+          readDocument(file),
+          parseParameters(flags.param),
+          flags.overlay.map(readDocument),
+        ),
       );
     } catch (thrown) {
       if (thrown instanceof SchemaError)
@@ -62,7 +66,7 @@
   }
 
   /** The nodes of the `--node` flag. */
-  protected addressesOf(nodes: string): readonly string[] {
+  protected parseAddresses(nodes: string): readonly string[] {
     return nodes
       .split(',')
       .map((node) => node.trim())
@@ -76,7 +80,7 @@
     document?: unknown,
     headers: Readonly<Record<string, string>> = {},
   ): Promise<unknown> {
-    return ask(this.addressesOf(nodes), method, target, document, headers);
+    return ask(this.parseAddresses(nodes), method, target, document, headers);
   }
 
   /** What people see where no `--json` is asked for. */
@@ -112,7 +116,7 @@
 /** A command that gives one order for a zone. */
 export abstract class ZoneCommand extends BaseCommand {
   static override args = { zone: Args.string({ required: true, description: 'name of the zone' }) };
-  static override flags = { change: BaseCommand.changeFlag };
+  static override flags = { change: BaseCommand.changeIdFlag };
   protected abstract readonly order: 'empty' | 'take-back';
 
   async run(): Promise<unknown> {
--- a/packages/reedyard/src/commands/describe.ts
+++ b/packages/reedyard/src/commands/describe.ts
@@ -1,7 +1,7 @@
 /** Command: describes an origin to the fleet. */
 import { Args } from '@oclif/core';
-import { BaseCommand } from '../base.js';
-import { readDocument } from '../client.js';
+import { BaseCommand } from '../base-command.js';
+import { readDocument } from '../api-client.js';
 
 export default class Describe extends BaseCommand {
   static override description =
--- a/packages/reedyard/src/commands/live.ts
+++ b/packages/reedyard/src/commands/live.ts
@@ -1,5 +1,5 @@
 /** Command: whether a node's agent runs. */
-import { ReadCommand } from '../base.js';
+import { ReadCommand } from '../base-command.js';
 
 export default class Live extends ReadCommand {
   static override description =
--- a/packages/reedyard/src/commands/peers.ts
+++ b/packages/reedyard/src/commands/peers.ts
@@ -1,5 +1,5 @@
 /** Command: the nodes that a node knows. */
-import { ReadCommand } from '../base.js';
+import { ReadCommand } from '../base-command.js';
 
 export default class Peers extends ReadCommand {
   static override description =
--- a/packages/reedyard/src/commands/plan.ts
+++ b/packages/reedyard/src/commands/plan.ts
@@ -1,10 +1,10 @@
 /** Command: what an order would move; sends nothing. */
 import { Flags } from '@oclif/core';
 import type { NodeRecord } from '@reedyard/agent';
-import type { Description, Policy } from '@reedyard/schemas';
-import { plan, type Moves } from '@reedyard/planner';
-import { BaseCommand } from '../base.js';
-import { ClientError, exitCodes } from '../client.js';
+import type { OriginDescription, Policy } from '@reedyard/schemas';
+import { plan, type ChangePlan } from '@reedyard/planner';
+import { BaseCommand } from '../base-command.js';
+import { ClientError, exitCodes } from '../api-client.js';
 
 export default class Plan extends BaseCommand {
   static override description =
@@ -20,16 +20,16 @@
     ...BaseCommand.templateFlags,
   };
 
-  async run(): Promise<Moves> {
+  async run(): Promise<ChangePlan> {
     const { flags } = await this.parse(Plan);
     if (flags.policy === undefined && flags.empty === undefined && flags['take-back'] === undefined)
       throw new ClientError(exitCodes.usage, 'wanted --policy, --empty or --take-back');
-    const next = flags.policy === undefined ? undefined : this.policyOf(flags.policy, flags);
+    const next = flags.policy === undefined ? undefined : this.readPolicy(flags.policy, flags);
     const read = async <T>(target: string): Promise<T> =>
       (await this.call(flags.node, 'GET', target)) as T;
     const [{ policy }, status, { peers }, { services }] = await Promise.all([
       read<{ policy: Policy }>('/v1/policy'),
-      read<{ emptiedZones: string[]; closedOrigins?: string[]; origins: Description[] }>(
+      read<{ emptiedZones: string[]; closedOrigins?: string[]; origins: OriginDescription[] }>(
         '/v1/status',
       ),
       read<{ peers: NodeRecord[] }>('/v1/peers'),
@@ -65,7 +65,7 @@
     return moves;
   }
 
-  private tell(moves: Moves): void {
+  private tell(moves: ChangePlan): void {
     const rate = (value: number): string => `${value.toFixed(1)}/s`;
     const lines = [
       ...moves.routes.added.map((name) => `route ${name}: added`),
--- a/packages/reedyard/src/commands/policy/check.ts
+++ b/packages/reedyard/src/commands/policy/check.ts
@@ -1,6 +1,6 @@
 /** Command: checks a policy; sends nothing. */
 import { Args } from '@oclif/core';
-import { BaseCommand } from '../../base.js';
+import { BaseCommand } from '../../base-command.js';
 
 export default class PolicyCheck extends BaseCommand {
   static override description =
@@ -12,7 +12,7 @@
 
   async run(): Promise<unknown> {
     const { args, flags } = await this.parse(PolicyCheck);
-    const policy = this.policyOf(args.file, flags);
+    const policy = this.readPolicy(args.file, flags);
     this.show(policy);
     return policy;
   }
--- a/packages/reedyard/src/commands/policy/get.ts
+++ b/packages/reedyard/src/commands/policy/get.ts
@@ -1,5 +1,5 @@
 /** Command: reads the policy in force. */
-import { ReadCommand } from '../../base.js';
+import { ReadCommand } from '../../base-command.js';
 
 export default class PolicyGet extends ReadCommand {
   static override description =
--- a/packages/reedyard/src/commands/policy/put.ts
+++ b/packages/reedyard/src/commands/policy/put.ts
@@ -1,6 +1,6 @@
 /** Command: sends a policy. */
 import { Args, Flags } from '@oclif/core';
-import { BaseCommand } from '../../base.js';
+import { BaseCommand } from '../../base-command.js';
 
 export default class PolicyPut extends BaseCommand {
   static override description =
@@ -17,16 +17,22 @@
       description: 'only if the policy in force still has this revision',
       min: 0,
     }),
-    change: BaseCommand.changeFlag,
+    change: BaseCommand.changeIdFlag,
     ...BaseCommand.templateFlags,
   };
 
   async run(): Promise<unknown> {
     const { args, flags } = await this.parse(PolicyPut);
-    const body = await this.call(flags.node, 'PUT', '/v1/policy', this.policyOf(args.file, flags), {
-      'reedyard-change-id': flags.change,
-      ...(flags['if-revision'] === undefined ? {} : { 'if-match': `"${flags['if-revision']}"` }),
-    });
+    const body = await this.call(
+      flags.node,
+      'PUT',
+      '/v1/policy',
+      this.readPolicy(args.file, flags),
+      {
+        'reedyard-change-id': flags.change,
+        ...(flags['if-revision'] === undefined ? {} : { 'if-match': `"${flags['if-revision']}"` }),
+      },
+    );
     this.show(body);
     return body;
   }
--- a/packages/reedyard/src/commands/purge.ts
+++ b/packages/reedyard/src/commands/purge.ts
@@ -1,7 +1,7 @@
 /** Command: purges objects by URL or tag. */
 import { Flags } from '@oclif/core';
-import { BaseCommand } from '../base.js';
-import { ClientError, exitCodes } from '../client.js';
+import { BaseCommand } from '../base-command.js';
+import { ClientError, exitCodes } from '../api-client.js';
 
 export default class Purge extends BaseCommand {
   static override description = 'Take objects, or all objects with a tag, out of every node.';
@@ -16,7 +16,7 @@
       default: [],
     }),
     tag: Flags.string({ multiple: true, description: 'tag of a group', default: [] }),
-    change: BaseCommand.changeFlag,
+    change: BaseCommand.changeIdFlag,
   };
 
   async run(): Promise<unknown> {
--- a/packages/reedyard/src/commands/ready.ts
+++ b/packages/reedyard/src/commands/ready.ts
@@ -1,6 +1,6 @@
 /** Command: whether a node is ready for clients. */
-import { BaseCommand } from '../base.js';
-import { ClientError, exitCodes } from '../client.js';
+import { BaseCommand } from '../base-command.js';
+import { ClientError, exitCodes } from '../api-client.js';
 
 export default class Ready extends BaseCommand {
   static override description = 'Whether a node takes callers: exit code 0 if it does, 5 if not.';
@@ -13,7 +13,7 @@
       return body;
     } catch (thrown) {
       if (thrown instanceof ClientError && thrown.exit === exitCodes.unreached)
-        throw new ClientError(exitCodes.not, thrown.message);
+        throw new ClientError(exitCodes.conditionNotMet, thrown.message);
       throw thrown;
     }
   }
--- a/packages/reedyard/src/commands/safe-to-stop.ts
+++ b/packages/reedyard/src/commands/safe-to-stop.ts
@@ -1,9 +1,9 @@
 /** Command: whether a machine may be stopped now. */
 import { Args, Flags } from '@oclif/core';
 import type { NodeStatus } from '@reedyard/agent';
-import { BaseCommand } from '../base.js';
-import { askEach } from '../client.js';
-import { believedStatus, safeToStop, stopExitCodes } from '../safe-to-stop.js';
+import { BaseCommand } from '../base-command.js';
+import { getFromAllNodes } from '../api-client.js';
+import { authoritativeStatus, safeToStop, stopExitCodes } from '../safe-to-stop.js';
 import type { KnownMachine, StopVerdict } from '../safe-to-stop.js';
 
 type Heard = { readonly status: NodeStatus; readonly machines: readonly KnownMachine[] };
@@ -28,7 +28,7 @@
   async run(): Promise<StopVerdict> {
     const { args, flags } = await this.parse(SafeToStop);
     const heard = await this.heardFrom(flags.node);
-    const status = believedStatus(heard.map((each) => each.status));
+    const status = authoritativeStatus(heard.map((each) => each.status));
     const machines = heard.find((each) => each.status === status)?.machines ?? [];
     const verdict = safeToStop(args.machine, status, machines, flags.losses ?? null);
     if (!this.jsonEnabled()) this.tell(args.machine, verdict);
@@ -38,10 +38,10 @@
 
   /** What each node says of itself and of others; nodes that don't answer are left out. */
   private async heardFrom(nodes: string): Promise<readonly Heard[]> {
-    const addresses = this.addressesOf(nodes);
+    const addresses = this.parseAddresses(nodes);
     const [statuses, lists] = await Promise.all([
-      askEach(addresses, '/v1/status'),
-      askEach(addresses, '/v1/peers'),
+      getFromAllNodes(addresses, '/v1/status'),
+      getFromAllNodes(addresses, '/v1/peers'),
     ]);
     return addresses.flatMap((address) => {
       const status = statuses.get(address) as Partial<NodeStatus> | undefined;
--- a/packages/reedyard/src/commands/shares.ts
+++ b/packages/reedyard/src/commands/shares.ts
@@ -1,5 +1,5 @@
 /** Command: the quotas in force. */
-import { ReadCommand } from '../base.js';
+import { ReadCommand } from '../base-command.js';
 
 export default class Shares extends ReadCommand {
   static override description =
--- a/packages/reedyard/src/commands/status.ts
+++ b/packages/reedyard/src/commands/status.ts
@@ -1,6 +1,6 @@
 /** Command: what a node says of itself and of the control state. */
 import type { NodeStatus } from '@reedyard/agent';
-import { ReadCommand } from '../base.js';
+import { ReadCommand } from '../base-command.js';
 import { statusLines } from '../status-text.js';
 
 export default class Status extends ReadCommand {
--- a/packages/reedyard/src/commands/zone/empty.ts
+++ b/packages/reedyard/src/commands/zone/empty.ts
@@ -1,5 +1,5 @@
 /** Command: evacuates a zone. */
-import { ZoneCommand } from '../../base.js';
+import { ZoneCommand } from '../../base-command.js';
 
 export default class ZoneEmpty extends ZoneCommand {
   static override description =
--- a/packages/reedyard/src/index.ts
+++ b/packages/reedyard/src/index.ts
@@ -1,3 +1,8 @@
 /** The command line of operators. */
-export { BaseCommand } from './base.js';
-export { ask, ClientError, exitCodes, type Reply } from './client.js';
+export { BaseCommand } from './base-command.js';
+export {
+  ask as requestAnyNode,
+  ClientError,
+  exitCodes,
+  type Reply as ApiResponse,
+} from './api-client.js';
--- a/packages/reedyard/src/safe-to-stop.test.ts
+++ b/packages/reedyard/src/safe-to-stop.test.ts
@@ -1,6 +1,11 @@
 import test from 'ava';
 import type { ControlStatus, MemberState, MemberStatus, NodeStatus } from '@reedyard/agent';
-import { believedStatus, safeToStop, type KnownMachine, type StopVerdict } from './safe-to-stop.js';
+import {
+  authoritativeStatus,
+  safeToStop,
+  type KnownMachine,
+  type StopVerdict,
+} from './safe-to-stop.js';
 import { statusLines } from './status-text.js';
 
 const memberOf = (index: number, state: MemberState): MemberStatus => ({
@@ -154,10 +159,10 @@
   const hopeful = controlOf(all);
   const worried = controlOf(oneOf('silent'));
   const newer = controlOf(oneOf('silent'), { epoch: 5 });
-  t.is(believedStatus([statusOf(hopeful, 0)]), null);
+  t.is(authoritativeStatus([statusOf(hopeful, 0)]), null);
   t.is(safeToStop('core-2', null, machines, null).verdict, 'unknown');
   const believed = (...controls: readonly NodeStatus[]): ControlStatus | undefined =>
-    believedStatus(controls)?.control;
+    authoritativeStatus(controls)?.control;
   t.is(believed(statusOf(hopeful), statusOf(worried), statusOf(newer, 0)), worried);
   t.is(believed(statusOf(hopeful), statusOf(worried), statusOf(newer)), newer);
 });
--- a/packages/reedyard/src/safe-to-stop.ts
+++ b/packages/reedyard/src/safe-to-stop.ts
@@ -45,7 +45,7 @@
  * @example
  * believedStatus([cutOff, leased]) // leased
  */
-export const believedStatus = (statuses: readonly NodeStatus[]): NodeStatus | null => {
+export const authoritativeStatus = (statuses: readonly NodeStatus[]): NodeStatus | null => {
   const leased = statuses.filter((status) => status.leaseMs > 0);
   const [best] = [...leased].sort(
     (a, b) => b.control.epoch - a.control.epoch || a.control.lossesBorne - b.control.lossesBorne,
--- a/packages/schemas/src/index.ts
+++ b/packages/schemas/src/index.ts
@@ -1,7 +1,7 @@
 /** Documents of operators and origins: their forms, and how they are checked. */
 export {
-  type Description,
-  type Fault,
+  type Description as OriginDescription,
+  type Fault as DocumentFault,
   type Policy,
   type Purge,
   type Route,
@@ -10,6 +10,6 @@
   SchemaError,
   Schemas,
   type Service,
-  type Weighted,
+  type Weighted as WeightedService,
   type ZoneOrder,
 } from './schemas.js';
--- a/packages/schemas/src/schemas.test.ts
+++ b/packages/schemas/src/schemas.test.ts
@@ -102,7 +102,7 @@
   );
   t.deepEqual(Routes.services(read(route('r', '/x/'))), [{ service: 's', weight: 1 }]);
   t.deepEqual(
-    Routes.homesOf(
+    Routes.homeRegionsOf(
       [{ ...shared, homes: ['north'] }, read(route('r', '/x/', { homes: ['west'] }))],
       'v',
     ),
--- a/packages/schemas/src/schemas.ts
+++ b/packages/schemas/src/schemas.ts
@@ -315,7 +315,7 @@
   mainService: (route: Route): string => Routes.services(route)[0]?.service ?? '',
 
   /** Regions that any of a service's routes may be served in; undefined where one may be served anywhere. @example Routes.homesOf(policy.routes, 'store') */
-  homesOf: (routes: readonly Route[], service: string): readonly string[] | undefined => {
+  homeRegionsOf: (routes: readonly Route[], service: string): readonly string[] | undefined => {
     const own = routes.filter((each) => Routes.allows(each, service)).map((each) => each.homes);
     return own.length === 0 || own.includes(undefined)
       ? undefined
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -43,7 +43,7 @@
   snapshotRecords,
 } from '@reedyard/replica';
 import { callTimeoutMs } from '@reedyard/rpc';
-import type { Description, Policy } from '@reedyard/schemas';
+import type { OriginDescription, Policy } from '@reedyard/schemas';
 import type { Deployment, Machine } from '@reedyard/topology';
 import { VirtualClock } from './virtual-clock.js';
 import type { Entry, SimBody } from './history.js';
@@ -1461,7 +1461,7 @@
       capacity: origin.capacity,
       state: origin.cold ? 'cold' : 'warm',
       draining: origin.draining,
-    } satisfies Description;
+    } satisfies OriginDescription;
     const { draining } = origin;
     const sentAt = this.clock.now();
     this.operate(
