--- a/packages/client-stand-in/src/client-stand-in.ts
+++ b/packages/client-stand-in/src/client-stand-in.ts
@@ -11,7 +11,7 @@
   readonly outcome: string;
   readonly served: string;
   readonly stamp: string;
-  readonly ms: number;
+  readonly durationMs: number;
   readonly retryAfter: boolean;
   readonly aged: boolean;
   readonly job: string;
@@ -31,7 +31,7 @@
   readonly body?: string;
   readonly key?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  readonly limitMs?: number;
+  readonly timeoutMs?: number;
 };
 
 const agent = new http.Agent({ keepAlive: true, maxSockets: 512 });
@@ -90,7 +90,7 @@
         body: '',
         ...part,
         job,
-        ms: performance.now() - began,
+        durationMs: performance.now() - began,
       });
     const body = ask.body ?? (ask.method === 'POST' ? JSON.stringify({ job }) : '');
     const request = http.request(
@@ -100,7 +100,7 @@
         port: Number(ask.at.slice(cut + 1)),
         method: ask.method,
         path: ask.target,
-        timeout: ask.limitMs ?? 15_000,
+        timeout: ask.timeoutMs ?? 15_000,
         headers: {
           host: ask.host,
           'x-job': job,
@@ -137,10 +137,10 @@
 /** A sum over what callers saw. */
 export type Felt = {
   readonly all: number;
-  readonly statuses: Readonly<Record<string, number>>;
+  readonly countByStatus: Readonly<Record<string, number>>;
   readonly served: Readonly<Record<string, number>>;
   readonly faults: readonly string[];
-  readonly retryAfterMissing: number;
+  readonly missingRetryAfterCount: number;
 };
 
 /** @example sumUp([]).all // 0 */
@@ -152,12 +152,12 @@
     );
   return {
     all: seen.length,
-    statuses: countBy((each) => String(each.status)),
+    countByStatus: countBy((each) => String(each.status)),
     served: countBy((each) => each.served || 'none'),
     faults: seen.flatMap((each) =>
       each.fault === null ? [] : [`${each.method} ${each.target}: ${each.fault}`],
     ),
-    retryAfterMissing: seen.filter(
+    missingRetryAfterCount: seen.filter(
       (each) => [502, 503, 504].includes(each.status) && !each.retryAfter,
     ).length,
   };
@@ -166,7 +166,7 @@
 /** Load by one weighted kind of request. */
 export type Kind = {
   readonly weight: number;
-  readonly make: (chance: () => number) => Omit<Ask, 'at'>;
+  readonly createRequest: (chance: () => number) => Omit<Ask, 'at'>;
 };
 
 /**
@@ -180,9 +180,9 @@
 export const startLoad = (options: {
   readonly rate: number;
   readonly kinds: readonly Kind[];
-  readonly choose: () => string | undefined;
-  readonly chance: () => number;
-}): { readonly seen: readonly Seen[]; readonly stop: () => Promise<readonly Seen[]> } => {
+  readonly chooseAddress: () => string | undefined;
+  readonly random: () => number;
+}): { readonly results: readonly Seen[]; readonly stop: () => Promise<readonly Seen[]> } => {
   const seen: Seen[] = [];
   const underWay = new Set<Promise<void>>();
   const total = options.kinds.reduce((sum, kind) => sum + kind.weight, 0);
@@ -193,14 +193,14 @@
     owed = Math.min(owed + (options.rate * (now - last)) / 1_000, options.rate);
     last = now;
     for (; owed >= 1; owed -= 1) {
-      let left = options.chance() * total;
+      let left = options.random() * total;
       const kind = options.kinds.find((each) => {
         left -= each.weight;
         return left < 0;
       });
-      const at = options.choose();
+      const at = options.chooseAddress();
       if (kind === undefined || at === undefined) continue;
-      const one = feel({ ...kind.make(options.chance), at }).then((result) => {
+      const one = feel({ ...kind.createRequest(options.random), at }).then((result) => {
         seen.push(result);
         underWay.delete(one);
       });
@@ -208,7 +208,7 @@
     }
   }, 10);
   return {
-    seen,
+    results: seen,
     stop: async () => {
       clearInterval(beat);
       await Promise.all(underWay);
--- a/packages/client-stand-in/src/index.ts
+++ b/packages/client-stand-in/src/index.ts
@@ -1,10 +1,10 @@
 /** Clients for tests. */
 export {
-  type Ask,
-  feel,
-  type Felt,
-  type Kind,
-  type Seen,
+  type Ask as RequestSpec,
+  feel as sendRequest,
+  type Felt as LoadSummary,
+  type Kind as RequestKind,
+  type Seen as RequestResult,
   startLoad,
-  sumUp,
+  sumUp as summarizeResults,
 } from './client-stand-in.js';
--- a/packages/origin-stand-in/src/index.ts
+++ b/packages/origin-stand-in/src/index.ts
@@ -1,9 +1,9 @@
 /** Origins for tests. */
 export {
-  bodyOf,
-  type Mode,
+  bodyOf as responseBodyOf,
+  type Mode as OriginMode,
   type OriginStandIn,
   type OriginStandInOptions,
-  type Ran,
+  type Ran as ExecutedRequest,
   startOriginStandIn,
 } from './origin-stand-in.js';
--- a/packages/origin-stand-in/src/main.ts
+++ b/packages/origin-stand-in/src/main.ts
@@ -41,8 +41,8 @@
   zone: values.zone,
   region: values.region,
   capacity: Number(values.capacity),
-  apis: values.api,
-  announceMs: 2_000,
+  agentApis: values.api,
+  announceIntervalMs: 2_000,
   maxAge: Number(values['max-age']),
   mode: { state: values.cold ? 'cold' : 'warm' },
 });
@@ -57,16 +57,16 @@
     });
     request.on('end', () => {
       const body = text === '' ? {} : (JSON.parse(text) as Record<string, unknown>);
-      if (request.url === '/become') standIn.become(body);
+      if (request.url === '/become') standIn.setMode(body);
       if (request.url === '/rename') standIn.rename(body);
-      if (request.url === '/turn') standIn.turn();
+      if (request.url === '/turn') standIn.startNewGeneration();
       response.end(
-        JSON.stringify({ ran: standIn.ran(), got: standIn.got(), mode: standIn.mode() }),
+        JSON.stringify({ ran: standIn.ran(), got: standIn.requestCount(), mode: standIn.mode() }),
       );
     });
   })
   .listen(Number(values['control-port']), values.host);
 process.on('SIGTERM', () => {
-  standIn.become({ draining: true });
+  standIn.setMode({ draining: true });
   void standIn.announce().then(() => process.exit(0));
 });
--- a/packages/origin-stand-in/src/origin-stand-in.ts
+++ b/packages/origin-stand-in/src/origin-stand-in.ts
@@ -39,13 +39,13 @@
   readonly region: string;
   readonly capacity: number;
   /** APIs of agents to describe itself to, in turn. */
-  readonly apis: readonly string[];
-  readonly announceMs: number;
+  readonly agentApis: readonly string[];
+  readonly announceIntervalMs: number;
   readonly mode?: Partial<Mode>;
   /** s. How long its reports may be kept. */
   readonly maxAge: number;
   /** Told of each request that it takes, and whether it ran. */
-  readonly heard?: (
+  readonly onRequest?: (
     request: http.IncomingMessage,
     by: {
       readonly service: string;
@@ -66,23 +66,23 @@
   readonly address: string;
   readonly mode: () => Mode;
   /** Changes its ways; describes itself at once unless told not to. */
-  readonly become: (mode: Partial<Mode>, tell?: boolean) => void;
+  readonly setMode: (mode: Partial<Mode>, tell?: boolean) => void;
   /** Takes another identity at the same address. */
   readonly rename: (
     identity: Partial<Pick<OriginStandInOptions, 'service' | 'instance' | 'incarnation'>>,
   ) => void;
   readonly ran: () => readonly Ran[];
-  readonly got: () => number;
+  readonly requestCount: () => number;
   /** Header fields of the request heard last. */
-  readonly heard: () => http.IncomingHttpHeaders;
+  readonly lastRequestHeaders: () => http.IncomingHttpHeaders;
   /** A new generation of every report. */
-  readonly turn: () => number;
+  readonly startNewGeneration: () => number;
   readonly announce: () => Promise<void>;
   /** Describes itself to one node; whether it was taken. */
   readonly announceTo: (api: string) => Promise<boolean>;
   /** Goes down as it stands, and comes back at the same address. */
   readonly crash: () => void;
-  readonly revive: () => void;
+  readonly restart: () => void;
   readonly stop: () => Promise<void>;
 };
 
@@ -179,7 +179,7 @@
       return;
     }
     const unsafe = request.method !== 'GET' && request.method !== 'HEAD';
-    options.heard?.(request, {
+    options.onRequest?.(request, {
       ...identity,
       zone: options.zone,
       cold: mode.state === 'cold',
@@ -280,20 +280,20 @@
     draining: mode.draining,
   });
   const announce = async (): Promise<void> => {
-    for (let tries = 0; tries < options.apis.length; tries += 1) {
-      const api = options.apis[which % options.apis.length] ?? '';
+    for (let tries = 0; tries < options.agentApis.length; tries += 1) {
+      const api = options.agentApis[which % options.agentApis.length] ?? '';
       which += 1;
       if (await describe(api, description())) return;
     }
   };
   const beat = setInterval(() => {
     if (!mode.silent && up) void announce();
-  }, options.announceMs);
+  }, options.announceIntervalMs);
   void announce();
   return {
     address,
     mode: () => mode,
-    become: (change, tell = true) => {
+    setMode: (change, tell = true) => {
       mode = { ...mode, ...change };
       if (tell) void announce();
     },
@@ -308,16 +308,16 @@
       server.close();
       sockets.forEach((socket) => socket.destroy());
     },
-    revive: () => {
+    restart: () => {
       up = true;
       server.listen(Number(address.slice(address.lastIndexOf(':') + 1)), options.host);
       void announce();
     },
     announceTo: async (api) => describe(api, description()),
     ran: () => ran,
-    got: () => got,
-    heard: () => heard,
-    turn: () => {
+    requestCount: () => got,
+    lastRequestHeaders: () => heard,
+    startNewGeneration: () => {
       generation += 1;
       return generation;
     },
--- a/packages/testbed/src/clocks.test.ts
+++ b/packages/testbed/src/clocks.test.ts
@@ -3,7 +3,7 @@
 import path from 'node:path';
 import { mkdtempSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
-import { feel, type Seen } from '@reedyard/client-stand-in';
+import { sendRequest, type RequestResult } from '@reedyard/client-stand-in';
 import { api, Fleet } from './index.js';
 import { small, smallHost as host, smallPolicy as policy } from './small.js';
 import { pairsOf } from './trial.js';
@@ -20,16 +20,16 @@
     async () => (await api(fleet.apiOf('front-2'), 'PUT', '/v1/policy', policy)).status === 200,
   );
   await fleet.untilReady();
-  const get = (): Promise<Seen> =>
-    feel({
+  const get = (): Promise<RequestResult> =>
+    sendRequest({
       at: fleet.callersOf('front-1'),
       method: 'GET',
       host,
       target: '/sheets/1',
       service: 'store',
     });
-  const post = (key: string): Promise<Seen> =>
-    feel({
+  const post = (key: string): Promise<RequestResult> =>
+    sendRequest({
       at: fleet.callersOf('front-2'),
       method: 'POST',
       host,
@@ -79,7 +79,7 @@
     // The jump took place: the log, which alone tells the wall clock's time, shows it.
     await fleet.until('the log at that hour', () => Promise.resolve(hoursOff('front-1') === hours));
   }
-  fleet.originStandIns.get('content-1')?.turn();
+  fleet.originStandIns.get('content-1')?.startNewGeneration();
   t.is(
     (await api(fleet.apiOf('core-2'), 'POST', '/v1/purges', { objects: [`${host}/sheets/1`] }))
       .status,
--- a/packages/testbed/src/fleet.test.ts
+++ b/packages/testbed/src/fleet.test.ts
@@ -2,7 +2,7 @@
 import os from 'node:os';
 import path from 'node:path';
 import { mkdtempSync } from 'node:fs';
-import { feel } from '@reedyard/client-stand-in';
+import { sendRequest } from '@reedyard/client-stand-in';
 import { api, Fleet } from './index.js';
 import { small, smallHost as host, smallPolicy as policy } from './small.js';
 
@@ -45,8 +45,8 @@
   const read = await api(fleet.apiOf('core-3'), 'GET', '/v1/policy');
   t.is((read.body as { revision: number }).revision, 1);
 
-  const get = (node: string, target: string): ReturnType<typeof feel> =>
-    feel({ at: fleet.callersOf(node), method: 'GET', host, target, service: 'store' });
+  const get = (node: string, target: string): ReturnType<typeof sendRequest> =>
+    sendRequest({ at: fleet.callersOf(node), method: 'GET', host, target, service: 'store' });
   await fleet.until(
     'a first answer',
     async () => (await get('front-1', '/sheets/1')).status === 200,
@@ -58,7 +58,7 @@
   t.is((await get('front-1', '/elsewhere')).status, 404);
 
   // After a purge the next answer is of the new generation.
-  fleet.originStandIns.get('content-1')?.turn();
+  fleet.originStandIns.get('content-1')?.startNewGeneration();
   t.is(
     (
       await api(fleet.apiOf('core-2'), 'POST', '/v1/purges', {
@@ -72,8 +72,8 @@
   );
 
   // One key, three askers on two nodes: one run.
-  const post = (node: string, key: string): ReturnType<typeof feel> =>
-    feel({
+  const post = (node: string, key: string): ReturnType<typeof sendRequest> =>
+    sendRequest({
       at: fleet.callersOf(node),
       method: 'POST',
       host,
@@ -101,7 +101,7 @@
   const ran = fleet.originStandIns.get('app-1')?.ran().length ?? 0;
   t.is(
     (
-      await feel({
+      await sendRequest({
         at: fleet.callersOf('front-1'),
         method: 'POST',
         host,
@@ -115,7 +115,7 @@
   );
   t.is(
     (
-      await feel({
+      await sendRequest({
         at: fleet.callersOf('front-1'),
         method: 'POST',
         host,
@@ -154,7 +154,7 @@
     'thousands of routes in force',
     async () =>
       (
-        await feel({
+        await sendRequest({
           at: fleet.callersOf('front-2'),
           method: 'GET',
           host: 'h49.example',
--- a/packages/testbed/src/main.ts
+++ b/packages/testbed/src/main.ts
@@ -4,7 +4,7 @@
 import path from 'node:path';
 import { createInterface } from 'node:readline';
 import { parseArgs } from 'node:util';
-import { startLoad, sumUp, type Kind } from '@reedyard/client-stand-in';
+import { startLoad, summarizeResults, type RequestKind } from '@reedyard/client-stand-in';
 import { errorMessage } from '@reedyard/logging';
 import { runHollow } from './hollow.js';
 import { api, Fleet, type Deployment, type Program } from './index.js';
@@ -131,10 +131,10 @@
     );
   }
 }, 250);
-const kinds = (): readonly Kind[] =>
+const kinds = (): readonly RequestKind[] =>
   read<readonly CallerKind[]>('callers.json').map((kind) => ({
     weight: kind.weight,
-    make: (chance) => ({
+    createRequest: (chance) => ({
       method: kind.method,
       host: kind.host,
       service: kind.service,
@@ -150,8 +150,8 @@
     : startLoad({
         rate: Number(values.rate),
         kinds: kinds(),
-        chance: Math.random,
-        choose: () => {
+        random: Math.random,
+        chooseAddress: () => {
           const up = fleet.names('front').filter((name) => ready.get(name) === true);
           const one = up[Math.floor(Math.random() * up.length)];
           return one === undefined ? undefined : fleet.callersOf(one);
@@ -159,9 +159,9 @@
       });
 const report = async (): Promise<void> => {
   if (load !== null) {
-    const felt = sumUp(load.seen);
+    const felt = summarizeResults(load.results);
     say(
-      `callers: ${felt.all} answers, by status ${JSON.stringify(felt.statuses)}, served by ${JSON.stringify(felt.served)}, faults ${felt.faults.length}${felt.faults
+      `callers: ${felt.all} answers, by status ${JSON.stringify(felt.countByStatus)}, served by ${JSON.stringify(felt.served)}, faults ${felt.faults.length}${felt.faults
         .slice(0, 3)
         .map((fault) => `\n  ${fault}`)
         .join('')}`,
@@ -202,7 +202,7 @@
   heal: () => fleet.heal(),
   wipe: ([name = '']) => fleet.wipe(name),
   origin: ([instance = '', ...mode]) =>
-    fleet.originStandIns.get(instance)?.become(JSON.parse(mode.join(' ')) as object),
+    fleet.originStandIns.get(instance)?.setMode(JSON.parse(mode.join(' ')) as object),
   rename: ([instance = '', ...identity]) =>
     fleet.originStandIns.get(instance)?.rename(JSON.parse(identity.join(' ')) as object),
   report,
--- a/packages/testbed/src/sockets.test.ts
+++ b/packages/testbed/src/sockets.test.ts
@@ -3,7 +3,7 @@
 import os from 'node:os';
 import path from 'node:path';
 import { mkdtempSync } from 'node:fs';
-import { feel, type Seen } from '@reedyard/client-stand-in';
+import { sendRequest, type RequestResult } from '@reedyard/client-stand-in';
 import { api, Fleet } from './index.js';
 import { small } from './small.js';
 
@@ -72,8 +72,8 @@
     target: string,
     more: { headers?: Record<string, string>; method?: string } = {},
     node = 'front-1',
-  ): Promise<Seen> =>
-    feel({
+  ): Promise<RequestResult> =>
+    sendRequest({
       at: fleet.callersOf(node),
       method: more.method ?? 'GET',
       host,
@@ -81,8 +81,8 @@
       service: 'store',
       ...(more.headers === undefined ? {} : { headers: more.headers }),
     });
-  const post = (job: string): Promise<Seen> =>
-    feel({
+  const post = (job: string): Promise<RequestResult> =>
+    sendRequest({
       at: fleet.callersOf('front-1'),
       method: 'POST',
       host,
@@ -95,8 +95,8 @@
     async () =>
       (await get('/live/0')).status === 200 && (await post(`warm-${next()}`)).status === 200,
   );
-  const settle = (blank: typeof store, target: () => Promise<Seen>): Promise<void> => {
-    blank.become({
+  const settle = (blank: typeof store, target: () => Promise<RequestResult>): Promise<void> => {
+    blank.setMode({
       short: false,
       garbage: false,
       leftover: false,
@@ -110,7 +110,7 @@
   // No success out of a short, garbled or corrupted answer; each is told at once, with a time to
   // come back.
   for (const mode of [{ short: true }, { garbage: true }, { corrupt: true }]) {
-    store.become(mode);
+    store.setMode(mode);
     const seen = await get(`/live/${next()}`);
     t.true(seen.status >= 500, JSON.stringify(mode));
     t.true(seen.retryAfter, JSON.stringify(mode));
@@ -118,12 +118,12 @@
   }
 
   // An answer that nobody asked for is never taken for the next one.
-  store.become({ leftover: true });
+  store.setMode({ leftover: true });
   for (let each = 0; each < 30; each += 1) t.is((await get(`/live/${next()}`)).fault, null);
   await settle(store, () => get(`/live/${next()}`));
 
   // Run and lost: told as unknown, and run once.
-  app.become({ lose: true });
+  app.setMode({ lose: true });
   const lost = await post('lost-1');
   t.is(lost.status, 502);
   t.is(lost.outcome, 'unknown');
@@ -133,14 +133,14 @@
   // Another service at the address: nothing of a request reaches it. (Where the old conn closed
   // under a request, that is told as unknown; the next one learns that it was not run.)
   const before = app.ran().length;
-  const got = app.got();
+  const got = app.requestCount();
   app.rename({ service: 'stranger', instance: 'app-1', incarnation: 2 });
   t.true([502, 503].includes((await post('stray-0')).status));
   const refused = await post('stray-1');
   t.is(refused.status, 503);
   t.is(refused.outcome, 'not-run');
   t.is(app.ran().length, before);
-  t.is(app.got(), got);
+  t.is(app.requestCount(), got);
   app.rename({ service: 'application', instance: 'app-1', incarnation: 3 });
   await fleet.until(
     'the new incarnation',
@@ -163,11 +163,11 @@
   t.is(head.body, '');
 
   // Many at once for one object: one fetch.
-  store.become({ slowMs: 100 });
-  const fetches = store.got();
+  store.setMode({ slowMs: 100 });
+  const fetches = store.requestCount();
   const many = await Promise.all(Array.from({ length: 20 }, () => get('/sheets/collapsed')));
   t.true(many.every((each) => each.status === 200 && each.fault === null));
-  t.true(store.got() - fetches <= 2);
+  t.true(store.requestCount() - fetches <= 2);
   await settle(store, () => get(`/live/${next()}`));
 
   // A large answer streams whole.
@@ -189,7 +189,7 @@
   );
   t.is(
     (
-      await feel({
+      await sendRequest({
         at,
         method: 'POST',
         host,
@@ -201,12 +201,19 @@
     413,
   );
   t.is(
-    (await feel({ at, method: 'POST', host, target: '/sheets/1', service: 'store' })).status,
+    (await sendRequest({ at, method: 'POST', host, target: '/sheets/1', service: 'store' })).status,
     405,
   );
   t.is(
-    (await feel({ at, method: 'GET', host: 'nobody.example', target: '/', service: 'store' }))
-      .status,
+    (
+      await sendRequest({
+        at,
+        method: 'GET',
+        host: 'nobody.example',
+        target: '/',
+        service: 'store',
+      })
+    ).status,
     404,
   );
   // A caller can't pass itself off as a peer or set the project's own fields.
@@ -225,7 +232,7 @@
     ).status,
     200,
   );
-  const heard = store.heard();
+  const heard = store.lastRequestHeaders();
   t.is(heard.host, host);
   t.regex(String(heard['x-forwarded-for']), /^192\.0\.2\.1, 127\./);
   t.regex(String(heard.via), /^1\.1 front-1 \(reedyard\)/);
@@ -237,7 +244,7 @@
   const old = await get('/sheets/frozen');
   t.is(old.status, 200);
   fleet.freeze('front-1');
-  store.turn();
+  store.startNewGeneration();
   t.is(
     (await api(fleet.apiOf('core-1'), 'POST', '/v1/purges', { objects: [`${host}/sheets/frozen`] }))
       .status,
@@ -271,10 +278,10 @@
   );
 
   // Stopped with a warning: not ready first, and what is under way ends well.
-  store.become({ slowMs: 600 });
-  const sofar = store.got();
+  store.setMode({ slowMs: 600 });
+  const sofar = store.requestCount();
   const underWay = get(`/live/${next()}`);
-  await fleet.until('an attempt under way', () => Promise.resolve(store.got() > sofar));
+  await fleet.until('an attempt under way', () => Promise.resolve(store.requestCount() > sofar));
   const stopped = fleet.stop('front-1', 'proxy');
   t.is((await underWay).status, 200);
   await stopped;
--- a/packages/testbed/src/testbed.ts
+++ b/packages/testbed/src/testbed.ts
@@ -433,7 +433,7 @@
     for (const name of this.names()) this.start(name);
   }
 
-  async startOrigins(heard?: OriginStandInOptions['heard']): Promise<void> {
+  async startOrigins(heard?: OriginStandInOptions['onRequest']): Promise<void> {
     const apis = this.names().map((name) => this.apiOf(name));
     for (const [index, origin] of this.deployment.origins.entries()) {
       this.originStandIns.set(
@@ -443,10 +443,10 @@
           incarnation: 1,
           host: `${this.network}.${200 + index}`,
           port: 9000,
-          apis: [...apis.slice(index % apis.length), ...apis.slice(0, index % apis.length)],
-          announceMs: 1_000,
+          agentApis: [...apis.slice(index % apis.length), ...apis.slice(0, index % apis.length)],
+          announceIntervalMs: 1_000,
           maxAge: origin.maxAge ?? 60,
-          ...(heard === undefined ? {} : { heard }),
+          ...(heard === undefined ? {} : { onRequest: heard }),
         }),
       );
     }
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -1,7 +1,7 @@
 /** Plays a scenario of the simulator on real processes, and reads its history from their logs. */
 import { readFileSync } from 'node:fs';
 import http from 'node:http';
-import { feel } from '@reedyard/client-stand-in';
+import { sendRequest } from '@reedyard/client-stand-in';
 import type { Policy } from '@reedyard/schemas';
 import {
   availability,
@@ -201,7 +201,7 @@
         incarnation: origin.incarnation,
       });
     const { foreign, ...mode } = origin.mode;
-    blank.become(
+    blank.setMode(
       {
         ...mode,
         leftover: foreign,
@@ -212,7 +212,7 @@
       },
       origin.alive && !origin.silent,
     );
-    if (!wasAlive && origin.alive) blank.revive();
+    if (!wasAlive && origin.alive) blank.restart();
     this.#carry(origin, this.#now());
   }
   #carry(origin: ScenarioOrigin, sentAt: number): void {
@@ -459,13 +459,13 @@
       target,
       key,
     });
-    void feel({
+    void sendRequest({
       at: this.fleet.callersOf(node),
       method,
       host,
       target,
       job,
-      limitMs: 12_000,
+      timeoutMs: 12_000,
       ...(key === null ? {} : { key }),
       headers: { 'x-submission': String(submission) },
     }).then((seen) => {
