--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -2,7 +2,7 @@
 import { entriesOf } from './checks/history-queries.js';
 import { checkNoDoubleExecution } from './checks/rule-01-no-double-execution.js';
 import { checkTruthfulRejection } from './checks/rule-02-truthful-rejection.js';
-import { checkSoundAnswers } from './checks/rule-03-sound-answers.js';
+import { checkValidResponses } from './checks/rule-03-valid-responses.js';
 import { checkAllowedServices } from './checks/rule-04-allowed-services.js';
 import { checkPolicyInForce } from './checks/rule-05-policy-in-force.js';
 import { checkNewestPolicyRead } from './checks/rule-06-newest-policy-read.js';
@@ -21,7 +21,7 @@
 export const checks: Readonly<Record<number, RuleCheck>> = {
   1: checkNoDoubleExecution,
   2: checkTruthfulRejection,
-  3: checkSoundAnswers,
+  3: checkValidResponses,
   4: checkAllowedServices,
   5: checkPolicyInForce,
   6: checkNewestPolicyRead,
@@ -36,9 +36,9 @@
 };
 
 /** What is left to judge once all state was lost for good: nothing from before may come back. */
-const sinceLoss = (history: readonly Entry[]): readonly Entry[] => {
+const historySinceLoss = (history: readonly Entry[]): readonly Entry[] => {
   const lost = history.findLastIndex(
-    (entry) => entry.kind === 'fault' && entry.what === 'all state lost',
+    (entry) => entry.kind === 'fault' && entry.label === 'all state lost',
   );
   const lostAt = history[lost]?.at ?? 0;
   // What was on its way to an origin at that moment belongs to before.
@@ -57,7 +57,10 @@
   rules: readonly number[] = Object.keys(checks).map(Number),
 ): readonly Violation[] =>
   rules.flatMap((rule) =>
-    (checks[rule]?.([1, 2, 3].includes(rule) ? history : sinceLoss(history)) ?? []).slice(0, 3),
+    (checks[rule]?.([1, 2, 3].includes(rule) ? history : historySinceLoss(history)) ?? []).slice(
+      0,
+      3,
+    ),
   );
 
 /** Of what callers asked in a span, the share that was served, and what became of the rest. */
--- a/packages/simulator/src/checks/history-queries.ts
+++ b/packages/simulator/src/checks/history-queries.ts
@@ -89,7 +89,7 @@
 /**
  * The most origins that one request may be sent to, by any policy in force while it was under way.
  */
-export const maxAttemptsAllowed = (
+export const maxOriginsAllowed = (
   history: readonly Entry[],
   attempts: readonly EntryOf<'attempt'>[],
 ): number => {
--- a/packages/simulator/src/checks/rates.ts
+++ b/packages/simulator/src/checks/rates.ts
@@ -8,7 +8,7 @@
  * Requests that the highest of some rates, each in force for a span, lets through between two
  * moments.
  */
-export const integral = (
+export const maxRequestCount = (
   list: readonly { readonly from: number; readonly until: number; readonly rate: number }[],
   from: number,
   to: number,
@@ -31,13 +31,13 @@
 };
 
 /** The most that policies in force between two moments let through, in requests. */
-export const allowance = (
+export const allowedRequestCount = (
   history: readonly Entry[],
   of: (policy: Policy) => number,
   from: number,
   to: number,
 ): number =>
-  integral(
+  maxRequestCount(
     policiesDuring(history, from, to).map((span) => ({
       from: span.from,
       until: span.until,
@@ -48,7 +48,7 @@
   );
 
 /** Windows of 5 s that hold more than `share` of what is allowed in them. */
-export const overloads = (
+export const overloadedWindows = (
   times: readonly number[],
   allowed: (from: number, to: number) => number,
   share: number,
--- a/packages/simulator/src/checks/rule-03-sound-answers.ts
+++ b/packages/simulator/src/checks/rule-03-valid-responses.ts
@@ -4,10 +4,10 @@
 import type { RuleCheck } from './rule-check.js';
 
 /** What broke rule 3 in a history. */
-export const checkSoundAnswers: RuleCheck = (history) =>
+export const checkValidResponses: RuleCheck = (history) =>
   entriesOf(history, 'got').flatMap((entry) => {
     if (entry.status < 200 || entry.status > 299) return [];
-    const fault = !entry.whole
+    const fault = !entry.hasCompleteBody
       ? 'not whole'
       : entry.body === null
         ? 'no body'
--- a/packages/simulator/src/checks/rule-09-purged-objects.ts
+++ b/packages/simulator/src/checks/rule-09-purged-objects.ts
@@ -13,7 +13,7 @@
     const old = purges.find(
       (purge) =>
         entry.at > purge.at + 2_000 &&
-        body.sentAt < purge.turned &&
+        body.sentAt < purge.purgedFrom &&
         (purge.objects.some((object) => object.endsWith(body.target)) ||
           purge.tags.some((tag) => body.tags.includes(tag))),
     );
--- a/packages/simulator/src/checks/rule-10-rate-limits.ts
+++ b/packages/simulator/src/checks/rule-10-rate-limits.ts
@@ -2,7 +2,7 @@
 
 import type { Violation } from '../history.js';
 import { entriesOf, type EntryOf, gossipSpreadMs, groupBy } from './history-queries.js';
-import { allowance, integral, overloads } from './rates.js';
+import { allowedRequestCount, maxRequestCount, overloadedWindows } from './rates.js';
 import type { RuleCheck } from './rule-check.js';
 
 /** What broke rule 10 in a history. */
@@ -14,7 +14,7 @@
     allowed: (from: number, to: number) => number,
     share: number,
   ): readonly Violation[] =>
-    overloads(
+    overloadedWindows(
       list.map((attempt) => attempt.at),
       allowed,
       share,
@@ -30,7 +30,7 @@
       list,
       service,
       (from, to) =>
-        allowance(
+        allowedRequestCount(
           history,
           (policy) =>
             policy.services[service] === undefined
@@ -52,7 +52,7 @@
       list,
       `cold ${name}`,
       (from, to) =>
-        allowance(
+        allowedRequestCount(
           history,
           (policy) => {
             const service = policy.services[list[0]?.service ?? ''];
@@ -80,7 +80,7 @@
       list,
       name,
       (from, to) =>
-        integral(
+        maxRequestCount(
           words.map((word, index) => ({
             from: index === 0 ? -Infinity : word.sentAt,
             until: until(index),
--- a/packages/simulator/src/checks/rule-13-recovery-after-loss.ts
+++ b/packages/simulator/src/checks/rule-13-recovery-after-loss.ts
@@ -6,7 +6,7 @@
 /** What broke rule 13 in a history. */
 export const checkRecoveryAfterLoss: RuleCheck = (history) => {
   const back = entriesOf(history, 'fault').find(
-    (entry) => entry.what === 'all machines back' || entry.what === 'served again from here',
+    (entry) => entry.label === 'all machines back' || entry.label === 'served again from here',
   );
   if (back === undefined) return [];
   const asked = new Set(
--- a/packages/simulator/src/checks/rule-14-attempt-budget.ts
+++ b/packages/simulator/src/checks/rule-14-attempt-budget.ts
@@ -1,7 +1,7 @@
 /** Rule 14. One request runs at more origins than its route allows, summed over all nodes. */
 
 import type { Violation } from '../history.js';
-import { entriesOf, groupBy, maxAttemptsAllowed } from './history-queries.js';
+import { entriesOf, groupBy, maxOriginsAllowed } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
 /** What broke rule 14 in a history. */
@@ -15,7 +15,7 @@
     const origins = new Set(
       attempts.map((attempt) => `${attempt.service}/${attempt.instance}/${attempt.incarnation}`),
     );
-    const most = maxAttemptsAllowed(history, attempts);
+    const most = maxOriginsAllowed(history, attempts);
     return origins.size > most
       ? [
           {
--- a/packages/simulator/src/order-client.ts
+++ b/packages/simulator/src/command-client.ts
@@ -16,7 +16,7 @@
 const longestPauseMs = 800;
 
 /** How an order ended for its client. */
-export type OrderOutcome = {
+export type CommandOutcome = {
   readonly kind: 'acknowledged' | 'refused' | 'given-up';
   readonly status: number;
   readonly body: unknown;
@@ -25,15 +25,15 @@
   readonly attempts: number;
 };
 
-export type OrderOptions = {
+export type CommandOptions = {
   /** The node that gets the first attempt; left out, any that is up. */
   readonly firstNode?: string;
   /** ms after which the client no longer repeats the order. */
-  readonly patienceMs: number;
+  readonly giveUpAfterMs: number;
   /** The action of each attempt: a repeat without a shared identity gets a new change id. */
   readonly action: (attempt: number) => ApiAction;
   /** Whether the answer to this attempt is lost on its way; left out: never. */
-  readonly losesAnswer?: (attempt: number) => boolean;
+  readonly isReplyLost?: (attempt: number) => boolean;
 };
 
 const isRefusal = (status: number): boolean => status >= 400 && status < 500;
@@ -44,25 +44,27 @@
  * @example
  * sendOrder(fleet, { patienceMs: 4_000, action: () => ({ kind: 'get-policy' }) }, (outcome) => outcome.ms);
  */
-export const sendOrder = (
+export const sendCommand = (
   fleet: SimulatedFleet,
-  options: OrderOptions,
-  done: (outcome: OrderOutcome) => void,
+  options: CommandOptions,
+  done: (outcome: CommandOutcome) => void,
 ): void => {
   const sentAt = fleet.clock.now();
   const attempt = (count: number, pauseMs: number): void => {
     let isOver = false;
-    const end = (kind: OrderOutcome['kind'], status: number, body: unknown): void => {
+    const end = (kind: CommandOutcome['kind'], status: number, body: unknown): void => {
       done({ kind, status, body, ms: fleet.clock.now() - sentAt, attempts: count });
     };
     const goOn = (): void => {
-      if (fleet.clock.now() + pauseMs - sentAt > options.patienceMs) {
+      if (fleet.clock.now() + pauseMs - sentAt > options.giveUpAfterMs) {
         end('given-up', 0, null);
         return;
       }
-      fleet.clock.in(pauseMs, () => attempt(count + 1, Math.min(longestPauseMs, 2 * pauseMs)));
+      fleet.clock.schedule(pauseMs, () =>
+        attempt(count + 1, Math.min(longestPauseMs, 2 * pauseMs)),
+      );
     };
-    const isLost = options.losesAnswer?.(count) === true;
+    const isLost = options.isReplyLost?.(count) === true;
     const leave = fleet.operate(
       options.action(count),
       (reply) => {
@@ -75,7 +77,7 @@
       'outside',
       count === 1 ? options.firstNode : undefined,
     );
-    fleet.clock.in(silenceMs, () => {
+    fleet.clock.schedule(silenceMs, () => {
       if (isOver) return;
       isOver = true;
       leave();
--- a/packages/simulator/src/order-trial.test.ts
+++ b/packages/simulator/src/command-trial.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import type { ApiAction, ZonesRegister } from '@reedyard/agent';
 import { SimulatedFleet } from './simulated-fleet.js';
-import { sendOrder } from './order-client.js';
-import { runOrderTrial } from './order-trial.js';
+import { sendCommand } from './command-client.js';
+import { runCommandTrial } from './command-trial.js';
 import type { InjectedFault } from './injected-faults.js';
 import { exampleOf } from './run.js';
 
@@ -13,7 +13,7 @@
     `answers lost, orders repeated to any node, machines fail (${example}): what is acknowledged holds`,
     (t) => {
       for (const seed of seeds) {
-        const report = runOrderTrial({ seed, example });
+        const report = runCommandTrial({ seed, example });
         t.log(`seed ${seed}: ${JSON.stringify(report.counts)}`);
         t.deepEqual(report.wrongs, [], `seed ${seed}`);
         t.true((report.counts.acknowledged ?? 0) > 80);
@@ -32,7 +32,7 @@
   const { deployment, policy } = exampleOf('brandlhuber');
   const fleet = new SimulatedFleet(deployment, seed, { loss: 0.001, plant, regionsMs: 12 });
   for (const machine of deployment.machines) fleet.start(machine.name);
-  fleet.clock.in(500, () => fleet.put(policy));
+  fleet.clock.schedule(500, () => fleet.put(policy));
   fleet.clock.runUntil(8_000);
   const send = (order: 'empty' | 'take-back', firstNode: string, done: () => void): void => {
     const action = (attempt: number): ApiAction => ({
@@ -42,7 +42,7 @@
       of: 'origins',
       changeId: `${order}-${attempt}`,
     });
-    sendOrder(fleet, { patienceMs: 8_000, firstNode, action }, ({ kind }) => {
+    sendCommand(fleet, { giveUpAfterMs: 8_000, firstNode, action }, ({ kind }) => {
       if (kind === 'acknowledged') done();
     });
   };
@@ -74,7 +74,7 @@
 
 test.serial('agents that confirm any content under the version held are found out', (t) => {
   const wrongs = seeds.flatMap(
-    (seed) => runOrderTrial({ seed, plant: 'any-content-confirmed' }).wrongs,
+    (seed) => runCommandTrial({ seed, plant: 'any-content-confirmed' }).wrongs,
   );
   t.true(
     wrongs.some((violation) => violation.includes('confirmed with two contents')),
--- a/packages/simulator/src/order-trial.ts
+++ b/packages/simulator/src/command-trial.ts
@@ -12,7 +12,7 @@
 } from '@reedyard/agent';
 import type { Policy } from '@reedyard/schemas';
 import { SimulatedFleet } from './simulated-fleet.js';
-import { type OrderOutcome, sendOrder } from './order-client.js';
+import { type CommandOutcome, sendCommand } from './command-client.js';
 import type { InjectedFault } from './injected-faults.js';
 import { exampleOf } from './run.js';
 
@@ -22,12 +22,12 @@
 const patienceMs = 4_000;
 const zones = ['zone-1', 'zone-2', 'zone-3', 'zone-4', 'zone-5', 'zone-6'];
 
-export type TrialOptions = {
+export type CommandTrialOptions = {
   readonly seed: number;
   readonly plant?: InjectedFault;
   readonly example?: string;
   /** Share of answers that are lost. */
-  readonly lostAnswers?: number;
+  readonly lostReplyShare?: number;
   /** Whether machines fail meanwhile. */
   readonly hasFaults?: boolean;
 };
@@ -35,13 +35,13 @@
 type SentPolicy = {
   readonly version: number;
   readonly content: string;
-  readonly outcome: OrderOutcome;
+  readonly outcome: CommandOutcome;
 };
 
-type ZoneEnd = { readonly order: 'empty' | 'take-back'; readonly outcome: OrderOutcome };
+type ZoneEnd = { readonly order: 'empty' | 'take-back'; readonly outcome: CommandOutcome };
 
 /** What a trial found wrong, and how many orders ended how. */
-export type TrialReport = {
+export type CommandTrialReport = {
   readonly wrongs: readonly string[];
   readonly counts: Readonly<Record<string, number>>;
   /** ms until acknowledged, sorted. */
@@ -59,33 +59,37 @@
 };
 
 /** One trial while it runs. */
-class OrderTrial {
+class CommandTrial {
   readonly fleet: SimulatedFleet;
   readonly policies: SentPolicy[] = [];
   readonly zoneEnds = new Map<string, ZoneEnd[]>();
   readonly sentContents = new Map<number, Set<string>>();
   readonly wrongs: string[] = [];
-  readonly outcomes: OrderOutcome[] = [];
+  readonly outcomes: CommandOutcome[] = [];
   readonly #base: Policy;
   readonly #lostAnswers: number;
   #version = 10;
   #ids = 0;
 
-  constructor(options: TrialOptions) {
+  constructor(options: CommandTrialOptions) {
     const { deployment, policy } = exampleOf(options.example ?? 'brandlhuber');
     const tuning = { loss: 0.001, plant: options.plant ?? 'none', regionsMs: 12 };
     this.fleet = new SimulatedFleet(deployment, options.seed, tuning);
     this.#base = policy;
-    this.#lostAnswers = options.lostAnswers ?? 0.3;
+    this.#lostAnswers = options.lostReplyShare ?? 0.3;
     for (const machine of deployment.machines) this.fleet.start(machine.name);
   }
 
-  #order(action: () => ApiAction, done: (outcome: OrderOutcome) => void): void {
+  #order(action: () => ApiAction, done: (outcome: CommandOutcome) => void): void {
     const losesAnswer = (): boolean => this.fleet.clock.random() < this.#lostAnswers;
-    sendOrder(this.fleet, { patienceMs, action, losesAnswer }, (outcome) => {
-      this.outcomes.push(outcome);
-      done(outcome);
-    });
+    sendCommand(
+      this.fleet,
+      { giveUpAfterMs: patienceMs, action, isReplyLost: losesAnswer },
+      (outcome) => {
+        this.outcomes.push(outcome);
+        done(outcome);
+      },
+    );
   }
 
   #nextId(): string {
@@ -118,7 +122,9 @@
     });
     this.#order(action, (outcome) => {
       this.policies.push({ version, content, outcome });
-      this.fleet.clock.in(this.fleet.clock.between(0, 400), () => this.operatePolicies(operator));
+      this.fleet.clock.schedule(this.fleet.clock.between(0, 400), () =>
+        this.operatePolicies(operator),
+      );
     });
   }
 
@@ -140,7 +146,7 @@
     this.#order(action, (outcome) => {
       ends.push({ order, outcome });
       const pauseMs = this.fleet.clock.between(0, 1_500);
-      this.fleet.clock.in(pauseMs, () => {
+      this.fleet.clock.schedule(pauseMs, () => {
         this.#checkZone(zone);
         this.operateZone(zone);
       });
@@ -174,19 +180,19 @@
     const { fleet } = this;
     const { clock } = fleet;
     if (clock.now() > endMs) return;
-    const name = clock.pick(fleet.places()) ?? '';
+    const name = clock.pick(fleet.machineNames()) ?? '';
     const draw = clock.random();
     if (draw < 0.4) {
       fleet.isolate(name);
-      clock.in(clock.between(500, 3_000), () => fleet.heal());
+      clock.schedule(clock.between(500, 3_000), () => fleet.heal());
     } else if (draw < 0.7) {
       fleet.freeze(name);
-      clock.in(clock.between(300, 3_000), () => fleet.thaw(name));
+      clock.schedule(clock.between(300, 3_000), () => fleet.thaw(name));
     } else {
       fleet.kill(name);
-      clock.in(clock.between(300, 1_500), () => fleet.start(name));
+      clock.schedule(clock.between(300, 1_500), () => fleet.start(name));
     }
-    clock.in(clock.between(1_000, 2_500), () => this.makeFaults());
+    clock.schedule(clock.between(1_000, 2_500), () => this.makeFaults());
   }
 
   /** What was acknowledged under one number, and what was refused without a rival. */
@@ -221,7 +227,7 @@
   }
 }
 
-const countsOf = (outcomes: readonly OrderOutcome[]): Readonly<Record<string, number>> => {
+const countsOf = (outcomes: readonly CommandOutcome[]): Readonly<Record<string, number>> => {
   const counts: Record<string, number> = {};
   for (const { kind } of outcomes) counts[kind] = (counts[kind] ?? 0) + 1;
   return counts;
@@ -233,10 +239,10 @@
  * @example
  * runOrderTrial({ seed: 3 }).wrongs // []
  */
-export const runOrderTrial = (options: TrialOptions): TrialReport => {
-  const trial = new OrderTrial(options);
+export const runCommandTrial = (options: CommandTrialOptions): CommandTrialReport => {
+  const trial = new CommandTrial(options);
   const { clock } = trial.fleet;
-  clock.in(warmUpMs, () => {
+  clock.schedule(warmUpMs, () => {
     trial.operatePolicies('first');
     trial.operatePolicies('second');
     for (const zone of zones) trial.operateZone(zone);
@@ -245,9 +251,9 @@
   clock.runUntil(endMs + settleMs);
   trial.checkPolicies();
   let read: PolicyRegister['document'] | null = null;
-  sendOrder(
+  sendCommand(
     trial.fleet,
-    { patienceMs, action: () => ({ kind: 'get-policy' }) },
+    { giveUpAfterMs: patienceMs, action: () => ({ kind: 'get-policy' }) },
     ({ kind, body }) => {
       if (kind === 'acknowledged') read = (body as { readonly policy: Policy }).policy;
     },
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -88,6 +88,6 @@
         )
         .join(
           ' ',
-        )} wait-ms mean=${(waits.reduce((sum, ms) => sum + ms, 0) / waits.length).toFixed(1)} p50=${quantile(waits, 0.5).toFixed(1)} p95=${quantile(waits, 0.95).toFixed(1)} p99=${quantile(waits, 0.99).toFixed(1)} broken=${report.wrongs.length}\n`,
+        )} wait-ms mean=${(waits.reduce((sum, ms) => sum + ms, 0) / waits.length).toFixed(1)} p50=${quantile(waits, 0.5).toFixed(1)} p95=${quantile(waits, 0.95).toFixed(1)} p99=${quantile(waits, 0.99).toFixed(1)} broken=${report.violations.length}\n`,
   );
 }
--- a/packages/simulator/src/history.ts
+++ b/packages/simulator/src/history.ts
@@ -34,7 +34,7 @@
       readonly why: string;
       readonly stamp: string;
       readonly body: SimBody | null;
-      readonly whole: boolean;
+      readonly hasCompleteBody: boolean;
       readonly method: string;
       readonly host: string;
       readonly target: string;
@@ -139,7 +139,7 @@
       readonly at: number;
       readonly objects: readonly string[];
       readonly tags: readonly string[];
-      readonly turned: number;
+      readonly purgedFrom: number;
     }
   | {
       readonly kind: 'stored';
@@ -161,7 +161,7 @@
       readonly action: string;
       readonly status: number;
       readonly cutOff: boolean;
-      readonly steady: boolean;
+      readonly isSteady: boolean;
     }
   /**
    * A node acts on without a lease; for how long it had a path to a majority of replicas, and they
@@ -171,7 +171,7 @@
       readonly kind: 'served-on';
       readonly at: number;
       readonly node: string;
-      readonly reachesMs: number;
+      readonly majorityReachableMs: number;
     }
   /** A node had no path to a majority of replicas; told when the cut ends. */
   | { readonly kind: 'cut-off'; readonly at: number; readonly node: string; readonly from: number }
@@ -182,7 +182,7 @@
       readonly node: string;
       readonly afterMs: number;
     }
-  | { readonly kind: 'fault'; readonly at: number; readonly what: string };
+  | { readonly kind: 'fault'; readonly at: number; readonly label: string };
 
 /** A report's body as the simulator carries it. */
 export type SimBody = {
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,9 +1,16 @@
 /** The simulator: the fleet's own reducers in virtual time, scenarios, and the checks of the rules. */
-export { availability, checks, judge } from './checks.js';
+export { availability, checks as ruleChecks, judge as findViolations } from './checks.js';
 export { VirtualClock } from './virtual-clock.js';
 export { SimulatedFleet } from './simulated-fleet.js';
-export type { Entry, SimBody, Violation } from './history.js';
+export type { Entry, SimBody as SimulatedBody, Violation } from './history.js';
 export { injectedFaultNames, type InjectedFault } from './injected-faults.js';
-export { exampleOf, run, sampleOf, startCallers, type Report, type RunOptions } from './run.js';
+export {
+  exampleOf as loadExample,
+  run,
+  sampleOf as randomRequest,
+  startCallers as startClients,
+  type Report,
+  type RunOptions,
+} from './run.js';
 export { scenarios } from './scenarios.js';
-export type { RequestedFleet, ScenarioOrigin } from './scenarios/environment.js';
+export type { RequestedFleet as FleetUnderLoad, ScenarioOrigin } from './scenarios/environment.js';
--- a/packages/simulator/src/injected-fault-runs.ts
+++ b/packages/simulator/src/injected-fault-runs.ts
@@ -8,175 +8,186 @@
  * One point of the brief: the safeguard taken away to see it broken, and the failure that then
  * breaks it.
  */
-export type Case = {
+export type FaultCase = {
   readonly rule: number;
-  readonly what: string;
+  readonly description: string;
   readonly plant: InjectedFault;
   readonly scenario: string;
   /** How many seeds to look through, where the failure does not meet the fault in every one. */
   readonly seeds?: number;
 };
 
-export const cases: readonly Case[] = [
+export const faultCases: readonly FaultCase[] = [
   {
     rule: 1,
-    what: 'an attempt that may have run is made again',
+    description: 'an attempt that may have run is made again',
     plant: 'repeat-unsafe',
     scenario: 'lost-answers',
   },
   {
     rule: 1,
-    what: 'keys are used without a claim',
+    description: 'keys are used without a claim',
     plant: 'claims-granted',
     scenario: 'lost-answers',
   },
   {
     rule: 1,
-    what: 'a key is granted to a request of other content',
+    description: 'a key is granted to a request of other content',
     plant: 'claims-of-any-content',
     scenario: 'calm',
     seeds: 2,
   },
   {
     rule: 2,
-    what: 'a lost answer counts as not run',
+    description: 'a lost answer counts as not run',
     plant: 'repeat-unsafe',
     scenario: 'lost-answers',
   },
   {
     rule: 3,
-    what: 'an answer is taken whosever it is',
+    description: 'an answer is taken whosever it is',
     plant: 'no-marks',
     scenario: 'lost-answers',
   },
   {
     rule: 3,
-    what: 'a short body is taken as whole',
+    description: 'a short body is taken as whole',
     plant: 'short-as-whole',
     scenario: 'lost-answers',
   },
   {
     rule: 4,
-    what: 'conns are used without a proof of identity',
+    description: 'conns are used without a proof of identity',
     plant: 'no-identity',
     scenario: 'reused-address',
   },
   {
     rule: 4,
-    what: 'a request keeps the route that it found at arrival',
+    description: 'a request keeps the route that it found at arrival',
     plant: 'route-at-arrival',
     scenario: 'policies',
     seeds: 8,
   },
   {
     rule: 4,
-    what: 'the instances that a policy names are not heeded',
+    description: 'the instances that a policy names are not heeded',
     plant: 'deaf-instances',
     scenario: 'policies',
     seeds: 4,
   },
   {
     rule: 4,
-    what: 'the methods of a route are not heeded',
+    description: 'the methods of a route are not heeded',
     plant: 'deaf-methods',
     scenario: 'policies',
     seeds: 4,
   },
-  { rule: 5, what: 'proxies do not heed the lease', plant: 'deaf-lease', scenario: 'freezes' },
+  {
+    rule: 5,
+    description: 'proxies do not heed the lease',
+    plant: 'deaf-lease',
+    scenario: 'freezes',
+  },
   {
     rule: 6,
-    what: 'a wiped replica votes at once',
+    description: 'a wiped replica votes at once',
     plant: 'wiped-votes',
     scenario: 'wiped-and-down',
   },
   {
     rule: 6,
-    what: 'replicas answer before they sync',
+    description: 'replicas answer before they sync',
     plant: 'tell-unsynced',
     scenario: 'kill-after-ack',
   },
   {
     rule: 6,
-    what: 'replicas do not heed who votes',
+    description: 'replicas do not heed who votes',
     plant: 'deaf-members',
     scenario: 'core-replaced',
     seeds: 16,
   },
   {
     rule: 6,
-    what: 'two policies get one revision',
+    description: 'two policies get one revision',
     plant: 'same-revisions',
     scenario: 'operators',
   },
-  { rule: 7, what: 'drain notices are not heeded', plant: 'deaf-drain', scenario: 'drains' },
+  { rule: 7, description: 'drain notices are not heeded', plant: 'deaf-drain', scenario: 'drains' },
   {
     rule: 9,
-    what: 'clocks run up to 45 % off',
+    description: 'clocks run up to 45 % off',
     plant: 'wild-clocks',
     scenario: 'drifting',
     seeds: 2,
   },
   {
     rule: 8,
-    what: 'peers in emptied zones get forwarded requests',
+    description: 'peers in emptied zones get forwarded requests',
     plant: 'deaf-relays',
     scenario: 'region-emptied',
     seeds: 3,
   },
   {
     rule: 8,
-    what: 'nodes in emptied zones say they are ready',
+    description: 'nodes in emptied zones say they are ready',
     plant: 'deaf-ready',
     scenario: 'zones',
     seeds: 3,
   },
-  { rule: 8, what: 'zone orders are not heeded', plant: 'deaf-zones', scenario: 'zones' },
-  { rule: 9, what: 'purges are not heeded', plant: 'deaf-purges', scenario: 'purges' },
-  { rule: 9, what: 'purged tags are not heeded', plant: 'deaf-tags', scenario: 'copies', seeds: 2 },
+  { rule: 8, description: 'zone orders are not heeded', plant: 'deaf-zones', scenario: 'zones' },
+  { rule: 9, description: 'purges are not heeded', plant: 'deaf-purges', scenario: 'purges' },
+  {
+    rule: 9,
+    description: 'purged tags are not heeded',
+    plant: 'deaf-tags',
+    scenario: 'copies',
+    seeds: 2,
+  },
   {
     rule: 9,
-    what: 'copies live past what their route allows',
+    description: 'copies live past what their route allows',
     plant: 'deaf-life',
     scenario: 'copies',
     seeds: 2,
   },
-  { rule: 10, what: 'slices are not heeded', plant: 'no-buckets', scenario: 'ceilings' },
+  { rule: 10, description: 'slices are not heeded', plant: 'no-buckets', scenario: 'ceilings' },
   {
     rule: 10,
-    what: 'cold instances are treated as warm',
+    description: 'cold instances are treated as warm',
     plant: 'no-cold-rates',
     scenario: 'cold',
   },
   {
     rule: 10,
-    what: 'what instances say they carry is not heeded',
+    description: 'what instances say they carry is not heeded',
     plant: 'no-capacities',
     scenario: 'capacities',
   },
   {
     rule: 10,
-    what: 'slices keep the rate of an older ceiling',
+    description: 'slices keep the rate of an older ceiling',
     plant: 'old-rates',
     scenario: 'lowered',
   },
-  { rule: 11, what: 'repeats are free', plant: 'free-repeats', scenario: 'repeats' },
+  { rule: 11, description: 'repeats are free', plant: 'free-repeats', scenario: 'repeats' },
   {
     rule: 11,
-    what: 'forwarded requests earn repeats where they are handed to as well',
+    description: 'forwarded requests earn repeats where they are handed to as well',
     plant: 'earn-twice',
     scenario: 'repeats-relayed',
   },
-  { rule: 12, what: 'homes are not heeded', plant: 'no-homes', scenario: 'homes' },
+  { rule: 12, description: 'homes are not heeded', plant: 'no-homes', scenario: 'homes' },
   {
     rule: 12,
-    what: 'an answer that came through a peer is kept',
+    description: 'an answer that came through a peer is kept',
     plant: 'keep-relayed',
     scenario: 'homes',
   },
-  { rule: 13, what: 'disks forget', plant: 'forgetful-disks', scenario: 'full-loss' },
+  { rule: 13, description: 'disks forget', plant: 'forgetful-disks', scenario: 'full-loss' },
   {
     rule: 14,
-    what: 'attempts granted to a peer are not counted',
+    description: 'attempts granted to a peer are not counted',
     plant: 'uncounted-grants',
     scenario: 'slow-peers',
     seeds: 4,
@@ -188,9 +199,9 @@
  * are made once.
  */
 const files = 6;
-const scenarioNames = [...new Set(cases.map((each) => each.scenario))];
-export const casesOf = (file: number): readonly Case[] =>
-  cases.filter((each) => scenarioNames.indexOf(each.scenario) % files === file);
+const scenarioNames = [...new Set(faultCases.map((each) => each.scenario))];
+export const faultCasesOfFile = (file: number): readonly FaultCase[] =>
+  faultCases.filter((each) => scenarioNames.indexOf(each.scenario) % files === file);
 
 const sound = new Map<
   string,
@@ -203,7 +214,7 @@
   const name = `${scenario} ${seed}`;
   const known = sound.get(name);
   if (known !== undefined) return known;
-  const { wrongs, asked, replay } = run({ scenario, seed });
+  const { violations: wrongs, asked, replay } = run({ scenario, seed });
   const made = { wrongs, asked, replay };
   sound.set(name, made);
   return made;
@@ -215,15 +226,15 @@
   });
 
 /** Shows that the rule breaks with the safeguard away, and that nothing breaks with it in place. */
-export const show = async (
+export const assertFaultBreaksRule = async (
   t: ExecutionContext,
-  { rule, plant, scenario, seeds: tries = 1 }: Case,
+  { rule, plant, scenario, seeds: tries = 1 }: FaultCase,
   seeds: readonly number[],
 ): Promise<void> => {
   const first = seeds[0] ?? 1;
   await turn();
   const broken = Array.from({ length: tries }, (_, index) => first + index).some((seed) =>
-    run({ scenario, seed, plant }).wrongs.some((violation) => violation.rule === rule),
+    run({ scenario, seed, plant }).violations.some((violation) => violation.rule === rule),
   );
   t.true(broken, `with ${plant}, rule ${rule} should break in ${scenario}`);
   for (const seed of seeds) {
--- a/packages/simulator/src/injected-faults.ts
+++ b/packages/simulator/src/injected-faults.ts
@@ -167,7 +167,7 @@
 /** Other ways to choose a server, for comparison with the paper's on the same seed. */
 export type Selection = 'paper' | 'proximity' | 'random';
 
-export const selected = (selection: Selection, feed: Feed, self: string): Feed => {
+export const feedWithSelection = (selection: Selection, feed: Feed, self: string): Feed => {
   if (selection === 'paper') return feed;
   if (selection === 'proximity') return { ...feed, split: {} };
   const edges = [self, ...feed.peers.map((row) => row.id)];
@@ -183,7 +183,7 @@
 /**
  * What a proxy whose ledger does not count the attempts it granted to a peer makes of its state.
  */
-export const plantedGrant = (state: ProxyState, id: number, attempt: number): ProxyState => {
+export const withUncountedGrant = (state: ProxyState, id: number, attempt: number): ProxyState => {
   const request = state.requests[id];
   if (request === undefined) return state;
   const attempts = request.attempts.map((each) =>
@@ -193,11 +193,11 @@
 };
 
 /** Whether a claim is granted without asking. */
-export const claimWithFault = (plant: InjectedFault, call: ProxyQuery): boolean =>
+export const isClaimGrantedByFault = (plant: InjectedFault, call: ProxyQuery): boolean =>
   plant === 'claims-granted' && call.kind === 'claim';
 
 /** What a planted fault makes of an agent's answer to an operator. */
-export const plantedReply = <T extends { readonly status: number }>(
+export const replyWithFault = <T extends { readonly status: number }>(
   plant: InjectedFault,
   reply: T,
 ): T =>
@@ -208,7 +208,11 @@
   Object.fromEntries(Object.entries(views).map(([name, view]) => [name, change(view)]));
 
 /** What a planted fault makes of an agent's state before each step. */
-export const plantedAgent = (plant: InjectedFault, state: AgentState, now: number): AgentState => {
+export const agentStateWithFault = (
+  plant: InjectedFault,
+  state: AgentState,
+  now: number,
+): AgentState => {
   switch (plant) {
     // Answers that do not count are taken for silence.
     case 'answers-ignored':
--- a/packages/simulator/src/long-cuts.test.ts
+++ b/packages/simulator/src/long-partitions.test.ts
@@ -30,11 +30,11 @@
     async (t) => {
       for (const seed of seeds) {
         await turn();
-        const { wrongs, share, rest, replay, fleet } = run({ scenario, seed });
+        const { violations: wrongs, share, rest, replay, fleet } = run({ scenario, seed });
         t.deepEqual(wrongs, [], replay);
         t.true(share >= least, `seed ${seed}: ${share} served; ${JSON.stringify(rest)}`);
         if (!hasCut) continue;
-        const calls = only(fleet.history, 'called').filter((call) => call.cutOff && call.steady);
+        const calls = only(fleet.history, 'called').filter((call) => call.cutOff && call.isSteady);
         t.true(calls.length >= 10, `seed ${seed}: ${calls.length} calls to nodes cut off`);
         t.true(only(fleet.history, 'served-on').length > 0, `seed ${seed}: no node served on`);
         t.true(only(fleet.history, 'lease-back').length > 0, `seed ${seed}: no node came back`);
@@ -84,10 +84,10 @@
 for (const { plant, what, scenario, seed, rules } of plants) {
   test.serial(`${scenario}: rules ${rules.join(' and ')} are broken when ${what}`, async (t) => {
     await turn();
-    const broken = run({ scenario, seed, plant }).wrongs.map((violation) => violation.rule);
+    const broken = run({ scenario, seed, plant }).violations.map((violation) => violation.rule);
     for (const rule of rules)
       t.true(broken.includes(rule), `rule ${rule} should break; broken: ${broken.join()}`);
-    if (!seeds.includes(seed)) t.deepEqual(run({ scenario, seed }).wrongs, []);
+    if (!seeds.includes(seed)) t.deepEqual(run({ scenario, seed }).violations, []);
   });
 }
 
--- a/packages/simulator/src/long-cuts.ts
+++ b/packages/simulator/src/long-partitions.ts
@@ -14,7 +14,7 @@
 
 /** Cuts some machines from all others; origins, callers and operators still reach both sides. */
 const sever = (fleet: ScenarioFleet, side: readonly string[], way: Way): void => {
-  const others = fleet.places().filter((name) => !side.includes(name));
+  const others = fleet.machineNames().filter((name) => !side.includes(name));
   for (const inside of side) {
     for (const outside of others) {
       if (way !== 'in') fleet.cut(inside, outside);
@@ -35,9 +35,9 @@
   const next = (): void => {
     if (clock.now() > to) return;
     act();
-    clock.in(everyMs * clock.between(0.6, 1.4), next);
+    clock.schedule(everyMs * clock.between(0.6, 1.4), next);
   };
-  clock.in(from, next);
+  clock.schedule(from, next);
 };
 
 /** A policy that differs from the first by one more route, by a number. */
@@ -75,7 +75,7 @@
   if (origin === undefined) return;
   origin.draining = true;
   fleet.describe(origin);
-  fleet.clock.in(4_000, () => {
+  fleet.clock.schedule(4_000, () => {
     Object.assign(origin, { draining: false, incarnation: origin.incarnation + 1 });
     fleet.describe(origin);
   });
@@ -84,7 +84,7 @@
 const restart = (fleet: ScenarioFleet, name: string, downMs: number): void => {
   fleet.kill(name);
   fleet.fault(`${name} killed`);
-  fleet.clock.in(downMs, () => fleet.start(name));
+  fleet.clock.schedule(downMs, () => fleet.start(name));
 };
 
 /** One core machine and one front, cut off by themselves for 22 s. */
@@ -94,11 +94,11 @@
     const { fleet } = environment;
     const { clock } = fleet;
     let side: readonly string[] = [];
-    clock.in(10_000, () => {
+    clock.schedule(10_000, () => {
       side = [clock.pick(machines(fleet, true)) ?? '', clock.pick(machines(fleet, false)) ?? ''];
       for (const each of side) sever(fleet, [each], way);
     });
-    clock.in(32_000, () => {
+    clock.schedule(32_000, () => {
       fleet.heal();
       fleet.fault('healed');
       side = [];
@@ -115,14 +115,14 @@
   const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
-  clock.in(10_000, () => {
+  clock.schedule(10_000, () => {
     const fronts = machines(fleet, false).filter((_name, index) => index % 2 === 0);
     const replicas = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, 2);
     side = [...replicas, ...fronts];
     sever(fleet, side, 'both');
   });
-  clock.in(14_000, () => {
-    const [first, second, third] = [...fleet.places()].sort(() => clock.random() - 0.5);
+  clock.schedule(14_000, () => {
+    const [first, second, third] = [...fleet.machineNames()].sort(() => clock.random() - 0.5);
     fleet.seeds = [first, second, third].map((name) => `${name}/agent`);
     fleet.fault(`seeds are now ${fleet.seeds.join(', ')}`);
   });
@@ -130,14 +130,14 @@
     [15_000, true],
     [18_000, false],
   ] as const) {
-    clock.in(at, () => {
+    clock.schedule(at, () => {
       const name = clock.pick(
         machines(fleet, false).filter((each) => side.includes(each) === isInside),
       );
       if (name !== undefined) restart(fleet, name, 1_500);
     });
   }
-  clock.in(34_000, () => {
+  clock.schedule(34_000, () => {
     fleet.heal();
     fleet.fault('healed');
     side = [];
@@ -150,22 +150,22 @@
   const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
-  clock.in(9_000, () => {
+  clock.schedule(9_000, () => {
     const replica = clock.pick(machines(fleet, true)) ?? '';
     const fronts = [...machines(fleet, false)].sort(() => clock.random() - 0.5);
     side = [replica, ...fronts.slice(0, 3)];
     const [, restarted, frozenBefore, frozenInside] = side;
     fleet.freeze(frozenBefore ?? '');
-    clock.in(1_000, () => {
+    clock.schedule(1_000, () => {
       for (const each of side) sever(fleet, [each], 'both');
     });
-    clock.in(clock.between(3_000, 8_000), () => fleet.thaw(frozenBefore ?? ''));
-    clock.in(clock.between(5_000, 9_000), () => fleet.freeze(frozenInside ?? ''));
-    clock.in(clock.between(14_000, 18_000), () => fleet.thaw(frozenInside ?? ''));
-    clock.in(clock.between(6_000, 12_000), () => restart(fleet, replica, 1_000));
-    clock.in(clock.between(6_000, 12_000), () => restart(fleet, restarted ?? '', 1_000));
+    clock.schedule(clock.between(3_000, 8_000), () => fleet.thaw(frozenBefore ?? ''));
+    clock.schedule(clock.between(5_000, 9_000), () => fleet.freeze(frozenInside ?? ''));
+    clock.schedule(clock.between(14_000, 18_000), () => fleet.thaw(frozenInside ?? ''));
+    clock.schedule(clock.between(6_000, 12_000), () => restart(fleet, replica, 1_000));
+    clock.schedule(clock.between(6_000, 12_000), () => restart(fleet, restarted ?? '', 1_000));
   });
-  clock.in(32_000, () => {
+  clock.schedule(32_000, () => {
     fleet.heal();
     fleet.fault('healed');
     side = [];
@@ -182,48 +182,50 @@
     for (const name of chosen) {
       fleet.kill(name);
       fleet.wipe(name);
-      clock.in(clock.between(200, 400), () => fleet.start(name));
+      clock.schedule(clock.between(200, 400), () => fleet.start(name));
     }
     fleet.fault(`${count} disks wiped`);
   };
-  clock.in(12_000, () => wipe(3));
-  clock.in(26_000, () => wipe(4));
+  clock.schedule(12_000, () => wipe(3));
+  clock.schedule(26_000, () => wipe(4));
   repeat(environment, 9_000, 36_000, 700, () => fleet.read());
 };
 
-export const longCuts: Readonly<Record<string, Scenario>> = {
+export const longPartitionScenarios: Readonly<Record<string, Scenario>> = {
   'cut-20s': {
-    what: 'one core machine and one front cut off by themselves for 22 s, both ways',
+    summary: 'one core machine and one front cut off by themselves for 22 s, both ways',
     seconds: 44,
     servesOn: true,
     play: oneOfEach('both'),
   },
   'cut-20s-out': {
-    what: 'the same, but only what they send is lost',
+    summary: 'the same, but only what they send is lost',
     seconds: 44,
     servesOn: true,
     play: oneOfEach('out'),
   },
   'cut-20s-in': {
-    what: 'the same, but only what they are sent is lost',
+    summary: 'the same, but only what they are sent is lost',
     seconds: 44,
     servesOn: true,
     play: oneOfEach('in'),
   },
   'cut-halves': {
-    what: 'two sides for 24 s, one with a majority; seeds are exchanged and machines restart meanwhile',
+    summary:
+      'two sides for 24 s, one with a majority; seeds are exchanged and machines restart meanwhile',
     seconds: 46,
     servesOn: true,
     play: halves,
   },
   'cut-restarts': {
-    what: 'machines cut off for 22 s restart, freeze and thaw inside the cut',
+    summary: 'machines cut off for 22 s restart, freeze and thaw inside the cut',
     seconds: 44,
     servesOn: true,
     play: restarts,
   },
   'cut-20s-busy': {
-    what: 'one core machine and one front cut off for 22 s; every message waits up to 80 ms more, and one in twenty is lost',
+    summary:
+      'one core machine and one front cut off for 22 s; every message waits up to 80 ms more, and one in twenty is lost',
     seconds: 44,
     servesOn: true,
     busyMs: 80,
@@ -231,7 +233,7 @@
     play: oneOfEach('both'),
   },
   'refusing-replicas': {
-    what: 'most disks are wiped: replicas answer, and do not count for a while',
+    summary: 'most disks are wiped: replicas answer, and do not count for a while',
     seconds: 40,
     servesOn: true,
     busyMs: 40,
--- a/packages/simulator/src/main.ts
+++ b/packages/simulator/src/main.ts
@@ -25,7 +25,7 @@
     `simulator [--scenario NAME …] [--seed N | --from N --seeds COUNT] [--plant NAME] [--example NAME] [--rate N] [--faults]\n\n${Object.entries(
       scenarios,
     )
-      .map(([name, scenario]) => `  ${name.padEnd(16)} ${scenario.what}`)
+      .map(([name, scenario]) => `  ${name.padEnd(16)} ${scenario.summary}`)
       .join('\n')}\n\nplants: ${injectedFaultNames.join(', ')}\n`,
   );
   process.exit(0);
@@ -49,7 +49,7 @@
 };
 const one = (scenario: string, seed: number): Result => {
   const report = run({ scenario, seed, plant: values.plant as InjectedFault, ...rate, ...example });
-  const rules = [...new Set(report.wrongs.map((violation) => violation.rule))];
+  const rules = [...new Set(report.violations.map((violation) => violation.rule))];
   const lines = [
     `scenario=${scenario} seed=${seed} asked=${report.asked} served=${(100 * report.share).toFixed(2)}% rest=${JSON.stringify(
       Object.fromEntries(
@@ -59,16 +59,21 @@
       ),
     )} broken=${rules.length === 0 ? 'none' : rules.join(',')}`,
   ];
-  for (const violation of report.wrongs)
+  for (const violation of report.violations)
     lines.push(
       `  rule ${violation.rule} at ${(violation.at / 1_000).toFixed(3)} s: ${violation.what}`,
     );
   if (values.faults)
     for (const entry of report.fleet.history)
       if (entry.kind === 'fault')
-        lines.push(`  fault at ${(entry.at / 1_000).toFixed(3)} s: ${entry.what}`);
-  if (report.wrongs.length > 0) lines.push(`  replay: ${report.replay}`);
-  return { line: lines.join('\n'), bad: report.wrongs.length > 0, scenario, share: report.share };
+        lines.push(`  fault at ${(entry.at / 1_000).toFixed(3)} s: ${entry.label}`);
+  if (report.violations.length > 0) lines.push(`  replay: ${report.replay}`);
+  return {
+    line: lines.join('\n'),
+    bad: report.violations.length > 0,
+    scenario,
+    share: report.share,
+  };
 };
 
 if (process.send !== undefined) {
--- a/packages/simulator/src/members.test.ts
+++ b/packages/simulator/src/members.test.ts
@@ -169,7 +169,7 @@
           },
           machine(2 + (left % 3)),
         );
-        fleet.clock.in(500, () => put(left - 1));
+        fleet.clock.schedule(500, () => put(left - 1));
       }
     };
     put(60);
--- a/packages/simulator/src/order-times.ts
+++ b/packages/simulator/src/order-times.ts
@@ -5,7 +5,7 @@
  */
 import { parseArgs } from 'node:util';
 import { SimulatedFleet } from './simulated-fleet.js';
-import { sendOrder, type OrderOutcome } from './order-client.js';
+import { sendCommand, type CommandOutcome } from './command-client.js';
 import { exampleOf } from './run.js';
 
 const ordersAtOnce = 8;
@@ -66,16 +66,16 @@
 const quantile = (sorted: readonly number[], share: number): number =>
   sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? NaN;
 
-const outcomesOf = (setup: Setup, seed: number): readonly OrderOutcome[] => {
+const outcomesOf = (setup: Setup, seed: number): readonly CommandOutcome[] => {
   const { deployment, policy } = exampleOf(setup.example);
   const tuning = { loss: 0.001, plant: 'none' as const, regionsMs: setup.regionsMs };
   const fleet = new SimulatedFleet(deployment, seed, tuning);
   for (const machine of deployment.machines) fleet.start(machine.name);
-  fleet.clock.in(500, () => fleet.put(policy));
+  fleet.clock.schedule(500, () => fleet.put(policy));
   fleet.clock.runUntil(warmUpMs);
   tuning.loss = setup.loss;
-  const outcomes: OrderOutcome[] = [];
-  const places = fleet.places();
+  const outcomes: CommandOutcome[] = [];
+  const places = fleet.machineNames();
   for (let round = 0; round < Number(values.rounds); round += 1) {
     const order = round % 2 === 0 ? 'empty' : 'take-back';
     const first = Math.floor(fleet.clock.random() * places.length);
@@ -89,10 +89,10 @@
           of: 'origins',
           changeId: `${round}-${each}-${attempt}`,
         }) as const;
-      fleet.clock.in(fleet.clock.between(0, 2), () =>
-        sendOrder(
+      fleet.clock.schedule(fleet.clock.between(0, 2), () =>
+        sendCommand(
           fleet,
-          { patienceMs, action, ...(node === undefined ? {} : { firstNode: node }) },
+          { giveUpAfterMs: patienceMs, action, ...(node === undefined ? {} : { firstNode: node }) },
           (outcome) => outcomes.push(outcome),
         ),
       );
@@ -103,7 +103,7 @@
 };
 
 for (const setup of setups.filter((each) => values.setup?.includes(each.name) ?? true)) {
-  const outcomes: OrderOutcome[] = [];
+  const outcomes: CommandOutcome[] = [];
   for (let seed = 0; seed < Number(values.seeds); seed += 1) {
     outcomes.push(...outcomesOf(setup, Number(values.from) + seed));
   }
--- a/packages/simulator/src/cut-checks.ts
+++ b/packages/simulator/src/partition-checks.ts
@@ -4,13 +4,13 @@
 /** Checkers of what holds around a cut, for fleets whose nodes serve on while they are cut off. */
 
 /** ms after a cut until its nodes are in touch again, by the users' rules. */
-const inTouchMs = 3_000;
+const reconnectLimitMs = 3_000;
 /**
  * ms for which a node must have had a path to a majority before it is wrong about being cut off.
  */
-const settledMs = 2_000;
+const majorityGraceMs = 2_000;
 /** ms of silence after which a caller goes on to another node. */
-const patienceMs = 1_000;
+const clientTimeoutMs = 1_000;
 
 type Of<K extends Entry['kind']> = Extract<Entry, { kind: K }>;
 const only = <K extends Entry['kind']>(history: readonly Entry[], kind: K): readonly Of<K>[] =>
@@ -36,13 +36,13 @@
  * The history of the nodes in touch: what a node did from a cut until 3 s after it is left out.
  * Runs of orders stay in, whoever sent them.
  */
-export const inTouch = (history: readonly Entry[]): readonly Entry[] => {
+export const connectedHistory = (history: readonly Entry[]): readonly Entry[] => {
   const cuts = only(history, 'cut-off');
   return history.filter((entry) => {
     const node = nodeOf(entry);
     if (node === null) return true;
     const isOut = (cut: Of<'cut-off'>): boolean =>
-      cut.node === node && entry.at >= cut.from && entry.at <= cut.at + inTouchMs;
+      cut.node === node && entry.at >= cut.from && entry.at <= cut.at + reconnectLimitMs;
     return !cuts.some(isOut);
   });
 };
@@ -52,8 +52,8 @@
 
 const servedOnInTouch = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'served-on')
-    .filter((entry) => entry.reachesMs > settledMs)
-    .map(({ at, node, reachesMs }) => ({
+    .filter((entry) => entry.majorityReachableMs > majorityGraceMs)
+    .map(({ at, node, majorityReachableMs: reachesMs }) => ({
       rule: rules.servedOn,
       at,
       what: `${node} serves on without a lease although it has reached a majority for ${Math.round(reachesMs)} ms`,
@@ -64,8 +64,8 @@
  */
 const lateAnswers = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'called')
-    .filter((call) => call.cutOff && call.steady && call.status !== 0)
-    .filter((call) => call.at - call.sentAt > patienceMs)
+    .filter((call) => call.cutOff && call.isSteady && call.status !== 0)
+    .filter((call) => call.at - call.sentAt > clientTimeoutMs)
     .map(({ at, sentAt, node, action }) => ({
       rule: rules.lateAnswer,
       at,
@@ -74,7 +74,7 @@
 
 const confirmedByMinority = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'called')
-    .filter((call) => call.cutOff && call.steady && call.status === 200)
+    .filter((call) => call.cutOff && call.isSteady && call.status === 200)
     .map(({ at, node, action }) => ({
       rule: rules.minority,
       at,
@@ -83,7 +83,7 @@
 
 const lateReturns = (history: readonly Entry[]): readonly Violation[] =>
   only(history, 'lease-back')
-    .filter((entry) => entry.afterMs > inTouchMs)
+    .filter((entry) => entry.afterMs > reconnectLimitMs)
     .map(({ at, node, afterMs }) => ({
       rule: rules.lateReturn,
       at,
@@ -91,7 +91,7 @@
     }));
 
 /** All that was wrong around cuts, a few of each rule. */
-export const judgeCuts = (history: readonly Entry[]): readonly Violation[] =>
+export const findPartitionViolations = (history: readonly Entry[]): readonly Violation[] =>
   [servedOnInTouch, lateAnswers, confirmedByMinority, lateReturns].flatMap((check) =>
     check(history).slice(0, 3),
   );
--- a/packages/simulator/src/replacement-figures.ts
+++ b/packages/simulator/src/replacement-figures.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /** Figures of how fast a lost member is replaced. */
 import { parseArgs } from 'node:util';
-import { figuresOf, replaceOne, Site, troubles, wipeOne } from './second-loss.js';
+import { timingSummaryOf, replaceMember, Site, disturbances, wipeMember } from './second-loss.js';
 
 /** Times from the start of a blank machine to a full member, over many seeds. */
 const { values } = parseArgs({
@@ -11,12 +11,12 @@
     wiped: { type: 'boolean', default: false },
   },
 });
-const lose = values.wiped ? wipeOne : replaceOne;
+const lose = values.wiped ? wipeMember : replaceMember;
 const catchUpMs = Number(values['catch-up']);
 const all: (number | null)[] = [];
 
 /** Every fourth site has five members of which two may be lost. */
-const siteFor = (seed: number, trouble: (typeof troubles)[number]): Site => {
+const siteFor = (seed: number, trouble: (typeof disturbances)[number]): Site => {
   const members = seed % 4 === 3 ? 5 : 3;
   const losses = (members - 1) / 2;
   const told = catchUpMs > 0 ? { catchUpMs } : {};
@@ -24,12 +24,12 @@
 };
 
 const show = (what: string, times: readonly (number | null)[]): void => {
-  const { count, failed, median, p99, most } = figuresOf(times);
+  const { count, failed, median, p99, most } = timingSummaryOf(times);
   const line = `median ${median} ms, 99th ${p99} ms, most ${most} ms, of ${count}`;
   process.stdout.write(`${what}: ${line}, not within 20 s ${failed}\n`);
 };
 
-for (const trouble of troubles) {
+for (const trouble of disturbances) {
   const seeds = Array.from({ length: Number(values.seeds) }, (_, index) => index + 1);
   const times = seeds.map((seed) => lose(siteFor(seed, trouble)));
   all.push(...times);
--- a/packages/simulator/src/rules-2.test.ts
+++ b/packages/simulator/src/rules-2.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import { casesOf, show } from './injected-fault-runs.js';
+import { faultCasesOfFile, assertFaultBreaksRule } from './injected-fault-runs.js';
 
-for (const each of casesOf(1)) {
+for (const each of faultCasesOfFile(1)) {
   test.serial(
-    `rule ${each.rule}: broken when ${each.what}, kept otherwise (${each.scenario})`,
-    (t) => show(t, each, [11, 12]),
+    `rule ${each.rule}: broken when ${each.description}, kept otherwise (${each.scenario})`,
+    (t) => assertFaultBreaksRule(t, each, [11, 12]),
   );
 }
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -5,7 +5,7 @@
 import { type Policy, Schemas } from '@reedyard/schemas';
 import type { Deployment } from '@reedyard/topology';
 import { availability, judge } from './checks.js';
-import { inTouch, judgeCuts } from './cut-checks.js';
+import { connectedHistory, findPartitionViolations } from './partition-checks.js';
 import { SimulatedFleet } from './simulated-fleet.js';
 import type { Violation } from './history.js';
 import type { InjectedFault, Selection } from './injected-faults.js';
@@ -39,7 +39,7 @@
 export type Report = {
   readonly scenario: string;
   readonly seed: number;
-  readonly wrongs: readonly Violation[];
+  readonly violations: readonly Violation[];
   readonly asked: number;
   readonly share: number;
   readonly rest: Readonly<Record<string, number>>;
@@ -91,7 +91,7 @@
   };
   const one = (): void => {
     if (clock.now() > until) return;
-    clock.in((-Math.log(1 - clock.random()) * 1_000) / rate(), one);
+    clock.schedule((-Math.log(1 - clock.random()) * 1_000) / rate(), one);
     const zone = skew() ?? clock.pick(zones) ?? '';
     const sample = sampleOf(example, fleet.clock);
     job += 1;
@@ -104,24 +104,24 @@
         fleet.history.push({ kind: 'unplaced', at: clock.now() });
         return;
       }
-      fleet.ask(node, { ...sample, host, job: name, key }, (status) => {
+      fleet.submit(node, { ...sample, host, job: name, key }, (status) => {
         // What got no good answer is asked again, an order with the same key.
         const bad = status === 0 || status === 502 || status === 503 || status === 504;
-        if (bad && left > 0) clock.in(1_000 + 200 * clock.random(), () => attempt(left - 1));
+        if (bad && left > 0) clock.schedule(1_000 + 200 * clock.random(), () => attempt(left - 1));
       });
       // A caller uses its key once more for another order.
       if (key !== null && left === 2 && clock.random() < 0.05) {
         const other = choose(zone);
         if (other !== undefined)
-          clock.in(800 * clock.random(), () =>
-            fleet.ask(other, { ...sample, host, job: `${name}-other`, key }, () => undefined),
+          clock.schedule(800 * clock.random(), () =>
+            fleet.submit(other, { ...sample, host, job: `${name}-other`, key }, () => undefined),
           );
       }
       // An impatient caller sends the same key twice at once.
       if (key !== null && left === 2 && clock.random() < 0.1) {
         const other = choose(zone);
         if (other !== undefined)
-          fleet.ask(other, { ...sample, host, job: name, key }, () => undefined);
+          fleet.submit(other, { ...sample, host, job: name, key }, () => undefined);
       }
     };
     attempt(2);
@@ -160,34 +160,40 @@
     ...(options.selection === undefined ? {} : { selection: options.selection }),
   });
   for (const machine of deployment.machines) fleet.start(machine.name);
-  fleet.clock.in(4_000, () => {
+  fleet.clock.schedule(4_000, () => {
     fleet.firstStart = false;
   });
   fleet.watchReady();
-  fleet.clock.in(500, () => fleet.put(used));
+  fleet.clock.schedule(500, () => fleet.put(used));
   const end = scenario.seconds * 1_000;
-  const factor = { rate: options.rate ?? scenario.rate ?? 120, skew: null as string | null };
-  fleet.clock.in(6_000, () =>
+  const factor = { rate: options.rate ?? scenario.rate ?? 120, crowdedZone: null as string | null };
+  fleet.clock.schedule(6_000, () =>
     startCallers(
       fleet,
       example,
       used,
       () => factor.rate,
       end - 2_000,
-      () => factor.skew,
+      () => factor.crowdedZone,
     ),
   );
-  scenario.play({ fleet, policy: used, factor, end, sample: () => sampleOf(example, fleet.clock) });
+  scenario.play({
+    fleet,
+    policy: used,
+    traffic: factor,
+    endMs: end,
+    sample: () => sampleOf(example, fleet.clock),
+  });
   fleet.clock.runUntil(end + 14_000);
   const wrongs =
     scenario.servesOn === true
-      ? [...judge(inTouch(fleet.history)), ...judgeCuts(fleet.history)]
+      ? [...judge(connectedHistory(fleet.history)), ...findPartitionViolations(fleet.history)]
       : judge(fleet.history);
   const measured = availability(fleet.history, 8_000);
   return {
     scenario: options.scenario,
     seed: options.seed,
-    wrongs,
+    violations: wrongs,
     ...measured,
     fleet,
     replay: `npm run simulator -- --scenario ${options.scenario} --seed ${options.seed}${options.plant === undefined || options.plant === 'none' ? '' : ` --plant ${options.plant}`}${options.example === undefined ? '' : ` --example ${options.example}`}`,
--- a/packages/simulator/src/scenarios.test.ts
+++ b/packages/simulator/src/scenarios.test.ts
@@ -31,7 +31,7 @@
       setImmediate(resolve);
     });
     const report = run({ scenario, seed: 21 });
-    t.deepEqual(report.wrongs, [], report.replay);
+    t.deepEqual(report.violations, [], report.replay);
     t.true(report.share >= least, `${report.share} served; ${JSON.stringify(report.rest)}`);
   });
 }
@@ -47,7 +47,7 @@
 });
 
 test('four of five disks lost while a key is claimed twice: every member is told of the claim before it votes', (t) => {
-  t.deepEqual(run({ scenario: 'disks-wiped', seed: 3_000, example: 'association' }).wrongs, []);
+  t.deepEqual(run({ scenario: 'disks-wiped', seed: 3_000, example: 'association' }).violations, []);
 });
 
 test('the same seed gives the same run', (t) => {
--- a/packages/simulator/src/scenarios.ts
+++ b/packages/simulator/src/scenarios.ts
@@ -1,5 +1,5 @@
 /** All scenarios, by name. */
-import { longCuts } from './long-cuts.js';
+import { longPartitionScenarios } from './long-partitions.js';
 import { cacheScenarios } from './scenarios/cache-scenarios.js';
 import { calmScenarios } from './scenarios/calm-scenarios.js';
 import { diskScenarios } from './scenarios/disk-scenarios.js';
@@ -14,7 +14,7 @@
 
 /** All scenarios, by name. Each brings about what a rule is about. */
 export const scenarios: Readonly<Record<string, Scenario>> = {
-  ...longCuts,
+  ...longPartitionScenarios,
   ...calmScenarios,
   ...networkScenarios,
   ...originScenarios,
--- a/packages/simulator/src/scenarios/cache-scenarios.ts
+++ b/packages/simulator/src/scenarios/cache-scenarios.ts
@@ -1,27 +1,28 @@
 /** Objects are kept, age and are purged. */
 
-import { every, type Scenario } from './environment.js';
+import { repeatBetween, type Scenario } from './environment.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const cacheScenarios = {
   copies: {
-    what: 'answers that are old when they come, large ones, relayed ones; purged one by one, in long lists and in a storm over the size of a call',
+    summary:
+      'answers that are old when they come, large ones, relayed ones; purged one by one, in long lists and in a storm over the size of a call',
     seconds: 45,
     rate: 200,
     play: (environment) => {
       const { fleet, policy } = environment;
       const host = policy.routes[0]?.host ?? '';
-      fleet.clock.in(6_500, () => {
+      fleet.clock.schedule(6_500, () => {
         for (const origin of fleet.origins)
           Object.assign(origin.mode, { aged: Math.floor(3 * fleet.clock.random()), large: 0.002 });
       });
-      fleet.clock.in(9_000, () => {
-        environment.factor.skew = 'west';
+      fleet.clock.schedule(9_000, () => {
+        environment.traffic.crowdedZone = 'west';
       });
-      every(environment, 9_000, 38_000, 700, () => faults.slow?.(environment));
-      every(environment, 10_000, 38_000, 300, () => faults.purge?.(environment));
-      every(environment, 12_000, 38_000, 6_000, () =>
+      repeatBetween(environment, 9_000, 38_000, 700, () => faults.slow?.(environment));
+      repeatBetween(environment, 10_000, 38_000, 300, () => faults.purge?.(environment));
+      repeatBetween(environment, 12_000, 38_000, 6_000, () =>
         fleet.purge(
           Array.from(
             { length: 4_096 },
@@ -33,27 +34,27 @@
           ),
         ),
       );
-      fleet.clock.in(20_000, () => {
+      fleet.clock.schedule(20_000, () => {
         fleet.fault('a storm of 5000 purges');
         for (let each = 0; each < 5_000; each += 1)
-          fleet.clock.in(fleet.clock.between(0, 1_500), () =>
+          fleet.clock.schedule(fleet.clock.between(0, 1_500), () =>
             fleet.purge([`${host}/storm/${each}`, `${host}${environment.sample().target}`], []),
           );
       });
-      every(environment, 12_000, 36_000, 6_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 12_000, 36_000, 6_000, () => faults.freeze?.(environment));
     },
   },
   purges: {
-    what: 'purges one by one and in storms, with slow origins, kills and cuts',
+    summary: 'purges one by one and in storms, with slow origins, kills and cuts',
     seconds: 45,
     play: (environment) => {
-      every(environment, 8_000, 38_000, 500, () => faults.purge?.(environment));
-      every(environment, 14_000, 34_000, 9_000, () => {
+      repeatBetween(environment, 8_000, 38_000, 500, () => faults.purge?.(environment));
+      repeatBetween(environment, 14_000, 34_000, 9_000, () => {
         for (let each = 0; each < 60; each += 1) faults.purge?.(environment);
       });
-      every(environment, 9_000, 36_000, 3_000, () => faults.slow?.(environment));
-      every(environment, 9_000, 36_000, 5_000, () => faults.cut?.(environment));
-      every(environment, 9_000, 36_000, 6_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 3_000, () => faults.slow?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 5_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 6_000, () => faults.freeze?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/calm-scenarios.ts
+++ b/packages/simulator/src/scenarios/calm-scenarios.ts
@@ -4,17 +4,17 @@
 
 /** Scenarios, by name. */
 export const calmScenarios = {
-  calm: { what: 'nothing fails', seconds: 30, play: () => undefined },
+  calm: { summary: 'nothing fails', seconds: 30, play: () => undefined },
   'crowded-zone': {
-    what: 'most callers come to one zone, more than its proxies can serve',
+    summary: 'most callers come to one zone, more than its proxies can serve',
     seconds: 90,
     rate: 300,
     play: (environment) => {
-      environment.fleet.clock.in(20_000, () => {
-        environment.factor.skew = 'west';
+      environment.fleet.clock.schedule(20_000, () => {
+        environment.traffic.crowdedZone = 'west';
       });
-      environment.fleet.clock.in(70_000, () => {
-        environment.factor.skew = null;
+      environment.fleet.clock.schedule(70_000, () => {
+        environment.traffic.crowdedZone = null;
       });
     },
   },
--- a/packages/simulator/src/scenarios/disk-scenarios.ts
+++ b/packages/simulator/src/scenarios/disk-scenarios.ts
@@ -1,38 +1,39 @@
 /** Disks and power are lost. */
 
-import { disks, every, names, restart, type Scenario, zones } from './environment.js';
+import { disks, repeatBetween, names, restart, type Scenario, zones } from './environment.js';
 import { replaceOrigin } from './origin-faults.js';
-import { putVariant, variant } from './policy-changes.js';
+import { putPolicyVariant, policyVariant } from './policy-changes.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const diskScenarios = {
   wipes: {
-    what: 'disks are lost right after policies were acknowledged',
+    summary: 'disks are lost right after policies were acknowledged',
     seconds: 45,
     play: (environment) => {
-      every(environment, 9_000, 38_000, 2_200, () => {
-        putVariant(environment);
-        environment.fleet.clock.in(environment.fleet.clock.between(5, 400), () =>
+      repeatBetween(environment, 9_000, 38_000, 2_200, () => {
+        putPolicyVariant(environment);
+        environment.fleet.clock.schedule(environment.fleet.clock.between(5, 400), () =>
           faults.wipe?.(environment),
         );
       });
-      every(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
     },
   },
   'wiped-and-down': {
-    what: 'a policy reaches a bare majority; two of its disks are wiped at once while the third is down',
+    summary:
+      'a policy reaches a bare majority; two of its disks are wiped at once while the third is down',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 10_000, 32_000, 9_000, () => {
+      repeatBetween(environment, 10_000, 32_000, 9_000, () => {
         const order = [...disks(fleet)].sort(() => fleet.clock.random() - 0.5);
         const [first, second, third, ...others] = order;
         if (first === undefined || second === undefined || third === undefined) return;
         others.forEach((name) => fleet.isolate(name));
         fleet.fault(`${others.join(' and ')} cut off`);
         fleet.put(
-          variant(environment.policy, Math.floor(1e6 * fleet.clock.random())),
+          policyVariant(environment.policy, Math.floor(1e6 * fleet.clock.random())),
           () => {
             restart(fleet, first, 300, true);
             restart(fleet, second, 300, true);
@@ -42,69 +43,71 @@
           fleet.clock.pick(names(fleet, 'front')),
         );
       });
-      every(environment, 9_000, 40_000, 300, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 300, () => faults.read?.(environment));
     },
   },
   'core-replaced': {
-    what: 'a core machine is cut off, replaced under its name while it still runs, then cut to one side with it',
+    summary:
+      'a core machine is cut off, replaced under its name while it still runs, then cut to one side with it',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
       const sides = (left: readonly string[]): void => {
-        for (const a of fleet.places())
-          for (const b of fleet.places())
+        for (const a of fleet.machineNames())
+          for (const b of fleet.machineNames())
             if (left.includes(a) !== left.includes(b)) fleet.cut(a, b);
       };
       let number = 0;
       const put = (node: string): void => {
         number += 1;
-        fleet.put(variant(environment.policy, number), () => undefined, node);
+        fleet.put(policyVariant(environment.policy, number), () => undefined, node);
       };
-      fleet.clock.in(12_000, () => {
+      fleet.clock.schedule(12_000, () => {
         sides(['core-2', 'front-1']);
         fleet.fault('core-2 and front-1 cut off');
       });
-      fleet.clock.in(13_000, () => {
-        fleet.twin('core-2');
+      fleet.clock.schedule(13_000, () => {
+        fleet.startDuplicate('core-2');
         fleet.fault('core-2 replaced while it runs');
       });
-      fleet.clock.in(21_000, () => {
+      fleet.clock.schedule(21_000, () => {
         fleet.heal();
         sides(['core-2', 'front-1', 'core-1', 'core-3']);
         fleet.fault('cut again: the old core-2 on one side, the new one on the other');
       });
       // At once after the cut, before gossip tells front-1 of the successor's address.
-      every(environment, 21_010, 22_000, 250, () => {
+      repeatBetween(environment, 21_010, 22_000, 250, () => {
         put('front-1');
         put('front-2');
       });
-      every(environment, 22_500, 29_000, 1_500, () => {
+      repeatBetween(environment, 22_500, 29_000, 1_500, () => {
         put('front-1');
         put('front-2');
       });
-      fleet.clock.in(30_000, () => {
+      fleet.clock.schedule(30_000, () => {
         fleet.heal();
         fleet.kill('core-2');
         fleet.fault('healed, the old core-2 gone');
       });
-      every(environment, 9_000, 40_000, 300, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 300, () => faults.read?.(environment));
     },
   },
   'kill-after-ack': {
-    what: 'all disks lose power just after a policy was acknowledged',
+    summary: 'all disks lose power just after a policy was acknowledged',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 9_000, 34_000, 5_000, () => {
-        fleet.put(variant(environment.policy, Math.floor(1e6 * fleet.clock.random())), () => {
+      repeatBetween(environment, 9_000, 34_000, 5_000, () => {
+        fleet.put(policyVariant(environment.policy, Math.floor(1e6 * fleet.clock.random())), () => {
           for (const name of disks(fleet)) restart(fleet, name, fleet.clock.between(300, 900));
         });
       });
-      every(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
     },
   },
   'disks-wiped': {
-    what: 'a majority of disks, then all, are wiped at once just after acknowledgements, while the other machines live on',
+    summary:
+      'a majority of disks, then all, are wiped at once just after acknowledgements, while the other machines live on',
     seconds: 60,
     play: (environment) => {
       const { fleet } = environment;
@@ -122,69 +125,71 @@
         [28_000, 5],
         [42_000, 4],
       ].forEach(([at = 0, count = 0]) => {
-        fleet.clock.in(at, () => {
-          putVariant(environment);
+        fleet.clock.schedule(at, () => {
+          putPolicyVariant(environment);
           faults.drain?.(environment);
           fleet.zone(fleet.clock.pick(zones(fleet)) ?? '', 'empty');
         });
-        fleet.clock.in(at + 2_500, () => {
+        fleet.clock.schedule(at + 2_500, () => {
           for (const zone of zones(fleet)) fleet.zone(zone, 'take-back');
           faults.purge?.(environment);
         });
-        fleet.clock.in(at + 5_000, () => wipe(count));
+        fleet.clock.schedule(at + 5_000, () => wipe(count));
       });
-      every(environment, 9_000, 56_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 56_000, 700, () => faults.read?.(environment));
     },
   },
   'all-wiped': {
-    what: 'every machine stops and every disk is wiped; the operator sends a policy again, and nothing older comes back',
+    summary:
+      'every machine stops and every disk is wiped; the operator sends a policy again, and nothing older comes back',
     seconds: 55,
     play: (environment) => {
       const { fleet, policy } = environment;
-      every(environment, 8_000, 13_000, 1_500, () => putVariant(environment));
-      fleet.clock.in(15_000, () => {
+      repeatBetween(environment, 8_000, 13_000, 1_500, () => putPolicyVariant(environment));
+      fleet.clock.schedule(15_000, () => {
         for (const name of names(fleet)) {
           fleet.kill(name);
           fleet.wipe(name);
         }
         fleet.fault('all state lost');
       });
-      fleet.clock.in(18_000, () => {
+      fleet.clock.schedule(18_000, () => {
         for (const name of names(fleet)) fleet.start(name);
       });
-      fleet.clock.in(22_000, () => {
+      fleet.clock.schedule(22_000, () => {
         fleet.put({ services: policy.services, routes: policy.routes.slice(0, -1) }, () =>
           fleet.fault('served again from here'),
         );
       });
-      every(environment, 23_000, 50_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 23_000, 50_000, 700, () => faults.read?.(environment));
     },
   },
   founding: {
-    what: 'disks are lost while the fleet is being founded',
+    summary: 'disks are lost while the fleet is being founded',
     seconds: 30,
     play: (environment) => {
       const { fleet } = environment;
       for (let each = 0; each < 2; each += 1)
-        fleet.clock.in(fleet.clock.between(200, 2_500), () => faults.wipe?.(environment));
-      every(environment, 8_000, 24_000, 2_000, () => putVariant(environment));
-      every(environment, 8_000, 26_000, 600, () => faults.read?.(environment));
+        fleet.clock.schedule(fleet.clock.between(200, 2_500), () => faults.wipe?.(environment));
+      repeatBetween(environment, 8_000, 24_000, 2_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 8_000, 26_000, 600, () => faults.read?.(environment));
     },
   },
   'loss-after-ack': {
-    what: 'every machine loses power just after a policy, a purge, a zone order or a drain notice was acknowledged; all return',
+    summary:
+      'every machine loses power just after a policy, a purge, a zone order or a drain notice was acknowledged; all return',
     seconds: 75,
     play: (environment) => {
       const { fleet } = environment;
       const lose = (): void => {
         fleet.fault('all machines lost');
         for (const name of names(fleet)) fleet.kill(name);
-        fleet.clock.in(1_500, () => {
+        fleet.clock.schedule(1_500, () => {
           for (const name of names(fleet)) fleet.start(name);
         });
       };
       const acts: readonly (() => void)[] = [
-        () => fleet.put(variant(environment.policy, 1), lose),
+        () => fleet.put(policyVariant(environment.policy, 1), lose),
         () => fleet.purge([], ['1', '2', '3'], lose),
         () => fleet.zone('west', 'empty', lose),
         () => {
@@ -195,17 +200,17 @@
           }
         },
       ];
-      acts.forEach((act, index) => fleet.clock.in(12_000 + 14_000 * index, act));
-      fleet.clock.in(50_000, () => fleet.zone('west', 'take-back'));
-      every(environment, 9_000, 70_000, 700, () => faults.read?.(environment));
+      acts.forEach((act, index) => fleet.clock.schedule(12_000 + 14_000 * index, act));
+      fleet.clock.schedule(50_000, () => fleet.zone('west', 'take-back'));
+      repeatBetween(environment, 9_000, 70_000, 700, () => faults.read?.(environment));
     },
   },
   'full-loss': {
-    what: 'every machine loses power at once; some disks are wiped; then all return',
+    summary: 'every machine loses power at once; some disks are wiped; then all return',
     seconds: 55,
     play: (environment) => {
       const { fleet } = environment;
-      fleet.clock.in(15_000, () => {
+      fleet.clock.schedule(15_000, () => {
         for (const name of names(fleet)) fleet.kill(name);
         fleet.fault('all machines lost');
         const wiped = disks(fleet)
@@ -213,19 +218,19 @@
           .slice(0, 2);
         wiped.forEach((name) => fleet.wipe(name));
       });
-      fleet.clock.in(20_000, () => {
+      fleet.clock.schedule(20_000, () => {
         for (const name of names(fleet)) fleet.start(name);
         fleet.fault('all machines back');
       });
-      every(environment, 9_000, 45_000, 2_000, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 45_000, 2_000, () => faults.read?.(environment));
     },
   },
   'zone-power': {
-    what: 'a zone loses power, with its machines and origins, and comes back',
+    summary: 'a zone loses power, with its machines and origins, and comes back',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
-      fleet.clock.in(12_000, () => {
+      fleet.clock.schedule(12_000, () => {
         const zone = fleet.clock.pick(zones(fleet)) ?? '';
         const lost = fleet.deployment.machines
           .filter((machine) => machine.zone === zone)
@@ -234,10 +239,10 @@
         lost.forEach((name) => fleet.kill(name));
         for (const origin of fleet.origins.filter((each) => each.spec.zone === zone))
           replaceOrigin(fleet, origin, 12_000);
-        fleet.clock.in(12_000, () => lost.forEach((name) => fleet.start(name)));
+        fleet.clock.schedule(12_000, () => lost.forEach((name) => fleet.start(name)));
       });
-      every(environment, 9_000, 40_000, 3_000, () => putVariant(environment));
-      every(environment, 9_000, 40_000, 800, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 3_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 40_000, 800, () => faults.read?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/environment.ts
+++ b/packages/simulator/src/scenarios/environment.ts
@@ -35,14 +35,14 @@
     random(): number;
     between(low: number, high: number): number;
     pick<T>(list: readonly T[]): T | undefined;
-    in(ms: number, act: () => void): void;
+    schedule(ms: number, act: () => void): void;
   };
   readonly deployment: Deployment;
   readonly origins: readonly ScenarioOrigin[];
   /** What settings name as seeds to those that start from now on: machine/agent. */
   seeds: readonly string[];
-  places(): readonly string[];
-  runs(name: string): boolean;
+  machineNames(): readonly string[];
+  isRunning(name: string): boolean;
   holder(): string | undefined;
   start(name: string): void;
   kill(name: string): void;
@@ -50,7 +50,7 @@
   wipe(name: string): void;
   freeze(name: string): void;
   thaw(name: string): void;
-  twin(name: string): string;
+  startDuplicate(name: string): string;
   cut(from: string, to: string): void;
   isolate(name: string, way?: 'both' | 'out' | 'in'): void;
   heal(): void;
@@ -63,7 +63,7 @@
     node?: string,
   ): void;
   zone(zone: string, order: 'empty' | 'take-back', done?: () => void, node?: string): void;
-  describe(origin: ScenarioOrigin, noticed?: () => void, node?: string): void;
+  describe(origin: ScenarioOrigin, acknowledged?: () => void, node?: string): void;
   fault(what: string): void;
 };
 
@@ -72,7 +72,7 @@
   readonly history: Entry[];
   /** What the platform knows: nodes that said they were ready when it last asked. */
   readonly ready: ReadonlyMap<string, boolean>;
-  ask(
+  submit(
     node: string,
     request: {
       method: string;
@@ -89,14 +89,14 @@
 export type ScenarioEnvironment = {
   readonly fleet: ScenarioFleet;
   readonly policy: Policy;
-  readonly factor: { rate: number; skew: string | null };
-  readonly end: number;
+  readonly traffic: { rate: number; crowdedZone: string | null };
+  readonly endMs: number;
   /** A request as callers of this deployment send it. */
   readonly sample: () => { readonly method: string; readonly target: string };
 };
 
 export type Scenario = {
-  readonly what: string;
+  readonly summary: string;
   readonly seconds: number;
   readonly example?: string;
   readonly rate?: number;
@@ -130,7 +130,7 @@
 ];
 
 /** Does something again and again between two moments. */
-export const every = (
+export const repeatBetween = (
   { fleet }: ScenarioEnvironment,
   from: number,
   to: number,
@@ -140,9 +140,9 @@
   const next = (): void => {
     if (fleet.clock.now() > to) return;
     act();
-    fleet.clock.in(ms * fleet.clock.between(0.6, 1.4), next);
+    fleet.clock.schedule(ms * fleet.clock.between(0.6, 1.4), next);
   };
-  fleet.clock.in(from, next);
+  fleet.clock.schedule(from, next);
 };
 
 export const restart = (
@@ -154,7 +154,7 @@
   fleet.kill(name);
   fleet.fault(`${name} killed${wiped ? ' and wiped' : ''}`);
   if (wiped) fleet.wipe(name);
-  fleet.clock.in(afterMs, () => {
+  fleet.clock.schedule(afterMs, () => {
     fleet.start(name);
   });
 };
--- a/packages/simulator/src/scenarios/machine-scenarios.ts
+++ b/packages/simulator/src/scenarios/machine-scenarios.ts
@@ -1,97 +1,101 @@
 /** Machines restart, are replaced and join. */
 
-import { disks, every, names, restart, type Scenario } from './environment.js';
-import { putVariant, variant } from './policy-changes.js';
+import { disks, repeatBetween, names, restart, type Scenario } from './environment.js';
+import { putPolicyVariant, policyVariant } from './policy-changes.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const machineScenarios = {
   rolling: {
-    what: 'every machine is warned, killed 3 s later and started again, in turn',
+    summary: 'every machine is warned, killed 3 s later and started again, in turn',
     seconds: 70,
     play: (environment) => {
       const { fleet } = environment;
       names(fleet).forEach((name, index) =>
-        fleet.clock.in(9_000 + 3_500 * index, () => {
+        fleet.clock.schedule(9_000 + 3_500 * index, () => {
           fleet.warn(name);
-          fleet.clock.in(3_000, () => restart(fleet, name, 1_200));
+          fleet.clock.schedule(3_000, () => restart(fleet, name, 1_200));
         }),
       );
-      every(environment, 9_000, 52_000, 5_000, () => putVariant(environment));
-      every(environment, 9_000, 52_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 52_000, 5_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 52_000, 900, () => faults.read?.(environment));
     },
   },
   'seeds-changed': {
-    what: 'two old seeds go; others restart with new seeds, and find the fleet',
+    summary: 'two old seeds go; others restart with new seeds, and find the fleet',
     seconds: 50,
     play: (environment) => {
       const { fleet } = environment;
-      fleet.clock.in(10_000, () => {
+      fleet.clock.schedule(10_000, () => {
         fleet.seeds = ['front-1/agent', 'front-2/agent', 'core-3/agent'];
         fleet.kill('store-1');
         fleet.kill('store-2');
         fleet.fault('two old seeds gone, new ones in the settings');
       });
       ['front-5', 'core-2', 'front-6', 'front-7'].forEach((name, index) =>
-        fleet.clock.in(14_000 + 4_000 * index, () => {
+        fleet.clock.schedule(14_000 + 4_000 * index, () => {
           fleet.warn(name);
-          fleet.clock.in(2_000, () => restart(fleet, name, 800));
+          fleet.clock.schedule(2_000, () => restart(fleet, name, 800));
         }),
       );
-      fleet.clock.in(36_000, () => {
+      fleet.clock.schedule(36_000, () => {
         fleet.start('store-1');
         fleet.start('store-2');
       });
-      every(environment, 9_000, 44_000, 900, () => faults.read?.(environment));
-      every(environment, 9_000, 42_000, 5_000, () => putVariant(environment));
+      repeatBetween(environment, 9_000, 44_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 5_000, () => putPolicyVariant(environment));
     },
   },
   'members-replaced': {
-    what: 'three seeds found the members; machines with a member go, their places pass to others, they return; disks are wiped, and all machines lose power once',
+    summary:
+      'three seeds found the members; machines with a member go, their places pass to others, they return; disks are wiped, and all machines lose power once',
     seconds: 75,
     voting: { losses: 1 },
     play: (environment) => {
       const { fleet } = environment;
       const gone = (at: number, name: string, forMs: number, wiped: boolean): void => {
-        fleet.clock.in(at, () => {
-          putVariant(environment);
-          fleet.clock.in(fleet.clock.between(0, 300), () => restart(fleet, name, forMs, wiped));
+        fleet.clock.schedule(at, () => {
+          putPolicyVariant(environment);
+          fleet.clock.schedule(fleet.clock.between(0, 300), () =>
+            restart(fleet, name, forMs, wiped),
+          );
         });
       };
       gone(10_000, 'core-1', 14_000, false);
-      fleet.clock.in(20_500, () => {
+      fleet.clock.schedule(20_500, () => {
         fleet.seeds = ['core-2/agent', 'core-3/agent', 'front-1/agent'];
       });
       gone(27_000, 'store-1', 1_000, true);
       gone(33_000, 'store-2', 13_000, true);
-      fleet.clock.in(49_500, () => {
+      fleet.clock.schedule(49_500, () => {
         for (const name of names(fleet)) fleet.kill(name);
         fleet.fault('all machines lost');
       });
-      fleet.clock.in(51_000, () => {
+      fleet.clock.schedule(51_000, () => {
         for (const name of names(fleet)) fleet.start(name);
         fleet.fault('all machines back');
       });
-      every(environment, 9_000, 66_000, 2_500, () => putVariant(environment));
-      every(environment, 9_000, 66_000, 700, () => faults.read?.(environment));
-      every(environment, 9_000, 66_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 66_000, 2_500, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 66_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 66_000, 900, () => faults.purge?.(environment));
     },
   },
   'members-grow': {
-    what: 'three seeds found the members, and two more places are added; then two disks at once are wiped, again and again',
+    summary:
+      'three seeds found the members, and two more places are added; then two disks at once are wiped, again and again',
     seconds: 45,
     voting: { losses: 2 },
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 10_000, 32_000, 6_000, () => {
-        fleet.put(variant(environment.policy, Math.floor(1e6 * fleet.clock.random())), () => {
+      repeatBetween(environment, 10_000, 32_000, 6_000, () => {
+        fleet.put(policyVariant(environment.policy, Math.floor(1e6 * fleet.clock.random())), () => {
           [...disks(fleet)]
             .sort(() => fleet.clock.random() - 0.5)
             .slice(0, 2)
             .forEach((name) => restart(fleet, name, fleet.clock.between(300, 1_500), true));
         });
       });
-      every(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/mixed-scenarios.ts
+++ b/packages/simulator/src/scenarios/mixed-scenarios.ts
@@ -1,21 +1,22 @@
 /** Many kinds of faults at once. */
 
-import { every, type Scenario, zones } from './environment.js';
-import { faultOrigins } from './origin-faults.js';
-import { putVariant } from './policy-changes.js';
+import { repeatBetween, type Scenario, zones } from './environment.js';
+import { injectOriginFaults } from './origin-faults.js';
+import { putPolicyVariant } from './policy-changes.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const mixedScenarios = {
   closing: {
-    what: 'a day that ends with a fault: a zone loses power, others freeze, origins drain, just before the end',
+    summary:
+      'a day that ends with a fault: a zone loses power, others freeze, origins drain, just before the end',
     seconds: 40,
     play: (environment) => {
-      const { fleet, end } = environment;
-      every(environment, 9_000, end, 2_000, () => faults.purge?.(environment));
-      fleet.clock.in(end - 4_000, () => {
+      const { fleet, endMs: end } = environment;
+      repeatBetween(environment, 9_000, end, 2_000, () => faults.purge?.(environment));
+      fleet.clock.schedule(end - 4_000, () => {
         const zone = fleet.clock.pick(zones(fleet)) ?? '';
-        putVariant(environment);
+        putPolicyVariant(environment);
         for (const machine of fleet.deployment.machines.filter((each) => each.zone === zone))
           fleet.kill(machine.name);
         fleet.fault(`${zone} lost power for good`);
@@ -23,21 +24,21 @@
         faults.drain?.(environment);
         faults.purge?.(environment);
       });
-      every(environment, 9_000, end + 8_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, end + 8_000, 900, () => faults.read?.(environment));
     },
   },
   everything: {
-    what: 'every kind of fault at random',
+    summary: 'every kind of fault at random',
     seconds: 60,
     play: (environment) => {
-      environment.fleet.clock.in(8_000, () => faultOrigins(environment.fleet));
-      every(environment, 8_000, 48_000, 1_500, () => {
+      environment.fleet.clock.schedule(8_000, () => injectOriginFaults(environment.fleet));
+      repeatBetween(environment, 8_000, 48_000, 1_500, () => {
         const fault = environment.fleet.clock.pick(Object.values(faults));
         fault?.(environment);
       });
-      every(environment, 9_000, 52_000, 4_000, () => putVariant(environment));
-      every(environment, 9_000, 52_000, 700, () => faults.read?.(environment));
-      every(environment, 9_000, 52_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 52_000, 4_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 52_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 52_000, 900, () => faults.purge?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/network-scenarios.ts
+++ b/packages/simulator/src/scenarios/network-scenarios.ts
@@ -1,67 +1,69 @@
 /** The network and the clocks misbehave: losses, partitions, delays, freezes. */
 
-import { disks, every, names, restart, type Scenario } from './environment.js';
-import { putVariant } from './policy-changes.js';
+import { disks, repeatBetween, names, restart, type Scenario } from './environment.js';
+import { putPolicyVariant } from './policy-changes.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const networkScenarios = {
   lossy: {
-    what: 'three of a hundred messages are lost, from the first start on',
+    summary: 'three of a hundred messages are lost, from the first start on',
     seconds: 45,
     loss: 0.03,
     play: (environment) => {
-      every(environment, 8_000, 38_000, 3_000, () => putVariant(environment));
-      every(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
-      every(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 8_000, 38_000, 3_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
     },
   },
   cuts: {
-    what: 'machines cut off one after another, one way or both, while policies change and are read',
+    summary:
+      'machines cut off one after another, one way or both, while policies change and are read',
     seconds: 45,
     play: (environment) => {
-      every(environment, 8_000, 36_000, 4_000, () => faults.cut?.(environment));
-      every(environment, 9_000, 38_000, 3_000, () => putVariant(environment));
-      every(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
-      every(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 4_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 3_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
     },
   },
   'core-split': {
-    what: 'the disks split into two sides, then heal',
+    summary: 'the disks split into two sides, then heal',
     seconds: 40,
     play: (environment) => {
       const { fleet } = environment;
-      fleet.clock.in(12_000, () => {
+      fleet.clock.schedule(12_000, () => {
         fleet.fault('the core split');
         const left = new Set(disks(fleet).filter((_, index) => index % 2 === 0));
-        for (const a of fleet.places())
-          for (const b of fleet.places())
+        for (const a of fleet.machineNames())
+          for (const b of fleet.machineNames())
             if (
               (left.has(a) || a.charCodeAt(a.length - 1) % 2 === 0) !==
               (left.has(b) || b.charCodeAt(b.length - 1) % 2 === 0)
             )
               fleet.cut(a, b);
       });
-      fleet.clock.in(24_000, () => {
+      fleet.clock.schedule(24_000, () => {
         fleet.heal();
         fleet.fault('healed');
       });
-      every(environment, 9_000, 34_000, 2_500, () => putVariant(environment));
-      every(environment, 9_000, 36_000, 600, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 34_000, 2_500, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 36_000, 600, () => faults.read?.(environment));
     },
   },
   freezes: {
-    what: 'machines freeze and thaw while policies change, zones empty and objects are purged',
+    summary: 'machines freeze and thaw while policies change, zones empty and objects are purged',
     seconds: 45,
     play: (environment) => {
-      every(environment, 8_000, 38_000, 2_000, () => faults.freeze?.(environment));
-      every(environment, 9_000, 38_000, 4_000, () => putVariant(environment));
-      every(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
-      every(environment, 10_000, 36_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 8_000, 38_000, 2_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 4_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 10_000, 36_000, 900, () => faults.read?.(environment));
     },
   },
   'slow-peers': {
-    what: 'routes allow two attempts; origins are slow at times, and peers slow, cut off or killed between taking a request and answering it',
+    summary:
+      'routes allow two attempts; origins are slow at times, and peers slow, cut off or killed between taking a request and answering it',
     seconds: 40,
     rate: 200,
     policy: (policy) => ({
@@ -73,25 +75,26 @@
     }),
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 8_000, 36_000, 2_000, () => {
+      repeatBetween(environment, 8_000, 36_000, 2_000, () => {
         for (const origin of fleet.origins)
           origin.mode.slowMs = fleet.clock.random() < 0.4 ? fleet.clock.between(200, 900) : 20;
         for (const origin of fleet.origins)
           origin.mode.garbage = fleet.clock.random() < 0.3 ? 0.2 : 0;
       });
-      every(environment, 10_000, 34_000, 5_000, () => {
+      repeatBetween(environment, 10_000, 34_000, 5_000, () => {
         const name = fleet.clock.pick(names(fleet, 'front')) ?? '';
         if (fleet.clock.random() < 0.5) {
           restart(fleet, name, 1_000);
           return;
         }
         fleet.freeze(name);
-        fleet.clock.in(fleet.clock.between(300, 900), () => fleet.thaw(name));
+        fleet.clock.schedule(fleet.clock.between(300, 900), () => fleet.thaw(name));
       });
     },
   },
   drifting: {
-    what: 'clocks that run up to 5 % fast or slow, while nodes freeze and are cut, policies change, objects are purged, origins drain and demand passes ceilings',
+    summary:
+      'clocks that run up to 5 % fast or slow, while nodes freeze and are cut, policies change, objects are purged, origins drain and demand passes ceilings',
     seconds: 50,
     rate: 200,
     drift: 0.05,
@@ -105,30 +108,31 @@
       ),
     }),
     play: (environment) => {
-      every(environment, 8_000, 42_000, 3_000, () => faults.freeze?.(environment));
-      every(environment, 11_000, 40_000, 6_000, () => faults.cut?.(environment));
-      every(environment, 9_000, 42_000, 2_000, () => putVariant(environment));
-      every(environment, 9_000, 42_000, 600, () => faults.purge?.(environment));
-      every(environment, 9_000, 40_000, 6_000, () => faults.drain?.(environment));
-      every(environment, 9_000, 44_000, 900, () => faults.read?.(environment));
-      every(environment, 12_000, 40_000, 9_000, () => {
+      repeatBetween(environment, 8_000, 42_000, 3_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 40_000, 6_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 2_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 42_000, 600, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 6_000, () => faults.drain?.(environment));
+      repeatBetween(environment, 9_000, 44_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 12_000, 40_000, 9_000, () => {
         const holder = environment.fleet.holder();
         if (holder !== undefined) restart(environment.fleet, holder, 2_500);
       });
     },
   },
   busy: {
-    what: 'busy machines: every message waits up to 80 ms more, while policies change and are read and nodes restart in turn',
+    summary:
+      'busy machines: every message waits up to 80 ms more, while policies change and are read and nodes restart in turn',
     seconds: 45,
     busyMs: 80,
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 9_000, 38_000, 3_000, () => putVariant(environment));
-      every(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 3_000, () => putPolicyVariant(environment));
+      repeatBetween(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
       names(fleet, 'front').forEach((name, index) =>
-        fleet.clock.in(10_000 + 3_000 * index, () => {
+        fleet.clock.schedule(10_000 + 3_000 * index, () => {
           fleet.warn(name);
-          fleet.clock.in(2_500, () => restart(fleet, name, 1_000));
+          fleet.clock.schedule(2_500, () => restart(fleet, name, 1_000));
         }),
       );
     },
--- a/packages/simulator/src/scenarios/origin-faults.ts
+++ b/packages/simulator/src/scenarios/origin-faults.ts
@@ -2,7 +2,7 @@
 
 import type { ScenarioFleet, ScenarioOrigin } from './environment.js';
 
-export const faultOrigins = (fleet: ScenarioFleet): void => {
+export const injectOriginFaults = (fleet: ScenarioFleet): void => {
   for (const origin of fleet.origins)
     Object.assign(origin.mode, {
       lose: 0.1,
@@ -21,7 +21,7 @@
   downMs: number,
 ): void => {
   origin.alive = false;
-  fleet.clock.in(downMs, () => {
+  fleet.clock.schedule(downMs, () => {
     Object.assign(origin, {
       alive: true,
       cold: true,
@@ -29,7 +29,7 @@
       incarnation: origin.incarnation + 1,
     });
     fleet.describe(origin);
-    fleet.clock.in(8_000, () => {
+    fleet.clock.schedule(8_000, () => {
       if (origin.alive) origin.cold = false;
     });
   });
@@ -38,5 +38,5 @@
 export const drain = (fleet: ScenarioFleet, origin: ScenarioOrigin, thenDown: boolean): void => {
   origin.draining = true;
   fleet.describe(origin);
-  if (thenDown) fleet.clock.in(5_000, () => replaceOrigin(fleet, origin, 1_000));
+  if (thenDown) fleet.clock.schedule(5_000, () => replaceOrigin(fleet, origin, 1_000));
 };
--- a/packages/simulator/src/scenarios/origin-scenarios.ts
+++ b/packages/simulator/src/scenarios/origin-scenarios.ts
@@ -1,51 +1,53 @@
 /** Origins misbehave, drain, leave and come back. */
 
-import { every, names, restart, type Scenario } from './environment.js';
-import { faultOrigins } from './origin-faults.js';
+import { repeatBetween, names, restart, type Scenario } from './environment.js';
+import { injectOriginFaults } from './origin-faults.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const originScenarios = {
   'lost-answers': {
-    what: 'origins run and lose the answer, send garbage, short bodies and foreign answers; nodes are killed; callers repeat',
+    summary:
+      'origins run and lose the answer, send garbage, short bodies and foreign answers; nodes are killed; callers repeat',
     seconds: 35,
     play: (environment) => {
-      environment.fleet.clock.in(7_000, () => faultOrigins(environment.fleet));
-      every(environment, 9_000, 26_000, 2_500, () => faults.kill?.(environment));
+      environment.fleet.clock.schedule(7_000, () => injectOriginFaults(environment.fleet));
+      repeatBetween(environment, 9_000, 26_000, 2_500, () => faults.kill?.(environment));
     },
   },
   repeats: {
-    what: 'every origin fails most of what it gets',
+    summary: 'every origin fails most of what it gets',
     seconds: 40,
     rate: 300,
     play: (environment) => {
-      environment.fleet.clock.in(9_000, () => {
+      environment.fleet.clock.schedule(9_000, () => {
         for (const origin of environment.fleet.origins)
           Object.assign(origin.mode, { garbage: 0.7 });
       });
     },
   },
   'repeats-relayed': {
-    what: 'every origin fails most of what it gets, while one zone is crowded and hands most of it to peers',
+    summary:
+      'every origin fails most of what it gets, while one zone is crowded and hands most of it to peers',
     seconds: 60,
     rate: 400,
     capacityBps: 3_000_000,
     play: (environment) => {
       const { fleet } = environment;
-      fleet.clock.in(8_000, () => {
-        environment.factor.skew = 'west';
+      fleet.clock.schedule(8_000, () => {
+        environment.traffic.crowdedZone = 'west';
       });
-      fleet.clock.in(25_000, () => {
+      fleet.clock.schedule(25_000, () => {
         for (const origin of fleet.origins) Object.assign(origin.mode, { garbage: 0.9, slowMs: 5 });
       });
     },
   },
   'reused-address': {
-    what: 'origins lose their address to another service',
+    summary: 'origins lose their address to another service',
     seconds: 40,
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 8_000, 34_000, 2_500, () => {
+      repeatBetween(environment, 8_000, 34_000, 2_500, () => {
         const a = fleet.clock.pick(fleet.origins.filter((each) => each.service === 'store'));
         const b = fleet.clock.pick(fleet.origins.filter((each) => each.service === 'application'));
         if (a === undefined || b === undefined) return;
@@ -59,25 +61,27 @@
     },
   },
   drains: {
-    what: 'origins drain, leave and come back cold, one by one; nodes freeze and are cut meanwhile',
+    summary:
+      'origins drain, leave and come back cold, one by one; nodes freeze and are cut meanwhile',
     seconds: 45,
     play: (environment) => {
-      every(environment, 8_000, 36_000, 2_000, () => faults.drain?.(environment));
-      every(environment, 9_000, 36_000, 5_000, () => faults.freeze?.(environment));
-      every(environment, 11_000, 36_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 2_000, () => faults.drain?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 5_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 36_000, 7_000, () => faults.cut?.(environment));
     },
   },
   'drain-then-kill': {
-    what: 'an origin gives its notice once, to a node that is killed or cut off right after acknowledging it, and falls silent; a new incarnation takes its address',
+    summary:
+      'an origin gives its notice once, to a node that is killed or cut off right after acknowledging it, and falls silent; a new incarnation takes its address',
     seconds: 50,
     rate: 200,
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 9_000, 38_000, 2_500, () => {
+      repeatBetween(environment, 9_000, 38_000, 2_500, () => {
         const origin = fleet.clock.pick(
           fleet.origins.filter((each) => each.alive && !each.draining),
         );
-        const node = fleet.clock.pick(names(fleet).filter((name) => fleet.runs(name)));
+        const node = fleet.clock.pick(names(fleet).filter((name) => fleet.isRunning(name)));
         if (origin === undefined || node === undefined) return;
         Object.assign(origin, { draining: true, silent: true });
         fleet.describe(
@@ -87,12 +91,12 @@
             if (fleet.clock.random() < 0.5) restart(fleet, node, 3_000);
             else {
               fleet.isolate(node);
-              fleet.clock.in(3_000, () => fleet.heal());
+              fleet.clock.schedule(3_000, () => fleet.heal());
             }
           },
           node,
         );
-        fleet.clock.in(6_000, () => {
+        fleet.clock.schedule(6_000, () => {
           Object.assign(origin, {
             draining: false,
             silent: false,
--- a/packages/simulator/src/scenarios/policy-changes.ts
+++ b/packages/simulator/src/scenarios/policy-changes.ts
@@ -6,7 +6,7 @@
 /**
  * A policy that differs from the first and from every other by one service's ceiling and one route.
  */
-export const variant = (policy: Policy, number: number): Policy => ({
+export const policyVariant = (policy: Policy, number: number): Policy => ({
   services: policy.services,
   routes: [
     ...policy.routes,
@@ -18,13 +18,13 @@
   ],
 });
 
-export type RouteOf = Policy['routes'][number];
+export type PolicyRoute = Policy['routes'][number];
 
-export const onRoute = (
+export const changeRandomRoute = (
   policy: Policy,
   clock: ScenarioFleet['clock'],
-  fits: (route: RouteOf) => boolean,
-  change: (route: RouteOf) => readonly RouteOf[],
+  fits: (route: PolicyRoute) => boolean,
+  change: (route: PolicyRoute) => readonly PolicyRoute[],
 ): Policy => {
   const chosenRoute = clock.pick(policy.routes.filter(fits));
   return {
@@ -33,7 +33,7 @@
   };
 };
 
-export const onService = (
+export const changeRandomService = (
   policy: Policy,
   clock: ScenarioFleet['clock'],
   change: (service: Policy['services'][string], name: string) => Policy['services'][string],
@@ -56,7 +56,7 @@
  */
 const mutations: Readonly<Record<string, (policy: Policy, fleet: ScenarioFleet) => Policy>> = {
   'route removed': (policy, { clock }) =>
-    onRoute(
+    changeRandomRoute(
       policy,
       clock,
       () => true,
@@ -68,7 +68,7 @@
     return { services, routes: policy.routes.filter((route) => !Routes.allows(route, chosenName)) };
   },
   'route moved': (policy, { clock }) =>
-    onRoute(
+    changeRandomRoute(
       policy,
       clock,
       () => true,
@@ -83,7 +83,7 @@
       ],
     ),
   'instances narrowed': (policy, { clock, origins }) =>
-    onService(policy, clock, (service, name) => {
+    changeRandomService(policy, clock, (service, name) => {
       const instances = origins
         .filter((origin) => origin.service === name)
         .map((origin) => origin.instance);
@@ -91,12 +91,18 @@
       return { ...service, instances: kept.length > 0 ? kept : instances.slice(0, 1) };
     }),
   'ceiling changed': (policy, { clock }) =>
-    onService(policy, clock, (service) => ({ ...service, ceiling: clock.between(20, 150) })),
+    changeRandomService(policy, clock, (service) => ({
+      ...service,
+      ceiling: clock.between(20, 150),
+    })),
   'cold rate changed': (policy, { clock }) =>
-    onService(policy, clock, (service) => ({ ...service, coldRate: clock.between(4, 40) })),
+    changeRandomService(policy, clock, (service) => ({
+      ...service,
+      coldRate: clock.between(4, 40),
+    })),
   'homes narrowed': (policy, { clock, deployment }) => {
     const regions = [...new Set(deployment.machines.map((machine) => machine.region))];
-    return onRoute(
+    return changeRandomRoute(
       policy,
       clock,
       (route) => !route.methods.includes('POST'),
@@ -113,28 +119,28 @@
     );
   },
   'copies shortened': (policy, { clock }) =>
-    onRoute(
+    changeRandomRoute(
       policy,
       clock,
       (route) => route.cache.keep === 'origin',
       (route) => [{ ...route, cache: { keep: 'origin', mostSeconds: 1 } }],
     ),
   'copies ended': (policy, { clock }) =>
-    onRoute(
+    changeRandomRoute(
       policy,
       clock,
       (route) => route.cache.keep === 'origin',
       (route) => [{ ...route, cache: { keep: 'never' } }],
     ),
   'methods taken away': (policy, { clock }) =>
-    onRoute(
+    changeRandomRoute(
       policy,
       clock,
       () => true,
       (route) => [{ ...route, methods: ['OPTIONS'] }],
     ),
   'limits shortened': (policy, { clock }) =>
-    onRoute(
+    changeRandomRoute(
       policy,
       clock,
       () => true,
@@ -143,7 +149,7 @@
 };
 
 /** A policy with one to three changes. */
-export const mutated = ({ fleet, policy }: ScenarioEnvironment): Policy => {
+export const mutatedPolicy = ({ fleet, policy }: ScenarioEnvironment): Policy => {
   let next = policy;
   const count = 1 + Math.floor(3 * fleet.clock.random());
   const named: string[] = [];
@@ -156,8 +162,8 @@
   return next;
 };
 
-export const putVariant = (environment: ScenarioEnvironment): void => {
+export const putPolicyVariant = (environment: ScenarioEnvironment): void => {
   environment.fleet.put(
-    variant(environment.policy, Math.floor(1e6 * environment.fleet.clock.random())),
+    policyVariant(environment.policy, Math.floor(1e6 * environment.fleet.clock.random())),
   );
 };
--- a/packages/simulator/src/scenarios/quota-scenarios.ts
+++ b/packages/simulator/src/scenarios/quota-scenarios.ts
@@ -1,13 +1,14 @@
 /** Rate limits, capacities and slow start. */
 
-import { every, restart, type Scenario, zones } from './environment.js';
+import { repeatBetween, restart, type Scenario, zones } from './environment.js';
 import { drain, replaceOrigin } from './origin-faults.js';
 import { faults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const quotaScenarios = {
   ceilings: {
-    what: 'demand far above a low ceiling that moves between zones, while the quota leader and others are killed, frozen and cut',
+    summary:
+      'demand far above a low ceiling that moves between zones, while the quota leader and others are killed, frozen and cut',
     seconds: 60,
     rate: 300,
     policy: (policy) => ({
@@ -21,27 +22,27 @@
     }),
     play: (environment) => {
       const { fleet } = environment;
-      every(environment, 12_000, 52_000, 8_000, () => {
-        environment.factor.skew = fleet.clock.pick([...zones(fleet), null]) ?? null;
+      repeatBetween(environment, 12_000, 52_000, 8_000, () => {
+        environment.traffic.crowdedZone = fleet.clock.pick([...zones(fleet), null]) ?? null;
       });
-      every(environment, 14_000, 52_000, 7_000, () => {
+      repeatBetween(environment, 14_000, 52_000, 7_000, () => {
         const holder = fleet.holder();
         if (holder === undefined) return;
         const draw = fleet.clock.random();
         if (draw < 0.4) restart(fleet, holder, 3_000);
         else if (draw < 0.7) {
           fleet.freeze(holder);
-          fleet.clock.in(6_000, () => fleet.thaw(holder));
+          fleet.clock.schedule(6_000, () => fleet.thaw(holder));
         } else {
           fleet.isolate(holder);
-          fleet.clock.in(6_000, () => fleet.heal());
+          fleet.clock.schedule(6_000, () => fleet.heal());
         }
       });
-      every(environment, 12_000, 52_000, 6_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 12_000, 52_000, 6_000, () => faults.kill?.(environment));
     },
   },
   saturated: {
-    what: 'demand far above a low ceiling, nothing fails; halfway all callers move to one zone',
+    summary: 'demand far above a low ceiling, nothing fails; halfway all callers move to one zone',
     seconds: 50,
     rate: 300,
     policy: (policy) => ({
@@ -54,13 +55,13 @@
       ),
     }),
     play: (environment) => {
-      environment.fleet.clock.in(30_000, () => {
-        environment.factor.skew = 'north';
+      environment.fleet.clock.schedule(30_000, () => {
+        environment.traffic.crowdedZone = 'north';
       });
     },
   },
   cold: {
-    what: 'origins crash and come back cold under load',
+    summary: 'origins crash and come back cold under load',
     seconds: 50,
     rate: 250,
     policy: (policy) => ({
@@ -73,12 +74,13 @@
       ),
     }),
     play: (environment) => {
-      every(environment, 9_000, 42_000, 2_000, () => faults.crash?.(environment));
-      every(environment, 9_000, 42_000, 8_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 2_000, () => faults.crash?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 8_000, () => faults.kill?.(environment));
     },
   },
   lowered: {
-    what: 'ceilings and cold rates lowered and raised while demand stays and the quota leader is killed',
+    summary:
+      'ceilings and cold rates lowered and raised while demand stays and the quota leader is killed',
     seconds: 50,
     rate: 400,
     play: (environment) => {
@@ -97,16 +99,17 @@
             ]),
           ),
         });
-      every(environment, 9_000, 42_000, 4_500, () => {
+      repeatBetween(environment, 9_000, 42_000, 4_500, () => {
         const holder = fleet.holder();
         put();
         if (holder !== undefined && fleet.clock.random() < 0.5) restart(fleet, holder, 2_500);
       });
-      every(environment, 12_000, 42_000, 5_000, () => faults.crash?.(environment));
+      repeatBetween(environment, 12_000, 42_000, 5_000, () => faults.crash?.(environment));
     },
   },
   capacities: {
-    what: 'no ceilings: instances go one by one until one carries all, say they carry less, and come back cold; demand stays',
+    summary:
+      'no ceilings: instances go one by one until one carries all, say they carry less, and come back cold; demand stays',
     seconds: 60,
     rate: 400,
     policy: (policy) => ({
@@ -121,7 +124,7 @@
         const all = fleet.origins.filter((origin) => origin.service === service);
         const first = fleet.clock.between(9_000, 11_000);
         all.slice(1).forEach((origin, index) =>
-          fleet.clock.in(first + 1_500 * index, () => {
+          fleet.clock.schedule(first + 1_500 * index, () => {
             if (fleet.clock.random() < 0.5) drain(fleet, origin, false);
             else origin.alive = false;
             fleet.fault(`${service}: ${origin.instance} goes`);
@@ -129,7 +132,7 @@
         );
         // The last one says that it carries less, and less again.
         for (const at of [24_000, 30_000])
-          fleet.clock.in(at, () => {
+          fleet.clock.schedule(at, () => {
             const [last] = all;
             if (last !== undefined) {
               last.capacity *= 0.3;
@@ -140,10 +143,10 @@
         all
           .slice(1)
           .forEach((origin, index) =>
-            fleet.clock.in(36_000 + 2_000 * index, () => replaceOrigin(fleet, origin, 100)),
+            fleet.clock.schedule(36_000 + 2_000 * index, () => replaceOrigin(fleet, origin, 100)),
           );
       }
-      every(environment, 12_000, 50_000, 6_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 12_000, 50_000, 6_000, () => faults.kill?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/random-faults.ts
+++ b/packages/simulator/src/scenarios/random-faults.ts
@@ -1,24 +1,31 @@
 /** Faults that happen at random while a scenario runs. */
 
-import { disks, every, names, restart, type ScenarioEnvironment, zones } from './environment.js';
+import {
+  disks,
+  repeatBetween,
+  names,
+  restart,
+  type ScenarioEnvironment,
+  zones,
+} from './environment.js';
 import { drain, replaceOrigin } from './origin-faults.js';
-import { mutated } from './policy-changes.js';
+import { mutatedPolicy } from './policy-changes.js';
 
 /**
  * Policies that take things away, now and then the first one again, while origins are slow and
  * machines fail.
  */
-export const changing = (environment: ScenarioEnvironment): void => {
+export const playPolicyChanges = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
-  every(environment, 9_000, 46_000, 2_200, () => {
+  repeatBetween(environment, 9_000, 46_000, 2_200, () => {
     if (fleet.clock.random() < 0.25) fleet.put(environment.policy);
-    else fleet.put(mutated(environment));
+    else fleet.put(mutatedPolicy(environment));
   });
-  every(environment, 9_000, 46_000, 900, () => faults.slow?.(environment));
-  every(environment, 9_000, 46_000, 900, () => faults.read?.(environment));
-  every(environment, 10_000, 44_000, 4_000, () => faults.kill?.(environment));
-  every(environment, 11_000, 44_000, 4_000, () => faults.freeze?.(environment));
-  every(environment, 12_000, 44_000, 9_000, () => faults.cut?.(environment));
+  repeatBetween(environment, 9_000, 46_000, 900, () => faults.slow?.(environment));
+  repeatBetween(environment, 9_000, 46_000, 900, () => faults.read?.(environment));
+  repeatBetween(environment, 10_000, 44_000, 4_000, () => faults.kill?.(environment));
+  repeatBetween(environment, 11_000, 44_000, 4_000, () => faults.freeze?.(environment));
+  repeatBetween(environment, 12_000, 44_000, 9_000, () => faults.cut?.(environment));
 };
 
 export const faults: Readonly<Record<string, (environment: ScenarioEnvironment) => void>> = {
@@ -35,7 +42,7 @@
     if (name !== undefined) {
       fleet.freeze(name);
       fleet.fault(`${name} frozen`);
-      fleet.clock.in(fleet.clock.between(500, 9_000), () => fleet.thaw(name));
+      fleet.clock.schedule(fleet.clock.between(500, 9_000), () => fleet.thaw(name));
     }
   },
   cut: ({ fleet }) => {
@@ -43,7 +50,7 @@
     if (name === undefined) return;
     fleet.isolate(name, fleet.clock.pick(['both', 'in', 'out'] as const));
     fleet.fault(`${name} cut off`);
-    fleet.clock.in(fleet.clock.between(1_000, 8_000), () => fleet.heal());
+    fleet.clock.schedule(fleet.clock.between(1_000, 8_000), () => fleet.heal());
   },
   wipe: ({ fleet }) => {
     const name = fleet.clock.pick(disks(fleet));
@@ -61,7 +68,7 @@
     const origin = fleet.clock.pick(fleet.origins);
     if (origin !== undefined) {
       origin.mode.slowMs = 1_500;
-      fleet.clock.in(4_000, () => {
+      fleet.clock.schedule(4_000, () => {
         origin.mode.slowMs = 5;
       });
     }
@@ -74,7 +81,7 @@
     const zone = fleet.clock.pick(zones(fleet));
     if (zone !== undefined) {
       fleet.zone(zone, 'empty');
-      fleet.clock.in(9_000, () => fleet.zone(zone, 'take-back'));
+      fleet.clock.schedule(9_000, () => fleet.zone(zone, 'take-back'));
     }
   },
   read: ({ fleet }) => fleet.read(),
--- a/packages/simulator/src/second-loss.test.ts
+++ b/packages/simulator/src/second-loss.test.ts
@@ -1,12 +1,12 @@
 import test, { type ExecutionContext } from 'ava';
 import {
   coreName,
-  figuresOf,
-  replaceOne,
+  timingSummaryOf,
+  replaceMember,
   Site,
-  troubles,
-  wipeOne,
-  type Figures,
+  disturbances,
+  wipeMember,
+  type TimingSummary,
   type SiteOptions,
 } from './second-loss.js';
 
@@ -23,13 +23,13 @@
 
 const siteFor = (seed: number, more: Partial<SiteOptions> = {}): Site => {
   const members = seed % 4 === 3 ? 5 : 3;
-  const trouble = troubles[seed % troubles.length] ?? {};
+  const trouble = disturbances[seed % disturbances.length] ?? {};
   const losses = (members - 1) / 2;
   return new Site({ seed, members, successors: 1, losses, catchUpMs: 4_000, ...trouble, ...more });
 };
 
 const seeds = Array.from({ length: seedsEach }, (_, index) => index + 1);
-const show = (t: ExecutionContext, what: string, figures: Figures): void => {
+const show = (t: ExecutionContext, what: string, figures: TimingSummary): void => {
   const { count, failed, median, p99, most } = figures;
   const times = `median ${median} ms, 99th ${p99} ms, most ${most} ms`;
   t.log(`${what}: ${times}, of ${count}, not in time ${failed}`);
@@ -38,17 +38,17 @@
 const turn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 for (const [what, lose] of [
-  ['replaced', replaceOne],
-  ['wiped', wipeOne],
+  ['replaced', replaceMember],
+  ['wiped', wipeMember],
 ] as const) {
   test.serial(
     `${what}: from the start of the blank machine to a full member within half of the time to catch up`,
     async (t) => {
       for (const catchUpMs of catchUps) {
-        for (const trouble of troubles) {
+        for (const trouble of disturbances) {
           await turn();
           const times = seeds.map((seed) => lose(siteFor(seed, { ...trouble, catchUpMs })));
-          const figures = figuresOf(times);
+          const figures = timingSummaryOf(times);
           show(t, `${what}, catch up ${catchUpMs} ms, ${JSON.stringify(trouble)}`, figures);
           t.true(figures.p99 <= catchUpMs / 2, JSON.stringify({ trouble, catchUpMs, figures }));
         }
@@ -60,7 +60,7 @@
 test.serial('not told how long successors may take, nobody is replaced in less than 8 s', (t) => {
   const times = seeds.slice(0, 8).map((seed) => {
     const { catchUpMs: _none, ...options } = siteFor(seed).options;
-    return replaceOne(new Site(options));
+    return replaceMember(new Site(options));
   });
   t.true(
     times.every((each) => each !== null && each > 6_000),
@@ -76,18 +76,18 @@
   const { fleet, options } = site;
   return [1, 2, 3, 4].map((round) => {
     const successor = coreName(options.members + round);
-    const lost = site.anyVoting();
+    const lost = site.anyVotingMachine();
     if (fleet.clock.random() < 0.5) fleet.stopReplica(lost);
     // The operator's list of seeds is some seconds old: the lost one may stand in it.
     fleet.seeds = site
       .voting()
       .slice(0, 3)
       .map((machine) => `${machine}/agent`);
-    fleet.clock.in(fleet.clock.between(0, 300), () => fleet.kill(lost));
+    fleet.clock.schedule(fleet.clock.between(0, 300), () => fleet.kill(lost));
     site.runFor(fleet.clock.between(0, 1_500));
     fleet.start(successor);
     site.runFor(options.catchUpMs ?? 4_000);
-    const second = site.anyVoting();
+    const second = site.anyVotingMachine();
     fleet.kill(second);
     site.resetGap();
     const took = site.timeToAcknowledge(acknowledgement);
@@ -108,7 +108,7 @@
       times.push(...losses(site));
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
-    const figures = figuresOf(times);
+    const figures = timingSummaryOf(times);
     show(t, 'order after the second loss', figures);
     t.is(figures.failed, 0, JSON.stringify(times));
   },
@@ -130,7 +130,7 @@
       await turn();
       const site = siteFor(seed);
       for (let round = 0; round < 5; round += 1) {
-        const lost = site.anyVoting();
+        const lost = site.anyVotingMachine();
         site.fleet.kill(lost);
         site.fleet.wipe(lost);
         times.push(site.timeToAcknowledge(acknowledgement));
@@ -140,7 +140,7 @@
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
       t.is(site.voting().length, site.options.members, `seed ${seed}`);
     }
-    const figures = figuresOf(times);
+    const figures = timingSummaryOf(times);
     show(t, 'order after each wiped disk', figures);
     t.is(figures.failed, 0, JSON.stringify(times));
   },
@@ -157,7 +157,7 @@
       const machines = [...site.fleet.machines.keys()].filter(
         (each) => site.fleet.machines.get(each)?.isPowered === true,
       );
-      const lost = site.anyVoting();
+      const lost = site.anyVotingMachine();
       machines.forEach((each) => site.fleet.kill(each));
       site.fleet.wipe(lost);
       site.runFor(1_500);
@@ -165,7 +165,7 @@
       times.push(site.timeToMember(lost, longest));
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
-    const figures = figuresOf(times);
+    const figures = timingSummaryOf(times);
     show(t, 'wiped while all lost power, from their start', figures);
     t.true(figures.p99 <= 2_000, JSON.stringify(figures));
   },
@@ -194,8 +194,8 @@
   fleet.start(successor);
   site.runFor(3_000);
   site.timeToAcknowledge(acknowledgement);
-  const { epoch } = site.committed();
-  const leaver = site.anyVoting();
+  const { epoch } = site.newestMembership();
+  const leaver = site.anyVotingMachine();
   const second = fleet.clock.pick(site.voting().filter((each) => each !== leaver)) ?? '';
   site.resetGap();
   fleet.stopReplica(leaver);
@@ -211,7 +211,7 @@
     fleet.kill(successor);
     fleet.wipe(successor);
   }
-  if (crash === 'leaver, and back') fleet.clock.in(800, () => fleet.start(leaver));
+  if (crash === 'leaver, and back') fleet.clock.schedule(800, () => fleet.start(leaver));
   const took = site.timeToAcknowledge(acknowledgement);
   return { took, leaver };
 };
@@ -233,7 +233,7 @@
         const others = site.voting().filter((each) => each !== leaver);
         if (crash === 'nobody') t.is(others.length, site.options.members, `seed ${seed}`);
       }
-      const figures = figuresOf(times);
+      const figures = timingSummaryOf(times);
       show(t, `order while one leaves, crash of ${crash}`, figures);
       t.is(figures.failed, 0, JSON.stringify(times));
     },
@@ -265,7 +265,7 @@
     for (const seed of seeds) {
       await turn();
       const site = siteFor(seed);
-      const { epoch } = site.committed();
+      const { epoch } = site.newestMembership();
       for (const machine of site.voting()) {
         if (seed % 2 === 0) site.fleet.stopReplica(machine);
         site.runFor(100);
@@ -274,7 +274,7 @@
         site.fleet.start(machine);
         site.runFor(3_000);
       }
-      t.is(site.committed().epoch, epoch, `seed ${seed}`);
+      t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
       t.is(site.voting().length, site.options.members, `seed ${seed}`);
     }
   },
@@ -285,7 +285,7 @@
 
 const bringAbout = (site: Site, trouble: Trouble): void => {
   const { fleet } = site;
-  const one = site.anyVoting();
+  const one = site.anyVotingMachine();
   const lasting = fleet.clock.between(300, 4_000);
   if (trouble === 'freeze') {
     fleet.freeze(one);
@@ -324,21 +324,21 @@
         site.fleet.start(coreName(site.options.members + 1));
         site.runFor(3_000);
         t.not(site.timeToAcknowledge(acknowledgement), null, `seed ${seed}`);
-        const before = site.committed().epoch;
+        const before = site.newestMembership().epoch;
         site.resetGap();
         bringAbout(site, trouble);
-        gaps.push(site.longestGap);
+        gaps.push(site.longestGapMs);
         const took = site.timeToAcknowledge(acknowledgement);
         t.not(took, null, `seed ${seed}`);
         site.runFor(4_000);
         t.is(site.voting().length, site.options.members, `seed ${seed}`);
         t.true(site.keepsAcknowledged(), `seed ${seed}`);
-        changes += site.committed().epoch - before;
-        const { epoch } = site.committed();
+        changes += site.newestMembership().epoch - before;
+        const { epoch } = site.newestMembership();
         site.runFor(5_000);
-        t.is(site.committed().epoch, epoch, `seed ${seed}: it does not go on changing`);
+        t.is(site.newestMembership().epoch, epoch, `seed ${seed}: it does not go on changing`);
       }
-      show(t, `longest time without a majority (${trouble})`, figuresOf(gaps));
+      show(t, `longest time without a majority (${trouble})`, timingSummaryOf(gaps));
       t.log(`${trouble}: ${changes} changes of members in ${seeds.length} runs`);
     },
   );
@@ -351,22 +351,22 @@
     for (const seed of seeds) {
       await turn();
       const site = siteFor(seed);
-      const one = site.anyVoting();
+      const one = site.anyVotingMachine();
       t.not(site.timeToAcknowledge(acknowledgement), null);
-      const { epoch } = site.committed();
-      const twin = site.fleet.twin(one);
+      const { epoch } = site.newestMembership();
+      const twin = site.fleet.startDuplicate(one);
       site.runFor(6_000);
-      t.is(site.committed().epoch, epoch, `seed ${seed}`);
-      t.true(site.votes(one) && !site.votes(twin), `seed ${seed}`);
+      t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
+      t.true(site.isVotingMember(one) && !site.isVotingMember(twin), `seed ${seed}`);
       site.fleet.kill(one);
       times.push(site.timeToMember(twin, longest));
       t.not(site.timeToAcknowledge(acknowledgement), null, `seed ${seed}`);
       site.fleet.start(one);
       site.runFor(6_000);
-      t.true(!site.votes(one) && site.votes(twin), `seed ${seed}`);
+      t.true(!site.isVotingMember(one) && site.isVotingMember(twin), `seed ${seed}`);
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
-    const figures = figuresOf(times);
+    const figures = timingSummaryOf(times);
     show(t, 'twin, from the loss of the other', figures);
     t.true(figures.p99 <= 4_000, JSON.stringify(figures));
   },
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -55,7 +55,7 @@
 export class Site {
   readonly fleet: SimulatedFleet;
   /** ms. The longest time without a voting majority since `resetGap`. */
-  longestGap = 0;
+  longestGapMs = 0;
   #gapSince: number | null = null;
 
   constructor(readonly options: SiteOptions) {
@@ -95,12 +95,12 @@
   }
 
   /** Whether a machine's replica is a full member: named, has read the others, and votes. */
-  votes(machine: string): boolean {
+  isVotingMember(machine: string): boolean {
     return this.votingDisk(machine) !== null;
   }
 
   /** The newest epoch that any replica was told is committed, and the disks that it names. */
-  committed(): { readonly epoch: number; readonly disks: readonly string[] } {
+  newestMembership(): { readonly epoch: number; readonly disks: readonly string[] } {
     let newest: { readonly epoch: number; readonly disks: readonly string[] } = {
       epoch: 0,
       disks: [],
@@ -115,7 +115,7 @@
 
   /** Machines whose replica is a member of the newest epoch and votes. */
   voting(): readonly string[] {
-    const { disks } = this.committed();
+    const { disks } = this.newestMembership();
     return [...this.fleet.machines.keys()].filter((machine) => {
       const disk = this.votingDisk(machine);
       return disk !== null && disks.includes(disk);
@@ -124,7 +124,7 @@
 
   /** Whether enough members of the newest epoch run and vote. */
   hasMajority(): boolean {
-    return this.voting().length > this.committed().disks.length / 2;
+    return this.voting().length > this.newestMembership().disks.length / 2;
   }
 
   #sample(): void {
@@ -132,13 +132,13 @@
     if (this.hasMajority()) this.#gapSince = null;
     else {
       this.#gapSince ??= now;
-      this.longestGap = Math.max(this.longestGap, now - this.#gapSince + samplePeriod);
+      this.longestGapMs = Math.max(this.longestGapMs, now - this.#gapSince + samplePeriod);
     }
-    this.fleet.clock.in(samplePeriod, () => this.#sample());
+    this.fleet.clock.schedule(samplePeriod, () => this.#sample());
   }
 
   resetGap(): void {
-    this.longestGap = 0;
+    this.longestGapMs = 0;
     this.#gapSince = null;
   }
 
@@ -147,7 +147,7 @@
    */
   timeToMember(machine: string, limitMs: number): number | null {
     const begun = this.fleet.clock.now();
-    while (!this.votes(machine)) {
+    while (!this.isVotingMember(machine)) {
       if (this.fleet.clock.now() - begun >= limitMs) return null;
       this.runFor(samplePeriod);
     }
@@ -157,7 +157,7 @@
   /** Runs until a later epoch is committed, or for the time given. */
   runUntilEpochAfter(epoch: number, limitMs: number): void {
     const end = this.fleet.clock.now() + limitMs;
-    while (this.committed().epoch <= epoch && this.fleet.clock.now() < end) this.runFor(1);
+    while (this.newestMembership().epoch <= epoch && this.fleet.clock.now() < end) this.runFor(1);
   }
 
   /** Orders that were acknowledged so far. */
@@ -179,7 +179,7 @@
         if (status === 200) done = true;
       });
       // A call without an answer is given up after a second, and another node is asked.
-      this.fleet.clock.in(operatorPatience, send);
+      this.fleet.clock.schedule(operatorPatience, send);
     };
     send();
     while (!done && this.fleet.clock.now() - begun < limitMs) this.runFor(samplePeriod);
@@ -202,12 +202,12 @@
   }
 
   /** A machine with a replica that votes now. */
-  anyVoting(): string {
+  anyVotingMachine(): string {
     return this.fleet.clock.pick(this.voting()) ?? '';
   }
 }
 
-export type Figures = {
+export type TimingSummary = {
   readonly count: number;
   readonly failed: number;
   readonly median: number;
@@ -216,7 +216,7 @@
 };
 
 /** Median, 99th percentile and largest of times; a null counts as failed and as endless. */
-export const figuresOf = (times: readonly (number | null)[]): Figures => {
+export const timingSummaryOf = (times: readonly (number | null)[]): TimingSummary => {
   const sorted = times.map((each) => each ?? Infinity).sort((a, b) => a - b);
   const at = (share: number): number => sorted[Math.ceil(share * sorted.length) - 1] ?? 0;
   return {
@@ -229,7 +229,7 @@
 };
 
 /** What may go wrong with messages and clocks meanwhile. */
-export const troubles: readonly Pick<SiteOptions, 'loss' | 'busyMs' | 'drift'>[] = [
+export const disturbances: readonly Pick<SiteOptions, 'loss' | 'busyMs' | 'drift'>[] = [
   {},
   { loss: 0.03 },
   { busyMs: 40 },
@@ -241,23 +241,23 @@
 const longest = 20_000;
 
 /** A member goes for good, its successor starts a little before or after. */
-export const replaceOne = (site: Site): number | null => {
+export const replaceMember = (site: Site): number | null => {
   const { fleet, options } = site;
-  const lost = site.anyVoting();
+  const lost = site.anyVotingMachine();
   const successor = coreName(options.members + 1);
   const ahead = fleet.clock.between(-300, 1_500);
   if (ahead > 0) {
     fleet.kill(lost);
     site.runFor(ahead);
-  } else fleet.clock.in(-ahead, () => fleet.kill(lost));
+  } else fleet.clock.schedule(-ahead, () => fleet.kill(lost));
   fleet.start(successor);
   return site.timeToMember(successor, longest);
 };
 
 /** A member's disk is lost, and its machine starts again at its address. */
-export const wipeOne = (site: Site): number | null => {
+export const wipeMember = (site: Site): number | null => {
   const { fleet } = site;
-  const lost = site.anyVoting();
+  const lost = site.anyVotingMachine();
   fleet.kill(lost);
   fleet.wipe(lost);
   site.runFor(fleet.clock.between(200, 2_000));
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -48,13 +48,13 @@
 import { VirtualClock } from './virtual-clock.js';
 import type { Entry, SimBody } from './history.js';
 import {
-  claimWithFault,
+  isClaimGrantedByFault,
   feedWithFault,
   type InjectedFault,
-  plantedAgent,
-  plantedGrant,
-  plantedReply,
-  selected,
+  agentStateWithFault,
+  withUncountedGrant,
+  replyWithFault,
+  feedWithSelection,
   type Selection,
 } from './injected-faults.js';
 import { SimulatedNetwork } from './simulated-network.js';
@@ -224,13 +224,13 @@
       });
     }
     for (const origin of this.origins)
-      this.clock.in(this.clock.between(0, 1_000), () => this.#announce(origin));
+      this.clock.schedule(this.clock.between(0, 1_000), () => this.#announce(origin));
   }
 
-  places(): readonly string[] {
+  machineNames(): readonly string[] {
     return [...this.machines.keys()];
   }
-  runs(name: string): boolean {
+  isRunning(name: string): boolean {
     return this.machines.get(name)?.agent?.alive === true;
   }
   /** The machine that has the quotaLeadership. */
@@ -245,7 +245,7 @@
   }
 
   /** Another machine, with a blank disk, that goes by the name of one which may still run. */
-  twin(name: string): string {
+  startDuplicate(name: string): string {
     const box = this.machines.get(name);
     const place = `${name}~2`;
     if (box !== undefined)
@@ -310,7 +310,7 @@
     this.counts.messages += 1;
     if (this.#reach.isCut(from, to)) return;
     if (from !== to && this.clock.random() < this.tuning.loss) return;
-    this.clock.in(this.delay(from, to), act);
+    this.clock.schedule(this.delay(from, to), act);
   }
 
   #now(process: Process<Program>): number {
@@ -341,7 +341,11 @@
       event: unknown,
     ) => { state: Reducers[P]['state']; effects: readonly Reducers[P]['effect'][] };
     if (process.program === 'agent')
-      process.state = plantedAgent(this.tuning.plant, process.state as AgentState, event.now);
+      process.state = agentStateWithFault(
+        this.tuning.plant,
+        process.state as AgentState,
+        event.now,
+      );
     const step = reduce(process.state, event);
     process.state = step.state;
     if (process.program === 'replica' && this.tuning.plant === 'forget-when-replaced')
@@ -369,7 +373,8 @@
   }
 
   #tookStep(process: Process<'agent'>): void {
-    if (process.state.leaseUntil > this.#now(process)) this.#reach.tookLease(process.machine.name);
+    if (process.state.leaseUntil > this.#now(process))
+      this.#reach.leaseAcquired(process.machine.name);
   }
 
   #make<P extends Program>(
@@ -394,7 +399,7 @@
   }
 
   #every(process: Process<Program>, ms: number, act: () => void): void {
-    this.clock.in((ms / process.clockRate) * this.clock.between(0.9, 1.1), () =>
+    this.clock.schedule((ms / process.clockRate) * this.clock.between(0.9, 1.1), () =>
       this.#inside(process, () => {
         act();
         this.#every(process, ms, act);
@@ -423,15 +428,15 @@
     this.#reach.changed(name);
     const { machine } = box;
     if (machine.kind !== 'front' && box.replica === null)
-      this.clock.in(this.clock.between(50, 400), () => {
+      this.clock.schedule(this.clock.between(50, 400), () => {
         if (box.isPowered && box.replica === null) this.#startReplica(box);
       });
     if (box.agent === null)
-      this.clock.in(this.clock.between(50, 400), () => {
+      this.clock.schedule(this.clock.between(50, 400), () => {
         if (box.isPowered && box.agent === null) this.#startAgent(box);
       });
     if (machine.kind === 'front' && box.proxy === null)
-      this.clock.in(this.clock.between(50, 400), () => {
+      this.clock.schedule(this.clock.between(50, 400), () => {
         if (box.isPowered && box.proxy === null) this.#startProxy(box);
       });
   }
@@ -613,7 +618,7 @@
     }
   }
   fault(what: string): void {
-    this.history.push({ kind: 'fault', at: this.clock.now(), what });
+    this.history.push({ kind: 'fault', at: this.clock.now(), label: what });
   }
 
   // Calls between processes -----------------------------------------------------------------------
@@ -629,7 +634,7 @@
   ): void {
     let over = false;
     const name = to.split('/', 1)[0] ?? to;
-    this.clock.in(limitMs, () =>
+    this.clock.schedule(limitMs, () =>
       this.#inside(from, () => {
         if (!over) {
           over = true;
@@ -716,7 +721,7 @@
         process.asking.delete(effect.requestId);
         return;
       case 'schedule-wake-up':
-        this.clock.in(effect.delayMs / process.clockRate, () =>
+        this.clock.schedule(effect.delayMs / process.clockRate, () =>
           this.#inside(process, () =>
             this.#step(process, { kind: 'wake-up-due', now: this.#now(process) }),
           ),
@@ -815,7 +820,7 @@
     disk.syncing = true;
     const batch = disk.unsynced.length;
     const slow = this.tuning.plant === 'tell-unsynced' ? 400 : 1;
-    this.clock.in(this.clock.between(1, 6) * slow, () => {
+    this.clock.schedule(this.clock.between(1, 6) * slow, () => {
       if (box.disk !== disk) return;
       // What was appended while this sync ran waits for the next one; so do those who wait on it.
       disk.synced.push(...disk.unsynced.splice(0, batch));
@@ -893,7 +898,7 @@
         const askedAt = this.#now(process);
         const box = this.machines.get(name);
         const again = (): void => {
-          this.clock.in(feedIntervalMs * this.clock.between(0.9, 1.1), () =>
+          this.clock.schedule(feedIntervalMs * this.clock.between(0.9, 1.1), () =>
             this.#inside(process, () =>
               this.#step(process, { kind: 'feed-due', now: this.#now(process) }),
             ),
@@ -929,7 +934,7 @@
                 kind: 'served-on',
                 at: this.clock.now(),
                 node: name,
-                reachesMs: this.#reach.reachesMs(name),
+                majorityReachableMs: this.#reach.majorityReachableForMs(name),
               });
             this.#held.set(process, held);
             this.#everPeers(held.feed);
@@ -992,8 +997,8 @@
               now: this.#now(process),
             });
         };
-        if (claimWithFault(this.tuning.plant, effect.query)) {
-          this.clock.in(1, () => this.#inside(process, () => done({ kind: 'granted' })));
+        if (isClaimGrantedByFault(this.tuning.plant, effect.query)) {
+          this.clock.schedule(1, () => this.#inside(process, () => done({ kind: 'granted' })));
           return;
         }
         const box = this.machines.get(name);
@@ -1103,8 +1108,9 @@
         if (effect.answer.body.kind === 'copy') acted();
         if (caller !== undefined) {
           const shown = this.#shown(effect.answer, caller.mark);
-          this.clock.in(this.#leave(name, process.machine.capacityBps ?? 8e6, effect.answer), () =>
-            caller.done(process.alive ? shown : null),
+          this.clock.schedule(
+            this.#leave(name, process.machine.capacityBps ?? 8e6, effect.answer),
+            () => caller.done(process.alive ? shown : null),
           );
         }
         return;
@@ -1121,7 +1127,7 @@
   ): ClientRequest {
     if (this.tuning.plant !== 'uncounted-grants')
       return { ...effect.clientRequest, attempts: effect.delegatedAttempts };
-    process.state = plantedGrant(process.state, effect.requestId, effect.attempt);
+    process.state = withUncountedGrant(process.state, effect.requestId, effect.attempt);
     return effect.clientRequest;
   }
 
@@ -1154,7 +1160,7 @@
     const { selection = 'paper' } = this.tuning;
     if (feed.policy !== null) this.#selectedRoutes.set(process.machine.name, feed.policy);
     return {
-      ...selected(
+      ...feedWithSelection(
         selection,
         { ...feed, policy: this.#selectedRoutes.get(process.machine.name) ?? null },
         process.machine.name,
@@ -1262,7 +1268,7 @@
       this.#reach.isCut(row.address, from.name)
     ) {
       // A refused conn answers at once; a cut one only by its limit.
-      this.clock.in(origin !== undefined && !origin.alive ? 1 : connectTimeoutMs, () =>
+      this.clock.schedule(origin !== undefined && !origin.alive ? 1 : connectTimeoutMs, () =>
         fail('nothing', 'connect'),
       );
       return;
@@ -1270,7 +1276,7 @@
     const identity = (): string => `${origin.service}/${origin.instance}/${origin.incarnation}`;
     // The proof of identity comes first; nothing of the request is sent before, nor while this
     // process is frozen.
-    this.clock.in(2 * this.delay(from.name, row.address), () =>
+    this.clock.schedule(2 * this.delay(from.name, row.address), () =>
       this.#inside(process, () => {
         if (this.#now(process) >= sendBy) {
           fail('nothing', 'lease');
@@ -1321,9 +1327,9 @@
           const sentAt = this.clock.now();
           const madeAt = sentAt - 1_000 * origin.mode.aged;
           const large = !unsafe && this.clock.random() < origin.mode.large;
-          this.clock.in(origin.mode.slowMs * this.clock.between(0.5, 1.5), () => {
+          this.clock.schedule(origin.mode.slowMs * this.clock.between(0.5, 1.5), () => {
             if (!origin.alive || (unsafe && this.clock.random() < origin.mode.lose)) {
-              this.clock.in(1, () => fail('maybe', 'cut'));
+              this.clock.schedule(1, () => fail('maybe', 'cut'));
               return;
             }
             if (this.clock.random() < origin.mode.garbage) {
@@ -1401,7 +1407,7 @@
       this.#reach.isCut(from, to.row.id) ||
       this.#reach.isCut(to.row.id, from)
     ) {
-      this.clock.in(box !== undefined && box.proxy === null ? 1 : connectTimeoutMs, () =>
+      this.clock.schedule(box !== undefined && box.proxy === null ? 1 : connectTimeoutMs, () =>
         fail('nothing', 'connect'),
       );
       return;
@@ -1444,7 +1450,7 @@
   // What the outside does -------------------------------------------------------------------------
 
   #announce(origin: SimulatedOrigin): void {
-    this.clock.in(this.clock.between(900, 1_100), () => this.#announce(origin));
+    this.clock.schedule(this.clock.between(900, 1_100), () => this.#announce(origin));
     if (origin.alive && !origin.silent) this.describe(origin);
   }
 
@@ -1514,7 +1520,7 @@
    */
   #goOn(agent: Process<'agent'>, action: ApiAction): void {
     for (let ms = 500; ms < proposalTimeoutMs; ms += 500) {
-      this.clock.in(ms, () => {
+      this.clock.schedule(ms, () => {
         if (agent.alive)
           this.#askAgent(
             agent,
@@ -1558,7 +1564,7 @@
           action: action.kind,
           status: reply.status,
           cutOff,
-          steady,
+          isSteady: steady,
         });
       done(reply);
     };
@@ -1569,12 +1575,12 @@
       action.kind === 'get-policy' &&
       known !== undefined
     ) {
-      this.clock.in(2, () =>
+      this.clock.schedule(2, () =>
         end({ status: 200, body: { revision: known.revision, policy: known.document } }),
       );
       return () => undefined;
     }
-    this.clock.in(8_000, () => end({ status: 0, body: null }));
+    this.clock.schedule(8_000, () => end({ status: 0, body: null }));
     let askedAs: number | null = null;
     let isGone = false;
     const drop = (): void =>
@@ -1594,7 +1600,10 @@
           return { kind: 'action-received', requestId: id, action, now: this.#now(agent) };
         },
         (reply) => {
-          const told = plantedReply(this.tuning.plant, reply as { status: number; body: unknown });
+          const told = replyWithFault(
+            this.tuning.plant,
+            reply as { status: number; body: unknown },
+          );
           if (this.tuning.plant === 'callers-unheeded' && told.status === 503)
             this.#goOn(agent, action);
           this.#carry(box.machine.name, from, () => end(told));
@@ -1633,7 +1642,7 @@
               document,
             });
             done();
-          } else if (left > 0) this.clock.in(500, () => attempt(left - 1));
+          } else if (left > 0) this.clock.schedule(500, () => attempt(left - 1));
         },
         'outside',
         left === 20 ? node : undefined,
@@ -1671,9 +1680,15 @@
         { kind: 'purge', purge: { objects: [...objects], tags: [...tags] }, changeId },
         (reply) => {
           if (reply.status === 200) {
-            this.history.push({ kind: 'purged', at: this.clock.now(), objects, tags, turned });
+            this.history.push({
+              kind: 'purged',
+              at: this.clock.now(),
+              objects,
+              tags,
+              purgedFrom: turned,
+            });
             done();
-          } else if (left > 0) this.clock.in(500, () => attempt(left - 1));
+          } else if (left > 0) this.clock.schedule(500, () => attempt(left - 1));
         },
         'outside',
         left === 10 ? node : undefined,
@@ -1703,7 +1718,7 @@
               order,
             });
             done();
-          } else if (left > 0) this.clock.in(500, () => attempt(left - 1));
+          } else if (left > 0) this.clock.schedule(500, () => attempt(left - 1));
         },
         'outside',
         left === 10 ? node : undefined,
@@ -1724,12 +1739,12 @@
         !this.#reach.isCut(box.machine.name, 'outside');
       this.ready.set(box.machine.name, answers && ProxyCore.ready(proxy.state, this.#now(proxy)));
     }
-    this.clock.in(500, () => this.watchReady());
+    this.clock.schedule(500, () => this.watchReady());
   }
 
   #submission = 0;
   /** A caller's request to a node. */
-  ask(
+  submit(
     node: string,
     request: {
       method: string;
@@ -1770,7 +1785,7 @@
         why: '',
         stamp: '',
         body: null,
-        whole: false,
+        hasCompleteBody: false,
         method: request.method,
         host: request.host,
         target: request.target,
@@ -1790,13 +1805,13 @@
       target: request.target,
       key: request.key,
     });
-    this.clock.in(12_000, () => end(0, 'no answer'));
+    this.clock.schedule(12_000, () => end(0, 'no answer'));
     if (proxy === null) {
-      this.clock.in(1, () => end(0, 'refused'));
+      this.clock.schedule(1, () => end(0, 'refused'));
       return;
     }
     const headers = { ...(request.key === null ? {} : { 'idempotency-key': request.key }) };
-    this.clock.in(this.delay('outside', node), () =>
+    this.clock.schedule(this.delay('outside', node), () =>
       this.#arrive(
         proxy,
         {
@@ -1826,7 +1841,7 @@
               retryAfter: got.retryAfter,
               why: got.why,
               body: got.body,
-              whole: got.whole,
+              hasCompleteBody: got.whole,
               copied: got.headers['sim-copied'] !== undefined,
             });
           },
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -6,7 +6,7 @@
  * only infer.
  */
 
-type Note = (entry: Entry) => void;
+type RecordEntry = (entry: Entry) => void;
 
 /** Paths between machines, each in one direction; those named are cut. */
 export class SimulatedNetwork {
@@ -21,7 +21,7 @@
   constructor(
     readonly replicas: readonly string[],
     readonly now: () => number,
-    readonly note: Note,
+    readonly record: RecordEntry,
   ) {}
 
   cut(from: string, to: string): void {
@@ -40,7 +40,7 @@
     this.#cuts.clear();
     for (const name of this.#changedAt.keys()) this.changed(name);
     for (const [node, from] of this.#cutSince) {
-      this.note({ kind: 'cut-off', at: now, node, from });
+      this.record({ kind: 'cut-off', at: now, node, from });
       this.#healedAt.set(node, now);
     }
     this.#cutSince.clear();
@@ -69,18 +69,18 @@
   }
 
   /** ms for which a machine has had such paths, while nothing changed about it and any replica. */
-  reachesMs(name: string): number {
+  majorityReachableForMs(name: string): number {
     if (!this.reachesMajority(name)) return 0;
     const changes = [name, ...this.replicas].map((each) => this.#changedAt.get(each) ?? 0);
     return this.now() - Math.max(...changes);
   }
 
   /** Notes the first lease after a cut, unless something else happened to the node meanwhile. */
-  tookLease(name: string): void {
+  leaseAcquired(name: string): void {
     const healedAt = this.#healedAt.get(name);
     if (healedAt === undefined) return;
     this.#healedAt.delete(name);
     if ((this.#changedAt.get(name) ?? 0) > healedAt) return;
-    this.note({ kind: 'lease-back', at: this.now(), node: name, afterMs: this.now() - healedAt });
+    this.record({ kind: 'lease-back', at: this.now(), node: name, afterMs: this.now() - healedAt });
   }
 }
--- a/packages/simulator/src/spread.ts
+++ b/packages/simulator/src/spread.ts
@@ -23,7 +23,7 @@
   regionsMs: 12,
 });
 for (const machine of deployment.machines) fleet.start(machine.name);
-fleet.clock.in(500, () => fleet.put(policy));
+fleet.clock.schedule(500, () => fleet.put(policy));
 fleet.clock.runUntil(8_000);
 const proxies = (): readonly { revision: number; purges: number }[] =>
   [...fleet.machines.values()].flatMap((box) =>
@@ -82,7 +82,7 @@
           if (fleet.history.slice(known).some((entry) => entry.kind === 'purged')) {
             told = true;
             done();
-          } else fleet.clock.in(5, watch);
+          } else fleet.clock.schedule(5, watch);
         };
         watch();
       },
--- a/packages/simulator/src/virtual-clock.ts
+++ b/packages/simulator/src/virtual-clock.ts
@@ -28,7 +28,7 @@
     return list[Math.floor(this.random() * list.length)];
   }
 
-  in(ms: number, act: () => void): void {
+  schedule(ms: number, act: () => void): void {
     const entry = { at: this.#now + Math.max(0, ms), order: this.#order, act };
     this.#order += 1;
     const heap = this.#heap;
--- a/packages/testbed/src/trial.test.ts
+++ b/packages/testbed/src/trial.test.ts
@@ -2,7 +2,7 @@
 import os from 'node:os';
 import path from 'node:path';
 import { mkdtempSync } from 'node:fs';
-import { exampleOf } from '@reedyard/simulator';
+import { loadExample } from '@reedyard/simulator';
 import { small } from './small.js';
 import { pairsOf, trial } from './trial.js';
 
@@ -10,7 +10,7 @@
   const report = await trial({
     example: 'brandlhuber',
     deployment: small,
-    policy: exampleOf('brandlhuber').policy,
+    policy: loadExample('brandlhuber').policy,
     scenario: 'everything',
     seed: 4,
     seconds: 24,
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -6,13 +6,13 @@
 import {
   availability,
   type Entry,
-  judge,
-  type RequestedFleet,
-  sampleOf,
+  findViolations,
+  type FleetUnderLoad,
+  randomRequest,
   type ScenarioOrigin,
   scenarios,
-  type SimBody,
-  startCallers,
+  type SimulatedBody,
+  startClients,
   type Violation,
   VirtualClock,
 } from '@reedyard/simulator';
@@ -34,7 +34,7 @@
   target: string,
   text: string,
   startedAt: number,
-): SimBody | null => {
+): SimulatedBody | null => {
   const tags = [...target.matchAll(/tag-(\w+)/g)].map((found) => found[1] ?? '');
   if (method === 'POST') {
     const { ran = '', by = '' } = JSON.parse(text) as { ran?: string; by?: string };
@@ -63,7 +63,7 @@
 };
 
 /** A fleet of real processes that a scenario plays on, and that writes what the checkers judge. */
-export class TrialFleet implements RequestedFleet {
+export class TrialFleet implements FleetUnderLoad {
   readonly clock: VirtualClock;
   readonly history: Entry[] = [];
   readonly ready = new Map<string, boolean>();
@@ -247,7 +247,7 @@
       request.on('error', () => this.ready.set(name, false));
       request.end();
     }
-    const asked = this.clock.pick(this.places().filter((name) => this.runs(name)));
+    const asked = this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     if (asked !== undefined)
       api(this.fleet.apiOf(asked), 'GET', '/v1/shares').then(
         (answer) => {
@@ -258,10 +258,10 @@
       );
   }
 
-  places(): readonly string[] {
+  machineNames(): readonly string[] {
     return this.fleet.places();
   }
-  runs(name: string): boolean {
+  isRunning(name: string): boolean {
     return this.fleet.runs(name, 'agent');
   }
   holder(): string | undefined {
@@ -294,7 +294,7 @@
   heal(): void {
     this.fleet.heal();
   }
-  twin(name: string): string {
+  startDuplicate(name: string): string {
     const place = `${name}~2`;
     const machine = this.deployment.machines.find((each) => each.name === name);
     if (machine !== undefined)
@@ -302,7 +302,7 @@
     return place;
   }
   fault(what: string): void {
-    this.history.push({ kind: 'fault', at: this.#now(), what });
+    this.history.push({ kind: 'fault', at: this.#now(), label: what });
   }
 
   /** Sends an operator's call to some node until it is acknowledged. */
@@ -315,10 +315,11 @@
     done: (body: never) => void,
     node?: string,
   ): void {
-    const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
+    const chosenNode =
+      node ?? this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     const again = (): void => {
       if (tries > 0)
-        this.clock.in(500, () =>
+        this.clock.schedule(500, () =>
           this.#operate(method, target, document, changeId, tries - 1, done),
         );
     };
@@ -381,7 +382,7 @@
   ): void {
     const turned = this.#now();
     this.#operate('POST', '/v1/purges', { objects, tags }, this.#change(), 10, () => {
-      this.history.push({ kind: 'purged', at: this.#now(), objects, tags, turned });
+      this.history.push({ kind: 'purged', at: this.#now(), objects, tags, purgedFrom: turned });
       done();
     });
   }
@@ -409,7 +410,8 @@
   describe(origin: ScenarioOrigin, noticed: () => void = () => undefined, node?: string): void {
     this.#apply(origin);
     const { instance, incarnation, draining } = origin;
-    const chosenNode = node ?? this.clock.pick(this.places().filter((name) => this.runs(name)));
+    const chosenNode =
+      node ?? this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     const blank = this.fleet.originStandIns.get(origin.spec.instance);
     if (chosenNode === undefined || blank === undefined || !origin.alive) return;
     blank.announceTo(this.fleet.apiOf(chosenNode)).then(
@@ -432,7 +434,7 @@
     );
   }
 
-  ask(
+  submit(
     node: string,
     request: {
       method: string;
@@ -493,7 +495,7 @@
         why: problem,
         stamp: seen.stamp,
         body: good ? bodyOf(method, target, seen.body, this.#startedAt) : null,
-        whole: seen.fault === null,
+        hasCompleteBody: seen.fault === null,
         method,
         host,
         target,
@@ -594,26 +596,29 @@
     // Some scenarios wipe disks while the fleet is founded: their time runs from the start, as callers' does.
     fleet.put(used);
     const end = 1_000 * (options.seconds ?? scenario.seconds);
-    const factor = { rate: options.rate ?? scenario.rate ?? 120, skew: null as string | null };
-    fleet.clock.in(6_000, () =>
-      startCallers(
+    const factor = {
+      rate: options.rate ?? scenario.rate ?? 120,
+      crowdedZone: null as string | null,
+    };
+    fleet.clock.schedule(6_000, () =>
+      startClients(
         fleet,
         options.example,
         used,
         () => factor.rate,
         end - 2_000,
-        () => factor.skew,
+        () => factor.crowdedZone,
       ),
     );
     scenario.play({
       fleet,
       policy: used,
-      factor,
-      end,
-      sample: () => sampleOf(options.example, fleet.clock),
+      traffic: factor,
+      endMs: end,
+      sample: () => randomRequest(options.example, fleet.clock),
     });
     await new Promise<void>((resolve) => {
-      fleet.clock.in(end + 13_000, resolve);
+      fleet.clock.schedule(end + 13_000, resolve);
     });
   } finally {
     fleet.end();
@@ -622,12 +627,12 @@
   fleet.readLogs();
   return {
     ...availability(fleet.history, 8_000),
-    wrongs: judge(fleet.history, options.rules),
+    wrongs: findViolations(fleet.history, options.rules),
     refused: fleet.refused,
     attempts: fleet.history.filter((entry) => entry.kind === 'acted').length,
     repeats: fleet.history.filter((entry) => entry.kind === 'repeat').length,
     faults: fleet.history.flatMap((entry) =>
-      entry.kind === 'fault' ? [{ at: entry.at, what: entry.what }] : [],
+      entry.kind === 'fault' ? [{ at: entry.at, what: entry.label }] : [],
     ),
   };
 };
