--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -18,7 +18,7 @@
 import type { Entry, Violation } from './history.js';
 
 /** The check of each rule, by its number. */
-export const checks: Readonly<Record<number, RuleCheck>> = {
+export const ruleChecks: Readonly<Record<number, RuleCheck>> = {
   1: checkNoDoubleExecution,
   2: checkTruthfulRejection,
   3: checkValidResponses,
@@ -37,30 +37,29 @@
 
 /** What is left to judge once all state was lost for good: nothing from before may come back. */
 const historySinceLoss = (history: readonly Entry[]): readonly Entry[] => {
-  const lost = history.findLastIndex(
+  const lossIndex = history.findLastIndex(
     (entry) => entry.kind === 'fault' && entry.label === 'all state lost',
   );
-  const lostAt = history[lost]?.at ?? 0;
+  const lostAt = history[lossIndex]?.at ?? 0;
   // What was on its way to an origin at that moment belongs to before.
-  return lost < 0
+  return lossIndex < 0
     ? history
     : history.filter(
         (entry, index) =>
-          (index >= lost && !(entry.kind === 'attempt' && entry.at < lostAt + 100)) ||
+          (index >= lossIndex && !(entry.kind === 'attempt' && entry.at < lostAt + 100)) ||
           entry.kind === 'carries',
       );
 };
 
 /** All that was wrong in a run, a few of each rule. */
-export const judge = (
+export const findViolations = (
   history: readonly Entry[],
-  rules: readonly number[] = Object.keys(checks).map(Number),
+  rules: readonly number[] = Object.keys(ruleChecks).map(Number),
 ): readonly Violation[] =>
   rules.flatMap((rule) =>
-    (checks[rule]?.([1, 2, 3].includes(rule) ? history : historySinceLoss(history)) ?? []).slice(
-      0,
-      3,
-    ),
+    (
+      ruleChecks[rule]?.([1, 2, 3].includes(rule) ? history : historySinceLoss(history)) ?? []
+    ).slice(0, 3),
   );
 
 /** Of what callers asked in a span, the share that was served, and what became of the rest. */
@@ -73,27 +72,27 @@
   readonly share: number;
   readonly rest: Readonly<Record<string, number>>;
 } => {
-  const asked = new Set(
+  const submissions = new Set(
     entriesOf(history, 'asked')
       .filter((entry) => entry.at >= from && entry.at < to)
       .map((entry) => entry.submission),
   );
-  const got = entriesOf(history, 'got').filter((entry) => asked.has(entry.submission));
+  const results = entriesOf(history, 'got').filter((entry) => submissions.has(entry.submission));
   const rest: Record<string, number> = {};
-  let good = 0;
-  for (const entry of got) {
+  let servedCount = 0;
+  for (const entry of results) {
     // A key used before is answered as it should be: 409 for the same request, 422 for another.
     if ((entry.status >= 200 && entry.status < 300) || entry.status === 409 || entry.status === 422)
-      good += 1;
+      servedCount += 1;
     else {
-      const what = `${entry.status} ${entry.outcome}${entry.why === '' ? '' : `: ${entry.why}`}`;
-      rest[what] = (rest[what] ?? 0) + 1;
+      const outcomeName = `${entry.status} ${entry.outcome}${entry.why === '' ? '' : `: ${entry.why}`}`;
+      rest[outcomeName] = (rest[outcomeName] ?? 0) + 1;
     }
   }
   const unplaced = entriesOf(history, 'unplaced').filter(
     (entry) => entry.at >= from && entry.at < to,
   ).length;
   if (unplaced > 0) rest['no ready node'] = unplaced;
-  const all = asked.size + unplaced;
-  return { asked: all, share: all === 0 ? 1 : good / all, rest };
+  const requestCount = submissions.size + unplaced;
+  return { asked: requestCount, share: requestCount === 0 ? 1 : servedCount / requestCount, rest };
 };
--- a/packages/simulator/src/checks/history-queries.ts
+++ b/packages/simulator/src/checks/history-queries.ts
@@ -11,14 +11,14 @@
 ): readonly EntryOf<K>[] => history.filter((entry): entry is EntryOf<K> => entry.kind === kind);
 
 export const groupBy = <T>(
-  list: readonly T[],
+  items: readonly T[],
   key: (each: T) => string,
 ): ReadonlyMap<string, readonly T[]> => {
   const groups = new Map<string, T[]>();
-  for (const each of list) {
-    const group = groups.get(key(each));
-    if (group === undefined) groups.set(key(each), [each]);
-    else group.push(each);
+  for (const item of items) {
+    const group = groups.get(key(item));
+    if (group === undefined) groups.set(key(item), [item]);
+    else group.push(item);
   }
   return groups;
 };
@@ -58,10 +58,10 @@
  * acknowledged. One that was never acknowledged may be in force at any time after its sending.
  */
 export const policySpans = (history: readonly Entry[]): readonly PolicySpan[] => {
-  const known = spansByHistory.get(history);
-  if (known !== undefined) return known;
+  const cached = spansByHistory.get(history);
+  if (cached !== undefined) return cached;
   const puts = entriesOf(history, 'put');
-  const made = entriesOf(history, 'proposed').map((proposed) => {
+  const spans = entriesOf(history, 'proposed').map((proposed) => {
     const put = puts.find((each) => each.changeId === proposed.changeId);
     const newer =
       put === undefined
@@ -75,8 +75,8 @@
       found: new Map(),
     };
   });
-  spansByHistory.set(history, made);
-  return made;
+  spansByHistory.set(history, spans);
+  return spans;
 };
 
 export const policiesDuring = (
--- a/packages/simulator/src/checks/rates.ts
+++ b/packages/simulator/src/checks/rates.ts
@@ -9,20 +9,20 @@
  * moments.
  */
 export const maxRequestCount = (
-  list: readonly { readonly from: number; readonly until: number; readonly rate: number }[],
+  limits: readonly { readonly from: number; readonly until: number; readonly rate: number }[],
   from: number,
   to: number,
 ): number => {
-  const cuts = [...new Set([from, to, ...list.flatMap((each) => [each.from, each.until])])]
-    .filter((at) => at >= from && at <= to)
+  const boundaries = [...new Set([from, to, ...limits.flatMap((each) => [each.from, each.until])])]
+    .filter((time) => time >= from && time <= to)
     .sort((a, b) => a - b);
-  return cuts.slice(1).reduce((sum, end, index) => {
-    const begin = cuts[index] ?? from;
+  return boundaries.slice(1).reduce((sum, end, index) => {
+    const begin = boundaries[index] ?? from;
     return (
       sum +
       (Math.max(
         0,
-        ...list.filter((each) => each.from < end && each.until > begin).map((each) => each.rate),
+        ...limits.filter((each) => each.from < end && each.until > begin).map((each) => each.rate),
       ) *
         (end - begin)) /
         1_000
@@ -33,7 +33,7 @@
 /** The most that policies in force between two moments let through, in requests. */
 export const allowedRequestCount = (
   history: readonly Entry[],
-  of: (policy: Policy) => number,
+  rateOf: (policy: Policy) => number,
   from: number,
   to: number,
 ): number =>
@@ -41,7 +41,7 @@
     policiesDuring(history, from, to).map((span) => ({
       from: span.from,
       until: span.until,
-      rate: of(span.document),
+      rate: rateOf(span.document),
     })),
     from,
     to,
@@ -53,11 +53,11 @@
   allowed: (from: number, to: number) => number,
   share: number,
 ): readonly { readonly at: number; readonly most: number; readonly limit: number }[] => {
-  let from = 0;
-  return times.flatMap((at, index) => {
-    while ((times[from] ?? 0) <= at - 5_000) from += 1;
-    const most = index - from + 1;
-    const limit = share * allowed(at - 5_000, at);
-    return most > limit ? [{ at, most, limit }] : [];
+  let windowStart = 0;
+  return times.flatMap((windowEnd, index) => {
+    while ((times[windowStart] ?? 0) <= windowEnd - 5_000) windowStart += 1;
+    const count = index - windowStart + 1;
+    const limit = share * allowed(windowEnd - 5_000, windowEnd);
+    return count > limit ? [{ at: windowEnd, most: count, limit }] : [];
   });
 };
--- a/packages/simulator/src/checks/rule-01-no-double-execution.ts
+++ b/packages/simulator/src/checks/rule-01-no-double-execution.ts
@@ -5,9 +5,9 @@
 
 /** What broke rule 1 in a history. */
 export const checkNoDoubleExecution: RuleCheck = (history) => [
-  ...[...groupBy(entriesOf(history, 'ran'), (entry) => entry.job)].flatMap(([job, runs]) =>
+  ...[...groupBy(entriesOf(history, 'ran'), (entry) => entry.job)].flatMap(([jobId, runs]) =>
     runs.length > 1
-      ? [{ rule: 1, at: runs[1]?.at ?? 0, what: `${job} ran ${runs.length} times` }]
+      ? [{ rule: 1, at: runs[1]?.at ?? 0, what: `${jobId} ran ${runs.length} times` }]
       : [],
   ),
   ...[
--- a/packages/simulator/src/checks/rule-04-allowed-services.ts
+++ b/packages/simulator/src/checks/rule-04-allowed-services.ts
@@ -8,9 +8,11 @@
 /** What broke rule 4 in a history. */
 export const checkAllowedServices: RuleCheck = (history) =>
   entriesOf(history, 'attempt').flatMap((entry): readonly Violation[] => {
-    const me = `${entry.service}/${entry.instance}/${entry.incarnation}`;
-    if (entry.expected !== me)
-      return [{ rule: 4, at: entry.at, what: `an attempt for ${entry.expected} reached ${me}` }];
+    const originId = `${entry.service}/${entry.instance}/${entry.incarnation}`;
+    if (entry.expected !== originId)
+      return [
+        { rule: 4, at: entry.at, what: `an attempt for ${entry.expected} reached ${originId}` },
+      ];
     const allows = (span: PolicySpan): boolean => {
       const route = routeIn(span, entry);
       const service = span.document.services[entry.service];
@@ -28,7 +30,7 @@
           {
             rule: 4,
             at: entry.at,
-            what: `${entry.method} ${entry.target} reached ${me}, which no policy in force allowed`,
+            what: `${entry.method} ${entry.target} reached ${originId}, which no policy in force allowed`,
           },
         ];
   });
--- a/packages/simulator/src/checks/rule-05-policy-in-force.ts
+++ b/packages/simulator/src/checks/rule-05-policy-in-force.ts
@@ -8,19 +8,21 @@
 /** What broke rule 5 in a history. */
 export const checkPolicyInForce: RuleCheck = (history) => {
   const puts = entriesOf(history, 'put');
-  const askedAt = new Map(entriesOf(history, 'asked').map((entry) => [entry.submission, entry.at]));
-  const highest = new Map<string, number>();
-  const lateAnswers = entriesOf(history, 'got').flatMap((entry): readonly Violation[] => {
-    const asked = askedAt.get(entry.submission);
-    if (entry.status < 200 || entry.status > 299 || asked === undefined) return [];
-    const known = policiesDuring(history, asked, entry.at).some((span) => {
+  const requestTimes = new Map(
+    entriesOf(history, 'asked').map((entry) => [entry.submission, entry.at]),
+  );
+  const highestRevisions = new Map<string, number>();
+  const staleResponses = entriesOf(history, 'got').flatMap((entry): readonly Violation[] => {
+    const requestedAt = requestTimes.get(entry.submission);
+    if (entry.status < 200 || entry.status > 299 || requestedAt === undefined) return [];
+    const isAllowed = policiesDuring(history, requestedAt, entry.at).some((span) => {
       const route = routeIn(span, entry);
       return (
         route !== undefined &&
         Routes.services(route).some(({ service }) => entry.stamp.startsWith(`${service}/`))
       );
     });
-    return known
+    return isAllowed
       ? []
       : [
           {
@@ -31,28 +33,29 @@
         ];
   });
   return [
-    ...lateAnswers,
+    ...staleResponses,
     ...entriesOf(history, 'acted').flatMap((entry) => {
-      const due = puts.reduce(
-        (best, put) => (put.at <= entry.at - 2_000 ? Math.max(best, put.revision) : best),
+      const minimumRevision = puts.reduce(
+        (highestSoFar, put) =>
+          put.at <= entry.at - 2_000 ? Math.max(highestSoFar, put.revision) : highestSoFar,
         0,
       );
-      const before = highest.get(entry.node) ?? 0;
-      highest.set(entry.node, Math.max(before, entry.revision));
-      if (entry.revision < due)
+      const previousRevision = highestRevisions.get(entry.node) ?? 0;
+      highestRevisions.set(entry.node, Math.max(previousRevision, entry.revision));
+      if (entry.revision < minimumRevision)
         return [
           {
             rule: 5,
             at: entry.at,
-            what: `${entry.node} acted under ${entry.revision} although ${due} was acknowledged over 2 s before`,
+            what: `${entry.node} acted under ${entry.revision} although ${minimumRevision} was acknowledged over 2 s before`,
           },
         ];
-      return entry.revision < before
+      return entry.revision < previousRevision
         ? [
             {
               rule: 5,
               at: entry.at,
-              what: `${entry.node} fell back from ${before} to ${entry.revision}`,
+              what: `${entry.node} fell back from ${previousRevision} to ${entry.revision}`,
             },
           ]
         : [];
--- a/packages/simulator/src/checks/rule-06-newest-policy-read.ts
+++ b/packages/simulator/src/checks/rule-06-newest-policy-read.ts
@@ -6,30 +6,32 @@
 /** What broke rule 6 in a history. */
 export const checkNewestPolicyRead: RuleCheck = (history) => {
   const puts = entriesOf(history, 'put');
-  const twins = [...groupBy(puts, (put) => String(put.revision))].flatMap(([revision, list]) =>
-    new Set(list.map((put) => JSON.stringify(put.document))).size > 1
-      ? [
-          {
-            rule: 6,
-            at: list[1]?.at ?? 0,
-            what: `two policies were acknowledged under revision ${revision}`,
-          },
-        ]
-      : [],
+  const duplicateRevisions = [...groupBy(puts, (put) => String(put.revision))].flatMap(
+    ([revision, putsOfRevision]) =>
+      new Set(putsOfRevision.map((put) => JSON.stringify(put.document))).size > 1
+        ? [
+            {
+              rule: 6,
+              at: putsOfRevision[1]?.at ?? 0,
+              what: `two policies were acknowledged under revision ${revision}`,
+            },
+          ]
+        : [],
   );
   return [
-    ...twins,
+    ...duplicateRevisions,
     ...entriesOf(history, 'read').flatMap((entry) => {
-      const due = puts.reduce(
-        (best, put) => (put.at <= entry.askedAt ? Math.max(best, put.revision) : best),
+      const minimumRevision = puts.reduce(
+        (highestSoFar, put) =>
+          put.at <= entry.askedAt ? Math.max(highestSoFar, put.revision) : highestSoFar,
         0,
       );
-      return entry.revision < due
+      return entry.revision < minimumRevision
         ? [
             {
               rule: 6,
               at: entry.at,
-              what: `read ${entry.revision} although ${due} was acknowledged`,
+              what: `read ${entry.revision} although ${minimumRevision} was acknowledged`,
             },
           ]
         : [];
--- a/packages/simulator/src/checks/rule-08-evacuated-zones.ts
+++ b/packages/simulator/src/checks/rule-08-evacuated-zones.ts
@@ -9,19 +9,19 @@
   const orders = entriesOf(history, 'zone');
   // The order with the highest revision holds, however late the word of an earlier one came; and
   // a zone may be used again from the moment that its taking back was sent.
-  const emptiedAt = (zone: string, at: number): number | null => {
-    const known = orders.filter(
+  const evacuatedAt = (zone: string, at: number): number | null => {
+    const startedOrders = orders.filter(
       (order) => order.zone === zone && (order.order === 'empty' ? order.at : order.sentAt) <= at,
     );
-    const last = known.reduce<EntryOf<'zone'> | null>(
+    const newest = startedOrders.reduce<EntryOf<'zone'> | null>(
       (best, order) => (best === null || order.revision > best.revision ? order : best),
       null,
     );
-    return last !== null && last.order === 'empty' ? last.at : null;
+    return newest !== null && newest.order === 'empty' ? newest.at : null;
   };
   return history.flatMap((entry): readonly Violation[] => {
     if (entry.kind !== 'asked' && entry.kind !== 'attempt' && entry.kind !== 'relay') return [];
-    const since = emptiedAt(entry.zone, entry.at);
+    const since = evacuatedAt(entry.zone, entry.at);
     return since !== null && entry.at > since + 5_000
       ? [
           {
--- a/packages/simulator/src/checks/rule-10-rate-limits.ts
+++ b/packages/simulator/src/checks/rule-10-rate-limits.ts
@@ -8,25 +8,25 @@
 /** What broke rule 10 in a history. */
 export const checkRateLimits: RuleCheck = (history) => {
   const attempts = entriesOf(history, 'attempt');
-  const over = (
-    list: readonly EntryOf<'attempt'>[],
-    what: string,
+  const rateViolations = (
+    windowAttempts: readonly EntryOf<'attempt'>[],
+    subject: string,
     allowed: (from: number, to: number) => number,
     share: number,
   ): readonly Violation[] =>
     overloadedWindows(
-      list.map((attempt) => attempt.at),
+      windowAttempts.map((attempt) => attempt.at),
       allowed,
       share,
     )
       .slice(0, 1)
-      .map(({ at, most, limit }) => ({
+      .map(({ at, most: count, limit }) => ({
         rule: 10,
         at,
-        what: `${what} got ${most} in 5 s; ${limit.toFixed(0)} are allowed`,
+        what: `${subject} got ${count} in 5 s; ${limit.toFixed(0)} are allowed`,
       }));
   const services = [...groupBy(attempts, (attempt) => attempt.service)].flatMap(([service, list]) =>
-    over(
+    rateViolations(
       list,
       service,
       (from, to) =>
@@ -48,7 +48,7 @@
       (attempt) => `${attempt.service}/${attempt.instance}/${attempt.incarnation}`,
     ),
   ].flatMap(([name, list]) =>
-    over(
+    rateViolations(
       list,
       `cold ${name}`,
       (from, to) =>
@@ -64,7 +64,7 @@
       1.5,
     ),
   );
-  const told = groupBy(
+  const capacityReports = groupBy(
     entriesOf(history, 'carries'),
     (entry) => `${entry.service}/${entry.instance}/${entry.incarnation}`,
   );
@@ -74,17 +74,17 @@
       (attempt) => `${attempt.service}/${attempt.instance}/${attempt.incarnation}`,
     ),
   ].flatMap(([name, list]) => {
-    const words = told.get(name) ?? [];
-    const until = (index: number): number => (words[index + 1]?.at ?? Infinity) + gossipSpreadMs;
-    return over(
+    const reports = capacityReports.get(name) ?? [];
+    const until = (index: number): number => (reports[index + 1]?.at ?? Infinity) + gossipSpreadMs;
+    return rateViolations(
       list,
       name,
       (from, to) =>
         maxRequestCount(
-          words.map((word, index) => ({
-            from: index === 0 ? -Infinity : word.sentAt,
+          reports.map((report, index) => ({
+            from: index === 0 ? -Infinity : report.sentAt,
             until: until(index),
-            rate: word.capacity,
+            rate: report.capacity,
           })),
           from,
           to,
--- a/packages/simulator/src/checks/rule-11-retry-budget.ts
+++ b/packages/simulator/src/checks/rule-11-retry-budget.ts
@@ -5,16 +5,22 @@
 
 /** What broke rule 11 in a history. */
 export const checkRetryBudget: RuleCheck = (history) => {
-  const asked = entriesOf(history, 'asked').map((entry) => entry.at);
-  const repeats = entriesOf(history, 'repeat').map((entry) => entry.at);
-  let from = 0;
-  return repeats
+  const requestTimes = entriesOf(history, 'asked').map((entry) => entry.at);
+  const retryTimes = entriesOf(history, 'repeat').map((entry) => entry.at);
+  let windowStart = 0;
+  return retryTimes
     .flatMap((at, index) => {
-      while ((repeats[from] ?? 0) <= at - 10_000) from += 1;
-      const traffic = asked.filter((time) => time > at - 10_000 && time <= at).length;
-      const most = 0.2 * traffic + 60;
-      return index - from + 1 > most
-        ? [{ rule: 11, at, what: `${index - from + 1} repeats in 10 s for ${traffic} requests` }]
+      while ((retryTimes[windowStart] ?? 0) <= at - 10_000) windowStart += 1;
+      const requestCount = requestTimes.filter((time) => time > at - 10_000 && time <= at).length;
+      const maxRetries = 0.2 * requestCount + 60;
+      return index - windowStart + 1 > maxRetries
+        ? [
+            {
+              rule: 11,
+              at,
+              what: `${index - windowStart + 1} repeats in 10 s for ${requestCount} requests`,
+            },
+          ]
         : [];
     })
     .slice(0, 5);
--- a/packages/simulator/src/checks/rule-14-attempt-budget.ts
+++ b/packages/simulator/src/checks/rule-14-attempt-budget.ts
@@ -15,13 +15,13 @@
     const origins = new Set(
       attempts.map((attempt) => `${attempt.service}/${attempt.instance}/${attempt.incarnation}`),
     );
-    const most = maxOriginsAllowed(history, attempts);
-    return origins.size > most
+    const maxOrigins = maxOriginsAllowed(history, attempts);
+    return origins.size > maxOrigins
       ? [
           {
             rule: 14,
             at: attempts.at(-1)?.at ?? 0,
-            what: `request ${submission} ran at ${origins.size} origins; ${most} are allowed`,
+            what: `request ${submission} ran at ${origins.size} origins; ${maxOrigins} are allowed`,
           },
         ]
       : [];
--- a/packages/simulator/src/command-client.ts
+++ b/packages/simulator/src/command-client.ts
@@ -7,13 +7,13 @@
 import type { SimulatedFleet } from './simulated-fleet.js';
 
 /** ms without an answer after which the client gives a node up. */
-const silenceMs = 1_000;
+const responseTimeoutMs = 1_000;
 /**
  * ms of the first pause before another node is tried; each further one is twice as long, up to the
  * longest.
  */
-const firstPauseMs = 50;
-const longestPauseMs = 800;
+const initialBackoffMs = 50;
+const maxBackoffMs = 800;
 
 /** How an order ended for its client. */
 export type CommandOutcome = {
@@ -50,39 +50,39 @@
   done: (outcome: CommandOutcome) => void,
 ): void => {
   const sentAt = fleet.clock.now();
-  const attempt = (count: number, pauseMs: number): void => {
-    let isOver = false;
-    const end = (kind: CommandOutcome['kind'], status: number, body: unknown): void => {
-      done({ kind, status, body, ms: fleet.clock.now() - sentAt, attempts: count });
+  const attempt = (attemptNumber: number, pauseMs: number): void => {
+    let isSettled = false;
+    const finish = (kind: CommandOutcome['kind'], status: number, body: unknown): void => {
+      done({ kind, status, body, ms: fleet.clock.now() - sentAt, attempts: attemptNumber });
     };
-    const goOn = (): void => {
+    const retry = (): void => {
       if (fleet.clock.now() + pauseMs - sentAt > options.giveUpAfterMs) {
-        end('given-up', 0, null);
+        finish('given-up', 0, null);
         return;
       }
       fleet.clock.schedule(pauseMs, () =>
-        attempt(count + 1, Math.min(longestPauseMs, 2 * pauseMs)),
+        attempt(attemptNumber + 1, Math.min(maxBackoffMs, 2 * pauseMs)),
       );
     };
-    const isLost = options.isReplyLost?.(count) === true;
-    const leave = fleet.operate(
-      options.action(count),
+    const isLost = options.isReplyLost?.(attemptNumber) === true;
+    const disconnect = fleet.operate(
+      options.action(attemptNumber),
       (reply) => {
-        if (isOver || isLost || reply.status === 0) return;
-        isOver = true;
-        if (reply.status === 200) end('acknowledged', reply.status, reply.body);
-        else if (isRefusal(reply.status)) end('refused', reply.status, reply.body);
-        else goOn();
+        if (isSettled || isLost || reply.status === 0) return;
+        isSettled = true;
+        if (reply.status === 200) finish('acknowledged', reply.status, reply.body);
+        else if (isRefusal(reply.status)) finish('refused', reply.status, reply.body);
+        else retry();
       },
       'outside',
-      count === 1 ? options.firstNode : undefined,
+      attemptNumber === 1 ? options.firstNode : undefined,
     );
-    fleet.clock.schedule(silenceMs, () => {
-      if (isOver) return;
-      isOver = true;
-      leave();
-      goOn();
+    fleet.clock.schedule(responseTimeoutMs, () => {
+      if (isSettled) return;
+      isSettled = true;
+      disconnect();
+      retry();
     });
   };
-  attempt(1, firstPauseMs);
+  attempt(1, initialBackoffMs);
 };
--- a/packages/simulator/src/command-trial.test.ts
+++ b/packages/simulator/src/command-trial.test.ts
@@ -4,7 +4,7 @@
 import { sendCommand } from './command-client.js';
 import { runCommandTrial } from './command-trial.js';
 import type { InjectedFault } from './injected-faults.js';
-import { exampleOf } from './run.js';
+import { loadExample } from './run.js';
 
 const seeds = [1, 2, 3, 4];
 
@@ -15,7 +15,7 @@
       for (const seed of seeds) {
         const report = runCommandTrial({ seed, example });
         t.log(`seed ${seed}: ${JSON.stringify(report.counts)}`);
-        t.deepEqual(report.wrongs, [], `seed ${seed}`);
+        t.deepEqual(report.violations, [], `seed ${seed}`);
         t.true((report.counts.acknowledged ?? 0) > 80);
         t.true((report.counts.refused ?? 0) > 0);
       }
@@ -29,7 +29,7 @@
  * whether the zone is open at the end, as it must be.
  */
 const staysOpen = (seed: number, plant: InjectedFault): boolean => {
-  const { deployment, policy } = exampleOf('brandlhuber');
+  const { deployment, policy } = loadExample('brandlhuber');
   const fleet = new SimulatedFleet(deployment, seed, { loss: 0.001, plant, regionsMs: 12 });
   for (const machine of deployment.machines) fleet.start(machine.name);
   fleet.clock.schedule(500, () => fleet.put(policy));
@@ -46,38 +46,38 @@
       if (kind === 'acknowledged') done();
     });
   };
-  let isTakenBack = false;
+  let isRestored = false;
   fleet.isolate('front-1');
   send('empty', 'front-1', () =>
     send('take-back', 'front-2', () => {
-      isTakenBack = true;
+      isRestored = true;
       fleet.heal();
     }),
   );
   fleet.clock.runUntil(25_000);
   const zones = fleet.machines.get('core-1')?.agent?.state.registers.zones?.value as
     ZonesRegister | undefined;
-  return isTakenBack && zones !== undefined && !zones.closedOrigins.includes('west');
+  return isRestored && zones !== undefined && !zones.closedOrigins.includes('west');
 };
 
 test.serial(
   'a cut-off agent does not carry out an order whose caller is gone; one that goes on with it undoes the next',
   (t) => {
-    const days = Array.from({ length: 8 }, (_, index) => index + 1);
+    const trialSeeds = Array.from({ length: 8 }, (_, index) => index + 1);
     t.deepEqual(
-      days.map((seed) => staysOpen(seed, 'none')),
-      days.map(() => true),
+      trialSeeds.map((seed) => staysOpen(seed, 'none')),
+      trialSeeds.map(() => true),
     );
-    t.true(days.some((seed) => !staysOpen(seed, 'callers-unheeded')));
+    t.true(trialSeeds.some((seed) => !staysOpen(seed, 'callers-unheeded')));
   },
 );
 
 test.serial('agents that confirm any content under the version held are found out', (t) => {
-  const wrongs = seeds.flatMap(
-    (seed) => runCommandTrial({ seed, plant: 'any-content-confirmed' }).wrongs,
+  const violations = seeds.flatMap(
+    (seed) => runCommandTrial({ seed, plant: 'any-content-confirmed' }).violations,
   );
   t.true(
-    wrongs.some((violation) => violation.includes('confirmed with two contents')),
-    wrongs.join('; '),
+    violations.some((violation) => violation.includes('confirmed with two contents')),
+    violations.join('; '),
   );
 });
--- a/packages/simulator/src/command-trial.ts
+++ b/packages/simulator/src/command-trial.ts
@@ -14,12 +14,12 @@
 import { SimulatedFleet } from './simulated-fleet.js';
 import { type CommandOutcome, sendCommand } from './command-client.js';
 import type { InjectedFault } from './injected-faults.js';
-import { exampleOf } from './run.js';
+import { loadExample } from './run.js';
 
 const warmUpMs = 8_000;
 const endMs = 40_000;
 const settleMs = 12_000;
-const patienceMs = 4_000;
+const clientTimeoutMs = 4_000;
 const zones = ['zone-1', 'zone-2', 'zone-3', 'zone-4', 'zone-5', 'zone-6'];
 
 export type CommandTrialOptions = {
@@ -38,11 +38,11 @@
   readonly outcome: CommandOutcome;
 };
 
-type ZoneEnd = { readonly order: 'empty' | 'take-back'; readonly outcome: CommandOutcome };
+type ZoneOrderResult = { readonly order: 'empty' | 'take-back'; readonly outcome: CommandOutcome };
 
 /** What a trial found wrong, and how many orders ended how. */
 export type CommandTrialReport = {
-  readonly wrongs: readonly string[];
+  readonly violations: readonly string[];
   readonly counts: Readonly<Record<string, number>>;
   /** ms until acknowledged, sorted. */
   readonly times: readonly number[];
@@ -52,19 +52,19 @@
  * Whether a configuration was acknowledged as the one in force, and not as one that a higher
  * version has overtaken.
  */
-const isHeld = ({ version, outcome }: SentPolicy): boolean => {
+const isInForce = ({ version, outcome }: SentPolicy): boolean => {
   if (outcome.kind !== 'acknowledged') return false;
-  const { version: held = version } = outcome.body as { readonly version?: number };
-  return held === version;
+  const { version: acknowledgedVersion = version } = outcome.body as { readonly version?: number };
+  return acknowledgedVersion === version;
 };
 
 /** One trial while it runs. */
 class CommandTrial {
   readonly fleet: SimulatedFleet;
   readonly policies: SentPolicy[] = [];
-  readonly zoneEnds = new Map<string, ZoneEnd[]>();
+  readonly zoneOrderResults = new Map<string, ZoneOrderResult[]>();
   readonly sentContents = new Map<number, Set<string>>();
-  readonly wrongs: string[] = [];
+  readonly violations: string[] = [];
   readonly outcomes: CommandOutcome[] = [];
   readonly #base: Policy;
   readonly #lostAnswers: number;
@@ -72,7 +72,7 @@
   #ids = 0;
 
   constructor(options: CommandTrialOptions) {
-    const { deployment, policy } = exampleOf(options.example ?? 'brandlhuber');
+    const { deployment, policy } = loadExample(options.example ?? 'brandlhuber');
     const tuning = { loss: 0.001, plant: options.plant ?? 'none', regionsMs: 12 };
     this.fleet = new SimulatedFleet(deployment, options.seed, tuning);
     this.#base = policy;
@@ -84,7 +84,7 @@
     const losesAnswer = (): boolean => this.fleet.clock.random() < this.#lostAnswers;
     sendCommand(
       this.fleet,
-      { giveUpAfterMs: patienceMs, action, isReplyLost: losesAnswer },
+      { giveUpAfterMs: clientTimeoutMs, action, isReplyLost: losesAnswer },
       (outcome) => {
         this.outcomes.push(outcome);
         done(outcome);
@@ -133,9 +133,9 @@
    */
   operateZone(zone: string): void {
     if (this.fleet.clock.now() > endMs) return;
-    const ends = this.zoneEnds.get(zone) ?? [];
-    this.zoneEnds.set(zone, ends);
-    const order = ends.at(-1)?.order === 'empty' ? 'take-back' : 'empty';
+    const results = this.zoneOrderResults.get(zone) ?? [];
+    this.zoneOrderResults.set(zone, results);
+    const order = results.at(-1)?.order === 'empty' ? 'take-back' : 'empty';
     const action = (): ApiAction => ({
       kind: 'zone',
       zone: zone,
@@ -144,7 +144,7 @@
       changeId: this.#nextId(),
     });
     this.#order(action, (outcome) => {
-      ends.push({ order, outcome });
+      results.push({ order, outcome });
       const pauseMs = this.fleet.clock.between(0, 1_500);
       this.fleet.clock.schedule(pauseMs, () => {
         this.#checkZone(zone);
@@ -154,7 +154,7 @@
   }
 
   /** Agents that may act, with what they know of the zones. */
-  #informed(): readonly ZonesRegister[] {
+  zonesKnownToAgents(): readonly ZonesRegister[] {
     return [...this.fleet.machines.values()].flatMap(({ agent }) => {
       if (agent === null || agent.frozen || agent.state.now >= agent.state.leaseUntil) return [];
       const zones = agent.state.registers.zones;
@@ -164,19 +164,19 @@
 
   /** After an acknowledged order, whoever has learnt of it finds the zone as it was ordered. */
   #checkZone(zone: string): void {
-    const last = this.zoneEnds.get(zone)?.at(-1);
-    if (last === undefined || last.outcome.kind !== 'acknowledged') return;
-    const { revision } = last.outcome.body as { readonly revision: number };
-    for (const zones of this.#informed()) {
+    const lastCommand = this.zoneOrderResults.get(zone)?.at(-1);
+    if (lastCommand === undefined || lastCommand.outcome.kind !== 'acknowledged') return;
+    const { revision } = lastCommand.outcome.body as { readonly revision: number };
+    for (const zones of this.zonesKnownToAgents()) {
       if (zones.revision < revision) continue;
       const isClosed = zones.closedOrigins.includes(zone);
-      if (isClosed !== (last.order === 'empty'))
-        this.wrongs.push(`${zone}: an acknowledged ${last.order} was undone`);
+      if (isClosed !== (lastCommand.order === 'empty'))
+        this.violations.push(`${zone}: an acknowledged ${lastCommand.order} was undone`);
     }
   }
 
   /** One fault a second or two: an agent's machine is cut off, frozen or killed for a while. */
-  makeFaults(): void {
+  injectFaults(): void {
     const { fleet } = this;
     const { clock } = fleet;
     if (clock.now() > endMs) return;
@@ -192,36 +192,36 @@
       fleet.kill(name);
       clock.schedule(clock.between(300, 1_500), () => fleet.start(name));
     }
-    clock.schedule(clock.between(1_000, 2_500), () => this.makeFaults());
+    clock.schedule(clock.between(1_000, 2_500), () => this.injectFaults());
   }
 
   /** What was acknowledged under one number, and what was refused without a rival. */
   checkPolicies(): void {
-    const held = this.policies.filter(isHeld);
-    for (const each of held) {
-      const rival = held.find(
+    const accepted = this.policies.filter(isInForce);
+    for (const each of accepted) {
+      const rival = accepted.find(
         (other) => other.version === each.version && other.content !== each.content,
       );
       if (rival !== undefined)
-        this.wrongs.push(`version ${each.version} was confirmed with two contents`);
+        this.violations.push(`version ${each.version} was confirmed with two contents`);
     }
     for (const each of this.policies) {
-      const isAlone = this.sentContents.get(each.version)?.size === 1;
-      if (each.outcome.kind === 'refused' && isAlone)
-        this.wrongs.push(`version ${each.version} was refused`);
+      const isOnlyContent = this.sentContents.get(each.version)?.size === 1;
+      if (each.outcome.kind === 'refused' && isOnlyContent)
+        this.violations.push(`version ${each.version} was refused`);
     }
   }
 
   /** What is read back at the end. */
-  checkEnd(policy: PolicyRegister['document'] | null): void {
+  checkFinalState(policy: PolicyRegister['document'] | null): void {
     const acknowledged = this.policies.filter((each) => each.outcome.kind === 'acknowledged');
     const newest = Math.max(0, ...acknowledged.map((each) => each.version));
     const [version, content] = [policy?.version ?? 0, policy?.notes?.content];
     if (version < newest)
-      this.wrongs.push(`version ${version} was read back, ${newest} was acknowledged`);
+      this.violations.push(`version ${version} was read back, ${newest} was acknowledged`);
     for (const each of acknowledged) {
       if (each.version !== version || each.content === content) continue;
-      this.wrongs.push(`version ${version} is not what was acknowledged`);
+      this.violations.push(`version ${version} is not what was acknowledged`);
     }
     for (const zone of zones) this.#checkZone(zone);
   }
@@ -237,7 +237,7 @@
  * Plays one trial and judges it.
  *
  * @example
- * runOrderTrial({ seed: 3 }).wrongs // []
+ * runOrderTrial({ seed: 3 }).violations // []
  */
 export const runCommandTrial = (options: CommandTrialOptions): CommandTrialReport => {
   const trial = new CommandTrial(options);
@@ -246,21 +246,21 @@
     trial.operatePolicies('first');
     trial.operatePolicies('second');
     for (const zone of zones) trial.operateZone(zone);
-    if (options.hasFaults !== false) trial.makeFaults();
+    if (options.hasFaults !== false) trial.injectFaults();
   });
   clock.runUntil(endMs + settleMs);
   trial.checkPolicies();
-  let read: PolicyRegister['document'] | null = null;
+  let policyRead: PolicyRegister['document'] | null = null;
   sendCommand(
     trial.fleet,
-    { giveUpAfterMs: patienceMs, action: () => ({ kind: 'get-policy' }) },
+    { giveUpAfterMs: clientTimeoutMs, action: () => ({ kind: 'get-policy' }) },
     ({ kind, body }) => {
-      if (kind === 'acknowledged') read = (body as { readonly policy: Policy }).policy;
+      if (kind === 'acknowledged') policyRead = (body as { readonly policy: Policy }).policy;
     },
   );
-  clock.runUntil(endMs + settleMs + patienceMs + proposalTimeoutMs);
-  trial.checkEnd(read);
+  clock.runUntil(endMs + settleMs + clientTimeoutMs + proposalTimeoutMs);
+  trial.checkFinalState(policyRead);
   const acknowledged = trial.outcomes.filter((each) => each.kind === 'acknowledged');
   const times = acknowledged.map((each) => each.ms).sort((a, b) => a - b);
-  return { wrongs: [...new Set(trial.wrongs)], counts: countsOf(trial.outcomes), times };
+  return { violations: [...new Set(trial.violations)], counts: countsOf(trial.outcomes), times };
 };
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -19,24 +19,24 @@
   },
 });
 
-const quantile = (list: readonly number[], q: number): number =>
-  [...list].sort((a, b) => a - b)[Math.floor(q * (list.length - 1))] ?? 0;
+const quantile = (samples: readonly number[], share: number): number =>
+  [...samples].sort((a, b) => a - b)[Math.floor(share * (samples.length - 1))] ?? 0;
 
 /** The highest load of a service in any 5 s, over its ceiling. */
-const peak = (history: readonly Entry[], service: string, ceiling: number): number => {
+const peakLoad = (history: readonly Entry[], service: string, ceiling: number): number => {
   const times = history.flatMap((entry) =>
     entry.kind === 'attempt' && entry.service === service ? [entry.at] : [],
   );
-  let [from, most] = [0, 0];
+  let [windowStart, maxCount] = [0, 0];
   times.forEach((time, index) => {
-    while ((times[from] ?? 0) <= time - 5_000) from += 1;
-    most = Math.max(most, index - from + 1);
+    while ((times[windowStart] ?? 0) <= time - 5_000) windowStart += 1;
+    maxCount = Math.max(maxCount, index - windowStart + 1);
   });
-  return most / (5 * ceiling);
+  return maxCount / (5 * ceiling);
 };
 
 /** Mean load of a service from 15 s on, over its ceiling. */
-const mean = (
+const meanLoad = (
   history: readonly Entry[],
   service: string,
   ceiling: number,
@@ -72,19 +72,20 @@
   const policy = history.find(
     (entry): entry is Extract<Entry, { kind: 'put' }> => entry.kind === 'put',
   )?.document;
-  const own = sumOf(fleet, 'requests');
+  const requestCount = sumOf(fleet, 'requests');
   const waits = fleet.waits.filter((wait) => wait.at > 10_000).map((wait) => wait.ms);
-  const notices = [...fleet.machines.values()].reduce(
+  const announcements = [...fleet.machines.values()].reduce(
     (sum, box) => sum + (box.agent?.state.vectorAnnouncementCount ?? 0),
     0,
   );
-  const part = (counter: string): string => `${((100 * sumOf(fleet, counter)) / own).toFixed(1)}%`;
+  const shareOf = (counter: string): string =>
+    `${((100 * sumOf(fleet, counter)) / requestCount).toFixed(1)}%`;
   process.stdout.write(
-    `${values.example} ${values.scenario} seed=${values.seed} selection=${selection} asked=${own} served=${(100 * report.share).toFixed(2)}% copies=${part('served.copy')} forwarded=${part('forwarded')} fetched=${part('fetched')} joined=${part('joined')} attempts/request=${(sumOf(fleet, 'attempts') / own).toFixed(3)} repeats=${sumOf(fleet, 'repeats')} notices/min/edge=${(notices / spanMinutes / fleet.deployment.machines.filter((machine) => machine.kind === 'front').length).toFixed(1)}` +
+    `${values.example} ${values.scenario} seed=${values.seed} selection=${selection} asked=${requestCount} served=${(100 * report.share).toFixed(2)}% copies=${shareOf('served.copy')} forwarded=${shareOf('forwarded')} fetched=${shareOf('fetched')} joined=${shareOf('joined')} attempts/request=${(sumOf(fleet, 'attempts') / requestCount).toFixed(3)} repeats=${sumOf(fleet, 'repeats')} notices/min/edge=${(announcements / spanMinutes / fleet.deployment.machines.filter((machine) => machine.kind === 'front').length).toFixed(1)}` +
       ` peak-load ${Object.entries(policy?.services ?? {})
         .map(
           ([name, service]) =>
-            `${name}=${(100 * peak(history, name, service.ceiling ?? NaN)).toFixed(0)}% (mean ${(100 * mean(history, name, service.ceiling ?? NaN, scenarios[values.scenario]?.seconds ?? 0)).toFixed(0)}%)`,
+            `${name}=${(100 * peakLoad(history, name, service.ceiling ?? NaN)).toFixed(0)}% (mean ${(100 * meanLoad(history, name, service.ceiling ?? NaN, scenarios[values.scenario]?.seconds ?? 0)).toFixed(0)}%)`,
         )
         .join(
           ' ',
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,14 +1,14 @@
 /** The simulator: the fleet's own reducers in virtual time, scenarios, and the checks of the rules. */
-export { availability, checks as ruleChecks, judge as findViolations } from './checks.js';
+export { availability, ruleChecks, findViolations } from './checks.js';
 export { VirtualClock } from './virtual-clock.js';
 export { SimulatedFleet } from './simulated-fleet.js';
 export type { Entry, SimBody as SimulatedBody, Violation } from './history.js';
 export { injectedFaultNames, type InjectedFault } from './injected-faults.js';
 export {
-  exampleOf as loadExample,
+  loadExample,
   run,
-  sampleOf as randomRequest,
-  startCallers as startClients,
+  randomRequest,
+  startClients,
   type Report,
   type RunOptions,
 } from './run.js';
--- a/packages/simulator/src/injected-fault-runs.ts
+++ b/packages/simulator/src/injected-fault-runs.ts
@@ -198,29 +198,33 @@
  * Files that the cases are spread over; those of one scenario stay together, so that its sound runs
  * are made once.
  */
-const files = 6;
+const testFileCount = 6;
 const scenarioNames = [...new Set(faultCases.map((each) => each.scenario))];
 export const faultCasesOfFile = (file: number): readonly FaultCase[] =>
-  faultCases.filter((each) => scenarioNames.indexOf(each.scenario) % files === file);
+  faultCases.filter((each) => scenarioNames.indexOf(each.scenario) % testFileCount === file);
 
-const sound = new Map<
+const cleanRuns = new Map<
   string,
-  { readonly wrongs: readonly Violation[]; readonly asked: number; readonly replay: string }
+  { readonly violations: readonly Violation[]; readonly asked: number; readonly replay: string }
 >();
-const soundRun = (
+const cleanRunOf = (
   scenario: string,
   seed: number,
-): { readonly wrongs: readonly Violation[]; readonly asked: number; readonly replay: string } => {
-  const name = `${scenario} ${seed}`;
-  const known = sound.get(name);
-  if (known !== undefined) return known;
-  const { violations: wrongs, asked, replay } = run({ scenario, seed });
-  const made = { wrongs, asked, replay };
-  sound.set(name, made);
-  return made;
+): {
+  readonly violations: readonly Violation[];
+  readonly asked: number;
+  readonly replay: string;
+} => {
+  const key = `${scenario} ${seed}`;
+  const cached = cleanRuns.get(key);
+  if (cached !== undefined) return cached;
+  const { violations, asked, replay } = run({ scenario, seed });
+  const result = { violations, asked, replay };
+  cleanRuns.set(key, result);
+  return result;
 };
 /** Lets the runner tell what is done so far before the next long run. */
-const turn = (): Promise<void> =>
+const yieldToRunner = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -228,20 +232,20 @@
 /** Shows that the rule breaks with the safeguard away, and that nothing breaks with it in place. */
 export const assertFaultBreaksRule = async (
   t: ExecutionContext,
-  { rule, plant, scenario, seeds: tries = 1 }: FaultCase,
+  { rule, plant, scenario, seeds: seedCount = 1 }: FaultCase,
   seeds: readonly number[],
 ): Promise<void> => {
-  const first = seeds[0] ?? 1;
-  await turn();
-  const broken = Array.from({ length: tries }, (_, index) => first + index).some((seed) =>
+  const firstSeed = seeds[0] ?? 1;
+  await yieldToRunner();
+  const isBroken = Array.from({ length: seedCount }, (_, index) => firstSeed + index).some((seed) =>
     run({ scenario, seed, plant }).violations.some((violation) => violation.rule === rule),
   );
-  t.true(broken, `with ${plant}, rule ${rule} should break in ${scenario}`);
+  t.true(isBroken, `with ${plant}, rule ${rule} should break in ${scenario}`);
   for (const seed of seeds) {
-    await turn();
-    const report = soundRun(scenario, seed);
-    t.deepEqual(report.wrongs, [], report.replay);
+    await yieldToRunner();
+    const report = cleanRunOf(scenario, seed);
+    t.deepEqual(report.violations, [], report.replay);
     t.true(report.asked > 500);
   }
-  await turn();
+  await yieldToRunner();
 };
--- a/packages/simulator/src/injected-faults.ts
+++ b/packages/simulator/src/injected-faults.ts
@@ -167,10 +167,10 @@
 /** Other ways to choose a server, for comparison with the paper's on the same seed. */
 export type Selection = 'paper' | 'proximity' | 'random';
 
-export const feedWithSelection = (selection: Selection, feed: Feed, self: string): Feed => {
+export const feedWithSelection = (selection: Selection, feed: Feed, nodeId: string): Feed => {
   if (selection === 'paper') return feed;
   if (selection === 'proximity') return { ...feed, split: {} };
-  const edges = [self, ...feed.peers.map((row) => row.id)];
+  const edges = [nodeId, ...feed.peers.map((row) => row.id)];
   const row = edges.map((edge) => [edge, 1 / edges.length] as const);
   return {
     ...feed,
--- a/packages/simulator/src/long-partitions.test.ts
+++ b/packages/simulator/src/long-partitions.test.ts
@@ -4,7 +4,7 @@
 import { run } from './run.js';
 
 /** Lets the runner tell what is done so far before the next long run. */
-const turn = (): Promise<void> =>
+const yieldToRunner = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -16,7 +16,7 @@
 const seeds: readonly number[] = [31, 32];
 
 // Each scenario, the least share that must be served, and whether nodes are cut off in it.
-for (const [scenario, least, hasCut] of [
+for (const [scenario, minShare, hasCut] of [
   ['cut-20s', 0.95, true],
   ['cut-20s-out', 0.95, true],
   ['cut-20s-in', 0.95, true],
@@ -29,10 +29,10 @@
     `${scenario}: every rule kept, orders taken by the majority, early answers, and a quick return`,
     async (t) => {
       for (const seed of seeds) {
-        await turn();
-        const { violations: wrongs, share, rest, replay, fleet } = run({ scenario, seed });
-        t.deepEqual(wrongs, [], replay);
-        t.true(share >= least, `seed ${seed}: ${share} served; ${JSON.stringify(rest)}`);
+        await yieldToRunner();
+        const { violations, share, rest, replay, fleet } = run({ scenario, seed });
+        t.deepEqual(violations, [], replay);
+        t.true(share >= minShare, `seed ${seed}: ${share} served; ${JSON.stringify(rest)}`);
         if (!hasCut) continue;
         const calls = only(fleet.history, 'called').filter((call) => call.cutOff && call.isSteady);
         t.true(calls.length >= 10, `seed ${seed}: ${calls.length} calls to nodes cut off`);
@@ -44,7 +44,7 @@
   );
 }
 
-const plants: readonly {
+const injectedFaults: readonly {
   readonly plant: InjectedFault;
   readonly what: string;
   readonly scenario: string;
@@ -81,12 +81,17 @@
   },
 ];
 
-for (const { plant, what, scenario, seed, rules } of plants) {
-  test.serial(`${scenario}: rules ${rules.join(' and ')} are broken when ${what}`, async (t) => {
-    await turn();
-    const broken = run({ scenario, seed, plant }).violations.map((violation) => violation.rule);
+for (const { plant, what: effect, scenario, seed, rules } of injectedFaults) {
+  test.serial(`${scenario}: rules ${rules.join(' and ')} are broken when ${effect}`, async (t) => {
+    await yieldToRunner();
+    const brokenRules = run({ scenario, seed, plant }).violations.map(
+      (violation) => violation.rule,
+    );
     for (const rule of rules)
-      t.true(broken.includes(rule), `rule ${rule} should break; broken: ${broken.join()}`);
+      t.true(
+        brokenRules.includes(rule),
+        `rule ${rule} should break; broken: ${brokenRules.join()}`,
+      );
     if (!seeds.includes(seed)) t.deepEqual(run({ scenario, seed }).violations, []);
   });
 }
@@ -94,7 +99,7 @@
 // That a replica which answers again is asked more often shows in the agent's own test
 // (reachability.test.ts): here a lease is back as soon without it, and twice as soon as it must.
 test.serial('cut-20s-busy: a lease is back within half of the time that it may take', async (t) => {
-  await turn();
+  await yieldToRunner();
   const { history } = run({ scenario: 'cut-20s-busy', seed: 105 }).fleet;
   const returns = history.flatMap((entry) => (entry.kind === 'lease-back' ? [entry.afterMs] : []));
   t.true(returns.length > 0);
--- a/packages/simulator/src/long-partitions.ts
+++ b/packages/simulator/src/long-partitions.ts
@@ -5,7 +5,7 @@
  * Scenarios in which machines are cut off from a majority for 20 s and more, and served on by it.
  */
 
-type Way = 'both' | 'out' | 'in';
+type CutDirection = 'both' | 'out' | 'in';
 
 const machines = (fleet: ScenarioFleet, isReplica: boolean): readonly string[] =>
   fleet.deployment.machines
@@ -13,15 +13,19 @@
     .map((machine) => machine.name);
 
 /** Cuts some machines from all others; origins, callers and operators still reach both sides. */
-const sever = (fleet: ScenarioFleet, side: readonly string[], way: Way): void => {
-  const others = fleet.machineNames().filter((name) => !side.includes(name));
-  for (const inside of side) {
+const isolateSide = (
+  fleet: ScenarioFleet,
+  isolated: readonly string[],
+  direction: CutDirection,
+): void => {
+  const others = fleet.machineNames().filter((name) => !isolated.includes(name));
+  for (const inside of isolated) {
     for (const outside of others) {
-      if (way !== 'in') fleet.cut(inside, outside);
-      if (way !== 'out') fleet.cut(outside, inside);
+      if (direction !== 'in') fleet.cut(inside, outside);
+      if (direction !== 'out') fleet.cut(outside, inside);
     }
   }
-  fleet.fault(`${side.join(', ')} cut off, ${way}`);
+  fleet.fault(`${isolated.join(', ')} cut off, ${direction}`);
 };
 
 const repeat = (
@@ -41,7 +45,7 @@
 };
 
 /** A policy that differs from the first by one more route, by a number. */
-const withRoute = (
+const withExtraRoute = (
   { policy }: ScenarioEnvironment,
   number: number,
 ): ScenarioEnvironment['policy'] => {
@@ -52,7 +56,7 @@
 };
 
 /** Orders and reads that go to any node, and as often to one that is cut off. */
-const operateOn = (
+const runOperators = (
   environment: ScenarioEnvironment,
   side: () => readonly string[],
   until: number,
@@ -62,7 +66,7 @@
   const target = (): string | undefined => (clock.random() < 0.5 ? clock.pick(side()) : undefined);
   const number = (): number => Math.floor(1e6 * clock.random());
   repeat(environment, 9_000, until, 1_500, () =>
-    fleet.put(withRoute(environment, number()), undefined, target()),
+    fleet.put(withExtraRoute(environment, number()), undefined, target()),
   );
   repeat(environment, 9_000, until, 400, () => fleet.read(target()));
   repeat(environment, 9_000, until, 1_100, () => {
@@ -88,15 +92,15 @@
 };
 
 /** One core machine and one front, cut off by themselves for 22 s. */
-const oneOfEach =
-  (way: Way) =>
+const oneReplicaAndOneFront =
+  (way: CutDirection) =>
   (environment: ScenarioEnvironment): void => {
     const { fleet } = environment;
     const { clock } = fleet;
     let side: readonly string[] = [];
     clock.schedule(10_000, () => {
       side = [clock.pick(machines(fleet, true)) ?? '', clock.pick(machines(fleet, false)) ?? ''];
-      for (const each of side) sever(fleet, [each], way);
+      for (const each of side) isolateSide(fleet, [each], way);
     });
     clock.schedule(32_000, () => {
       fleet.heal();
@@ -104,14 +108,14 @@
       side = [];
     });
     repeat(environment, 11_000, 30_000, 4_000, () => drainOne(environment));
-    operateOn(environment, () => side, 40_000);
+    runOperators(environment, () => side, 40_000);
   };
 
 /**
  * Both halves: two of five replicas and half of the fronts on one side; seeds are exchanged,
  * machines restart.
  */
-const halves = (environment: ScenarioEnvironment): void => {
+const twoSides = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
@@ -119,7 +123,7 @@
     const fronts = machines(fleet, false).filter((_name, index) => index % 2 === 0);
     const replicas = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, 2);
     side = [...replicas, ...fronts];
-    sever(fleet, side, 'both');
+    isolateSide(fleet, side, 'both');
   });
   clock.schedule(14_000, () => {
     const [first, second, third] = [...fleet.machineNames()].sort(() => clock.random() - 0.5);
@@ -142,11 +146,11 @@
     fleet.fault('healed');
     side = [];
   });
-  operateOn(environment, () => side, 42_000);
+  runOperators(environment, () => side, 42_000);
 };
 
 /** A cut-off core machine restarts inside the cut, a front as well, and a freeze ends in it. */
-const restarts = (environment: ScenarioEnvironment): void => {
+const restartsInsidePartition = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
@@ -157,7 +161,7 @@
     const [, restarted, frozenBefore, frozenInside] = side;
     fleet.freeze(frozenBefore ?? '');
     clock.schedule(1_000, () => {
-      for (const each of side) sever(fleet, [each], 'both');
+      for (const each of side) isolateSide(fleet, [each], 'both');
     });
     clock.schedule(clock.between(3_000, 8_000), () => fleet.thaw(frozenBefore ?? ''));
     clock.schedule(clock.between(5_000, 9_000), () => fleet.freeze(frozenInside ?? ''));
@@ -170,11 +174,11 @@
     fleet.fault('healed');
     side = [];
   });
-  operateOn(environment, () => side, 40_000);
+  runOperators(environment, () => side, 40_000);
 };
 
 /** Replicas that answer and do not count: disks are wiped in turn, and every message waits. */
-const refusals = (environment: ScenarioEnvironment): void => {
+const wipedReplicas = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
   const wipe = (count: number): void => {
@@ -196,32 +200,32 @@
     summary: 'one core machine and one front cut off by themselves for 22 s, both ways',
     seconds: 44,
     servesOn: true,
-    play: oneOfEach('both'),
+    play: oneReplicaAndOneFront('both'),
   },
   'cut-20s-out': {
     summary: 'the same, but only what they send is lost',
     seconds: 44,
     servesOn: true,
-    play: oneOfEach('out'),
+    play: oneReplicaAndOneFront('out'),
   },
   'cut-20s-in': {
     summary: 'the same, but only what they are sent is lost',
     seconds: 44,
     servesOn: true,
-    play: oneOfEach('in'),
+    play: oneReplicaAndOneFront('in'),
   },
   'cut-halves': {
     summary:
       'two sides for 24 s, one with a majority; seeds are exchanged and machines restart meanwhile',
     seconds: 46,
     servesOn: true,
-    play: halves,
+    play: twoSides,
   },
   'cut-restarts': {
     summary: 'machines cut off for 22 s restart, freeze and thaw inside the cut',
     seconds: 44,
     servesOn: true,
-    play: restarts,
+    play: restartsInsidePartition,
   },
   'cut-20s-busy': {
     summary:
@@ -230,13 +234,13 @@
     servesOn: true,
     busyMs: 80,
     loss: 0.05,
-    play: oneOfEach('both'),
+    play: oneReplicaAndOneFront('both'),
   },
   'refusing-replicas': {
     summary: 'most disks are wiped: replicas answer, and do not count for a while',
     seconds: 40,
     servesOn: true,
     busyMs: 40,
-    play: refusals,
+    play: wipedReplicas,
   },
 };
--- a/packages/simulator/src/main.ts
+++ b/packages/simulator/src/main.ts
@@ -30,12 +30,12 @@
   );
   process.exit(0);
 }
-const first = Number(values.seed ?? values.from);
+const firstSeed = Number(values.seed ?? values.from);
 const seeds = Array.from(
   { length: values.seed === undefined ? Number(values.seeds) : 1 },
-  (_, index) => first + index,
+  (_, index) => firstSeed + index,
 );
-const work = (values.scenario ?? Object.keys(scenarios)).flatMap((scenario) =>
+const jobs = (values.scenario ?? Object.keys(scenarios)).flatMap((scenario) =>
   seeds.map((seed) => ({ scenario, seed })),
 );
 const rate = values.rate === undefined ? {} : { rate: Number(values.rate) };
@@ -43,11 +43,11 @@
 
 type Result = {
   readonly line: string;
-  readonly bad: boolean;
+  readonly hasViolations: boolean;
   readonly scenario: string;
   readonly share: number;
 };
-const one = (scenario: string, seed: number): Result => {
+const runJob = (scenario: string, seed: number): Result => {
   const report = run({ scenario, seed, plant: values.plant as InjectedFault, ...rate, ...example });
   const rules = [...new Set(report.violations.map((violation) => violation.rule))];
   const lines = [
@@ -70,7 +70,7 @@
   if (report.violations.length > 0) lines.push(`  replay: ${report.replay}`);
   return {
     line: lines.join('\n'),
-    bad: report.violations.length > 0,
+    hasViolations: report.violations.length > 0,
     scenario,
     share: report.share,
   };
@@ -78,39 +78,39 @@
 
 if (process.send !== undefined) {
   process.on('message', (job: { scenario: string; seed: number }) => {
-    process.send?.(one(job.scenario, job.seed));
+    process.send?.(runJob(job.scenario, job.seed));
   });
-} else if (work.length === 1 && work[0] !== undefined) {
-  const result = one(work[0].scenario, work[0].seed);
+} else if (jobs.length === 1 && jobs[0] !== undefined) {
+  const result = runJob(jobs[0].scenario, jobs[0].seed);
   process.stdout.write(`${result.line}\n`);
-  process.exit(result.bad ? 1 : 0);
+  process.exit(result.hasViolations ? 1 : 0);
 } else {
-  let [at, bad, done] = [0, 0, 0];
+  let [nextJob, failedCount, doneCount] = [0, 0, 0];
   const results: Result[] = [];
-  const workers = Array.from({ length: Math.min(work.length, os.availableParallelism()) }, () =>
+  const workers = Array.from({ length: Math.min(jobs.length, os.availableParallelism()) }, () =>
     fork(process.argv[1] ?? '', process.argv.slice(2)),
   );
   for (const worker of workers) {
     const next = (): void => {
-      const job = work[at];
-      at += 1;
+      const job = jobs[nextJob];
+      nextJob += 1;
       if (job === undefined) worker.disconnect();
       else worker.send(job);
     };
     worker.on('message', (result: Result) => {
       results.push(result);
       process.stdout.write(`${result.line}\n`);
-      done += 1;
-      if (result.bad) bad += 1;
-      if (done === work.length) {
-        for (const scenario of new Set(work.map((job) => job.scenario))) {
-          const mine = results.filter((each) => each.scenario === scenario);
+      doneCount += 1;
+      if (result.hasViolations) failedCount += 1;
+      if (doneCount === jobs.length) {
+        for (const scenario of new Set(jobs.map((job) => job.scenario))) {
+          const scenarioResults = results.filter((each) => each.scenario === scenario);
           process.stdout.write(
-            `sum scenario=${scenario} seeds=${mine.length} broken=${mine.filter((each) => each.bad).length} served=${((100 * mine.reduce((sum, each) => sum + each.share, 0)) / mine.length).toFixed(2)}% least=${(100 * Math.min(...mine.map((each) => each.share))).toFixed(2)}%\n`,
+            `sum scenario=${scenario} seeds=${scenarioResults.length} broken=${scenarioResults.filter((each) => each.hasViolations).length} served=${((100 * scenarioResults.reduce((sum, each) => sum + each.share, 0)) / scenarioResults.length).toFixed(2)}% least=${(100 * Math.min(...scenarioResults.map((each) => each.share))).toFixed(2)}%\n`,
           );
         }
-        process.stdout.write(`runs=${done} broken=${bad}\n`);
-        process.exitCode = bad > 0 ? 1 : 0;
+        process.stdout.write(`runs=${doneCount} broken=${failedCount}\n`);
+        process.exitCode = failedCount > 0 ? 1 : 0;
       }
       next();
     });
--- a/packages/simulator/src/members.test.ts
+++ b/packages/simulator/src/members.test.ts
@@ -9,11 +9,11 @@
 const machine = (index: number): string => `core-${index}`;
 
 /** Machines core-1 … core-n, of which the first three are seeds; those in `up` are started. */
-const yard = (
+const startFleet = (
   seed: number,
   count: number,
   losses: number,
-  up: readonly number[],
+  startedIndexes: readonly number[],
 ): SimulatedFleet => {
   const machines = Array.from({ length: count }, (_, index) => ({
     name: machine(index + 1),
@@ -27,14 +27,14 @@
     regionsMs: 0,
     voting: { losses },
   });
-  up.forEach((index) => fleet.start(machine(index)));
+  startedIndexes.forEach((index) => fleet.start(machine(index)));
   return fleet;
 };
 const membersOf = (fleet: SimulatedFleet, index: number): Membership | undefined =>
   fleet.machines.get(machine(index))?.agent?.state.registers.members?.value as
     Membership | undefined;
 /** Machines whose replica is a place of the members that an agent knows. */
-const placesOf = (fleet: SimulatedFleet, index: number): readonly string[] =>
+const memberMachinesOf = (fleet: SimulatedFleet, index: number): readonly string[] =>
   Object.values(membersOf(fleet, index)?.addresses ?? {})
     .map((address) => address.replace('/replica', ''))
     .sort();
@@ -52,33 +52,33 @@
  * What an operator is answered by a node. Messages get lost, so it asks again, at most twice, where
  * none came.
  */
-const answerOf = (
+const queryNode = (
   fleet: SimulatedFleet,
   index: number,
   action: Parameters<SimulatedFleet['operate']>[0],
 ): { readonly status: number; readonly body: unknown } => {
-  let got = { status: 0, body: null as unknown };
-  for (let tries = 0; tries < 3 && got.status === 0; tries += 1) {
+  let lastReply = { status: 0, body: null as unknown };
+  for (let attempts = 0; attempts < 3 && lastReply.status === 0; attempts += 1) {
     fleet.operate(
       action,
       (reply) => {
-        got = reply;
+        lastReply = reply;
       },
       'outside',
       machine(index),
     );
     runFor(fleet, 6_000);
   }
-  return got;
+  return lastReply;
 };
 const tryPut = (fleet: SimulatedFleet, index: number, changeId: string): number =>
-  answerOf(fleet, index, { kind: 'put-policy', document: policy, ifMatch: null, changeId }).status;
+  queryNode(fleet, index, { kind: 'put-policy', document: policy, ifMatch: null, changeId }).status;
 const revisionAt = (fleet: SimulatedFleet, index: number): number | undefined => {
-  const { status, body } = answerOf(fleet, index, { kind: 'get-policy' });
+  const { status, body } = queryNode(fleet, index, { kind: 'get-policy' });
   return status === 200 ? (body as { revision: number }).revision : undefined;
 };
-const founded = (seed: number, count: number, losses = 1): SimulatedFleet => {
-  const fleet = yard(
+const foundedFleet = (seed: number, count: number, losses = 1): SimulatedFleet => {
+  const fleet = startFleet(
     seed,
     count,
     losses,
@@ -92,8 +92,8 @@
 
 test('three seeds found the first members, and changes are taken; a fourth machine waits', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 4);
-    t.deepEqual(placesOf(fleet, 4), ['core-1', 'core-2', 'core-3'], `seed ${seed}`);
+    const fleet = foundedFleet(seed, 4);
+    t.deepEqual(memberMachinesOf(fleet, 4), ['core-1', 'core-2', 'core-3'], `seed ${seed}`);
     t.is(membersOf(fleet, 4)?.epoch, 1);
     t.false(votes(fleet, 4));
     t.is(tryPut(fleet, 4, 'one'), 200);
@@ -102,23 +102,23 @@
 
 test('one seed late at the first start: nothing is founded before, and nothing answered but 503', (t) => {
   for (const seed of seeds) {
-    const fleet = yard(seed, 4, 1, [1, 3, 4]);
+    const fleet = startFleet(seed, 4, 1, [1, 3, 4]);
     runFor(fleet, 20_000);
     t.is(membersOf(fleet, 1), undefined);
     t.is(tryPut(fleet, 1, 'early'), 503);
     fleet.start('core-2');
     runFor(fleet, 5_000);
-    t.deepEqual(placesOf(fleet, 4), ['core-1', 'core-2', 'core-3'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 4), ['core-1', 'core-2', 'core-3'], `seed ${seed}`);
     t.is(revisionAt(fleet, 4), 0);
   }
 });
 
 test('blank machines that are no seeds, or not at the very first start, found nothing', (t) => {
   for (const seed of seeds) {
-    const others = yard(seed, 7, 1, [4, 5, 6, 7]);
+    const others = startFleet(seed, 7, 1, [4, 5, 6, 7]);
     runFor(others, 20_000);
     for (const index of [4, 5, 6, 7]) t.false(votes(others, index));
-    const later = yard(seed, 4, 1, []);
+    const later = startFleet(seed, 4, 1, []);
     later.firstStart = false;
     [1, 2, 3, 4].forEach((index) => later.start(machine(index)));
     runFor(later, 20_000);
@@ -131,7 +131,7 @@
 
 test('a disk is wiped right after an acknowledgement that it and one other gave: nothing is lost', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 3);
+    const fleet = foundedFleet(seed, 3);
     fleet.isolate('core-3');
     let done = false;
     fleet.operate(
@@ -151,45 +151,45 @@
     runFor(fleet, 8_000);
     t.true(done, `seed ${seed}`);
     t.true(votes(fleet, 1), `seed ${seed}`);
-    t.deepEqual(placesOf(fleet, 1), ['core-1', 'core-2', 'core-3']);
+    t.deepEqual(memberMachinesOf(fleet, 1), ['core-1', 'core-2', 'core-3']);
     for (const index of [1, 2, 3]) t.is(revisionAt(fleet, index), 1);
   }
 });
 
 test('a machine gone for good is replaced by a blank one at another address while changes go on; the old one returns and waits', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 4);
+    const fleet = foundedFleet(seed, 4);
     let acknowledged = 0;
-    const put = (left: number): void => {
-      if (left > 0) {
+    const put = (remaining: number): void => {
+      if (remaining > 0) {
         fleet.put(
           policy,
           () => {
             acknowledged += 1;
           },
-          machine(2 + (left % 3)),
+          machine(2 + (remaining % 3)),
         );
-        fleet.clock.schedule(500, () => put(left - 1));
+        fleet.clock.schedule(500, () => put(remaining - 1));
       }
     };
     put(60);
     runFor(fleet, 1_000);
     fleet.kill('core-1');
     runFor(fleet, 6_000);
-    t.deepEqual(placesOf(fleet, 2), ['core-1', 'core-2', 'core-3'], 'not within 6 s');
+    t.deepEqual(memberMachinesOf(fleet, 2), ['core-1', 'core-2', 'core-3'], 'not within 6 s');
     runFor(fleet, 6_000);
-    t.deepEqual(placesOf(fleet, 2), ['core-2', 'core-3', 'core-4'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 2), ['core-2', 'core-3', 'core-4'], `seed ${seed}`);
     t.true(votes(fleet, 4));
     runFor(fleet, 2_000);
     fleet.start('core-1');
     runFor(fleet, 3_000);
     t.false(votes(fleet, 1));
-    t.deepEqual(placesOf(fleet, 1), ['core-2', 'core-3', 'core-4']);
+    t.deepEqual(memberMachinesOf(fleet, 1), ['core-2', 'core-3', 'core-4']);
     // What a machine with no disk but the replacement's knows is enough, once another is lost.
     fleet.kill('core-3');
     fleet.wipe('core-3');
     runFor(fleet, 20_000);
-    t.deepEqual(placesOf(fleet, 1), ['core-1', 'core-2', 'core-4'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 1), ['core-1', 'core-2', 'core-4'], `seed ${seed}`);
     t.true(votes(fleet, 1));
     // A reply that is lost is missed after 8 s only.
     runFor(fleet, 12_000);
@@ -200,17 +200,17 @@
 
 test('a machine cut off for less than 8 s keeps its place; one that is cut off alone gives nobody one', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 4);
+    const fleet = foundedFleet(seed, 4);
     fleet.isolate('core-1');
     runFor(fleet, 6_000);
     fleet.heal();
     runFor(fleet, 6_000);
     t.is(membersOf(fleet, 2)?.epoch, 1, `seed ${seed}`);
     // Two sides: the one with a single member and the spare has no majority.
-    for (const a of ['core-1', 'core-4'])
-      for (const b of ['core-2', 'core-3']) {
-        fleet.cut(a, b);
-        fleet.cut(b, a);
+    for (const isolatedMachine of ['core-1', 'core-4'])
+      for (const otherMachine of ['core-2', 'core-3']) {
+        fleet.cut(isolatedMachine, otherMachine);
+        fleet.cut(otherMachine, isolatedMachine);
       }
     runFor(fleet, 20_000);
     t.is(membersOf(fleet, 1)?.epoch, 1, `seed ${seed}`);
@@ -223,18 +223,18 @@
 
 test('growth from three to five where two losses must be borne; nothing is acknowledged before, and then two losses are borne', (t) => {
   for (const seed of seeds) {
-    const fleet = yard(seed, 5, 2, [1, 2, 3]);
+    const fleet = startFleet(seed, 5, 2, [1, 2, 3]);
     runFor(fleet, 5_000);
     fleet.firstStart = false;
-    t.is(placesOf(fleet, 1).length, 3);
+    t.is(memberMachinesOf(fleet, 1).length, 3);
     t.is(tryPut(fleet, 1, 'early'), 503);
     fleet.start('core-4');
     runFor(fleet, 6_000);
-    t.is(placesOf(fleet, 1).length, 4, `seed ${seed}`);
+    t.is(memberMachinesOf(fleet, 1).length, 4, `seed ${seed}`);
     t.is(tryPut(fleet, 2, 'early'), 503);
-    t.is(answerOf(fleet, 2, { kind: 'withdraw', instance: 'x-1' }).status, 503);
+    t.is(queryNode(fleet, 2, { kind: 'withdraw', instance: 'x-1' }).status, 503);
     t.is(
-      answerOf(fleet, 2, {
+      queryNode(fleet, 2, {
         kind: 'purge',
         purge: { objects: ['x/y'], tags: [] },
         changeId: 'purge',
@@ -242,7 +242,7 @@
       503,
     );
     t.is(
-      answerOf(fleet, 2, {
+      queryNode(fleet, 2, {
         kind: 'zone',
         zone: 'zone-1',
         order: 'empty',
@@ -254,7 +254,7 @@
     fleet.start('core-5');
     runFor(fleet, 6_000);
     t.deepEqual(
-      placesOf(fleet, 1),
+      memberMachinesOf(fleet, 1),
       ['core-1', 'core-2', 'core-3', 'core-4', 'core-5'],
       `seed ${seed}`,
     );
@@ -275,7 +275,7 @@
 
 test('all machines lose power at once, also right after a place was given away, and come back with their disks and other seeds', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 5);
+    const fleet = foundedFleet(seed, 5);
     t.is(tryPut(fleet, 4, 'one'), 200);
     fleet.kill('core-1');
     // Anywhere in the step to the next members, or after it.
@@ -286,8 +286,8 @@
     fleet.seeds = ['core-4/agent', 'core-5/agent', 'core-9/agent'];
     for (const index of [2, 3, 4, 5]) fleet.start(machine(index));
     runFor(fleet, 16_000);
-    t.is(placesOf(fleet, 5).length, 3, `seed ${seed}`);
-    t.false(placesOf(fleet, 5).includes('core-1'), `seed ${seed}`);
+    t.is(memberMachinesOf(fleet, 5).length, 3, `seed ${seed}`);
+    t.false(memberMachinesOf(fleet, 5).includes('core-1'), `seed ${seed}`);
     t.is(revisionAt(fleet, 5), 1, `seed ${seed}`);
     fleet.start('core-1');
     runFor(fleet, 4_000);
@@ -298,20 +298,23 @@
 
 test('a member that comes back with its disk at the address of another, which is gone: both places are looked after', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 4);
+    const fleet = foundedFleet(seed, 4);
     t.is(tryPut(fleet, 3, 'one'), 200);
     fleet.kill('core-1');
     fleet.kill('core-2');
-    const [gone, back] = [fleet.machines.get('core-1'), fleet.machines.get('core-2')];
-    if (gone === undefined || back === undefined) {
+    const [lostMachine, returningMachine] = [
+      fleet.machines.get('core-1'),
+      fleet.machines.get('core-2'),
+    ];
+    if (lostMachine === undefined || returningMachine === undefined) {
       t.fail();
       return;
     }
-    gone.disk = back.disk;
+    lostMachine.disk = returningMachine.disk;
     runFor(fleet, 1_000);
     fleet.start('core-1');
     runFor(fleet, 16_000);
-    t.deepEqual(placesOf(fleet, 3), ['core-1', 'core-3', 'core-4'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 3), ['core-1', 'core-3', 'core-4'], `seed ${seed}`);
     for (const index of [1, 3, 4]) t.true(votes(fleet, index), `seed ${seed}`);
     t.is(revisionAt(fleet, 4), 1);
   }
@@ -319,27 +322,27 @@
 
 test('all machines come back with their disks at other addresses', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 6);
+    const fleet = foundedFleet(seed, 6);
     t.is(tryPut(fleet, 4, 'one'), 200);
     for (const index of [1, 2, 3, 4, 5, 6]) fleet.kill(machine(index));
     const disks = [1, 2, 3].map((index) => fleet.machines.get(machine(index))?.disk);
-    const blanks = [4, 5, 6].map((index) => fleet.machines.get(machine(index))?.disk);
-    [4, 5, 6, 1, 2, 3].forEach((index, at) => {
-      const box = fleet.machines.get(machine(index));
-      const disk = [...disks, ...blanks][at];
-      if (box !== undefined && disk !== undefined) box.disk = disk;
+    const blankDisks = [4, 5, 6].map((index) => fleet.machines.get(machine(index))?.disk);
+    [4, 5, 6, 1, 2, 3].forEach((index, position) => {
+      const simulatedMachine = fleet.machines.get(machine(index));
+      const disk = [...disks, ...blankDisks][position];
+      if (simulatedMachine !== undefined && disk !== undefined) simulatedMachine.disk = disk;
     });
     fleet.seeds = ['core-4/agent', 'core-1/agent', 'core-2/agent'];
     for (const index of [1, 2, 3, 4, 5, 6]) fleet.start(machine(index));
     runFor(fleet, 8_000);
     t.is(revisionAt(fleet, 1), 1, `seed ${seed}`);
-    t.deepEqual(placesOf(fleet, 1), ['core-4', 'core-5', 'core-6'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 1), ['core-4', 'core-5', 'core-6'], `seed ${seed}`);
   }
 });
 
 test('an agent that was gone while every place changed hands finds the members again', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 7);
+    const fleet = foundedFleet(seed, 7);
     t.is(tryPut(fleet, 7, 'one'), 200);
     fleet.freeze('core-7');
     for (const index of [1, 2, 3]) {
@@ -347,29 +350,29 @@
       runFor(fleet, 14_000);
     }
     fleet.seeds = ['core-4/agent', 'core-5/agent', 'core-6/agent'];
-    t.deepEqual(placesOf(fleet, 4), ['core-4', 'core-5', 'core-6'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 4), ['core-4', 'core-5', 'core-6'], `seed ${seed}`);
     fleet.thaw('core-7');
     runFor(fleet, 6_000);
     t.is(revisionAt(fleet, 7), 1, `seed ${seed}`);
-    t.deepEqual(placesOf(fleet, 7), ['core-4', 'core-5', 'core-6'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 7), ['core-4', 'core-5', 'core-6'], `seed ${seed}`);
   }
 });
 
 test('a member that comes back at another address with its disk keeps its place', (t) => {
   for (const seed of seeds) {
-    const fleet = founded(seed, 4);
+    const fleet = foundedFleet(seed, 4);
     fleet.kill('core-1');
-    const [from, to] = [fleet.machines.get('core-1'), fleet.machines.get('core-4')];
+    const [source, target] = [fleet.machines.get('core-1'), fleet.machines.get('core-4')];
     fleet.kill('core-4');
-    if (from === undefined || to === undefined) {
+    if (source === undefined || target === undefined) {
       t.fail();
       return;
     }
-    to.disk = from.disk;
+    target.disk = source.disk;
     runFor(fleet, 1_000);
     fleet.start('core-4');
     runFor(fleet, 6_000);
-    t.deepEqual(placesOf(fleet, 2), ['core-2', 'core-3', 'core-4'], `seed ${seed}`);
+    t.deepEqual(memberMachinesOf(fleet, 2), ['core-2', 'core-3', 'core-4'], `seed ${seed}`);
     t.true(votes(fleet, 4));
     t.is(tryPut(fleet, 4, 'one'), 200);
   }
--- a/packages/simulator/src/order-times.ts
+++ b/packages/simulator/src/order-times.ts
@@ -6,12 +6,12 @@
 import { parseArgs } from 'node:util';
 import { SimulatedFleet } from './simulated-fleet.js';
 import { sendCommand, type CommandOutcome } from './command-client.js';
-import { exampleOf } from './run.js';
+import { loadExample } from './run.js';
 
-const ordersAtOnce = 8;
+const concurrentOrders = 8;
 const warmUpMs = 8_000;
 const roundMs = 9_000;
-const patienceMs = 8_000;
+const clientTimeoutMs = 8_000;
 
 const { values } = parseArgs({
   options: {
@@ -67,7 +67,7 @@
   sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? NaN;
 
 const outcomesOf = (setup: Setup, seed: number): readonly CommandOutcome[] => {
-  const { deployment, policy } = exampleOf(setup.example);
+  const { deployment, policy } = loadExample(setup.example);
   const tuning = { loss: 0.001, plant: 'none' as const, regionsMs: setup.regionsMs };
   const fleet = new SimulatedFleet(deployment, seed, tuning);
   for (const machine of deployment.machines) fleet.start(machine.name);
@@ -78,21 +78,25 @@
   const places = fleet.machineNames();
   for (let round = 0; round < Number(values.rounds); round += 1) {
     const order = round % 2 === 0 ? 'empty' : 'take-back';
-    const first = Math.floor(fleet.clock.random() * places.length);
-    for (let each = 0; each < ordersAtOnce; each += 1) {
-      const node = places[(first + (setup.isSpread ? each : 0)) % places.length];
+    const firstPlace = Math.floor(fleet.clock.random() * places.length);
+    for (let orderIndex = 0; orderIndex < concurrentOrders; orderIndex += 1) {
+      const node = places[(firstPlace + (setup.isSpread ? orderIndex : 0)) % places.length];
       const action = (attempt: number) =>
         ({
           kind: 'zone',
-          zone: `zone-${each}`,
+          zone: `zone-${orderIndex}`,
           order,
           of: 'origins',
-          changeId: `${round}-${each}-${attempt}`,
+          changeId: `${round}-${orderIndex}-${attempt}`,
         }) as const;
       fleet.clock.schedule(fleet.clock.between(0, 2), () =>
         sendCommand(
           fleet,
-          { giveUpAfterMs: patienceMs, action, ...(node === undefined ? {} : { firstNode: node }) },
+          {
+            giveUpAfterMs: clientTimeoutMs,
+            action,
+            ...(node === undefined ? {} : { firstNode: node }),
+          },
           (outcome) => outcomes.push(outcome),
         ),
       );
@@ -109,11 +113,11 @@
   }
   const acknowledged = outcomes.filter((each) => each.kind === 'acknowledged');
   const times = acknowledged.map((each) => each.ms).sort((a, b) => a - b);
-  const [median, high, most] = [quantile(times, 0.5), quantile(times, 0.99), times.at(-1) ?? NaN];
+  const [median, p99, max] = [quantile(times, 0.5), quantile(times, 0.99), times.at(-1) ?? NaN];
   const attempts = outcomes.reduce((sum, each) => sum + each.attempts, 0) / outcomes.length;
-  const shown = [median, high, most].map((ms) => ms.toFixed(0));
+  const rounded = [median, p99, max].map((ms) => ms.toFixed(0));
   process.stdout.write(
-    `${setup.name}: median ${shown[0]} ms, 99th ${shown[1]} ms, most ${shown[2]} ms, ` +
+    `${setup.name}: median ${rounded[0]} ms, 99th ${rounded[1]} ms, most ${rounded[2]} ms, ` +
       `attempts ${attempts.toFixed(2)}, orders ${outcomes.length}, ` +
       `not acknowledged ${outcomes.length - acknowledged.length}\n`,
   );
--- a/packages/simulator/src/partition-checks.ts
+++ b/packages/simulator/src/partition-checks.ts
@@ -12,9 +12,11 @@
 /** ms of silence after which a caller goes on to another node. */
 const clientTimeoutMs = 1_000;
 
-type Of<K extends Entry['kind']> = Extract<Entry, { kind: K }>;
-const only = <K extends Entry['kind']>(history: readonly Entry[], kind: K): readonly Of<K>[] =>
-  history.filter((entry): entry is Of<K> => entry.kind === kind);
+type EntryOf<K extends Entry['kind']> = Extract<Entry, { kind: K }>;
+const entriesOf = <K extends Entry['kind']>(
+  history: readonly Entry[],
+  kind: K,
+): readonly EntryOf<K>[] => history.filter((entry): entry is EntryOf<K> => entry.kind === kind);
 
 /** The node whose doing an entry shows, if it is one that binds nodes in touch alone. */
 const nodeOf = (entry: Entry): string | null => {
@@ -37,13 +39,13 @@
  * Runs of orders stay in, whoever sent them.
  */
 export const connectedHistory = (history: readonly Entry[]): readonly Entry[] => {
-  const cuts = only(history, 'cut-off');
+  const cuts = entriesOf(history, 'cut-off');
   return history.filter((entry) => {
     const node = nodeOf(entry);
     if (node === null) return true;
-    const isOut = (cut: Of<'cut-off'>): boolean =>
+    const isDuringCut = (cut: EntryOf<'cut-off'>): boolean =>
       cut.node === node && entry.at >= cut.from && entry.at <= cut.at + reconnectLimitMs;
-    return !cuts.some(isOut);
+    return !cuts.some(isDuringCut);
   });
 };
 
@@ -51,7 +53,7 @@
 const rules = { servedOn: 14, lateAnswer: 15, minority: 16, lateReturn: 17 } as const;
 
 const servedOnInTouch = (history: readonly Entry[]): readonly Violation[] =>
-  only(history, 'served-on')
+  entriesOf(history, 'served-on')
     .filter((entry) => entry.majorityReachableMs > majorityGraceMs)
     .map(({ at, node, majorityReachableMs: reachesMs }) => ({
       rule: rules.servedOn,
@@ -62,8 +64,8 @@
 /**
  * A call without any end (status 0) was lost on its way: an agent's own longest wait ends before.
  */
-const lateAnswers = (history: readonly Entry[]): readonly Violation[] =>
-  only(history, 'called')
+const lateResponses = (history: readonly Entry[]): readonly Violation[] =>
+  entriesOf(history, 'called')
     .filter((call) => call.cutOff && call.isSteady && call.status !== 0)
     .filter((call) => call.at - call.sentAt > clientTimeoutMs)
     .map(({ at, sentAt, node, action }) => ({
@@ -73,7 +75,7 @@
     }));
 
 const confirmedByMinority = (history: readonly Entry[]): readonly Violation[] =>
-  only(history, 'called')
+  entriesOf(history, 'called')
     .filter((call) => call.cutOff && call.isSteady && call.status === 200)
     .map(({ at, node, action }) => ({
       rule: rules.minority,
@@ -82,7 +84,7 @@
     }));
 
 const lateReturns = (history: readonly Entry[]): readonly Violation[] =>
-  only(history, 'lease-back')
+  entriesOf(history, 'lease-back')
     .filter((entry) => entry.afterMs > reconnectLimitMs)
     .map(({ at, node, afterMs }) => ({
       rule: rules.lateReturn,
@@ -92,6 +94,6 @@
 
 /** All that was wrong around cuts, a few of each rule. */
 export const findPartitionViolations = (history: readonly Entry[]): readonly Violation[] =>
-  [servedOnInTouch, lateAnswers, confirmedByMinority, lateReturns].flatMap((check) =>
+  [servedOnInTouch, lateResponses, confirmedByMinority, lateReturns].flatMap((check) =>
     check(history).slice(0, 3),
   );
--- a/packages/simulator/src/purity.test.ts
+++ b/packages/simulator/src/purity.test.ts
@@ -36,7 +36,7 @@
 ]);
 
 test('no reducer looks at a clock, draws by chance or does I/O: clocks may jump, seeds replay', (t) => {
-  let read = 0;
+  let fileCount = 0;
   for (const name of readdirSync(packages)) {
     if (shells.has(name)) continue;
     const folder = path.join(packages, name, 'src');
@@ -57,8 +57,8 @@
         if (text.includes(word) && !(name === 'schemas' && word === "from 'node:"))
           t.fail(`${name}/${file}: ${word}`);
       }
-      read += 1;
+      fileCount += 1;
     }
   }
-  t.true(read > 20);
+  t.true(fileCount > 20);
 });
--- a/packages/simulator/src/replacement-figures.ts
+++ b/packages/simulator/src/replacement-figures.ts
@@ -13,7 +13,7 @@
 });
 const lose = values.wiped ? wipeMember : replaceMember;
 const catchUpMs = Number(values['catch-up']);
-const all: (number | null)[] = [];
+const allTimes: (number | null)[] = [];
 
 /** Every fourth site has five members of which two may be lost. */
 const siteFor = (seed: number, trouble: (typeof disturbances)[number]): Site => {
@@ -23,16 +23,16 @@
   return new Site({ seed, members, successors: 1, losses, ...told, ...trouble });
 };
 
-const show = (what: string, times: readonly (number | null)[]): void => {
-  const { count, failed, median, p99, most } = timingSummaryOf(times);
+const show = (title: string, times: readonly (number | null)[]): void => {
+  const { count, failed, medianMs: median, p99Ms: p99, maxMs: most } = timingSummaryOf(times);
   const line = `median ${median} ms, 99th ${p99} ms, most ${most} ms, of ${count}`;
-  process.stdout.write(`${what}: ${line}, not within 20 s ${failed}\n`);
+  process.stdout.write(`${title}: ${line}, not within 20 s ${failed}\n`);
 };
 
 for (const trouble of disturbances) {
   const seeds = Array.from({ length: Number(values.seeds) }, (_, index) => index + 1);
   const times = seeds.map((seed) => lose(siteFor(seed, trouble)));
-  all.push(...times);
+  allTimes.push(...times);
   show(JSON.stringify(trouble), times);
 }
-show(`all, catch up ${catchUpMs} ms${values.wiped ? ', wiped' : ''}`, all);
+show(`all, catch up ${catchUpMs} ms${values.wiped ? ', wiped' : ''}`, allTimes);
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { type Policy, Schemas } from '@reedyard/schemas';
 import type { Deployment } from '@reedyard/topology';
-import { availability, judge } from './checks.js';
+import { availability, findViolations } from './checks.js';
 import { connectedHistory, findPartitionViolations } from './partition-checks.js';
 import { SimulatedFleet } from './simulated-fleet.js';
 import type { Violation } from './history.js';
@@ -15,7 +15,7 @@
 const examples = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../../../examples');
 
 /** An example's deployment and policy. @example exampleOf('brandlhuber').policy.routes.length // 4 */
-export const exampleOf = (
+export const loadExample = (
   name: string,
 ): { readonly deployment: Deployment; readonly policy: Policy } => ({
   deployment: JSON.parse(
@@ -51,19 +51,21 @@
 type Sample = { readonly method: string; readonly target: string };
 
 /** What callers ask for, by deployment: the largest share first. */
-export const sampleOf = (example: string, clock: ScenarioFleet['clock']): Sample => {
+export const randomRequest = (example: string, clock: ScenarioFleet['clock']): Sample => {
   const draw = clock.random();
-  const hot = (count: number): number => Math.floor(count * clock.random() ** 2.5);
+  const popularIndex = (count: number): number => Math.floor(count * clock.random() ** 2.5);
   if (example === 'association') {
-    if (draw < 0.4) return { method: 'GET', target: `/icing/tag-${hot(8)}/${hot(60)}` };
-    if (draw < 0.6) return { method: 'GET', target: `/reports/ticino/${hot(40)}` };
-    if (draw < 0.75) return { method: 'GET', target: `/reports/romandie/${hot(40)}` };
-    if (draw < 0.93) return { method: 'GET', target: `/alarms/${hot(20)}` };
+    if (draw < 0.4)
+      return { method: 'GET', target: `/icing/tag-${popularIndex(8)}/${popularIndex(60)}` };
+    if (draw < 0.6) return { method: 'GET', target: `/reports/ticino/${popularIndex(40)}` };
+    if (draw < 0.75) return { method: 'GET', target: `/reports/romandie/${popularIndex(40)}` };
+    if (draw < 0.93) return { method: 'GET', target: `/alarms/${popularIndex(20)}` };
     return { method: 'POST', target: '/orders' };
   }
-  if (draw < 0.5) return { method: 'GET', target: `/sheets/tag-${hot(8)}/${hot(80)}` };
-  if (draw < 0.78) return { method: 'GET', target: `/tracking/${hot(200)}` };
-  if (draw < 0.92) return { method: 'GET', target: `/shelves/${hot(20)}` };
+  if (draw < 0.5)
+    return { method: 'GET', target: `/sheets/tag-${popularIndex(8)}/${popularIndex(80)}` };
+  if (draw < 0.78) return { method: 'GET', target: `/tracking/${popularIndex(200)}` };
+  if (draw < 0.92) return { method: 'GET', target: `/shelves/${popularIndex(20)}` };
   return { method: 'POST', target: '/handovers' };
 };
 
@@ -71,7 +73,7 @@
  * Starts callers: each goes to a ready node of its own zone, or to any ready one where its zone has
  * none.
  */
-export const startCallers = (
+export const startClients = (
   fleet: RequestedFleet,
   example: string,
   policy: Policy,
@@ -86,19 +88,19 @@
   let job = 0;
   const choose = (zone: string): string | undefined => {
     const ready = fronts.filter((machine) => fleet.ready.get(machine.name) === true);
-    const own = ready.filter((machine) => machine.zone === zone);
-    return clock.pick(own.length > 0 ? own : ready)?.name;
+    const inZone = ready.filter((machine) => machine.zone === zone);
+    return clock.pick(inZone.length > 0 ? inZone : ready)?.name;
   };
-  const one = (): void => {
+  const startNextClient = (): void => {
     if (clock.now() > until) return;
-    clock.schedule((-Math.log(1 - clock.random()) * 1_000) / rate(), one);
+    clock.schedule((-Math.log(1 - clock.random()) * 1_000) / rate(), startNextClient);
     const zone = skew() ?? clock.pick(zones) ?? '';
-    const sample = sampleOf(example, fleet.clock);
+    const sample = randomRequest(example, fleet.clock);
     job += 1;
     const unsafe = sample.method === 'POST';
     const name = `job-${job}`;
     const key = unsafe ? name : null;
-    const attempt = (left: number): void => {
+    const attempt = (retriesLeft: number): void => {
       const node = choose(zone);
       if (node === undefined) {
         fleet.history.push({ kind: 'unplaced', at: clock.now() });
@@ -106,11 +108,12 @@
       }
       fleet.submit(node, { ...sample, host, job: name, key }, (status) => {
         // What got no good answer is asked again, an order with the same key.
-        const bad = status === 0 || status === 502 || status === 503 || status === 504;
-        if (bad && left > 0) clock.schedule(1_000 + 200 * clock.random(), () => attempt(left - 1));
+        const shouldRetry = status === 0 || status === 502 || status === 503 || status === 504;
+        if (shouldRetry && retriesLeft > 0)
+          clock.schedule(1_000 + 200 * clock.random(), () => attempt(retriesLeft - 1));
       });
       // A caller uses its key once more for another order.
-      if (key !== null && left === 2 && clock.random() < 0.05) {
+      if (key !== null && retriesLeft === 2 && clock.random() < 0.05) {
         const other = choose(zone);
         if (other !== undefined)
           clock.schedule(800 * clock.random(), () =>
@@ -118,7 +121,7 @@
           );
       }
       // An impatient caller sends the same key twice at once.
-      if (key !== null && left === 2 && clock.random() < 0.1) {
+      if (key !== null && retriesLeft === 2 && clock.random() < 0.1) {
         const other = choose(zone);
         if (other !== undefined)
           fleet.submit(other, { ...sample, host, job: name, key }, () => undefined);
@@ -126,14 +129,14 @@
     };
     attempt(2);
   };
-  one();
+  startNextClient();
 };
 
 /**
  * Runs one scenario from one seed and judges its history.
  *
  * @example
- * run({ scenario: 'kills', seed: 7 }).wrongs // []
+ * run({ scenario: 'kills', seed: 7 }).violations // []
  */
 export const run = (options: RunOptions): Report => {
   const scenario = scenarios[options.scenario];
@@ -142,13 +145,16 @@
       `no scenario is named ${options.scenario}; there are ${Object.keys(scenarios).join(', ')}`,
     );
   const example = options.example ?? scenario.example ?? 'brandlhuber';
-  const { deployment: asGiven, policy } = exampleOf(example);
+  const { deployment: exampleDeployment, policy } = loadExample(example);
   const capacityBps = options.capacityBps ?? scenario.capacityBps;
   const deployment =
     capacityBps === undefined
-      ? asGiven
-      : { ...asGiven, machines: asGiven.machines.map((machine) => ({ ...machine, capacityBps })) };
-  const used = scenario.policy?.(policy) ?? policy;
+      ? exampleDeployment
+      : {
+          ...exampleDeployment,
+          machines: exampleDeployment.machines.map((machine) => ({ ...machine, capacityBps })),
+        };
+  const initialPolicy = scenario.policy?.(policy) ?? policy;
   const fleet = new SimulatedFleet(deployment, options.seed, {
     loss: scenario.loss ?? 0.001,
     plant: options.plant ?? 'none',
@@ -164,14 +170,14 @@
     fleet.firstStart = false;
   });
   fleet.watchReady();
-  fleet.clock.schedule(500, () => fleet.put(used));
+  fleet.clock.schedule(500, () => fleet.put(initialPolicy));
   const end = scenario.seconds * 1_000;
   const factor = { rate: options.rate ?? scenario.rate ?? 120, crowdedZone: null as string | null };
   fleet.clock.schedule(6_000, () =>
-    startCallers(
+    startClients(
       fleet,
       example,
-      used,
+      initialPolicy,
       () => factor.rate,
       end - 2_000,
       () => factor.crowdedZone,
@@ -179,22 +185,25 @@
   );
   scenario.play({
     fleet,
-    policy: used,
+    policy: initialPolicy,
     traffic: factor,
     endMs: end,
-    sample: () => sampleOf(example, fleet.clock),
+    sample: () => randomRequest(example, fleet.clock),
   });
   fleet.clock.runUntil(end + 14_000);
-  const wrongs =
+  const violations =
     scenario.servesOn === true
-      ? [...judge(connectedHistory(fleet.history)), ...findPartitionViolations(fleet.history)]
-      : judge(fleet.history);
-  const measured = availability(fleet.history, 8_000);
+      ? [
+          ...findViolations(connectedHistory(fleet.history)),
+          ...findPartitionViolations(fleet.history),
+        ]
+      : findViolations(fleet.history);
+  const availabilityReport = availability(fleet.history, 8_000);
   return {
     scenario: options.scenario,
     seed: options.seed,
-    violations: wrongs,
-    ...measured,
+    violations,
+    ...availabilityReport,
     fleet,
     replay: `npm run simulator -- --scenario ${options.scenario} --seed ${options.seed}${options.plant === undefined || options.plant === 'none' ? '' : ` --plant ${options.plant}`}${options.example === undefined ? '' : ` --example ${options.example}`}`,
   };
--- a/packages/simulator/src/scenarios.test.ts
+++ b/packages/simulator/src/scenarios.test.ts
@@ -3,7 +3,7 @@
 
 // What the rule tests do not run: each scenario once, and a share of callers that must be served
 // through it.
-for (const [scenario, least] of [
+for (const [scenario, minShare] of [
   ['calm', 0.995],
   ['lossy', 0.95],
   ['cuts', 0.9],
@@ -32,18 +32,18 @@
     });
     const report = run({ scenario, seed: 21 });
     t.deepEqual(report.violations, [], report.replay);
-    t.true(report.share >= least, `${report.share} served; ${JSON.stringify(report.rest)}`);
+    t.true(report.share >= minShare, `${report.share} served; ${JSON.stringify(report.rest)}`);
   });
 }
 
 test('nodes that restart with new seeds while the old ones are gone find the fleet', (t) => {
   const { fleet } = run({ scenario: 'seeds-changed', seed: 21 });
-  const late = fleet.history.flatMap((entry) =>
+  const servingNodes = fleet.history.flatMap((entry) =>
     entry.kind === 'got' && entry.at > 32_000 && entry.at < 36_000 && entry.status === 200
       ? [entry.node]
       : [],
   );
-  for (const name of ['front-5', 'front-6', 'front-7']) t.true(late.includes(name), name);
+  for (const name of ['front-5', 'front-6', 'front-7']) t.true(servingNodes.includes(name), name);
 });
 
 test('four of five disks lost while a key is claimed twice: every member is told of the claim before it votes', (t) => {
--- a/packages/simulator/src/scenarios/cache-scenarios.ts
+++ b/packages/simulator/src/scenarios/cache-scenarios.ts
@@ -1,7 +1,7 @@
 /** Objects are kept, age and are purged. */
 
 import { repeatBetween, type Scenario } from './environment.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const cacheScenarios = {
@@ -20,8 +20,8 @@
       fleet.clock.schedule(9_000, () => {
         environment.traffic.crowdedZone = 'west';
       });
-      repeatBetween(environment, 9_000, 38_000, 700, () => faults.slow?.(environment));
-      repeatBetween(environment, 10_000, 38_000, 300, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 700, () => randomFaults.slow?.(environment));
+      repeatBetween(environment, 10_000, 38_000, 300, () => randomFaults.purge?.(environment));
       repeatBetween(environment, 12_000, 38_000, 6_000, () =>
         fleet.purge(
           Array.from(
@@ -41,20 +41,20 @@
             fleet.purge([`${host}/storm/${each}`, `${host}${environment.sample().target}`], []),
           );
       });
-      repeatBetween(environment, 12_000, 36_000, 6_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 12_000, 36_000, 6_000, () => randomFaults.freeze?.(environment));
     },
   },
   purges: {
     summary: 'purges one by one and in storms, with slow origins, kills and cuts',
     seconds: 45,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 38_000, 500, () => faults.purge?.(environment));
+      repeatBetween(environment, 8_000, 38_000, 500, () => randomFaults.purge?.(environment));
       repeatBetween(environment, 14_000, 34_000, 9_000, () => {
-        for (let each = 0; each < 60; each += 1) faults.purge?.(environment);
+        for (let each = 0; each < 60; each += 1) randomFaults.purge?.(environment);
       });
-      repeatBetween(environment, 9_000, 36_000, 3_000, () => faults.slow?.(environment));
-      repeatBetween(environment, 9_000, 36_000, 5_000, () => faults.cut?.(environment));
-      repeatBetween(environment, 9_000, 36_000, 6_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 3_000, () => randomFaults.slow?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 5_000, () => randomFaults.cut?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 6_000, () => randomFaults.freeze?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/disk-scenarios.ts
+++ b/packages/simulator/src/scenarios/disk-scenarios.ts
@@ -1,9 +1,16 @@
 /** Disks and power are lost. */
 
-import { disks, repeatBetween, names, restart, type Scenario, zones } from './environment.js';
+import {
+  diskMachinesOf,
+  repeatBetween,
+  machineNamesOf,
+  restart,
+  type Scenario,
+  zoneNamesOf,
+} from './environment.js';
 import { replaceOrigin } from './origin-faults.js';
 import { putPolicyVariant, policyVariant } from './policy-changes.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const diskScenarios = {
@@ -14,10 +21,10 @@
       repeatBetween(environment, 9_000, 38_000, 2_200, () => {
         putPolicyVariant(environment);
         environment.fleet.clock.schedule(environment.fleet.clock.between(5, 400), () =>
-          faults.wipe?.(environment),
+          randomFaults.wipe?.(environment),
         );
       });
-      repeatBetween(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 400, () => randomFaults.read?.(environment));
     },
   },
   'wiped-and-down': {
@@ -27,7 +34,7 @@
     play: (environment) => {
       const { fleet } = environment;
       repeatBetween(environment, 10_000, 32_000, 9_000, () => {
-        const order = [...disks(fleet)].sort(() => fleet.clock.random() - 0.5);
+        const order = [...diskMachinesOf(fleet)].sort(() => fleet.clock.random() - 0.5);
         const [first, second, third, ...others] = order;
         if (first === undefined || second === undefined || third === undefined) return;
         others.forEach((name) => fleet.isolate(name));
@@ -40,10 +47,10 @@
             restart(fleet, third, 4_000);
             fleet.heal();
           },
-          fleet.clock.pick(names(fleet, 'front')),
+          fleet.clock.pick(machineNamesOf(fleet, 'front')),
         );
       });
-      repeatBetween(environment, 9_000, 40_000, 300, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 300, () => randomFaults.read?.(environment));
     },
   },
   'core-replaced': {
@@ -52,10 +59,10 @@
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
-      const sides = (left: readonly string[]): void => {
-        for (const a of fleet.machineNames())
-          for (const b of fleet.machineNames())
-            if (left.includes(a) !== left.includes(b)) fleet.cut(a, b);
+      const splitFrom = (side: readonly string[]): void => {
+        for (const from of fleet.machineNames())
+          for (const to of fleet.machineNames())
+            if (side.includes(from) !== side.includes(to)) fleet.cut(from, to);
       };
       let number = 0;
       const put = (node: string): void => {
@@ -63,7 +70,7 @@
         fleet.put(policyVariant(environment.policy, number), () => undefined, node);
       };
       fleet.clock.schedule(12_000, () => {
-        sides(['core-2', 'front-1']);
+        splitFrom(['core-2', 'front-1']);
         fleet.fault('core-2 and front-1 cut off');
       });
       fleet.clock.schedule(13_000, () => {
@@ -72,7 +79,7 @@
       });
       fleet.clock.schedule(21_000, () => {
         fleet.heal();
-        sides(['core-2', 'front-1', 'core-1', 'core-3']);
+        splitFrom(['core-2', 'front-1', 'core-1', 'core-3']);
         fleet.fault('cut again: the old core-2 on one side, the new one on the other');
       });
       // At once after the cut, before gossip tells front-1 of the successor's address.
@@ -89,7 +96,7 @@
         fleet.kill('core-2');
         fleet.fault('healed, the old core-2 gone');
       });
-      repeatBetween(environment, 9_000, 40_000, 300, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 300, () => randomFaults.read?.(environment));
     },
   },
   'kill-after-ack': {
@@ -99,10 +106,11 @@
       const { fleet } = environment;
       repeatBetween(environment, 9_000, 34_000, 5_000, () => {
         fleet.put(policyVariant(environment.policy, Math.floor(1e6 * fleet.clock.random())), () => {
-          for (const name of disks(fleet)) restart(fleet, name, fleet.clock.between(300, 900));
+          for (const name of diskMachinesOf(fleet))
+            restart(fleet, name, fleet.clock.between(300, 900));
         });
       });
-      repeatBetween(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 400, () => randomFaults.read?.(environment));
     },
   },
   'disks-wiped': {
@@ -113,7 +121,7 @@
       const { fleet } = environment;
       const wipe = (count: number): void => {
         fleet.fault(`${count} disks wiped`);
-        [...disks(fleet)]
+        [...diskMachinesOf(fleet)]
           .sort(() => fleet.clock.random() - 0.5)
           .slice(0, count)
           .forEach((name) => restart(fleet, name, fleet.clock.between(300, 1_500), true));
@@ -127,16 +135,16 @@
       ].forEach(([at = 0, count = 0]) => {
         fleet.clock.schedule(at, () => {
           putPolicyVariant(environment);
-          faults.drain?.(environment);
-          fleet.zone(fleet.clock.pick(zones(fleet)) ?? '', 'empty');
+          randomFaults.drain?.(environment);
+          fleet.zone(fleet.clock.pick(zoneNamesOf(fleet)) ?? '', 'empty');
         });
         fleet.clock.schedule(at + 2_500, () => {
-          for (const zone of zones(fleet)) fleet.zone(zone, 'take-back');
-          faults.purge?.(environment);
+          for (const zone of zoneNamesOf(fleet)) fleet.zone(zone, 'take-back');
+          randomFaults.purge?.(environment);
         });
         fleet.clock.schedule(at + 5_000, () => wipe(count));
       });
-      repeatBetween(environment, 9_000, 56_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 56_000, 700, () => randomFaults.read?.(environment));
     },
   },
   'all-wiped': {
@@ -147,21 +155,21 @@
       const { fleet, policy } = environment;
       repeatBetween(environment, 8_000, 13_000, 1_500, () => putPolicyVariant(environment));
       fleet.clock.schedule(15_000, () => {
-        for (const name of names(fleet)) {
+        for (const name of machineNamesOf(fleet)) {
           fleet.kill(name);
           fleet.wipe(name);
         }
         fleet.fault('all state lost');
       });
       fleet.clock.schedule(18_000, () => {
-        for (const name of names(fleet)) fleet.start(name);
+        for (const name of machineNamesOf(fleet)) fleet.start(name);
       });
       fleet.clock.schedule(22_000, () => {
         fleet.put({ services: policy.services, routes: policy.routes.slice(0, -1) }, () =>
           fleet.fault('served again from here'),
         );
       });
-      repeatBetween(environment, 23_000, 50_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 23_000, 50_000, 700, () => randomFaults.read?.(environment));
     },
   },
   founding: {
@@ -170,9 +178,11 @@
     play: (environment) => {
       const { fleet } = environment;
       for (let each = 0; each < 2; each += 1)
-        fleet.clock.schedule(fleet.clock.between(200, 2_500), () => faults.wipe?.(environment));
+        fleet.clock.schedule(fleet.clock.between(200, 2_500), () =>
+          randomFaults.wipe?.(environment),
+        );
       repeatBetween(environment, 8_000, 24_000, 2_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 8_000, 26_000, 600, () => faults.read?.(environment));
+      repeatBetween(environment, 8_000, 26_000, 600, () => randomFaults.read?.(environment));
     },
   },
   'loss-after-ack': {
@@ -181,28 +191,28 @@
     seconds: 75,
     play: (environment) => {
       const { fleet } = environment;
-      const lose = (): void => {
+      const losePower = (): void => {
         fleet.fault('all machines lost');
-        for (const name of names(fleet)) fleet.kill(name);
+        for (const name of machineNamesOf(fleet)) fleet.kill(name);
         fleet.clock.schedule(1_500, () => {
-          for (const name of names(fleet)) fleet.start(name);
+          for (const name of machineNamesOf(fleet)) fleet.start(name);
         });
       };
       const acts: readonly (() => void)[] = [
-        () => fleet.put(policyVariant(environment.policy, 1), lose),
-        () => fleet.purge([], ['1', '2', '3'], lose),
-        () => fleet.zone('west', 'empty', lose),
+        () => fleet.put(policyVariant(environment.policy, 1), losePower),
+        () => fleet.purge([], ['1', '2', '3'], losePower),
+        () => fleet.zone('west', 'empty', losePower),
         () => {
           const origin = fleet.clock.pick(fleet.origins.filter((each) => !each.draining));
           if (origin !== undefined) {
             Object.assign(origin, { draining: true, silent: true });
-            fleet.describe(origin, lose);
+            fleet.describe(origin, losePower);
           }
         },
       ];
       acts.forEach((act, index) => fleet.clock.schedule(12_000 + 14_000 * index, act));
       fleet.clock.schedule(50_000, () => fleet.zone('west', 'take-back'));
-      repeatBetween(environment, 9_000, 70_000, 700, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 70_000, 700, () => randomFaults.read?.(environment));
     },
   },
   'full-loss': {
@@ -211,18 +221,18 @@
     play: (environment) => {
       const { fleet } = environment;
       fleet.clock.schedule(15_000, () => {
-        for (const name of names(fleet)) fleet.kill(name);
+        for (const name of machineNamesOf(fleet)) fleet.kill(name);
         fleet.fault('all machines lost');
-        const wiped = disks(fleet)
+        const wiped = diskMachinesOf(fleet)
           .filter(() => fleet.clock.random() < 0.3)
           .slice(0, 2);
         wiped.forEach((name) => fleet.wipe(name));
       });
       fleet.clock.schedule(20_000, () => {
-        for (const name of names(fleet)) fleet.start(name);
+        for (const name of machineNamesOf(fleet)) fleet.start(name);
         fleet.fault('all machines back');
       });
-      repeatBetween(environment, 9_000, 45_000, 2_000, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 45_000, 2_000, () => randomFaults.read?.(environment));
     },
   },
   'zone-power': {
@@ -231,7 +241,7 @@
     play: (environment) => {
       const { fleet } = environment;
       fleet.clock.schedule(12_000, () => {
-        const zone = fleet.clock.pick(zones(fleet)) ?? '';
+        const zone = fleet.clock.pick(zoneNamesOf(fleet)) ?? '';
         const lost = fleet.deployment.machines
           .filter((machine) => machine.zone === zone)
           .map((machine) => machine.name);
@@ -242,7 +252,7 @@
         fleet.clock.schedule(12_000, () => lost.forEach((name) => fleet.start(name)));
       });
       repeatBetween(environment, 9_000, 40_000, 3_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 40_000, 800, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 800, () => randomFaults.read?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/environment.ts
+++ b/packages/simulator/src/scenarios/environment.ts
@@ -52,7 +52,7 @@
   thaw(name: string): void;
   startDuplicate(name: string): string;
   cut(from: string, to: string): void;
-  isolate(name: string, way?: 'both' | 'out' | 'in'): void;
+  isolate(name: string, direction?: 'both' | 'out' | 'in'): void;
   heal(): void;
   put(document: Policy, done?: () => void, node?: string): void;
   read(node?: string): void;
@@ -64,7 +64,7 @@
   ): void;
   zone(zone: string, order: 'empty' | 'take-back', done?: () => void, node?: string): void;
   describe(origin: ScenarioOrigin, acknowledged?: () => void, node?: string): void;
-  fault(what: string): void;
+  fault(label: string): void;
 };
 
 /** A fleet that callers ask. */
@@ -115,34 +115,37 @@
   readonly play: (environment: ScenarioEnvironment) => void;
 };
 
-export const names = (fleet: ScenarioFleet, kind?: 'front' | 'core' | 'store'): readonly string[] =>
+export const machineNamesOf = (
+  fleet: ScenarioFleet,
+  kind?: 'front' | 'core' | 'store',
+): readonly string[] =>
   fleet.deployment.machines
     .filter((machine) => kind === undefined || machine.kind === kind)
     .map((machine) => machine.name);
 
-export const disks = (fleet: ScenarioFleet): readonly string[] => [
-  ...names(fleet, 'core'),
-  ...names(fleet, 'store'),
+export const diskMachinesOf = (fleet: ScenarioFleet): readonly string[] => [
+  ...machineNamesOf(fleet, 'core'),
+  ...machineNamesOf(fleet, 'store'),
 ];
 
-export const zones = (fleet: ScenarioFleet): readonly string[] => [
+export const zoneNamesOf = (fleet: ScenarioFleet): readonly string[] => [
   ...new Set(fleet.deployment.machines.map((machine) => machine.zone)),
 ];
 
 /** Does something again and again between two moments. */
 export const repeatBetween = (
   { fleet }: ScenarioEnvironment,
-  from: number,
-  to: number,
-  ms: number,
+  fromMs: number,
+  toMs: number,
+  intervalMs: number,
   act: () => void,
 ): void => {
   const next = (): void => {
-    if (fleet.clock.now() > to) return;
+    if (fleet.clock.now() > toMs) return;
     act();
-    fleet.clock.schedule(ms * fleet.clock.between(0.6, 1.4), next);
+    fleet.clock.schedule(intervalMs * fleet.clock.between(0.6, 1.4), next);
   };
-  fleet.clock.schedule(from, next);
+  fleet.clock.schedule(fromMs, next);
 };
 
 export const restart = (
--- a/packages/simulator/src/scenarios/machine-scenarios.ts
+++ b/packages/simulator/src/scenarios/machine-scenarios.ts
@@ -1,8 +1,14 @@
 /** Machines restart, are replaced and join. */
 
-import { disks, repeatBetween, names, restart, type Scenario } from './environment.js';
+import {
+  diskMachinesOf,
+  repeatBetween,
+  machineNamesOf,
+  restart,
+  type Scenario,
+} from './environment.js';
 import { putPolicyVariant, policyVariant } from './policy-changes.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const machineScenarios = {
@@ -11,14 +17,14 @@
     seconds: 70,
     play: (environment) => {
       const { fleet } = environment;
-      names(fleet).forEach((name, index) =>
+      machineNamesOf(fleet).forEach((name, index) =>
         fleet.clock.schedule(9_000 + 3_500 * index, () => {
           fleet.warn(name);
           fleet.clock.schedule(3_000, () => restart(fleet, name, 1_200));
         }),
       );
       repeatBetween(environment, 9_000, 52_000, 5_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 52_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 52_000, 900, () => randomFaults.read?.(environment));
     },
   },
   'seeds-changed': {
@@ -42,7 +48,7 @@
         fleet.start('store-1');
         fleet.start('store-2');
       });
-      repeatBetween(environment, 9_000, 44_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 44_000, 900, () => randomFaults.read?.(environment));
       repeatBetween(environment, 9_000, 42_000, 5_000, () => putPolicyVariant(environment));
     },
   },
@@ -53,31 +59,31 @@
     voting: { losses: 1 },
     play: (environment) => {
       const { fleet } = environment;
-      const gone = (at: number, name: string, forMs: number, wiped: boolean): void => {
-        fleet.clock.schedule(at, () => {
+      const takeDown = (atMs: number, name: string, downMs: number, wiped: boolean): void => {
+        fleet.clock.schedule(atMs, () => {
           putPolicyVariant(environment);
           fleet.clock.schedule(fleet.clock.between(0, 300), () =>
-            restart(fleet, name, forMs, wiped),
+            restart(fleet, name, downMs, wiped),
           );
         });
       };
-      gone(10_000, 'core-1', 14_000, false);
+      takeDown(10_000, 'core-1', 14_000, false);
       fleet.clock.schedule(20_500, () => {
         fleet.seeds = ['core-2/agent', 'core-3/agent', 'front-1/agent'];
       });
-      gone(27_000, 'store-1', 1_000, true);
-      gone(33_000, 'store-2', 13_000, true);
+      takeDown(27_000, 'store-1', 1_000, true);
+      takeDown(33_000, 'store-2', 13_000, true);
       fleet.clock.schedule(49_500, () => {
-        for (const name of names(fleet)) fleet.kill(name);
+        for (const name of machineNamesOf(fleet)) fleet.kill(name);
         fleet.fault('all machines lost');
       });
       fleet.clock.schedule(51_000, () => {
-        for (const name of names(fleet)) fleet.start(name);
+        for (const name of machineNamesOf(fleet)) fleet.start(name);
         fleet.fault('all machines back');
       });
       repeatBetween(environment, 9_000, 66_000, 2_500, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 66_000, 700, () => faults.read?.(environment));
-      repeatBetween(environment, 9_000, 66_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 66_000, 700, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, 66_000, 900, () => randomFaults.purge?.(environment));
     },
   },
   'members-grow': {
@@ -89,13 +95,13 @@
       const { fleet } = environment;
       repeatBetween(environment, 10_000, 32_000, 6_000, () => {
         fleet.put(policyVariant(environment.policy, Math.floor(1e6 * fleet.clock.random())), () => {
-          [...disks(fleet)]
+          [...diskMachinesOf(fleet)]
             .sort(() => fleet.clock.random() - 0.5)
             .slice(0, 2)
             .forEach((name) => restart(fleet, name, fleet.clock.between(300, 1_500), true));
         });
       });
-      repeatBetween(environment, 9_000, 40_000, 400, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 400, () => randomFaults.read?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/mixed-scenarios.ts
+++ b/packages/simulator/src/scenarios/mixed-scenarios.ts
@@ -1,9 +1,9 @@
 /** Many kinds of faults at once. */
 
-import { repeatBetween, type Scenario, zones } from './environment.js';
+import { repeatBetween, type Scenario, zoneNamesOf } from './environment.js';
 import { injectOriginFaults } from './origin-faults.js';
 import { putPolicyVariant } from './policy-changes.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const mixedScenarios = {
@@ -13,18 +13,18 @@
     seconds: 40,
     play: (environment) => {
       const { fleet, endMs: end } = environment;
-      repeatBetween(environment, 9_000, end, 2_000, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, end, 2_000, () => randomFaults.purge?.(environment));
       fleet.clock.schedule(end - 4_000, () => {
-        const zone = fleet.clock.pick(zones(fleet)) ?? '';
+        const zone = fleet.clock.pick(zoneNamesOf(fleet)) ?? '';
         putPolicyVariant(environment);
         for (const machine of fleet.deployment.machines.filter((each) => each.zone === zone))
           fleet.kill(machine.name);
         fleet.fault(`${zone} lost power for good`);
-        faults.freeze?.(environment);
-        faults.drain?.(environment);
-        faults.purge?.(environment);
+        randomFaults.freeze?.(environment);
+        randomFaults.drain?.(environment);
+        randomFaults.purge?.(environment);
       });
-      repeatBetween(environment, 9_000, end + 8_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, end + 8_000, 900, () => randomFaults.read?.(environment));
     },
   },
   everything: {
@@ -33,12 +33,12 @@
     play: (environment) => {
       environment.fleet.clock.schedule(8_000, () => injectOriginFaults(environment.fleet));
       repeatBetween(environment, 8_000, 48_000, 1_500, () => {
-        const fault = environment.fleet.clock.pick(Object.values(faults));
+        const fault = environment.fleet.clock.pick(Object.values(randomFaults));
         fault?.(environment);
       });
       repeatBetween(environment, 9_000, 52_000, 4_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 52_000, 700, () => faults.read?.(environment));
-      repeatBetween(environment, 9_000, 52_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 52_000, 700, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, 52_000, 900, () => randomFaults.purge?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/network-scenarios.ts
+++ b/packages/simulator/src/scenarios/network-scenarios.ts
@@ -1,8 +1,14 @@
 /** The network and the clocks misbehave: losses, partitions, delays, freezes. */
 
-import { disks, repeatBetween, names, restart, type Scenario } from './environment.js';
+import {
+  diskMachinesOf,
+  repeatBetween,
+  machineNamesOf,
+  restart,
+  type Scenario,
+} from './environment.js';
 import { putPolicyVariant } from './policy-changes.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const networkScenarios = {
@@ -12,8 +18,8 @@
     loss: 0.03,
     play: (environment) => {
       repeatBetween(environment, 8_000, 38_000, 3_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
-      repeatBetween(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 700, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 900, () => randomFaults.purge?.(environment));
     },
   },
   cuts: {
@@ -21,10 +27,10 @@
       'machines cut off one after another, one way or both, while policies change and are read',
     seconds: 45,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 36_000, 4_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 4_000, () => randomFaults.cut?.(environment));
       repeatBetween(environment, 9_000, 38_000, 3_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
-      repeatBetween(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 700, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 900, () => randomFaults.purge?.(environment));
     },
   },
   'core-split': {
@@ -34,31 +40,31 @@
       const { fleet } = environment;
       fleet.clock.schedule(12_000, () => {
         fleet.fault('the core split');
-        const left = new Set(disks(fleet).filter((_, index) => index % 2 === 0));
-        for (const a of fleet.machineNames())
-          for (const b of fleet.machineNames())
+        const firstSide = new Set(diskMachinesOf(fleet).filter((_, index) => index % 2 === 0));
+        for (const from of fleet.machineNames())
+          for (const to of fleet.machineNames())
             if (
-              (left.has(a) || a.charCodeAt(a.length - 1) % 2 === 0) !==
-              (left.has(b) || b.charCodeAt(b.length - 1) % 2 === 0)
+              (firstSide.has(from) || from.charCodeAt(from.length - 1) % 2 === 0) !==
+              (firstSide.has(to) || to.charCodeAt(to.length - 1) % 2 === 0)
             )
-              fleet.cut(a, b);
+              fleet.cut(from, to);
       });
       fleet.clock.schedule(24_000, () => {
         fleet.heal();
         fleet.fault('healed');
       });
       repeatBetween(environment, 9_000, 34_000, 2_500, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 36_000, 600, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 600, () => randomFaults.read?.(environment));
     },
   },
   freezes: {
     summary: 'machines freeze and thaw while policies change, zones empty and objects are purged',
     seconds: 45,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 38_000, 2_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 8_000, 38_000, 2_000, () => randomFaults.freeze?.(environment));
       repeatBetween(environment, 9_000, 38_000, 4_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 38_000, 900, () => faults.purge?.(environment));
-      repeatBetween(environment, 10_000, 36_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 900, () => randomFaults.purge?.(environment));
+      repeatBetween(environment, 10_000, 36_000, 900, () => randomFaults.read?.(environment));
     },
   },
   'slow-peers': {
@@ -82,7 +88,7 @@
           origin.mode.garbage = fleet.clock.random() < 0.3 ? 0.2 : 0;
       });
       repeatBetween(environment, 10_000, 34_000, 5_000, () => {
-        const name = fleet.clock.pick(names(fleet, 'front')) ?? '';
+        const name = fleet.clock.pick(machineNamesOf(fleet, 'front')) ?? '';
         if (fleet.clock.random() < 0.5) {
           restart(fleet, name, 1_000);
           return;
@@ -108,12 +114,12 @@
       ),
     }),
     play: (environment) => {
-      repeatBetween(environment, 8_000, 42_000, 3_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 40_000, 6_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 8_000, 42_000, 3_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 40_000, 6_000, () => randomFaults.cut?.(environment));
       repeatBetween(environment, 9_000, 42_000, 2_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 42_000, 600, () => faults.purge?.(environment));
-      repeatBetween(environment, 9_000, 40_000, 6_000, () => faults.drain?.(environment));
-      repeatBetween(environment, 9_000, 44_000, 900, () => faults.read?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 600, () => randomFaults.purge?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 6_000, () => randomFaults.drain?.(environment));
+      repeatBetween(environment, 9_000, 44_000, 900, () => randomFaults.read?.(environment));
       repeatBetween(environment, 12_000, 40_000, 9_000, () => {
         const holder = environment.fleet.holder();
         if (holder !== undefined) restart(environment.fleet, holder, 2_500);
@@ -128,8 +134,8 @@
     play: (environment) => {
       const { fleet } = environment;
       repeatBetween(environment, 9_000, 38_000, 3_000, () => putPolicyVariant(environment));
-      repeatBetween(environment, 9_000, 40_000, 700, () => faults.read?.(environment));
-      names(fleet, 'front').forEach((name, index) =>
+      repeatBetween(environment, 9_000, 40_000, 700, () => randomFaults.read?.(environment));
+      machineNamesOf(fleet, 'front').forEach((name, index) =>
         fleet.clock.schedule(10_000 + 3_000 * index, () => {
           fleet.warn(name);
           fleet.clock.schedule(2_500, () => restart(fleet, name, 1_000));
--- a/packages/simulator/src/scenarios/origin-scenarios.ts
+++ b/packages/simulator/src/scenarios/origin-scenarios.ts
@@ -1,8 +1,8 @@
 /** Origins misbehave, drain, leave and come back. */
 
-import { repeatBetween, names, restart, type Scenario } from './environment.js';
+import { repeatBetween, machineNamesOf, restart, type Scenario } from './environment.js';
 import { injectOriginFaults } from './origin-faults.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const originScenarios = {
@@ -12,7 +12,7 @@
     seconds: 35,
     play: (environment) => {
       environment.fleet.clock.schedule(7_000, () => injectOriginFaults(environment.fleet));
-      repeatBetween(environment, 9_000, 26_000, 2_500, () => faults.kill?.(environment));
+      repeatBetween(environment, 9_000, 26_000, 2_500, () => randomFaults.kill?.(environment));
     },
   },
   repeats: {
@@ -48,15 +48,21 @@
     play: (environment) => {
       const { fleet } = environment;
       repeatBetween(environment, 8_000, 34_000, 2_500, () => {
-        const a = fleet.clock.pick(fleet.origins.filter((each) => each.service === 'store'));
-        const b = fleet.clock.pick(fleet.origins.filter((each) => each.service === 'application'));
-        if (a === undefined || b === undefined) return;
-        const [first, second] = [
-          { service: a.service, instance: a.instance },
-          { service: b.service, instance: b.instance },
+        const storeOrigin = fleet.clock.pick(
+          fleet.origins.filter((each) => each.service === 'store'),
+        );
+        const applicationOrigin = fleet.clock.pick(
+          fleet.origins.filter((each) => each.service === 'application'),
+        );
+        if (storeOrigin === undefined || applicationOrigin === undefined) return;
+        const [storeIdentity, applicationIdentity] = [
+          { service: storeOrigin.service, instance: storeOrigin.instance },
+          { service: applicationOrigin.service, instance: applicationOrigin.instance },
         ];
-        Object.assign(a, second, { incarnation: a.incarnation + b.incarnation + 1 });
-        Object.assign(b, first, { incarnation: a.incarnation });
+        Object.assign(storeOrigin, applicationIdentity, {
+          incarnation: storeOrigin.incarnation + applicationOrigin.incarnation + 1,
+        });
+        Object.assign(applicationOrigin, storeIdentity, { incarnation: storeOrigin.incarnation });
       });
     },
   },
@@ -65,9 +71,9 @@
       'origins drain, leave and come back cold, one by one; nodes freeze and are cut meanwhile',
     seconds: 45,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 36_000, 2_000, () => faults.drain?.(environment));
-      repeatBetween(environment, 9_000, 36_000, 5_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 36_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 2_000, () => randomFaults.drain?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 5_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 36_000, 7_000, () => randomFaults.cut?.(environment));
     },
   },
   'drain-then-kill': {
@@ -81,7 +87,9 @@
         const origin = fleet.clock.pick(
           fleet.origins.filter((each) => each.alive && !each.draining),
         );
-        const node = fleet.clock.pick(names(fleet).filter((name) => fleet.isRunning(name)));
+        const node = fleet.clock.pick(
+          machineNamesOf(fleet).filter((name) => fleet.isRunning(name)),
+        );
         if (origin === undefined || node === undefined) return;
         Object.assign(origin, { draining: true, silent: true });
         fleet.describe(
--- a/packages/simulator/src/scenarios/policy-changes.ts
+++ b/packages/simulator/src/scenarios/policy-changes.ts
@@ -23,10 +23,10 @@
 export const changeRandomRoute = (
   policy: Policy,
   clock: ScenarioFleet['clock'],
-  fits: (route: PolicyRoute) => boolean,
+  isEligible: (route: PolicyRoute) => boolean,
   change: (route: PolicyRoute) => readonly PolicyRoute[],
 ): Policy => {
-  const chosenRoute = clock.pick(policy.routes.filter(fits));
+  const chosenRoute = clock.pick(policy.routes.filter(isEligible));
   return {
     ...policy,
     routes: policy.routes.flatMap((route) => (route === chosenRoute ? change(route) : [route])),
@@ -87,8 +87,8 @@
       const instances = origins
         .filter((origin) => origin.service === name)
         .map((origin) => origin.instance);
-      const kept = instances.filter(() => clock.random() < 0.4);
-      return { ...service, instances: kept.length > 0 ? kept : instances.slice(0, 1) };
+      const remaining = instances.filter(() => clock.random() < 0.4);
+      return { ...service, instances: remaining.length > 0 ? remaining : instances.slice(0, 1) };
     }),
   'ceiling changed': (policy, { clock }) =>
     changeRandomService(policy, clock, (service) => ({
@@ -152,13 +152,13 @@
 export const mutatedPolicy = ({ fleet, policy }: ScenarioEnvironment): Policy => {
   let next = policy;
   const count = 1 + Math.floor(3 * fleet.clock.random());
-  const named: string[] = [];
+  const mutationNames: string[] = [];
   for (let each = 0; each < count; each += 1) {
     const name = fleet.clock.pick(Object.keys(mutations)) ?? '';
     next = mutations[name]?.(next, fleet) ?? next;
-    named.push(name);
+    mutationNames.push(name);
   }
-  fleet.fault(`policy sent: ${named.join(', ')}`);
+  fleet.fault(`policy sent: ${mutationNames.join(', ')}`);
   return next;
 };
 
--- a/packages/simulator/src/scenarios/policy-scenarios.ts
+++ b/packages/simulator/src/scenarios/policy-scenarios.ts
@@ -2,7 +2,7 @@
 
 import { repeatBetween, type Scenario } from './environment.js';
 import { putPolicyVariant } from './policy-changes.js';
-import { playPolicyChanges, faults } from './random-faults.js';
+import { playPolicyChanges, randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const policyScenarios = {
@@ -16,8 +16,8 @@
           putPolicyVariant(environment),
         );
       });
-      repeatBetween(environment, 8_000, 36_000, 300, () => faults.read?.(environment));
-      repeatBetween(environment, 9_000, 32_000, 4_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 300, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, 32_000, 4_000, () => randomFaults.kill?.(environment));
     },
   },
   policies: {
@@ -39,9 +39,9 @@
     seconds: 45,
     example: 'association',
     play: (environment) => {
-      repeatBetween(environment, 9_000, 38_000, 4_000, () => faults.kill?.(environment));
-      repeatBetween(environment, 9_000, 38_000, 5_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 38_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 4_000, () => randomFaults.kill?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 5_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 38_000, 7_000, () => randomFaults.cut?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/quota-scenarios.ts
+++ b/packages/simulator/src/scenarios/quota-scenarios.ts
@@ -1,8 +1,8 @@
 /** Rate limits, capacities and slow start. */
 
-import { repeatBetween, restart, type Scenario, zones } from './environment.js';
+import { repeatBetween, restart, type Scenario, zoneNamesOf } from './environment.js';
 import { drain, replaceOrigin } from './origin-faults.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const quotaScenarios = {
@@ -23,7 +23,7 @@
     play: (environment) => {
       const { fleet } = environment;
       repeatBetween(environment, 12_000, 52_000, 8_000, () => {
-        environment.traffic.crowdedZone = fleet.clock.pick([...zones(fleet), null]) ?? null;
+        environment.traffic.crowdedZone = fleet.clock.pick([...zoneNamesOf(fleet), null]) ?? null;
       });
       repeatBetween(environment, 14_000, 52_000, 7_000, () => {
         const holder = fleet.holder();
@@ -38,7 +38,7 @@
           fleet.clock.schedule(6_000, () => fleet.heal());
         }
       });
-      repeatBetween(environment, 12_000, 52_000, 6_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 12_000, 52_000, 6_000, () => randomFaults.kill?.(environment));
     },
   },
   saturated: {
@@ -74,8 +74,8 @@
       ),
     }),
     play: (environment) => {
-      repeatBetween(environment, 9_000, 42_000, 2_000, () => faults.crash?.(environment));
-      repeatBetween(environment, 9_000, 42_000, 8_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 2_000, () => randomFaults.crash?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 8_000, () => randomFaults.kill?.(environment));
     },
   },
   lowered: {
@@ -104,7 +104,7 @@
         put();
         if (holder !== undefined && fleet.clock.random() < 0.5) restart(fleet, holder, 2_500);
       });
-      repeatBetween(environment, 12_000, 42_000, 5_000, () => faults.crash?.(environment));
+      repeatBetween(environment, 12_000, 42_000, 5_000, () => randomFaults.crash?.(environment));
     },
   },
   capacities: {
@@ -121,10 +121,10 @@
     play: (environment) => {
       const { fleet } = environment;
       for (const service of new Set(fleet.origins.map((origin) => origin.service))) {
-        const all = fleet.origins.filter((origin) => origin.service === service);
-        const first = fleet.clock.between(9_000, 11_000);
-        all.slice(1).forEach((origin, index) =>
-          fleet.clock.schedule(first + 1_500 * index, () => {
+        const instances = fleet.origins.filter((origin) => origin.service === service);
+        const firstAt = fleet.clock.between(9_000, 11_000);
+        instances.slice(1).forEach((origin, index) =>
+          fleet.clock.schedule(firstAt + 1_500 * index, () => {
             if (fleet.clock.random() < 0.5) drain(fleet, origin, false);
             else origin.alive = false;
             fleet.fault(`${service}: ${origin.instance} goes`);
@@ -133,20 +133,20 @@
         // The last one says that it carries less, and less again.
         for (const at of [24_000, 30_000])
           fleet.clock.schedule(at, () => {
-            const [last] = all;
-            if (last !== undefined) {
-              last.capacity *= 0.3;
-              fleet.describe(last);
-              fleet.fault(`${last.instance} carries ${last.capacity}`);
+            const [lastInstance] = instances;
+            if (lastInstance !== undefined) {
+              lastInstance.capacity *= 0.3;
+              fleet.describe(lastInstance);
+              fleet.fault(`${lastInstance.instance} carries ${lastInstance.capacity}`);
             }
           });
-        all
+        instances
           .slice(1)
           .forEach((origin, index) =>
             fleet.clock.schedule(36_000 + 2_000 * index, () => replaceOrigin(fleet, origin, 100)),
           );
       }
-      repeatBetween(environment, 12_000, 50_000, 6_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 12_000, 50_000, 6_000, () => randomFaults.kill?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/random-faults.ts
+++ b/packages/simulator/src/scenarios/random-faults.ts
@@ -1,12 +1,12 @@
 /** Faults that happen at random while a scenario runs. */
 
 import {
-  disks,
+  diskMachinesOf,
   repeatBetween,
-  names,
+  machineNamesOf,
   restart,
   type ScenarioEnvironment,
-  zones,
+  zoneNamesOf,
 } from './environment.js';
 import { drain, replaceOrigin } from './origin-faults.js';
 import { mutatedPolicy } from './policy-changes.js';
@@ -21,24 +21,24 @@
     if (fleet.clock.random() < 0.25) fleet.put(environment.policy);
     else fleet.put(mutatedPolicy(environment));
   });
-  repeatBetween(environment, 9_000, 46_000, 900, () => faults.slow?.(environment));
-  repeatBetween(environment, 9_000, 46_000, 900, () => faults.read?.(environment));
-  repeatBetween(environment, 10_000, 44_000, 4_000, () => faults.kill?.(environment));
-  repeatBetween(environment, 11_000, 44_000, 4_000, () => faults.freeze?.(environment));
-  repeatBetween(environment, 12_000, 44_000, 9_000, () => faults.cut?.(environment));
+  repeatBetween(environment, 9_000, 46_000, 900, () => randomFaults.slow?.(environment));
+  repeatBetween(environment, 9_000, 46_000, 900, () => randomFaults.read?.(environment));
+  repeatBetween(environment, 10_000, 44_000, 4_000, () => randomFaults.kill?.(environment));
+  repeatBetween(environment, 11_000, 44_000, 4_000, () => randomFaults.freeze?.(environment));
+  repeatBetween(environment, 12_000, 44_000, 9_000, () => randomFaults.cut?.(environment));
 };
 
-export const faults: Readonly<Record<string, (environment: ScenarioEnvironment) => void>> = {
+export const randomFaults: Readonly<Record<string, (environment: ScenarioEnvironment) => void>> = {
   kill: ({ fleet }) => {
-    const name = fleet.clock.pick(names(fleet));
+    const name = fleet.clock.pick(machineNamesOf(fleet));
     if (name !== undefined) restart(fleet, name, fleet.clock.between(500, 5_000));
   },
   herd: ({ fleet }) => {
-    for (const name of names(fleet, 'front'))
+    for (const name of machineNamesOf(fleet, 'front'))
       if (fleet.clock.random() < 0.3) restart(fleet, name, fleet.clock.between(500, 4_000));
   },
   freeze: ({ fleet }) => {
-    const name = fleet.clock.pick(names(fleet));
+    const name = fleet.clock.pick(machineNamesOf(fleet));
     if (name !== undefined) {
       fleet.freeze(name);
       fleet.fault(`${name} frozen`);
@@ -46,14 +46,14 @@
     }
   },
   cut: ({ fleet }) => {
-    const name = fleet.clock.pick(names(fleet));
+    const name = fleet.clock.pick(machineNamesOf(fleet));
     if (name === undefined) return;
     fleet.isolate(name, fleet.clock.pick(['both', 'in', 'out'] as const));
     fleet.fault(`${name} cut off`);
     fleet.clock.schedule(fleet.clock.between(1_000, 8_000), () => fleet.heal());
   },
   wipe: ({ fleet }) => {
-    const name = fleet.clock.pick(disks(fleet));
+    const name = fleet.clock.pick(diskMachinesOf(fleet));
     if (name !== undefined) restart(fleet, name, fleet.clock.between(300, 3_000), true);
   },
   drain: ({ fleet }) => {
@@ -78,7 +78,7 @@
     else fleet.purge([`http://${policy.routes[0]?.host ?? ''}${sample().target}`], []);
   },
   zone: ({ fleet }) => {
-    const zone = fleet.clock.pick(zones(fleet));
+    const zone = fleet.clock.pick(zoneNamesOf(fleet));
     if (zone !== undefined) {
       fleet.zone(zone, 'empty');
       fleet.clock.schedule(9_000, () => fleet.zone(zone, 'take-back'));
--- a/packages/simulator/src/scenarios/zone-scenarios.ts
+++ b/packages/simulator/src/scenarios/zone-scenarios.ts
@@ -1,7 +1,7 @@
 /** Zones and regions are evacuated and restored. */
 
 import { repeatBetween, type Scenario } from './environment.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const zoneScenarios = {
@@ -9,9 +9,9 @@
     summary: 'zones are emptied and taken back while nodes freeze and are cut',
     seconds: 50,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 36_000, 12_000, () => faults.zone?.(environment));
-      repeatBetween(environment, 9_000, 40_000, 5_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 40_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 12_000, () => randomFaults.zone?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 5_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 40_000, 7_000, () => randomFaults.cut?.(environment));
     },
   },
   'region-emptied': {
@@ -26,7 +26,7 @@
           fleet.clock.pick([
             ...new Set(fleet.deployment.machines.map((machine) => machine.region)),
           ]) ?? '';
-        const own = [
+        const regionZones = [
           ...new Set(
             fleet.deployment.machines
               .filter((machine) => machine.region === region)
@@ -34,13 +34,13 @@
           ),
         ];
         fleet.fault(`${region} emptied`);
-        own.forEach((zone, index) => {
+        regionZones.forEach((zone, index) => {
           fleet.clock.schedule(300 * index, () => fleet.zone(zone, 'empty'));
           fleet.clock.schedule(10_000 + 300 * index, () => fleet.zone(zone, 'take-back'));
         });
       });
-      repeatBetween(environment, 9_000, 40_000, 5_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 40_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 9_000, 40_000, 5_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 40_000, 7_000, () => randomFaults.cut?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/second-loss.test.ts
+++ b/packages/simulator/src/second-loss.test.ts
@@ -14,28 +14,36 @@
 // successor that votes before the next loss has to be borne. Half of the time that a site gives its
 // successors is the aim.
 
-const seedsEach = 20;
+const seedCount = 20;
 /** ms. What the small sites and the grown ones give a successor to catch up. */
-const catchUps = [4_000, 6_000] as const;
+const catchUpTimesMs = [4_000, 6_000] as const;
 /** ms. An order must be acknowledged within this. */
-const acknowledgement = 4_000;
-const longest = 20_000;
+const acknowledgementLimitMs = 4_000;
+const replacementLimitMs = 20_000;
 
-const siteFor = (seed: number, more: Partial<SiteOptions> = {}): Site => {
+const siteFor = (seed: number, overrides: Partial<SiteOptions> = {}): Site => {
   const members = seed % 4 === 3 ? 5 : 3;
   const trouble = disturbances[seed % disturbances.length] ?? {};
   const losses = (members - 1) / 2;
-  return new Site({ seed, members, successors: 1, losses, catchUpMs: 4_000, ...trouble, ...more });
+  return new Site({
+    seed,
+    members,
+    successors: 1,
+    losses,
+    catchUpMs: 4_000,
+    ...trouble,
+    ...overrides,
+  });
 };
 
-const seeds = Array.from({ length: seedsEach }, (_, index) => index + 1);
-const show = (t: ExecutionContext, what: string, figures: TimingSummary): void => {
-  const { count, failed, median, p99, most } = figures;
+const seeds = Array.from({ length: seedCount }, (_, index) => index + 1);
+const logSummary = (t: ExecutionContext, title: string, figures: TimingSummary): void => {
+  const { count, failed, medianMs: median, p99Ms: p99, maxMs: most } = figures;
   const times = `median ${median} ms, 99th ${p99} ms, most ${most} ms`;
-  t.log(`${what}: ${times}, of ${count}, not in time ${failed}`);
+  t.log(`${title}: ${times}, of ${count}, not in time ${failed}`);
 };
 /** Lets the runner tell what is done so far before the next long run. */
-const turn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const yieldToRunner = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 for (const [what, lose] of [
   ['replaced', replaceMember],
@@ -44,13 +52,13 @@
   test.serial(
     `${what}: from the start of the blank machine to a full member within half of the time to catch up`,
     async (t) => {
-      for (const catchUpMs of catchUps) {
+      for (const catchUpMs of catchUpTimesMs) {
         for (const trouble of disturbances) {
-          await turn();
+          await yieldToRunner();
           const times = seeds.map((seed) => lose(siteFor(seed, { ...trouble, catchUpMs })));
           const figures = timingSummaryOf(times);
-          show(t, `${what}, catch up ${catchUpMs} ms, ${JSON.stringify(trouble)}`, figures);
-          t.true(figures.p99 <= catchUpMs / 2, JSON.stringify({ trouble, catchUpMs, figures }));
+          logSummary(t, `${what}, catch up ${catchUpMs} ms, ${JSON.stringify(trouble)}`, figures);
+          t.true(figures.p99Ms <= catchUpMs / 2, JSON.stringify({ trouble, catchUpMs, figures }));
         }
       }
     },
@@ -72,7 +80,7 @@
  * Four times: a member goes for good, and when its successor has had its time, the next one loses
  * power.
  */
-const losses = (site: Site): readonly (number | null)[] => {
+const timesAfterSecondLosses = (site: Site): readonly (number | null)[] => {
   const { fleet, options } = site;
   return [1, 2, 3, 4].map((round) => {
     const successor = coreName(options.members + round);
@@ -80,21 +88,21 @@
     if (fleet.clock.random() < 0.5) fleet.stopReplica(lost);
     // The operator's list of seeds is some seconds old: the lost one may stand in it.
     fleet.seeds = site
-      .voting()
+      .votingMachines()
       .slice(0, 3)
       .map((machine) => `${machine}/agent`);
     fleet.clock.schedule(fleet.clock.between(0, 300), () => fleet.kill(lost));
     site.runFor(fleet.clock.between(0, 1_500));
     fleet.start(successor);
     site.runFor(options.catchUpMs ?? 4_000);
-    const second = site.anyVotingMachine();
-    fleet.kill(second);
+    const secondMember = site.anyVotingMachine();
+    fleet.kill(secondMember);
     site.resetGap();
-    const took = site.timeToAcknowledge(acknowledgement);
+    const elapsedMs = site.timeToAcknowledge(acknowledgementLimitMs);
     site.runFor(1_000);
-    fleet.start(second);
+    fleet.start(secondMember);
     site.runFor(options.catchUpMs ?? 4_000);
-    return took;
+    return elapsedMs;
   });
 };
 
@@ -103,13 +111,13 @@
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
-      await turn();
+      await yieldToRunner();
       const site = siteFor(seed, { successors: 4 });
-      times.push(...losses(site));
+      times.push(...timesAfterSecondLosses(site));
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    show(t, 'order after the second loss', figures);
+    logSummary(t, 'order after the second loss', figures);
     t.is(figures.failed, 0, JSON.stringify(times));
   },
 );
@@ -118,7 +126,7 @@
   'without the short suspicion orders get no acknowledgement after a second loss',
   (t) => {
     const { catchUpMs: _none, ...options } = siteFor(1, { successors: 4 }).options;
-    t.true(losses(new Site(options)).some((each) => each === null));
+    t.true(timesAfterSecondLosses(new Site(options)).some((each) => each === null));
   },
 );
 
@@ -127,21 +135,21 @@
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
-      await turn();
+      await yieldToRunner();
       const site = siteFor(seed);
       for (let round = 0; round < 5; round += 1) {
         const lost = site.anyVotingMachine();
         site.fleet.kill(lost);
         site.fleet.wipe(lost);
-        times.push(site.timeToAcknowledge(acknowledgement));
+        times.push(site.timeToAcknowledge(acknowledgementLimitMs));
         site.fleet.start(lost);
         site.runFor(site.options.catchUpMs ?? 0);
       }
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
-      t.is(site.voting().length, site.options.members, `seed ${seed}`);
+      t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    show(t, 'order after each wiped disk', figures);
+    logSummary(t, 'order after each wiped disk', figures);
     t.is(figures.failed, 0, JSON.stringify(times));
   },
 );
@@ -151,9 +159,9 @@
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
-      await turn();
+      await yieldToRunner();
       const site = siteFor(seed);
-      t.not(site.timeToAcknowledge(acknowledgement), null, `seed ${seed}`);
+      t.not(site.timeToAcknowledge(acknowledgementLimitMs), null, `seed ${seed}`);
       const machines = [...site.fleet.machines.keys()].filter(
         (each) => site.fleet.machines.get(each)?.isPowered === true,
       );
@@ -162,12 +170,12 @@
       site.fleet.wipe(lost);
       site.runFor(1_500);
       machines.forEach((each) => site.fleet.start(each));
-      times.push(site.timeToMember(lost, longest));
+      times.push(site.timeToMember(lost, replacementLimitMs));
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    show(t, 'wiped while all lost power, from their start', figures);
-    t.true(figures.p99 <= 2_000, JSON.stringify(figures));
+    logSummary(t, 'wiped while all lost power, from their start', figures);
+    t.true(figures.p99Ms <= 2_000, JSON.stringify(figures));
   },
 );
 
@@ -185,7 +193,7 @@
  * A member is told to stop while its successor waits; something crashes at any step of the
  * handover.
  */
-const leave = (
+const stopMember = (
   site: Site,
   crash: Crash,
 ): { readonly took: number | null; readonly leaver: string } => {
@@ -193,10 +201,10 @@
   const successor = coreName(options.members + 1);
   fleet.start(successor);
   site.runFor(3_000);
-  site.timeToAcknowledge(acknowledgement);
+  site.timeToAcknowledge(acknowledgementLimitMs);
   const { epoch } = site.newestMembership();
   const leaver = site.anyVotingMachine();
-  const second = fleet.clock.pick(site.voting().filter((each) => each !== leaver)) ?? '';
+  const second = fleet.clock.pick(site.votingMachines().filter((each) => each !== leaver)) ?? '';
   site.resetGap();
   fleet.stopReplica(leaver);
   if (fleet.clock.random() < 0.5) site.runFor(fleet.clock.between(0, 1_200));
@@ -212,7 +220,7 @@
     fleet.wipe(successor);
   }
   if (crash === 'leaver, and back') fleet.clock.schedule(800, () => fleet.start(leaver));
-  const took = site.timeToAcknowledge(acknowledgement);
+  const took = site.timeToAcknowledge(acknowledgementLimitMs);
   return { took, leaver };
 };
 
@@ -222,19 +230,19 @@
     async (t) => {
       const times: (number | null)[] = [];
       for (const seed of seeds) {
-        await turn();
+        await yieldToRunner();
         const site = siteFor(seed);
-        const { took, leaver } = leave(site, crash);
+        const { took, leaver } = stopMember(site, crash);
         times.push(took);
         site.runFor(6_000);
         const running = site.fleet.machines.get(leaver)?.replica !== null;
         if (crash === 'nobody') t.false(running, `seed ${seed}: the leaver has ended`);
         t.true(site.keepsAcknowledged(), `seed ${seed}`);
-        const others = site.voting().filter((each) => each !== leaver);
+        const others = site.votingMachines().filter((each) => each !== leaver);
         if (crash === 'nobody') t.is(others.length, site.options.members, `seed ${seed}`);
       }
       const figures = timingSummaryOf(times);
-      show(t, `order while one leaves, crash of ${crash}`, figures);
+      logSummary(t, `order while one leaves, crash of ${crash}`, figures);
       t.is(figures.failed, 0, JSON.stringify(times));
     },
   );
@@ -245,14 +253,14 @@
   async (t) => {
     const failed: number[] = [];
     for (const seed of seeds) {
-      await turn();
+      await yieldToRunner();
       const site = siteFor(seed, {
         members: 3,
         losses: 1,
         busyMs: 100,
         plant: 'forget-when-replaced',
       });
-      if (leave(site, 'second member').took === null) failed.push(seed);
+      if (stopMember(site, 'second member').took === null) failed.push(seed);
     }
     t.log(`no acknowledgement in ${failed.length} of ${seeds.length}`);
     t.true(failed.length > 0);
@@ -263,10 +271,10 @@
   'without a spare a restart, with a warning or without, changes no member',
   async (t) => {
     for (const seed of seeds) {
-      await turn();
+      await yieldToRunner();
       const site = siteFor(seed);
       const { epoch } = site.newestMembership();
-      for (const machine of site.voting()) {
+      for (const machine of site.votingMachines()) {
         if (seed % 2 === 0) site.fleet.stopReplica(machine);
         site.runFor(100);
         site.fleet.kill(machine);
@@ -275,28 +283,28 @@
         site.runFor(3_000);
       }
       t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
-      t.is(site.voting().length, site.options.members, `seed ${seed}`);
+      t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
     }
   },
 );
 
 type Trouble = 'cut' | 'cut one way' | 'freeze' | 'roll' | 'power';
-const wrongSuspicions: readonly Trouble[] = ['cut', 'cut one way', 'freeze', 'roll', 'power'];
+const suspicionTroubles: readonly Trouble[] = ['cut', 'cut one way', 'freeze', 'roll', 'power'];
 
-const bringAbout = (site: Site, trouble: Trouble): void => {
+const causeTrouble = (site: Site, trouble: Trouble): void => {
   const { fleet } = site;
-  const one = site.anyVotingMachine();
-  const lasting = fleet.clock.between(300, 4_000);
+  const member = site.anyVotingMachine();
+  const durationMs = fleet.clock.between(300, 4_000);
   if (trouble === 'freeze') {
-    fleet.freeze(one);
-    site.runFor(lasting);
-    fleet.thaw(one);
+    fleet.freeze(member);
+    site.runFor(durationMs);
+    fleet.thaw(member);
   } else if (trouble === 'cut' || trouble === 'cut one way') {
     fleet.isolate(
-      one,
+      member,
       trouble === 'cut' ? 'both' : (fleet.clock.pick(['in', 'out'] as const) ?? 'in'),
     );
-    site.runFor(lasting);
+    site.runFor(durationMs);
     fleet.heal();
   } else {
     const machines = [...fleet.machines.keys()].filter(
@@ -312,33 +320,33 @@
   }
 };
 
-for (const trouble of wrongSuspicions) {
+for (const trouble of suspicionTroubles) {
   test.serial(
     `a spare is live, and members are suspected wrongly (${trouble}): nothing is lost, and all vote again`,
     async (t) => {
       let changes = 0;
       const gaps: number[] = [];
       for (const seed of seeds) {
-        await turn();
+        await yieldToRunner();
         const site = siteFor(seed);
         site.fleet.start(coreName(site.options.members + 1));
         site.runFor(3_000);
-        t.not(site.timeToAcknowledge(acknowledgement), null, `seed ${seed}`);
+        t.not(site.timeToAcknowledge(acknowledgementLimitMs), null, `seed ${seed}`);
         const before = site.newestMembership().epoch;
         site.resetGap();
-        bringAbout(site, trouble);
+        causeTrouble(site, trouble);
         gaps.push(site.longestGapMs);
-        const took = site.timeToAcknowledge(acknowledgement);
+        const took = site.timeToAcknowledge(acknowledgementLimitMs);
         t.not(took, null, `seed ${seed}`);
         site.runFor(4_000);
-        t.is(site.voting().length, site.options.members, `seed ${seed}`);
+        t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
         t.true(site.keepsAcknowledged(), `seed ${seed}`);
         changes += site.newestMembership().epoch - before;
         const { epoch } = site.newestMembership();
         site.runFor(5_000);
         t.is(site.newestMembership().epoch, epoch, `seed ${seed}: it does not go on changing`);
       }
-      show(t, `longest time without a majority (${trouble})`, timingSummaryOf(gaps));
+      logSummary(t, `longest time without a majority (${trouble})`, timingSummaryOf(gaps));
       t.log(`${trouble}: ${changes} changes of members in ${seeds.length} runs`);
     },
   );
@@ -349,25 +357,25 @@
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
-      await turn();
+      await yieldToRunner();
       const site = siteFor(seed);
-      const one = site.anyVotingMachine();
-      t.not(site.timeToAcknowledge(acknowledgement), null);
+      const original = site.anyVotingMachine();
+      t.not(site.timeToAcknowledge(acknowledgementLimitMs), null);
       const { epoch } = site.newestMembership();
-      const twin = site.fleet.startDuplicate(one);
+      const twin = site.fleet.startDuplicate(original);
       site.runFor(6_000);
       t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
-      t.true(site.isVotingMember(one) && !site.isVotingMember(twin), `seed ${seed}`);
-      site.fleet.kill(one);
-      times.push(site.timeToMember(twin, longest));
-      t.not(site.timeToAcknowledge(acknowledgement), null, `seed ${seed}`);
-      site.fleet.start(one);
+      t.true(site.isVotingMember(original) && !site.isVotingMember(twin), `seed ${seed}`);
+      site.fleet.kill(original);
+      times.push(site.timeToMember(twin, replacementLimitMs));
+      t.not(site.timeToAcknowledge(acknowledgementLimitMs), null, `seed ${seed}`);
+      site.fleet.start(original);
       site.runFor(6_000);
-      t.true(!site.isVotingMember(one) && site.isVotingMember(twin), `seed ${seed}`);
+      t.true(!site.isVotingMember(original) && site.isVotingMember(twin), `seed ${seed}`);
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    show(t, 'twin, from the loss of the other', figures);
-    t.true(figures.p99 <= 4_000, JSON.stringify(figures));
+    logSummary(t, 'twin, from the loss of the other', figures);
+    t.true(figures.p99Ms <= 4_000, JSON.stringify(figures));
   },
 );
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -12,14 +12,14 @@
 const emptyPolicy: Policy = { services: {}, routes: [] };
 const frontCount = 3;
 /** ms. How often the presence of a majority is sampled. */
-const samplePeriod = 10;
+const samplePeriodMs = 10;
 /**
  * ms. Until a site is founded, has grown to its members, and its agents take part in every
  * decision.
  */
 const foundingMs = 9_000;
 /** ms. How long an operator waits for an answer before the order goes to another node. */
-const operatorPatience = 1_000;
+const clientTimeoutMs = 1_000;
 
 export type SiteOptions = {
   readonly seed: number;
@@ -56,7 +56,7 @@
   readonly fleet: SimulatedFleet;
   /** ms. The longest time without a voting majority since `resetGap`. */
   longestGapMs = 0;
-  #gapSince: number | null = null;
+  #gapStartedAt: number | null = null;
 
   constructor(readonly options: SiteOptions) {
     const { seed, losses, loss = 0.002, busyMs, drift, catchUpMs, plant = 'none' } = options;
@@ -90,8 +90,10 @@
   votingDisk(machine: string): string | null {
     const replica = this.fleet.machines.get(machine)?.replica ?? null;
     if (replica === null || !replica.alive || replica.frozen) return null;
-    const { committedMembership: told, hasBegunVoting: voting, diskId: disk } = replica.state;
-    return voting && told !== null && Object.values(told.value.disks).includes(disk) ? disk : null;
+    const { committedMembership: membership, hasBegunVoting: voting, diskId: disk } = replica.state;
+    return voting && membership !== null && Object.values(membership.value.disks).includes(disk)
+      ? disk
+      : null;
   }
 
   /** Whether a machine's replica is a full member: named, has read the others, and votes. */
@@ -105,16 +107,19 @@
       epoch: 0,
       disks: [],
     };
-    for (const box of this.fleet.machines.values()) {
-      const told = box.replica?.state.committedMembership ?? null;
-      if (told === null || told.value.epoch <= newest.epoch) continue;
-      newest = { epoch: told.value.epoch, disks: Object.values(told.value.disks) };
+    for (const simulatedMachine of this.fleet.machines.values()) {
+      const replicaMembership = simulatedMachine.replica?.state.committedMembership ?? null;
+      if (replicaMembership === null || replicaMembership.value.epoch <= newest.epoch) continue;
+      newest = {
+        epoch: replicaMembership.value.epoch,
+        disks: Object.values(replicaMembership.value.disks),
+      };
     }
     return newest;
   }
 
   /** Machines whose replica is a member of the newest epoch and votes. */
-  voting(): readonly string[] {
+  votingMachines(): readonly string[] {
     const { disks } = this.newestMembership();
     return [...this.fleet.machines.keys()].filter((machine) => {
       const disk = this.votingDisk(machine);
@@ -124,34 +129,34 @@
 
   /** Whether enough members of the newest epoch run and vote. */
   hasMajority(): boolean {
-    return this.voting().length > this.newestMembership().disks.length / 2;
+    return this.votingMachines().length > this.newestMembership().disks.length / 2;
   }
 
   #sample(): void {
     const now = this.fleet.clock.now();
-    if (this.hasMajority()) this.#gapSince = null;
+    if (this.hasMajority()) this.#gapStartedAt = null;
     else {
-      this.#gapSince ??= now;
-      this.longestGapMs = Math.max(this.longestGapMs, now - this.#gapSince + samplePeriod);
+      this.#gapStartedAt ??= now;
+      this.longestGapMs = Math.max(this.longestGapMs, now - this.#gapStartedAt + samplePeriodMs);
     }
-    this.fleet.clock.schedule(samplePeriod, () => this.#sample());
+    this.fleet.clock.schedule(samplePeriodMs, () => this.#sample());
   }
 
   resetGap(): void {
     this.longestGapMs = 0;
-    this.#gapSince = null;
+    this.#gapStartedAt = null;
   }
 
   /**
    * Runs until a machine's replica is a full member; ms that it took, or null if it took too long.
    */
   timeToMember(machine: string, limitMs: number): number | null {
-    const begun = this.fleet.clock.now();
+    const startedAt = this.fleet.clock.now();
     while (!this.isVotingMember(machine)) {
-      if (this.fleet.clock.now() - begun >= limitMs) return null;
-      this.runFor(samplePeriod);
+      if (this.fleet.clock.now() - startedAt >= limitMs) return null;
+      this.runFor(samplePeriodMs);
     }
-    return this.fleet.clock.now() - begun;
+    return this.fleet.clock.now() - startedAt;
   }
 
   /** Runs until a later epoch is committed, or for the time given. */
@@ -169,30 +174,30 @@
    */
   timeToAcknowledge(limitMs: number): number | null {
     const begun = this.fleet.clock.now();
-    let done = false;
-    this.#orders += 1;
-    const changeId = `order-${this.#orders}`;
+    let isAcknowledged = false;
+    this.#commandCount += 1;
+    const changeId = `order-${this.#commandCount}`;
     const action = { kind: 'put-policy', document: emptyPolicy, ifMatch: null, changeId } as const;
     const send = (): void => {
-      if (done) return;
+      if (isAcknowledged) return;
       this.fleet.operate(action, ({ status }) => {
-        if (status === 200) done = true;
+        if (status === 200) isAcknowledged = true;
       });
       // A call without an answer is given up after a second, and another node is asked.
-      this.fleet.clock.schedule(operatorPatience, send);
+      this.fleet.clock.schedule(clientTimeoutMs, send);
     };
     send();
-    while (!done && this.fleet.clock.now() - begun < limitMs) this.runFor(samplePeriod);
-    if (!done) return null;
+    while (!isAcknowledged && this.fleet.clock.now() - begun < limitMs) this.runFor(samplePeriodMs);
+    if (!isAcknowledged) return null;
     this.acknowledged += 1;
     return this.fleet.clock.now() - begun;
   }
-  #orders = 0;
+  #commandCount = 0;
 
   /** Whether some node reads back a state with all that was acknowledged. */
   keepsAcknowledged(): boolean {
     let revision = -1;
-    for (let tries = 0; tries < 5 && revision < 0; tries += 1) {
+    for (let attempts = 0; attempts < 5 && revision < 0; attempts += 1) {
       this.fleet.operate({ kind: 'get-policy' }, ({ status, body }) => {
         if (status === 200) revision = (body as { readonly revision: number }).revision;
       });
@@ -203,28 +208,28 @@
 
   /** A machine with a replica that votes now. */
   anyVotingMachine(): string {
-    return this.fleet.clock.pick(this.voting()) ?? '';
+    return this.fleet.clock.pick(this.votingMachines()) ?? '';
   }
 }
 
 export type TimingSummary = {
   readonly count: number;
   readonly failed: number;
-  readonly median: number;
-  readonly p99: number;
-  readonly most: number;
+  readonly medianMs: number;
+  readonly p99Ms: number;
+  readonly maxMs: number;
 };
 
 /** Median, 99th percentile and largest of times; a null counts as failed and as endless. */
 export const timingSummaryOf = (times: readonly (number | null)[]): TimingSummary => {
   const sorted = times.map((each) => each ?? Infinity).sort((a, b) => a - b);
-  const at = (share: number): number => sorted[Math.ceil(share * sorted.length) - 1] ?? 0;
+  const percentile = (share: number): number => sorted[Math.ceil(share * sorted.length) - 1] ?? 0;
   return {
     count: sorted.length,
     failed: sorted.filter((each) => each === Infinity).length,
-    median: at(0.5),
-    p99: at(0.99),
-    most: at(1),
+    medianMs: percentile(0.5),
+    p99Ms: percentile(0.99),
+    maxMs: percentile(1),
   };
 };
 
@@ -238,20 +243,20 @@
 ];
 
 /** ms. A replacement that takes longer has failed. */
-const longest = 20_000;
+const replacementLimitMs = 20_000;
 
 /** A member goes for good, its successor starts a little before or after. */
 export const replaceMember = (site: Site): number | null => {
   const { fleet, options } = site;
   const lost = site.anyVotingMachine();
   const successor = coreName(options.members + 1);
-  const ahead = fleet.clock.between(-300, 1_500);
-  if (ahead > 0) {
+  const delayMs = fleet.clock.between(-300, 1_500);
+  if (delayMs > 0) {
     fleet.kill(lost);
-    site.runFor(ahead);
-  } else fleet.clock.schedule(-ahead, () => fleet.kill(lost));
+    site.runFor(delayMs);
+  } else fleet.clock.schedule(-delayMs, () => fleet.kill(lost));
   fleet.start(successor);
-  return site.timeToMember(successor, longest);
+  return site.timeToMember(successor, replacementLimitMs);
 };
 
 /** A member's disk is lost, and its machine starts again at its address. */
@@ -262,5 +267,5 @@
   fleet.wipe(lost);
   site.runFor(fleet.clock.between(200, 2_000));
   fleet.start(lost);
-  return site.timeToMember(lost, longest);
+  return site.timeToMember(lost, replacementLimitMs);
 };
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -14,9 +14,9 @@
   /** When something last changed about a machine's processes and links. */
   readonly #changedAt = new Map<string, number>();
   /** Machines that reach no majority of replicas, and since when. */
-  readonly #cutSince = new Map<string, number>();
+  readonly #isolatedSince = new Map<string, number>();
   /** Nodes that wait for a lease after a cut, and since when. */
-  readonly #healedAt = new Map<string, number>();
+  readonly #awaitingLeaseSince = new Map<string, number>();
 
   constructor(
     readonly replicas: readonly string[],
@@ -39,11 +39,11 @@
     const now = this.now();
     this.#cuts.clear();
     for (const name of this.#changedAt.keys()) this.changed(name);
-    for (const [node, from] of this.#cutSince) {
+    for (const [node, from] of this.#isolatedSince) {
       this.record({ kind: 'cut-off', at: now, node, from });
-      this.#healedAt.set(node, now);
+      this.#awaitingLeaseSince.set(node, now);
     }
-    this.#cutSince.clear();
+    this.#isolatedSince.clear();
   }
 
   /**
@@ -52,8 +52,8 @@
    */
   changed(name: string): void {
     this.#changedAt.set(name, this.now());
-    if (this.#cutSince.has(name) || this.reachesMajority(name)) return;
-    this.#cutSince.set(name, this.now());
+    if (this.#isolatedSince.has(name) || this.reachesMajority(name)) return;
+    this.#isolatedSince.set(name, this.now());
   }
 
   /** Whether nothing changed about a machine since a moment. */
@@ -77,9 +77,9 @@
 
   /** Notes the first lease after a cut, unless something else happened to the node meanwhile. */
   leaseAcquired(name: string): void {
-    const healedAt = this.#healedAt.get(name);
+    const healedAt = this.#awaitingLeaseSince.get(name);
     if (healedAt === undefined) return;
-    this.#healedAt.delete(name);
+    this.#awaitingLeaseSince.delete(name);
     if ((this.#changedAt.get(name) ?? 0) > healedAt) return;
     this.record({ kind: 'lease-back', at: this.now(), node: name, afterMs: this.now() - healedAt });
   }
--- a/packages/simulator/src/spread.ts
+++ b/packages/simulator/src/spread.ts
@@ -2,7 +2,7 @@
 /** How fast a change reaches all nodes, over many seeds. */
 import { parseArgs } from 'node:util';
 import { SimulatedFleet } from './simulated-fleet.js';
-import { exampleOf } from './run.js';
+import { loadExample } from './run.js';
 
 /**
  * How long after its acknowledgement a policy is in force, or a purge applied, at the last proxy:
@@ -16,7 +16,7 @@
     loss: { type: 'string', default: '0.001' },
   },
 });
-const { deployment, policy } = exampleOf(values.example);
+const { deployment, policy } = loadExample(values.example);
 const fleet = new SimulatedFleet(deployment, Number(values.seed), {
   loss: Number(values.loss),
   plant: 'none',
@@ -33,24 +33,27 @@
   );
 
 /** Does something that is acknowledged, and watches until all proxies show it. */
-const spread = (act: (done: () => void) => void, shown: () => boolean): number | null => {
-  let told = 0;
-  act(() => {
-    told = fleet.clock.now();
+const spread = (
+  startChange: (done: () => void) => void,
+  isApplied: () => boolean,
+): number | null => {
+  let acknowledgedAt = 0;
+  startChange(() => {
+    acknowledgedAt = fleet.clock.now();
   });
-  const began = fleet.clock.now();
-  while ((told === 0 || !shown()) && fleet.clock.now() < began + 10_000)
+  const startedAt = fleet.clock.now();
+  while ((acknowledgedAt === 0 || !isApplied()) && fleet.clock.now() < startedAt + 10_000)
     fleet.clock.runUntil(fleet.clock.now() + 5);
-  return told === 0 || !shown() ? null : fleet.clock.now() - told;
+  return acknowledgedAt === 0 || !isApplied() ? null : fleet.clock.now() - acknowledgedAt;
 };
-const line = (name: string, list: readonly (number | null)[]): void => {
+const printLine = (name: string, list: readonly (number | null)[]): void => {
   const sorted = list.flatMap((each) => (each === null ? [] : [each])).sort((a, b) => a - b);
   process.stdout.write(
     `${values.example} loss=${values.loss} ${name}: median ${sorted[Math.floor(sorted.length / 2)]?.toFixed(0)} ms, most ${sorted.at(-1)?.toFixed(0)} ms, of ${sorted.length}; not within 10 s: ${list.length - sorted.length}\n`,
   );
 };
 const times = Array.from({ length: Number(values.times) }, (_, index) => index);
-line(
+printLine(
   'policy',
   times.map((index) =>
     spread(
@@ -69,24 +72,24 @@
     ),
   ),
 );
-line(
+printLine(
   'purge',
   times.map((index) => {
-    const before = Math.max(...proxies().map(({ purges }) => purges));
-    let told = false;
+    const previousPurges = Math.max(...proxies().map(({ purges }) => purges));
+    let isAcknowledged = false;
     return spread(
       (done) => {
-        const known = fleet.history.length;
+        const historyLength = fleet.history.length;
         fleet.purge([`a.example/${index}`], []);
         const watch = (): void => {
-          if (fleet.history.slice(known).some((entry) => entry.kind === 'purged')) {
-            told = true;
+          if (fleet.history.slice(historyLength).some((entry) => entry.kind === 'purged')) {
+            isAcknowledged = true;
             done();
           } else fleet.clock.schedule(5, watch);
         };
         watch();
       },
-      () => told && proxies().every(({ purges }) => purges > before),
+      () => isAcknowledged && proxies().every(({ purges }) => purges > previousPurges),
     );
   }),
 );
--- a/packages/simulator/src/virtual-clock.ts
+++ b/packages/simulator/src/virtual-clock.ts
@@ -1,7 +1,7 @@
 /** Virtual time and seeded chance: the same seed gives the same run, event for event. */
 export class VirtualClock {
   #now = 0;
-  #order = 0;
+  #nextOrder = 0;
   #seed: number;
   readonly #heap: { at: number; order: number; act: () => void }[] = [];
 
@@ -28,22 +28,22 @@
     return list[Math.floor(this.random() * list.length)];
   }
 
-  schedule(ms: number, act: () => void): void {
-    const entry = { at: this.#now + Math.max(0, ms), order: this.#order, act };
-    this.#order += 1;
+  schedule(ms: number, action: () => void): void {
+    const entry = { at: this.#now + Math.max(0, ms), order: this.#nextOrder, act: action };
+    this.#nextOrder += 1;
     const heap = this.#heap;
     heap.push(entry);
     let index = heap.length - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (!VirtualClock.#before(entry, heap[parent])) break;
+      if (!VirtualClock.#isBefore(entry, heap[parent])) break;
       heap[index] = heap[parent];
       index = parent;
     }
     heap[index] = entry;
   }
 
-  static #before(
+  static #isBefore(
     left: { at: number; order: number },
     right: { at: number; order: number } | undefined,
   ): boolean {
@@ -58,21 +58,21 @@
     const heap = this.#heap;
     for (let top = heap[0]; top !== undefined && top.at <= end; top = heap[0]) {
       this.#now = top.at;
-      const last = heap.pop();
-      if (last !== undefined && heap.length > 0 && last !== top) {
+      const lastEntry = heap.pop();
+      if (lastEntry !== undefined && heap.length > 0 && lastEntry !== top) {
         let index = 0;
         for (;;) {
           const left = 2 * index + 1;
           if (left >= heap.length) break;
           const child =
-            left + 1 < heap.length && VirtualClock.#before(heap[left + 1], heap[left])
+            left + 1 < heap.length && VirtualClock.#isBefore(heap[left + 1], heap[left])
               ? left + 1
               : left;
-          if (!VirtualClock.#before(heap[child], last)) break;
+          if (!VirtualClock.#isBefore(heap[child], lastEntry)) break;
           heap[index] = heap[child];
           index = child;
         }
-        heap[index] = last;
+        heap[index] = lastEntry;
       }
       top.act();
     }
