--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,4 +1,4 @@
-/** Judges a history by the rules. */
+/** Checks a recorded history against the rules, and computes the availability that clients saw. */
 import { entriesOf } from './checks/history-queries.js';
 import { checkNoDoubleExecution } from './checks/rule-01-no-double-execution.js';
 import { checkTruthfulRejection } from './checks/rule-02-truthful-rejection.js';
@@ -17,7 +17,7 @@
 import type { RuleCheck } from './checks/rule-check.js';
 import type { Entry, Violation } from './history.js';
 
-/** The check of each rule, by its number. */
+/** The check of each rule, keyed by the number of the rule. */
 export const ruleChecks: Readonly<Record<number, RuleCheck>> = {
   1: checkNoDoubleExecution,
   2: checkTruthfulRejection,
@@ -35,13 +35,16 @@
   14: checkAttemptBudget,
 };
 
-/** What is left to judge once all state was lost for good: nothing from before may come back. */
+/**
+ * Returns the entries that are judged after a permanent loss of all state. State from before the loss
+ * need not survive, but must not come back either.
+ */
 const historySinceLoss = (history: readonly Entry[]): readonly Entry[] => {
   const lossIndex = history.findLastIndex(
     (entry) => entry.kind === 'fault' && entry.label === 'all state lost',
   );
   const lostAt = history[lossIndex]?.at ?? 0;
-  // What was on its way to an origin at that moment belongs to before.
+  // Attempts that were in flight to an origin at the moment of the loss belong to the time before.
   return lossIndex < 0
     ? history
     : history.filter(
@@ -51,7 +54,7 @@
       );
 };
 
-/** All that was wrong in a run, a few of each rule. */
+/** Returns the violations of a run, at most three of each rule. */
 export const findViolations = (
   history: readonly Entry[],
   rules: readonly number[] = Object.keys(ruleChecks).map(Number),
@@ -62,7 +65,10 @@
     ).slice(0, 3),
   );
 
-/** Of what callers asked in a span, the share that was served, and what became of the rest. */
+/**
+ * Counts the requests that clients sent between two times, the share of them that was served, and the
+ * outcomes of the others.
+ */
 export const availability = (
   history: readonly Entry[],
   from = 0,
@@ -81,7 +87,7 @@
   const rest: Record<string, number> = {};
   let servedCount = 0;
   for (const entry of results) {
-    // A key used before is answered as it should be: 409 for the same request, 422 for another.
+    // For a key that was used before, 409 (same request) and 422 (another request) are correct.
     if ((entry.status >= 200 && entry.status < 300) || entry.status === 409 || entry.status === 422)
       servedCount += 1;
     else {
--- a/packages/simulator/src/checks/history-queries.ts
+++ b/packages/simulator/src/checks/history-queries.ts
@@ -1,15 +1,18 @@
-/** What the checks of the rules ask of a history: entries of a kind, and the policies in force. */
+/** Queries over a history that the checks share: entries of a kind, and the policies in force. */
 
 import { type Policy, type Route, Routes, type RouteTable } from '@reedyard/schemas';
 import type { Entry } from '../history.js';
 
+/** An entry of one kind. */
 export type EntryOf<K extends Entry['kind']> = Extract<Entry, { kind: K }>;
 
+/** Returns the entries of one kind, in order. */
 export const entriesOf = <K extends Entry['kind']>(
   history: readonly Entry[],
   kind: K,
 ): readonly EntryOf<K>[] => history.filter((entry): entry is EntryOf<K> => entry.kind === kind);
 
+/** Groups items by a key, in order. */
 export const groupBy = <T>(
   items: readonly T[],
   key: (each: T) => string,
@@ -24,38 +27,40 @@
 };
 
 /**
- * ms from the word of an instance that it carries less until it gets no more than that; the word
- * goes by gossip.
+ * How long after an instance announced a lower capacity it may still receive more than that, in
+ * milliseconds. The announcement spreads by gossip.
  */
 export const gossipSpreadMs = 3_000;
 
-/** ms from an acknowledgement until what it takes away must be gone. */
+/** How long after its acknowledgement a change may take to be in effect, in milliseconds. */
 export const graceMs = 2_000;
 
-/** A policy, and the span in which a node may act under it. */
+/** A policy, and the time span in which a node may act under it. */
 export type PolicySpan = {
   readonly from: number;
   readonly until: number;
   readonly document: Policy;
   readonly routes: RouteTable;
-  readonly found: Map<string, Route | undefined>;
+  readonly routeByRequest: Map<string, Route | undefined>;
 };
 
-/** The route of a request under one policy, looked up once. */
+/** Returns the route of a request under one policy. The result of the lookup is cached. */
 export const routeIn = (
   span: PolicySpan,
   { host, target }: { readonly host: string; readonly target: string },
 ): Route | undefined => {
   const key = `${host}${target}`;
-  if (!span.found.has(key)) span.found.set(key, Routes.find(span.routes, host, target));
-  return span.found.get(key);
+  if (!span.routeByRequest.has(key))
+    span.routeByRequest.set(key, Routes.find(span.routes, host, target));
+  return span.routeByRequest.get(key);
 };
 
 const spansByHistory = new WeakMap<readonly Entry[], readonly PolicySpan[]>();
 
 /**
- * When each policy may have been in force: from its first sending until 2 s after a newer one was
- * acknowledged. One that was never acknowledged may be in force at any time after its sending.
+ * Returns when each policy may have been in force: from when it was first sent until 2 s after a newer
+ * policy was acknowledged. A policy that was never acknowledged may be in force at any time after it
+ * was sent.
  */
 export const policySpans = (history: readonly Entry[]): readonly PolicySpan[] => {
   const cached = spansByHistory.get(history);
@@ -72,13 +77,14 @@
       until: Math.min(Infinity, ...newer) + graceMs,
       document: proposed.document,
       routes: Routes.table(proposed.document.routes),
-      found: new Map(),
+      routeByRequest: new Map(),
     };
   });
   spansByHistory.set(history, spans);
   return spans;
 };
 
+/** Returns the policies that may have been in force at some time between two times. */
 export const policiesDuring = (
   history: readonly Entry[],
   from: number,
@@ -87,7 +93,8 @@
   policySpans(history).filter((span) => span.from <= to && span.until >= from);
 
 /**
- * The most origins that one request may be sent to, by any policy in force while it was under way.
+ * Returns how many origins one request may be sent to: the highest limit of any policy in force while
+ * the request was in flight.
  */
 export const maxOriginsAllowed = (
   history: readonly Entry[],
--- a/packages/simulator/src/checks/rates.ts
+++ b/packages/simulator/src/checks/rates.ts
@@ -1,12 +1,12 @@
-/** Whether a rate was passed in any window, against a limit that changes with time. */
+/** Checks a rate in sliding windows against a limit that changes over time. */
 
 import type { Policy } from '@reedyard/schemas';
 import type { Entry } from '../history.js';
 import { policiesDuring } from './history-queries.js';
 
 /**
- * Requests that the highest of some rates, each in force for a span, lets through between two
- * moments.
+ * Returns how many requests are allowed between two times, where each rate limit applies for a span
+ * and the highest limit of each moment counts.
  */
 export const maxRequestCount = (
   limits: readonly { readonly from: number; readonly until: number; readonly rate: number }[],
@@ -30,7 +30,7 @@
   }, 0);
 };
 
-/** The most that policies in force between two moments let through, in requests. */
+/** Returns how many requests the policies in force between two times allow at most. */
 export const allowedRequestCount = (
   history: readonly Entry[],
   rateOf: (policy: Policy) => number,
@@ -47,7 +47,7 @@
     to,
   );
 
-/** Windows of 5 s that hold more than `share` of what is allowed in them. */
+/** Returns the windows of 5 s that contain more than `share` times the allowed number of requests. */
 export const overloadedWindows = (
   times: readonly number[],
   allowed: (from: number, to: number) => number,
--- a/packages/simulator/src/checks/rule-01-no-double-execution.ts
+++ b/packages/simulator/src/checks/rule-01-no-double-execution.ts
@@ -1,9 +1,9 @@
-/** Rule 1. A handover confirmation or work order runs twice. */
+/** Rule 1: no handover confirmation or work order is executed twice. */
 
 import { entriesOf, groupBy } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 1 in a history. */
+/** Returns the violations of rule 1 in a history. */
 export const checkNoDoubleExecution: RuleCheck = (history) => [
   ...[...groupBy(entriesOf(history, 'ran'), (entry) => entry.job)].flatMap(([jobId, runs]) =>
     runs.length > 1
--- a/packages/simulator/src/checks/rule-04-allowed-services.ts
+++ b/packages/simulator/src/checks/rule-04-allowed-services.ts
@@ -1,11 +1,11 @@
-/** Rule 4. A request reaches a service that no policy in force allowed, also at a reused address. */
+/** Rule 4: a request reaches only services that a policy in force allows, also at a reused address. */
 
 import { Routes } from '@reedyard/schemas';
 import type { Violation } from '../history.js';
 import { entriesOf, policiesDuring, type PolicySpan, routeIn } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 4 in a history. */
+/** Returns the violations of rule 4 in a history. */
 export const checkAllowedServices: RuleCheck = (history) =>
   entriesOf(history, 'attempt').flatMap((entry): readonly Violation[] => {
     const originId = `${entry.service}/${entry.instance}/${entry.incarnation}`;
@@ -30,7 +30,7 @@
           {
             rule: 4,
             at: entry.at,
-            what: `${entry.method} ${entry.target} reached ${originId}, which no policy in force allowed`,
+            what: `${entry.method} ${entry.target} reached ${originId}, which no policy in force allows`,
           },
         ];
   });
--- a/packages/simulator/src/checks/rule-05-policy-in-force.ts
+++ b/packages/simulator/src/checks/rule-05-policy-in-force.ts
@@ -1,11 +1,13 @@
-/** Rule 5. A policy not in force 2 s after it was acknowledged, or a node falls back to an older one. */
+/**
+ * Rule 5: a policy is in force 2 s after it was acknowledged, and no node falls back to an older one.
+ */
 
 import { Routes } from '@reedyard/schemas';
 import type { Violation } from '../history.js';
 import { entriesOf, policiesDuring, routeIn } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 5 in a history. */
+/** Returns the violations of rule 5 in a history. */
 export const checkPolicyInForce: RuleCheck = (history) => {
   const puts = entriesOf(history, 'put');
   const requestTimes = new Map(
@@ -28,7 +30,7 @@
           {
             rule: 5,
             at: entry.at,
-            what: `${entry.method} ${entry.target} was answered by ${entry.stamp} although no policy in force since it was asked has such a route`,
+            what: `${entry.method} ${entry.target} was answered by ${entry.stamp} although no policy in force since the request has such a route`,
           },
         ];
   });
@@ -47,7 +49,7 @@
           {
             rule: 5,
             at: entry.at,
-            what: `${entry.node} acted under ${entry.revision} although ${minimumRevision} was acknowledged over 2 s before`,
+            what: `${entry.node} acted under ${entry.revision} although ${minimumRevision} was acknowledged more than 2 s before`,
           },
         ];
       return entry.revision < previousRevision
--- a/packages/simulator/src/checks/rule-06-newest-policy-read.ts
+++ b/packages/simulator/src/checks/rule-06-newest-policy-read.ts
@@ -1,9 +1,12 @@
-/** Rule 6. The policy read back is older than the newest acknowledged one; and two acknowledged ones never share a revision. */
+/**
+ * Rule 6: a read returns no policy older than the newest acknowledged one, and no two acknowledged
+ * policies share a revision.
+ */
 
 import { entriesOf, groupBy } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 6 in a history. */
+/** Returns the violations of rule 6 in a history. */
 export const checkNewestPolicyRead: RuleCheck = (history) => {
   const puts = entriesOf(history, 'put');
   const duplicateRevisions = [...groupBy(puts, (put) => String(put.revision))].flatMap(
--- a/packages/simulator/src/checks/rule-07-no-work-while-draining.ts
+++ b/packages/simulator/src/checks/rule-07-no-work-while-draining.ts
@@ -1,9 +1,9 @@
-/** Rule 7. A draining origin gets new work more than 2 s after its notice. */
+/** Rule 7: a draining origin receives no new requests more than 2 s after its notice. */
 
 import { entriesOf } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 7 in a history. */
+/** Returns the violations of rule 7 in a history. */
 export const checkNoWorkWhileDraining: RuleCheck = (history) => {
   const notices = entriesOf(history, 'drained');
   return entriesOf(history, 'attempt').flatMap((entry) => {
@@ -19,7 +19,7 @@
           {
             rule: 7,
             at: entry.at,
-            what: `${entry.instance} got work ${Math.round(entry.at - notice.at)} ms after its notice`,
+            what: `${entry.instance} got a request ${Math.round(entry.at - notice.at)} ms after its drain notice`,
           },
         ];
   });
--- a/packages/simulator/src/checks/rule-08-evacuated-zones.ts
+++ b/packages/simulator/src/checks/rule-08-evacuated-zones.ts
@@ -1,14 +1,14 @@
-/** Rule 8. An emptied zone gets requests more than 5 s after the order. */
+/** Rule 8: an evacuated zone receives no requests more than 5 s after the zone order. */
 
 import type { Violation } from '../history.js';
 import { entriesOf, type EntryOf } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 8 in a history. */
+/** Returns the violations of rule 8 in a history. */
 export const checkEvacuatedZones: RuleCheck = (history) => {
   const orders = entriesOf(history, 'zone');
-  // The order with the highest revision holds, however late the word of an earlier one came; and
-  // a zone may be used again from the moment that its taking back was sent.
+  // The order with the highest revision counts, even if an earlier one was acknowledged after it. A
+  // zone may be used again from the moment that its restore was sent.
   const evacuatedAt = (zone: string, at: number): number | null => {
     const startedOrders = orders.filter(
       (order) => order.zone === zone && (order.order === 'empty' ? order.at : order.sentAt) <= at,
@@ -27,7 +27,7 @@
           {
             rule: 8,
             at: entry.at,
-            what: `${entry.zone} got ${entry.kind === 'asked' ? 'a caller' : entry.kind === 'relay' ? 'a forwarded request' : 'an attempt'} ${Math.round(entry.at - since)} ms after the order`,
+            what: `${entry.zone} got ${entry.kind === 'asked' ? 'a client request' : entry.kind === 'relay' ? 'a forwarded request' : 'an attempt'} ${Math.round(entry.at - since)} ms after the order`,
           },
         ]
       : [];
--- a/packages/simulator/src/checks/rule-09-purged-objects.ts
+++ b/packages/simulator/src/checks/rule-09-purged-objects.ts
@@ -1,10 +1,13 @@
-/** Rule 9. A purged object served 2 s after, or a copy that outlives its life by more than 2 s. */
+/**
+ * Rule 9: a purged object is not served later than 2 s after its purge, and a cached response is not
+ * served later than 2 s after it expired.
+ */
 
 import type { Violation } from '../history.js';
 import { entriesOf, policiesDuring, routeIn } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 9 in a history. */
+/** Returns the violations of rule 9 in a history. */
 export const checkPurgedObjects: RuleCheck = (history) => {
   const purges = entriesOf(history, 'purged');
   return entriesOf(history, 'got').flatMap((entry): readonly Violation[] => {
@@ -25,7 +28,8 @@
           what: `${body.target} sent at ${Math.round(body.sentAt)} served ${Math.round(entry.at - violatedPurge.at)} ms after its purge`,
         },
       ];
-    // A copy lives as long as its origin says, and at most as long as a route in force keeps it.
+    // A response is fresh for as long as its origin states; a cached one at most for as long as a
+    // route in force allows.
     const maxAgesMs = policiesDuring(history, entry.at).map((span) => {
       const route = routeIn(span, entry);
       return route === undefined || route.cache.keep === 'never'
@@ -41,7 +45,7 @@
           {
             rule: 9,
             at: entry.at,
-            what: `${body.target} outlived its life by ${Math.round(overdueMs)} ms`,
+            what: `${body.target} was served ${Math.round(overdueMs)} ms after it expired`,
           },
         ]
       : [];
--- a/packages/simulator/src/checks/rule-10-rate-limits.ts
+++ b/packages/simulator/src/checks/rule-10-rate-limits.ts
@@ -1,11 +1,14 @@
-/** Rule 10. A service gets over a tenth above its ceiling in any 5 s; a cold origin over 1.5 times its rate. */
+/**
+ * Rule 10: in any 5 s, a service or instance receives at most 1.1 times its rate limit or capacity, and
+ * an origin in slow start at most 1.5 times its slow-start rate.
+ */
 
 import type { Violation } from '../history.js';
 import { entriesOf, type EntryOf, gossipSpreadMs, groupBy } from './history-queries.js';
 import { allowedRequestCount, maxRequestCount, overloadedWindows } from './rates.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 10 in a history. */
+/** Returns the violations of rule 10 in a history. */
 export const checkRateLimits: RuleCheck = (history) => {
   const attempts = entriesOf(history, 'attempt');
   const rateViolations = (
--- a/packages/simulator/src/checks/rule-11-retry-budget.ts
+++ b/packages/simulator/src/checks/rule-11-retry-budget.ts
@@ -1,9 +1,9 @@
-/** Rule 11. Repeats exceed a fifth of traffic plus 60 in any 10 s. */
+/** Rule 11: in any 10 s, there are at most 60 retries plus a fifth of the number of requests. */
 
 import { entriesOf } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 11 in a history. */
+/** Returns the violations of rule 11 in a history. */
 export const checkRetryBudget: RuleCheck = (history) => {
   const requestTimes = entriesOf(history, 'asked').map((entry) => entry.at);
   const retryTimes = entriesOf(history, 'repeat').map((entry) => entry.at);
@@ -18,7 +18,7 @@
             {
               rule: 11,
               at,
-              what: `${index - windowStart + 1} repeats in 10 s for ${requestCount} requests`,
+              what: `${index - windowStart + 1} retries in 10 s for ${requestCount} requests`,
             },
           ]
         : [];
--- a/packages/simulator/src/checks/rule-12-homes.ts
+++ b/packages/simulator/src/checks/rule-12-homes.ts
@@ -1,11 +1,13 @@
-/** Rule 12. A report with home regions is fetched or stored outside those of every policy in force. */
+/**
+ * Rule 12: an object with home regions is fetched and stored only in home regions of a policy in force.
+ */
 
 import type { Route } from '@reedyard/schemas';
 import type { Violation } from '../history.js';
 import { policiesDuring, routeIn } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 12 in a history. */
+/** Returns the violations of rule 12 in a history. */
 export const checkHomes: RuleCheck = (history) =>
   history.flatMap((entry): readonly Violation[] => {
     if (entry.kind !== 'attempt' && entry.kind !== 'stored') return [];
@@ -13,7 +15,7 @@
       const route = routeIn(span, entry);
       return route === undefined ? [] : [route];
     });
-    // Without a route there are no homes to keep to; that is rule 4's.
+    // Without a route there are no home regions; rule 4 covers that case.
     if (
       routes.length === 0 ||
       routes.some(({ homes }) => homes === undefined || homes.includes(entry.region))
--- a/packages/simulator/src/checks/rule-13-recovery-after-loss.ts
+++ b/packages/simulator/src/checks/rule-13-recovery-after-loss.ts
@@ -1,9 +1,9 @@
-/** Rule 13. After a full loss little is served 15 s after the machines return. */
+/** Rule 13: after a full loss, 90 % of the requests are served from 15 s after the machines return. */
 
 import { entriesOf } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 13 in a history. */
+/** Returns the violations of rule 13 in a history. */
 export const checkRecoveryAfterLoss: RuleCheck = (history) => {
   const recovery = entriesOf(history, 'fault').find(
     (entry) => entry.label === 'all machines back' || entry.label === 'served again from here',
@@ -14,7 +14,7 @@
       .filter((entry) => entry.at > recovery.at + 15_000)
       .map((entry) => entry.submission),
   );
-  // What the policy now has no route for is not to be served.
+  // Requests without a route in the current policy need not be served.
   entriesOf(history, 'got').forEach((entry) => {
     if (entry.status === 404) submissions.delete(entry.submission);
   });
--- a/packages/simulator/src/checks/rule-14-attempt-budget.ts
+++ b/packages/simulator/src/checks/rule-14-attempt-budget.ts
@@ -1,10 +1,10 @@
-/** Rule 14. One request runs at more origins than its route allows, summed over all nodes. */
+/** Rule 14: one request runs at no more origins than its route allows, summed over all nodes. */
 
 import type { Violation } from '../history.js';
 import { entriesOf, groupBy, maxOriginsAllowed } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 14 in a history. */
+/** Returns the violations of rule 14 in a history. */
 export const checkAttemptBudget: RuleCheck = (history) =>
   [
     ...groupBy(
--- a/packages/simulator/src/checks/rule-check.ts
+++ b/packages/simulator/src/checks/rule-check.ts
@@ -1,5 +1,5 @@
-/** What a check of a rule is. */
+/** The type of a check. */
 import type { Entry, Violation } from '../history.js';
 
-/** Finds in a history what broke a rule. */
+/** Returns the violations of one rule in a history. */
 export type RuleCheck = (history: readonly Entry[]) => readonly Violation[];
--- a/packages/simulator/src/command-client.ts
+++ b/packages/simulator/src/command-client.ts
@@ -1,48 +1,49 @@
 /**
- * A control client of the simulator: it sends one order until it is acknowledged. After a second of
- * silence or a 5xx it goes on to another node, with a pause that grows, and repeats the order
- * unchanged, as operators do.
+ * A simulated operator client that sends one command until it is acknowledged. After a second without
+ * a response, or after a 5xx, it retries the command unchanged at another node with an increasing
+ * backoff, as operators do.
  */
 import type { ApiAction } from '@reedyard/agent';
 import type { SimulatedFleet } from './simulated-fleet.js';
 
-/** ms without an answer after which the client gives a node up. */
+/** How long the client waits for a response from a node, in milliseconds. */
 const responseTimeoutMs = 1_000;
 /**
- * ms of the first pause before another node is tried; each further one is twice as long, up to the
- * longest.
+ * The first pause before another node is tried, in milliseconds. Each further pause is twice as long,
+ * up to `maxBackoffMs`.
  */
 const initialBackoffMs = 50;
 const maxBackoffMs = 800;
 
-/** How an order ended for its client. */
+/** How a command ended for its client. */
 export type CommandOutcome = {
   readonly kind: 'acknowledged' | 'refused' | 'given-up';
   readonly status: number;
   readonly body: unknown;
-  /** ms of virtual time from the first sending. */
+  /** Virtual time since the command was first sent, in milliseconds. */
   readonly ms: number;
   readonly attempts: number;
 };
 
+/** A command, and how its client sends it. */
 export type CommandOptions = {
-  /** The node that gets the first attempt; left out, any that is up. */
+  /** The node that receives the first attempt; any running node if undefined. */
   readonly firstNode?: string;
-  /** ms after which the client no longer repeats the order. */
+  /** How long after its first attempt the client retries the command, in milliseconds. */
   readonly giveUpAfterMs: number;
-  /** The action of each attempt: a repeat without a shared identity gets a new change id. */
+  /** The action of each attempt: a retry may carry a new change id. */
   readonly action: (attempt: number) => ApiAction;
-  /** Whether the answer to this attempt is lost on its way; left out: never. */
+  /** Whether the reply to this attempt is lost in the network; never if undefined. */
   readonly isReplyLost?: (attempt: number) => boolean;
 };
 
 const isRefusal = (status: number): boolean => status >= 400 && status < 500;
 
 /**
- * Sends an order until it is acknowledged, refused, or the client's patience is over.
+ * Sends a command until it is acknowledged, refused, or `giveUpAfterMs` have passed.
  *
  * @example
- * sendOrder(fleet, { patienceMs: 4_000, action: () => ({ kind: 'get-policy' }) }, (outcome) => outcome.ms);
+ * sendCommand(fleet, { giveUpAfterMs: 4_000, action: () => ({ kind: 'get-policy' }) }, (outcome) => outcome.ms);
  */
 export const sendCommand = (
   fleet: SimulatedFleet,
--- a/packages/simulator/src/command-trial.test.ts
+++ b/packages/simulator/src/command-trial.test.ts
@@ -10,7 +10,7 @@
 
 for (const example of ['brandlhuber', 'association']) {
   test.serial(
-    `answers lost, orders repeated to any node, machines fail (${example}): what is acknowledged holds`,
+    `acknowledged commands stay in effect while replies are lost, commands are retried at any node and machines fail (${example})`,
     (t) => {
       for (const seed of seeds) {
         const report = runCommandTrial({ seed, example });
@@ -24,9 +24,9 @@
 }
 
 /**
- * An agent is cut off from the replicas and gets an evacuation; its caller leaves and has it
- * acknowledged elsewhere, takes it back, and that is acknowledged too; then the cut heals. Tells
- * whether the zone is open at the end, as it must be.
+ * An isolated agent receives an evacuation. Its client disconnects, gets the evacuation acknowledged
+ * by another node, then restores the zone, which is acknowledged too; then the partition heals.
+ * Returns whether the zone is in use at the end, as it must be.
  */
 const staysOpen = (seed: number, plant: InjectedFault): boolean => {
   const { deployment, policy } = loadExample('brandlhuber');
@@ -61,7 +61,7 @@
 };
 
 test.serial(
-  'a cut-off agent does not carry out an order whose caller is gone; one that goes on with it undoes the next',
+  'an isolated agent drops a zone order whose client has disconnected; with the fault callers-unheeded it undoes the later restore',
   (t) => {
     const trialSeeds = Array.from({ length: 8 }, (_, index) => index + 1);
     t.deepEqual(
@@ -72,12 +72,15 @@
   },
 );
 
-test.serial('agents that confirm any content under the version held are found out', (t) => {
-  const violations = seeds.flatMap(
-    (seed) => runCommandTrial({ seed, plant: 'any-content-confirmed' }).violations,
-  );
-  t.true(
-    violations.some((violation) => violation.includes('confirmed with two contents')),
-    violations.join('; '),
-  );
-});
+test.serial(
+  'the trial detects agents that confirm different content under the same version',
+  (t) => {
+    const violations = seeds.flatMap(
+      (seed) => runCommandTrial({ seed, plant: 'any-content-confirmed' }).violations,
+    );
+    t.true(
+      violations.some((violation) => violation.includes('confirmed with two contents')),
+      violations.join('; '),
+    );
+  },
+);
--- a/packages/simulator/src/command-trial.ts
+++ b/packages/simulator/src/command-trial.ts
@@ -1,8 +1,8 @@
 /**
- * Operators' worst days: up to eight orders under way at once, answers lost on their way, each
- * order repeated unchanged to any node, while agents are cut off, frozen and killed. Two operators
- * race for the versions of the configuration; each zone has an operator of its own, who evacuates
- * it and takes it back in turn.
+ * Stress test of operator commands: up to eight commands are in flight, replies are lost, and commands
+ * are retried unchanged at any node while agents are isolated, frozen and killed. Two operators
+ * race for the versions of the configuration; one more operator per zone evacuates and restores that
+ * zone in turn.
  */
 import {
   type ApiAction,
@@ -22,13 +22,14 @@
 const clientTimeoutMs = 4_000;
 const zones = ['zone-1', 'zone-2', 'zone-3', 'zone-4', 'zone-5', 'zone-6'];
 
+/** What a trial runs with. */
 export type CommandTrialOptions = {
   readonly seed: number;
   readonly plant?: InjectedFault;
   readonly example?: string;
-  /** Share of answers that are lost. */
+  /** Share of replies that are lost. */
   readonly lostReplyShare?: number;
-  /** Whether machines fail meanwhile. */
+  /** Whether machines fail during the trial. */
   readonly hasFaults?: boolean;
 };
 
@@ -40,17 +41,17 @@
 
 type ZoneOrderResult = { readonly order: 'empty' | 'take-back'; readonly outcome: CommandOutcome };
 
-/** What a trial found wrong, and how many orders ended how. */
+/** The violations of a trial, and how many commands ended in each way. */
 export type CommandTrialReport = {
   readonly violations: readonly string[];
   readonly counts: Readonly<Record<string, number>>;
-  /** ms until acknowledged, sorted. */
+  /** Times until the acknowledgement in milliseconds, sorted. */
   readonly times: readonly number[];
 };
 
 /**
- * Whether a configuration was acknowledged as the one in force, and not as one that a higher
- * version has overtaken.
+ * Whether a configuration was acknowledged as the one in force, rather than as superseded by a higher
+ * version.
  */
 const isInForce = ({ version, outcome }: SentPolicy): boolean => {
   if (outcome.kind !== 'acknowledged') return false;
@@ -58,7 +59,7 @@
   return acknowledgedVersion === version;
 };
 
-/** One trial while it runs. */
+/** The state of a running trial. */
 class CommandTrial {
   readonly fleet: SimulatedFleet;
   readonly policies: SentPolicy[] = [];
@@ -80,7 +81,7 @@
     for (const machine of deployment.machines) this.fleet.start(machine.name);
   }
 
-  #order(action: () => ApiAction, done: (outcome: CommandOutcome) => void): void {
+  #send(action: () => ApiAction, done: (outcome: CommandOutcome) => void): void {
     const losesAnswer = (): boolean => this.fleet.clock.random() < this.#lostAnswers;
     sendCommand(
       this.fleet,
@@ -102,8 +103,8 @@
   }
 
   /**
-   * An operator sends configurations one after the other; now and then one under a number that the
-   * other one takes.
+   * Sends configurations one after the other, as an operator. About half of them reuse the version
+   * that was last sent, possibly by the other operator.
    */
   operatePolicies(operator: string): void {
     if (this.fleet.clock.now() > endMs) return;
@@ -120,7 +121,7 @@
       ifMatch: null,
       changeId: this.#nextId(),
     });
-    this.#order(action, (outcome) => {
+    this.#send(action, (outcome) => {
       this.policies.push({ version, content, outcome });
       this.fleet.clock.schedule(this.fleet.clock.between(0, 400), () =>
         this.operatePolicies(operator),
@@ -129,7 +130,8 @@
   }
 
   /**
-   * An operator evacuates a zone and takes it back, again and again; gives some orders up early.
+   * Evacuates and restores a zone in turn, as an operator, with random pauses. A command that is not
+   * acknowledged in time is given up.
    */
   operateZone(zone: string): void {
     if (this.fleet.clock.now() > endMs) return;
@@ -143,7 +145,7 @@
       of: 'origins',
       changeId: this.#nextId(),
     });
-    this.#order(action, (outcome) => {
+    this.#send(action, (outcome) => {
       results.push({ order, outcome });
       const pauseMs = this.fleet.clock.between(0, 1_500);
       this.fleet.clock.schedule(pauseMs, () => {
@@ -153,7 +155,7 @@
     });
   }
 
-  /** Agents that may act, with what they know of the zones. */
+  /** Returns the zones register of each running agent that has a lease. */
   zonesKnownToAgents(): readonly ZonesRegister[] {
     return [...this.fleet.machines.values()].flatMap(({ agent }) => {
       if (agent === null || agent.frozen || agent.state.now >= agent.state.leaseUntil) return [];
@@ -162,7 +164,7 @@
     });
   }
 
-  /** After an acknowledged order, whoever has learnt of it finds the zone as it was ordered. */
+  /** Checks that each agent that knows an acknowledged zone order has the zone in the ordered state. */
   #checkZone(zone: string): void {
     const lastCommand = this.zoneOrderResults.get(zone)?.at(-1);
     if (lastCommand === undefined || lastCommand.outcome.kind !== 'acknowledged') return;
@@ -175,7 +177,7 @@
     }
   }
 
-  /** One fault a second or two: an agent's machine is cut off, frozen or killed for a while. */
+  /** Isolates, freezes or kills a random machine for a while, every 1 to 2.5 seconds. */
   injectFaults(): void {
     const { fleet } = this;
     const { clock } = fleet;
@@ -195,7 +197,10 @@
     clock.schedule(clock.between(1_000, 2_500), () => this.injectFaults());
   }
 
-  /** What was acknowledged under one number, and what was refused without a rival. */
+  /**
+   * Checks that no version was acknowledged with two contents, and that no version was refused that
+   * had only one content.
+   */
   checkPolicies(): void {
     const accepted = this.policies.filter(isInForce);
     for (const each of accepted) {
@@ -212,7 +217,7 @@
     }
   }
 
-  /** What is read back at the end. */
+  /** Checks that the policy and zones at the end agree with the acknowledged commands. */
   checkFinalState(policy: PolicyRegister['document'] | null): void {
     const acknowledged = this.policies.filter((each) => each.outcome.kind === 'acknowledged');
     const newest = Math.max(0, ...acknowledged.map((each) => each.version));
@@ -234,10 +239,10 @@
 };
 
 /**
- * Plays one trial and judges it.
+ * Runs one trial and checks its result.
  *
  * @example
- * runOrderTrial({ seed: 3 }).violations // []
+ * runCommandTrial({ seed: 3 }).violations // []
  */
 export const runCommandTrial = (options: CommandTrialOptions): CommandTrialReport => {
   const trial = new CommandTrial(options);
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Figures over many seeds of a scenario. */
+/** Prints figures of one run of a scenario, once for each way to select a server. */
 import { parseArgs } from 'node:util';
 import type { Entry } from './history.js';
 import type { SimulatedFleet } from './simulated-fleet.js';
@@ -7,7 +7,7 @@
 import { run } from './run.js';
 import { scenarios } from './scenarios.js';
 
-/** Figures of one run, in virtual time: what docs/measurements.md holds. */
+/** All times are virtual. docs/measurements.md holds the printed figures. */
 const { values } = parseArgs({
   options: {
     example: { type: 'string', default: 'brandlhuber' },
@@ -22,7 +22,7 @@
 const quantile = (samples: readonly number[], share: number): number =>
   [...samples].sort((a, b) => a - b)[Math.floor(share * (samples.length - 1))] ?? 0;
 
-/** The highest load of a service in any 5 s, over its ceiling. */
+/** Returns the highest load of a service in any 5 s, relative to its rate limit. */
 const peakLoad = (history: readonly Entry[], service: string, ceiling: number): number => {
   const times = history.flatMap((entry) =>
     entry.kind === 'attempt' && entry.service === service ? [entry.at] : [],
@@ -35,7 +35,7 @@
   return maxCount / (5 * ceiling);
 };
 
-/** Mean load of a service from 15 s on, over its ceiling. */
+/** Returns the mean load of a service from 15 s on, relative to its rate limit. */
 const meanLoad = (
   history: readonly Entry[],
   service: string,
--- a/packages/simulator/src/history.ts
+++ b/packages/simulator/src/history.ts
@@ -1,12 +1,12 @@
-/** What happens in a run, as entries that the checks read. */
+/** The history of a run: entries that the simulator records and the checks read. */
 import type { Policy } from '@reedyard/schemas';
 
 /**
- * What the checkers watch: only what callers, origins and operators can see, and what a proxy acts
- * upon.
+ * An event of a run. Entries record only what clients, origins and operators can observe, and which
+ * policy a proxy acts under.
  */
 export type Entry =
-  /** A caller's request set out for a node. */
+  /** A client sent a request to a node. */
   | {
       readonly kind: 'asked';
       readonly at: number;
@@ -18,9 +18,9 @@
       readonly target: string;
       readonly key: string | null;
     }
-  /** A caller for whom the platform found no ready node. */
+  /** A client found no ready node. */
   | { readonly kind: 'unplaced'; readonly at: number }
-  /** What the caller got; status 0 where it got nothing. */
+  /** A client received a response, or none (status 0). */
   | {
       readonly kind: 'got';
       readonly at: number;
@@ -38,7 +38,7 @@
       readonly method: string;
       readonly host: string;
       readonly target: string;
-      /** Whether a copy answered, here or at a peer. */ readonly copied: boolean;
+      /** Whether the response came from a cache, of this node or of a peer. */ readonly copied: boolean;
     }
   /** An attempt reached an origin. */
   | {
@@ -66,7 +66,7 @@
       readonly zone: string;
       readonly target: string;
     }
-  /** An origin ran an unsafe request. */
+  /** An origin executed an unsafe request. */
   | {
       readonly kind: 'ran';
       readonly at: number;
@@ -74,22 +74,23 @@
       readonly job: string;
       readonly key: string | null;
     }
+  /** A proxy retried an attempt. */
   | { readonly kind: 'repeat'; readonly at: number }
-  /** A proxy acted under a policy: it answered from it or made an attempt. */
+  /** A proxy acted under a policy: it responded or made an attempt. */
   | {
       readonly kind: 'acted';
       readonly at: number;
       readonly node: string;
       readonly revision: number;
     }
-  /** A policy was sent for the first time: from here on it may come into force. */
+  /** A policy was sent for the first time: it may be in force from now on. */
   | {
       readonly kind: 'proposed';
       readonly at: number;
       readonly changeId: string;
       readonly document: Policy;
     }
-  /** It was acknowledged under a revision. */
+  /** A policy was acknowledged under a revision. */
   | {
       readonly kind: 'put';
       readonly at: number;
@@ -97,6 +98,7 @@
       readonly revision: number;
       readonly document: Policy;
     }
+  /** An operator read the policy; `askedAt` is when the request was sent. */
   | {
       readonly kind: 'read';
       readonly at: number;
@@ -104,7 +106,8 @@
       readonly revision: number;
     }
   /**
-   * An instance first said what it carries; `at` is when it was taken, `sentAt` when it was sent.
+   * An instance announced a new capacity; `at` is when a node accepted the announcement, `sentAt` when
+   * it was sent.
    */
   | {
       readonly kind: 'carries';
@@ -115,13 +118,14 @@
       readonly incarnation: number;
       readonly capacity: number;
     }
+  /** A node acknowledged the drain notice of an origin. */
   | {
       readonly kind: 'drained';
       readonly at: number;
       readonly instance: string;
       readonly incarnation: number;
     }
-  /** An order for a zone was acknowledged under a revision; `sentAt` is when it was first sent. */
+  /** A zone order was acknowledged under a revision; `sentAt` is when it was first sent. */
   | {
       readonly kind: 'zone';
       readonly at: number;
@@ -131,8 +135,8 @@
       readonly order: 'empty' | 'take-back';
     }
   /**
-   * A purge was acknowledged; reports of that object or tag made before `turned` are old from then
-   * on.
+   * A purge was acknowledged; responses for its objects and tags that were sent before `purgedFrom`
+   * are outdated from then on.
    */
   | {
       readonly kind: 'purged';
@@ -141,6 +145,7 @@
       readonly tags: readonly string[];
       readonly purgedFrom: number;
     }
+  /** A node stored a response in its cache. */
   | {
       readonly kind: 'stored';
       readonly at: number;
@@ -150,8 +155,9 @@
       readonly target: string;
     }
   /**
-   * An order or a read came to an end: `cutOff` tells whether the node reached a majority of
-   * replicas when it was sent, `steady` whether that and its processes stayed as they were.
+   * An operator command or read ended. `cutOff` is true if the node had no path to a majority of
+   * replicas when the command was sent, `isSteady` if its links and processes did not change
+   * meanwhile.
    */
   | {
       readonly kind: 'called';
@@ -164,8 +170,8 @@
       readonly isSteady: boolean;
     }
   /**
-   * A node acts on without a lease; for how long it had a path to a majority of replicas, and they
-   * ran.
+   * A node serves without a lease; `majorityReachableMs` is how long it has had a path to a
+   * majority of replicas without a change to its own or their links and processes.
    */
   | {
       readonly kind: 'served-on';
@@ -173,26 +179,28 @@
       readonly node: string;
       readonly majorityReachableMs: number;
     }
-  /** A node had no path to a majority of replicas; told when the cut ends. */
+  /** A node had no path to a majority of replicas since `from`; recorded when the cut ends. */
   | { readonly kind: 'cut-off'; readonly at: number; readonly node: string; readonly from: number }
-  /** The first lease of a node after a cut, and how long after it. */
+  /** A node got its first lease after a cut, `afterMs` after the end of the cut. */
   | {
       readonly kind: 'lease-back';
       readonly at: number;
       readonly node: string;
       readonly afterMs: number;
     }
+  /** The scenario injected a fault or another event. */
   | { readonly kind: 'fault'; readonly at: number; readonly label: string };
 
-/** A report's body as the simulator carries it. */
+/** The body of a simulated response. */
 export type SimBody = {
   readonly service: string;
   readonly target: string;
   readonly job: string;
   readonly tags: readonly string[];
-  /** When it was made, and when its origin sent it. */ readonly madeAt: number;
+  /** When the content was made; `sentAt` is when the origin sent the response. */ readonly madeAt: number;
   readonly sentAt: number;
   readonly maxAgeMs: number;
 };
 
+/** A breach of a rule, found by a check. */
 export type Violation = { readonly rule: number; readonly at: number; readonly what: string };
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,4 +1,7 @@
-/** The simulator: the fleet's own reducers in virtual time, scenarios, and the checks of the rules. */
+/**
+ * Deterministic simulator: runs the fleet's own reducers in virtual time, plays scenarios, and checks
+ * the recorded history against the rules.
+ */
 export { availability, ruleChecks, findViolations } from './checks.js';
 export { VirtualClock } from './virtual-clock.js';
 export { SimulatedFleet } from './simulated-fleet.js';
--- a/packages/simulator/src/injected-faults.ts
+++ b/packages/simulator/src/injected-faults.ts
@@ -1,11 +1,11 @@
-/** Safeguards that can be taken away, to see that a check can fail. */
+/** Faults that remove a safeguard, to show that each check can fail. */
 import { type AgentState, type Feed, type ProxyQuery, replicaTimeoutMs } from '@reedyard/agent';
 import type { ProxyState } from '@reedyard/proxy';
 import type { Policy } from '@reedyard/schemas';
 
 /**
- * Faults planted into the fleet, one at a time, to show that a checker can fail: each takes one
- * safeguard away at the border of a process and leaves all other code as it is.
+ * Names of the faults that can be injected into the fleet, one per run. Each removes one safeguard at
+ * the boundary of a process and leaves all other code unchanged.
  */
 export const injectedFaultNames = [
   'none',
@@ -50,6 +50,7 @@
   'quorum-of-the-reached',
   'no-return',
 ] as const;
+/** A fault of a run, or `none`. */
 export type InjectedFault = (typeof injectedFaultNames)[number];
 
 const withoutHomes = (policy: Policy): Policy => ({
@@ -57,7 +58,7 @@
   routes: policy.routes.map(({ homes: _homes, ...route }) => route),
 });
 
-/** What a planted fault makes of the feed. */
+/** Returns the feed that a proxy receives under an injected fault. */
 export const feedWithFault = (
   plant: InjectedFault,
   feed: Feed,
@@ -164,9 +165,10 @@
   }
 };
 
-/** Other ways to choose a server, for comparison with the paper's on the same seed. */
+/** How a server is selected: as in the paper, or in a simpler way for comparison on the same seed. */
 export type Selection = 'paper' | 'proximity' | 'random';
 
+/** Returns the feed with a routing table for the given selection. */
 export const feedWithSelection = (selection: Selection, feed: Feed, nodeId: string): Feed => {
   if (selection === 'paper') return feed;
   if (selection === 'proximity') return { ...feed, split: {} };
@@ -180,9 +182,7 @@
   };
 };
 
-/**
- * What a proxy whose ledger does not count the attempts it granted to a peer makes of its state.
- */
+/** Returns the state of a proxy that does not count the attempts it delegated to a peer. */
 export const withUncountedGrant = (state: ProxyState, id: number, attempt: number): ProxyState => {
   const request = state.requests[id];
   if (request === undefined) return state;
@@ -192,11 +192,11 @@
   return { ...state, requests: { ...state.requests, [id]: { ...request, attempts } } };
 };
 
-/** Whether a claim is granted without asking. */
+/** Whether a claim is granted without a query to the agent. */
 export const isClaimGrantedByFault = (plant: InjectedFault, call: ProxyQuery): boolean =>
   plant === 'claims-granted' && call.kind === 'claim';
 
-/** What a planted fault makes of an agent's answer to an operator. */
+/** Returns the reply of an agent to an operator under an injected fault. */
 export const replyWithFault = <T extends { readonly status: number }>(
   plant: InjectedFault,
   reply: T,
@@ -207,33 +207,33 @@
 const mapViews = (views: Views, change: (view: Views[string]) => Views[string]): Views =>
   Object.fromEntries(Object.entries(views).map(([name, view]) => [name, change(view)]));
 
-/** What a planted fault makes of an agent's state before each step. */
+/** Returns the state of an agent before each step under an injected fault. */
 export const agentStateWithFault = (
   plant: InjectedFault,
   state: AgentState,
   now: number,
 ): AgentState => {
   switch (plant) {
-    // Answers that do not count are taken for silence.
+    // Replies that do not count as votes are treated as missing.
     case 'answers-ignored':
       return {
         ...state,
         replicas: mapViews(state.replicas, (view) => ({ ...view, lastReplyAt: -Infinity })),
       };
-    // Silence is not noticed: calls wait for their limit.
+    // Missing replies are not noticed: calls wait until their timeout.
     case 'answers-assumed':
       return {
         ...state,
         replicas: mapViews(state.replicas, (view) => ({ ...view, lastReplyAt: now })),
       };
-    // Replicas that are silent do not count as members.
+    // Unresponsive replicas do not count as members.
     case 'quorum-of-the-reached': {
       const reached = Object.entries(state.replicas).filter(
         ([, view]) => now - view.lastReplyAt < replicaTimeoutMs,
       );
       return reached.length === 0 ? state : { ...state, replicas: Object.fromEntries(reached) };
     }
-    // A replica that answers again is not asked more often.
+    // A replica that replies again is not polled more often.
     case 'no-return':
       return { ...state, lastReplicaReturnAt: -Infinity };
     default:
--- a/packages/simulator/src/long-partitions.test.ts
+++ b/packages/simulator/src/long-partitions.test.ts
@@ -3,7 +3,7 @@
 import type { InjectedFault } from './injected-faults.js';
 import { run } from './run.js';
 
-/** Lets the runner tell what is done so far before the next long run. */
+/** Lets the test runner report progress before the next long run. */
 const yieldToRunner = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
@@ -15,7 +15,7 @@
 
 const seeds: readonly number[] = [31, 32];
 
-// Each scenario, the least share that must be served, and whether nodes are cut off in it.
+// Each scenario, the minimum share of requests that must be served, and whether nodes are isolated.
 for (const [scenario, minShare, hasCut] of [
   ['cut-20s', 0.95, true],
   ['cut-20s-out', 0.95, true],
@@ -26,7 +26,7 @@
   ['refusing-replicas', 0.75, false],
 ] as const) {
   test.serial(
-    `${scenario}: every rule kept, orders taken by the majority, early answers, and a quick return`,
+    `${scenario}: all rules hold, the majority accepts commands, isolated nodes respond early, and leases return quickly`,
     async (t) => {
       for (const seed of seeds) {
         await yieldToRunner();
@@ -35,10 +35,19 @@
         t.true(share >= minShare, `seed ${seed}: ${share} served; ${JSON.stringify(rest)}`);
         if (!hasCut) continue;
         const calls = only(fleet.history, 'called').filter((call) => call.cutOff && call.isSteady);
-        t.true(calls.length >= 10, `seed ${seed}: ${calls.length} calls to nodes cut off`);
-        t.true(only(fleet.history, 'served-on').length > 0, `seed ${seed}: no node served on`);
-        t.true(only(fleet.history, 'lease-back').length > 0, `seed ${seed}: no node came back`);
-        t.true(only(fleet.history, 'put').length >= 12, `seed ${seed}: too few policies taken`);
+        t.true(calls.length >= 10, `seed ${seed}: ${calls.length} calls to isolated nodes`);
+        t.true(
+          only(fleet.history, 'served-on').length > 0,
+          `seed ${seed}: no node served without a lease`,
+        );
+        t.true(
+          only(fleet.history, 'lease-back').length > 0,
+          `seed ${seed}: no node got its lease back`,
+        );
+        t.true(
+          only(fleet.history, 'put').length >= 12,
+          `seed ${seed}: too few policies acknowledged`,
+        );
       }
     },
   );
@@ -53,28 +62,28 @@
 }[] = [
   {
     plant: 'answers-ignored',
-    what: 'answers that do not count are taken for silence',
+    what: 'replies that are no votes are treated as missing',
     scenario: 'refusing-replicas',
     seed: 31,
     rules: [14],
   },
   {
     plant: 'answers-assumed',
-    what: 'silence is not noticed',
+    what: 'missing replies are not noticed',
     scenario: 'cut-20s',
     seed: 31,
     rules: [15],
   },
   {
     plant: 'local-reads',
-    what: 'a read is answered without a majority',
+    what: 'a node answers a read without a majority',
     scenario: 'cut-20s',
     seed: 31,
     rules: [6, 16],
   },
   {
     plant: 'quorum-of-the-reached',
-    what: 'silent replicas do not count as members',
+    what: 'unresponsive replicas do not count as members',
     scenario: 'cut-20s',
     seed: 31,
     rules: [6, 16],
@@ -90,15 +99,15 @@
     for (const rule of rules)
       t.true(
         brokenRules.includes(rule),
-        `rule ${rule} should break; broken: ${brokenRules.join()}`,
+        `rule ${rule} is not broken; broken rules: ${brokenRules.join()}`,
       );
     if (!seeds.includes(seed)) t.deepEqual(run({ scenario, seed }).violations, []);
   });
 }
 
-// That a replica which answers again is asked more often shows in the agent's own test
-// (reachability.test.ts): here a lease is back as soon without it, and twice as soon as it must.
-test.serial('cut-20s-busy: a lease is back within half of the time that it may take', async (t) => {
+// A replica that replies again is polled more often. This scenario does not show it, because leases
+// return as quickly without that; the agent's own test (reachability.test.ts) does.
+test.serial('cut-20s-busy: a node has a lease again within half of the allowed time', async (t) => {
   await yieldToRunner();
   const { history } = run({ scenario: 'cut-20s-busy', seed: 105 }).fleet;
   const returns = history.flatMap((entry) => (entry.kind === 'lease-back' ? [entry.afterMs] : []));
--- a/packages/simulator/src/long-partitions.ts
+++ b/packages/simulator/src/long-partitions.ts
@@ -1,8 +1,9 @@
-/** Scenarios of partitions that outlast every lease. */
+/** Scenarios with network partitions that last longer than every lease. */
 import type { Scenario, ScenarioEnvironment, ScenarioFleet } from './scenarios/environment.js';
 
 /**
- * Scenarios in which machines are cut off from a majority for 20 s and more, and served on by it.
+ * In these scenarios machines are isolated from a majority of replicas for 20 s and more, and keep
+ * serving meanwhile.
  */
 
 type CutDirection = 'both' | 'out' | 'in';
@@ -12,7 +13,7 @@
     .filter((machine) => (machine.kind !== 'front') === isReplica)
     .map((machine) => machine.name);
 
-/** Cuts some machines from all others; origins, callers and operators still reach both sides. */
+/** Isolates some machines from all others; origins, clients and operators still reach both sides. */
 const isolateSide = (
   fleet: ScenarioFleet,
   isolated: readonly string[],
@@ -25,7 +26,7 @@
       if (direction !== 'out') fleet.cut(outside, inside);
     }
   }
-  fleet.fault(`${isolated.join(', ')} cut off, ${direction}`);
+  fleet.fault(`${isolated.join(', ')} isolated, ${direction}`);
 };
 
 const repeat = (
@@ -44,7 +45,7 @@
   clock.schedule(from, next);
 };
 
-/** A policy that differs from the first by one more route, by a number. */
+/** Returns the policy of the environment with one more route, named by a number. */
 const withExtraRoute = (
   { policy }: ScenarioEnvironment,
   number: number,
@@ -55,7 +56,7 @@
   return { ...policy, routes: [...policy.routes, extra] };
 };
 
-/** Orders and reads that go to any node, and as often to one that is cut off. */
+/** Sends commands and reads, half of them to an isolated node and half to any node. */
 const runOperators = (
   environment: ScenarioEnvironment,
   side: () => readonly string[],
@@ -91,16 +92,16 @@
   fleet.clock.schedule(downMs, () => fleet.start(name));
 };
 
-/** One core machine and one front, cut off by themselves for 22 s. */
+/** Isolates one core machine and one front, each on its own, for 22 s. */
 const oneReplicaAndOneFront =
-  (way: CutDirection) =>
+  (direction: CutDirection) =>
   (environment: ScenarioEnvironment): void => {
     const { fleet } = environment;
     const { clock } = fleet;
     let side: readonly string[] = [];
     clock.schedule(10_000, () => {
       side = [clock.pick(machines(fleet, true)) ?? '', clock.pick(machines(fleet, false)) ?? ''];
-      for (const each of side) isolateSide(fleet, [each], way);
+      for (const each of side) isolateSide(fleet, [each], direction);
     });
     clock.schedule(32_000, () => {
       fleet.heal();
@@ -112,8 +113,8 @@
   };
 
 /**
- * Both halves: two of five replicas and half of the fronts on one side; seeds are exchanged,
- * machines restart.
+ * Splits the fleet into two sides, with two of five replicas and half of the fronts on one of them.
+ * The seeds change and machines restart meanwhile.
  */
 const twoSides = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
@@ -149,7 +150,10 @@
   runOperators(environment, () => side, 42_000);
 };
 
-/** A cut-off core machine restarts inside the cut, a front as well, and a freeze ends in it. */
+/**
+ * Isolates a core machine and three fronts. The core machine and a front restart during the partition;
+ * a front that froze before thaws in it, and another front freezes and thaws in it.
+ */
 const restartsInsidePartition = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
@@ -177,7 +181,7 @@
   runOperators(environment, () => side, 40_000);
 };
 
-/** Replicas that answer and do not count: disks are wiped in turn, and every message waits. */
+/** Wipes most disks twice: replicas without their data reply but do not vote for a while. */
 const wipedReplicas = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
@@ -195,41 +199,43 @@
   repeat(environment, 9_000, 36_000, 700, () => fleet.read());
 };
 
+/** Scenarios, by name. */
 export const longPartitionScenarios: Readonly<Record<string, Scenario>> = {
   'cut-20s': {
-    summary: 'one core machine and one front cut off by themselves for 22 s, both ways',
+    summary:
+      'one core machine and one front are isolated, each on its own, for 22 s in both directions',
     seconds: 44,
     servesOn: true,
     play: oneReplicaAndOneFront('both'),
   },
   'cut-20s-out': {
-    summary: 'the same, but only what they send is lost',
+    summary: 'as cut-20s, but only the messages that they send are lost',
     seconds: 44,
     servesOn: true,
     play: oneReplicaAndOneFront('out'),
   },
   'cut-20s-in': {
-    summary: 'the same, but only what they are sent is lost',
+    summary: 'as cut-20s, but only the messages to them are lost',
     seconds: 44,
     servesOn: true,
     play: oneReplicaAndOneFront('in'),
   },
   'cut-halves': {
     summary:
-      'two sides for 24 s, one with a majority; seeds are exchanged and machines restart meanwhile',
+      'the fleet splits into two sides for 24 s, one with a majority; the seeds change and machines restart meanwhile',
     seconds: 46,
     servesOn: true,
     play: twoSides,
   },
   'cut-restarts': {
-    summary: 'machines cut off for 22 s restart, freeze and thaw inside the cut',
+    summary: 'machines are isolated for 22 s, and restart, freeze and thaw during the partition',
     seconds: 44,
     servesOn: true,
     play: restartsInsidePartition,
   },
   'cut-20s-busy': {
     summary:
-      'one core machine and one front cut off for 22 s; every message waits up to 80 ms more, and one in twenty is lost',
+      'one core machine and one front are isolated for 22 s; every message is delayed by up to 80 ms, and one in twenty is lost',
     seconds: 44,
     servesOn: true,
     busyMs: 80,
@@ -237,7 +243,7 @@
     play: oneReplicaAndOneFront('both'),
   },
   'refusing-replicas': {
-    summary: 'most disks are wiped: replicas answer, and do not count for a while',
+    summary: 'most disks are wiped: replicas reply but do not vote for a while',
     seconds: 40,
     servesOn: true,
     busyMs: 40,
--- a/packages/simulator/src/main.ts
+++ b/packages/simulator/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The simulator's command line. */
+/** Command line of the simulator: runs scenarios over seeds, in parallel for more than one run. */
 import { fork } from 'node:child_process';
 import os from 'node:os';
 import { parseArgs } from 'node:util';
--- a/packages/simulator/src/members.test.ts
+++ b/packages/simulator/src/members.test.ts
@@ -3,12 +3,13 @@
 import type { Policy } from '@reedyard/schemas';
 import { SimulatedFleet } from './simulated-fleet.js';
 
-// Members that found themselves from seeds: a fleet of machines with disks alone, in virtual time.
+// Founding, replacement and growth of the membership, in a simulated fleet that has only machines with
+// disks.
 
 const policy: Policy = { services: {}, routes: [] };
 const machine = (index: number): string => `core-${index}`;
 
-/** Machines core-1 … core-n, of which the first three are seeds; those in `up` are started. */
+/** Machines core-1 … core-n, the first three of which are seeds; those in `startedIndexes` run. */
 const startFleet = (
   seed: number,
   count: number,
@@ -33,12 +34,12 @@
 const membersOf = (fleet: SimulatedFleet, index: number): Membership | undefined =>
   fleet.machines.get(machine(index))?.agent?.state.registers.members?.value as
     Membership | undefined;
-/** Machines whose replica is a place of the members that an agent knows. */
+/** Machines of the replicas in the membership that an agent knows. */
 const memberMachinesOf = (fleet: SimulatedFleet, index: number): readonly string[] =>
   Object.values(membersOf(fleet, index)?.addresses ?? {})
     .map((address) => address.replace('/replica', ''))
     .sort();
-const votes = (fleet: SimulatedFleet, index: number): boolean => {
+const isVoter = (fleet: SimulatedFleet, index: number): boolean => {
   const state = fleet.machines.get(machine(index))?.replica?.state;
   return (
     state !== undefined &&
@@ -49,8 +50,8 @@
 const runFor = (fleet: SimulatedFleet, ms: number): void =>
   fleet.clock.runUntil(fleet.clock.now() + ms);
 /**
- * What an operator is answered by a node. Messages get lost, so it asks again, at most twice, where
- * none came.
+ * Sends an action to a node and returns its reply. Messages get lost, so the action is repeated up to
+ * twice if no reply arrives.
  */
 const queryNode = (
   fleet: SimulatedFleet,
@@ -90,17 +91,17 @@
 };
 const seeds = Array.from({ length: 12 }, (_, index) => index + 1);
 
-test('three seeds found the first members, and changes are taken; a fourth machine waits', (t) => {
+test('three seeds found the membership and accept changes; a fourth machine stays a spare', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 4);
     t.deepEqual(memberMachinesOf(fleet, 4), ['core-1', 'core-2', 'core-3'], `seed ${seed}`);
     t.is(membersOf(fleet, 4)?.epoch, 1);
-    t.false(votes(fleet, 4));
+    t.false(isVoter(fleet, 4));
     t.is(tryPut(fleet, 4, 'one'), 200);
   }
 });
 
-test('one seed late at the first start: nothing is founded before, and nothing answered but 503', (t) => {
+test('at the first start, nothing is founded and nodes respond 503 until the last of the three seeds has started', (t) => {
   for (const seed of seeds) {
     const fleet = startFleet(seed, 4, 1, [1, 3, 4]);
     runFor(fleet, 20_000);
@@ -113,23 +114,23 @@
   }
 });
 
-test('blank machines that are no seeds, or not at the very first start, found nothing', (t) => {
+test('blank machines found no membership if they are not seeds or if it is not the first start', (t) => {
   for (const seed of seeds) {
     const others = startFleet(seed, 7, 1, [4, 5, 6, 7]);
     runFor(others, 20_000);
-    for (const index of [4, 5, 6, 7]) t.false(votes(others, index));
+    for (const index of [4, 5, 6, 7]) t.false(isVoter(others, index));
     const later = startFleet(seed, 4, 1, []);
     later.firstStart = false;
     [1, 2, 3, 4].forEach((index) => later.start(machine(index)));
     runFor(later, 20_000);
     for (const index of [1, 2, 3, 4]) {
-      t.false(votes(later, index));
+      t.false(isVoter(later, index));
       t.is(membersOf(later, index), undefined);
     }
   }
 });
 
-test('a disk is wiped right after an acknowledgement that it and one other gave: nothing is lost', (t) => {
+test('no change is lost when one of the only two replicas that accepted it is wiped right after the acknowledgement', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 3);
     fleet.isolate('core-3');
@@ -150,13 +151,13 @@
     );
     runFor(fleet, 8_000);
     t.true(done, `seed ${seed}`);
-    t.true(votes(fleet, 1), `seed ${seed}`);
+    t.true(isVoter(fleet, 1), `seed ${seed}`);
     t.deepEqual(memberMachinesOf(fleet, 1), ['core-1', 'core-2', 'core-3']);
     for (const index of [1, 2, 3]) t.is(revisionAt(fleet, index), 1);
   }
 });
 
-test('a machine gone for good is replaced by a blank one at another address while changes go on; the old one returns and waits', (t) => {
+test('a lost machine is replaced by a blank one at another address while changes continue, and stays a spare when it returns', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 4);
     let acknowledged = 0;
@@ -176,29 +177,29 @@
     runFor(fleet, 1_000);
     fleet.kill('core-1');
     runFor(fleet, 6_000);
-    t.deepEqual(memberMachinesOf(fleet, 2), ['core-1', 'core-2', 'core-3'], 'not within 6 s');
+    t.deepEqual(memberMachinesOf(fleet, 2), ['core-1', 'core-2', 'core-3'], 'replaced within 6 s');
     runFor(fleet, 6_000);
     t.deepEqual(memberMachinesOf(fleet, 2), ['core-2', 'core-3', 'core-4'], `seed ${seed}`);
-    t.true(votes(fleet, 4));
+    t.true(isVoter(fleet, 4));
     runFor(fleet, 2_000);
     fleet.start('core-1');
     runFor(fleet, 3_000);
-    t.false(votes(fleet, 1));
+    t.false(isVoter(fleet, 1));
     t.deepEqual(memberMachinesOf(fleet, 1), ['core-2', 'core-3', 'core-4']);
-    // What a machine with no disk but the replacement's knows is enough, once another is lost.
+    // When another member is lost as well, the data that its replacement knows is enough.
     fleet.kill('core-3');
     fleet.wipe('core-3');
     runFor(fleet, 20_000);
     t.deepEqual(memberMachinesOf(fleet, 1), ['core-1', 'core-2', 'core-4'], `seed ${seed}`);
-    t.true(votes(fleet, 1));
-    // A reply that is lost is missed after 8 s only.
+    t.true(isVoter(fleet, 1));
+    // A lost reply is noticed only after 8 s.
     runFor(fleet, 12_000);
     t.is(acknowledged, 60, `seed ${seed}`);
     t.is(revisionAt(fleet, 1), 60);
   }
 });
 
-test('a machine cut off for less than 8 s keeps its place; one that is cut off alone gives nobody one', (t) => {
+test('a machine that is isolated for less than 8 s stays a member; a minority side replaces no member', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 4);
     fleet.isolate('core-1');
@@ -206,7 +207,7 @@
     fleet.heal();
     runFor(fleet, 6_000);
     t.is(membersOf(fleet, 2)?.epoch, 1, `seed ${seed}`);
-    // Two sides: the one with a single member and the spare has no majority.
+    // Two sides: the side with a single member and the spare has no majority.
     for (const isolatedMachine of ['core-1', 'core-4'])
       for (const otherMachine of ['core-2', 'core-3']) {
         fleet.cut(isolatedMachine, otherMachine);
@@ -221,7 +222,7 @@
   }
 });
 
-test('growth from three to five where two losses must be borne; nothing is acknowledged before, and then two losses are borne', (t) => {
+test('where two losses must be tolerated, nothing is acknowledged until the membership has grown to five, which then tolerates two losses', (t) => {
   for (const seed of seeds) {
     const fleet = startFleet(seed, 5, 2, [1, 2, 3]);
     runFor(fleet, 5_000);
@@ -267,22 +268,22 @@
     t.is(revisionAt(fleet, 4), 1);
     for (const index of [1, 2]) fleet.start(machine(index));
     runFor(fleet, 8_000);
-    for (const index of [1, 2, 3, 4, 5]) t.true(votes(fleet, index), `seed ${seed} ${index}`);
+    for (const index of [1, 2, 3, 4, 5]) t.true(isVoter(fleet, index), `seed ${seed} ${index}`);
     t.is(tryPut(fleet, 1, 'two'), 200);
     t.is(revisionAt(fleet, 1), 2);
   }
 });
 
-test('all machines lose power at once, also right after a place was given away, and come back with their disks and other seeds', (t) => {
+test('no change is lost when all machines lose power around a replacement and return with their disks and other seeds', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 5);
     t.is(tryPut(fleet, 4, 'one'), 200);
     fleet.kill('core-1');
-    // Anywhere in the step to the next members, or after it.
+    // During the change of the membership, or after it.
     runFor(fleet, 8_000 + fleet.clock.between(0, 2_500));
     for (const index of [2, 3, 4, 5]) fleet.kill(machine(index));
     runFor(fleet, 2_000);
-    // Seeds that serve, but for one that never existed: none of them need vote.
+    // Two seeds run, one never existed. A seed need not be a voting member.
     fleet.seeds = ['core-4/agent', 'core-5/agent', 'core-9/agent'];
     for (const index of [2, 3, 4, 5]) fleet.start(machine(index));
     runFor(fleet, 16_000);
@@ -296,7 +297,7 @@
   }
 });
 
-test('a member that comes back with its disk at the address of another, which is gone: both places are looked after', (t) => {
+test('a member that returns with its disk at the address of a lost member stays a member, and the lost one is replaced', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 4);
     t.is(tryPut(fleet, 3, 'one'), 200);
@@ -315,12 +316,12 @@
     fleet.start('core-1');
     runFor(fleet, 16_000);
     t.deepEqual(memberMachinesOf(fleet, 3), ['core-1', 'core-3', 'core-4'], `seed ${seed}`);
-    for (const index of [1, 3, 4]) t.true(votes(fleet, index), `seed ${seed}`);
+    for (const index of [1, 3, 4]) t.true(isVoter(fleet, index), `seed ${seed}`);
     t.is(revisionAt(fleet, 4), 1);
   }
 });
 
-test('all machines come back with their disks at other addresses', (t) => {
+test('the members keep their state when all machines return with their disks at other addresses', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 6);
     t.is(tryPut(fleet, 4, 'one'), 200);
@@ -340,7 +341,7 @@
   }
 });
 
-test('an agent that was gone while every place changed hands finds the members again', (t) => {
+test('an agent that was frozen while every member was replaced finds the new members', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 7);
     t.is(tryPut(fleet, 7, 'one'), 200);
@@ -358,7 +359,7 @@
   }
 });
 
-test('a member that comes back at another address with its disk keeps its place', (t) => {
+test('a member that returns with its disk at another address stays a member', (t) => {
   for (const seed of seeds) {
     const fleet = foundedFleet(seed, 4);
     fleet.kill('core-1');
@@ -373,7 +374,7 @@
     fleet.start('core-4');
     runFor(fleet, 6_000);
     t.deepEqual(memberMachinesOf(fleet, 2), ['core-2', 'core-3', 'core-4'], `seed ${seed}`);
-    t.true(votes(fleet, 4));
+    t.true(isVoter(fleet, 4));
     t.is(tryPut(fleet, 4, 'one'), 200);
   }
 });
--- a/packages/simulator/src/order-times.ts
+++ b/packages/simulator/src/order-times.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Acknowledgement times of eight zone orders at once, in virtual time: what docs/measurements.md
- * holds.
+ * Prints the acknowledgement times of eight concurrent zone orders, in virtual time, as
+ * docs/measurements.md holds them.
  */
 import { parseArgs } from 'node:util';
 import { SimulatedFleet } from './simulated-fleet.js';
--- a/packages/simulator/src/partition-checks.ts
+++ b/packages/simulator/src/partition-checks.ts
@@ -1,15 +1,16 @@
-/** Judges how nodes behave that are cut off, and how they return. */
+/** Checks how isolated nodes behave, and how they return after a network partition. */
 import type { Entry, Violation } from './history.js';
 
-/** Checkers of what holds around a cut, for fleets whose nodes serve on while they are cut off. */
+/** These checks are for fleets whose nodes keep serving while they are isolated. */
 
-/** ms after a cut until its nodes are in touch again, by the users' rules. */
+/** How long after a partition its nodes may take to be connected again, in milliseconds. */
 const reconnectLimitMs = 3_000;
 /**
- * ms for which a node must have had a path to a majority before it is wrong about being cut off.
+ * How long a node must have had a path to a majority before serving without a lease is a violation,
+ * in milliseconds.
  */
 const majorityGraceMs = 2_000;
-/** ms of silence after which a caller goes on to another node. */
+/** How long a client waits for a response before it turns to another node, in milliseconds. */
 const clientTimeoutMs = 1_000;
 
 type EntryOf<K extends Entry['kind']> = Extract<Entry, { kind: K }>;
@@ -18,7 +19,10 @@
   kind: K,
 ): readonly EntryOf<K>[] => history.filter((entry): entry is EntryOf<K> => entry.kind === kind);
 
-/** The node whose doing an entry shows, if it is one that binds nodes in touch alone. */
+/**
+ * Returns the node whose action an entry records, or null if the entry is judged for isolated nodes
+ * too.
+ */
 const nodeOf = (entry: Entry): string | null => {
   switch (entry.kind) {
     case 'acted':
@@ -35,8 +39,8 @@
 };
 
 /**
- * The history of the nodes in touch: what a node did from a cut until 3 s after it is left out.
- * Runs of orders stay in, whoever sent them.
+ * Removes the actions of isolated nodes from a history: those from the start of a cut until 3 s after
+ * its end. Executions of requests at origins stay, whichever node sent them.
  */
 export const connectedHistory = (history: readonly Entry[]): readonly Entry[] => {
   const cuts = entriesOf(history, 'cut-off');
@@ -49,20 +53,21 @@
   });
 };
 
-/** Rules around cuts, numbered after those of the brief. */
+/** Numbers of the rules about network partitions. */
 const rules = { servedOn: 14, lateAnswer: 15, minority: 16, lateReturn: 17 } as const;
 
-const servedOnInTouch = (history: readonly Entry[]): readonly Violation[] =>
+const servedOnWhileConnected = (history: readonly Entry[]): readonly Violation[] =>
   entriesOf(history, 'served-on')
     .filter((entry) => entry.majorityReachableMs > majorityGraceMs)
-    .map(({ at, node, majorityReachableMs: reachesMs }) => ({
+    .map(({ at, node, majorityReachableMs }) => ({
       rule: rules.servedOn,
       at,
-      what: `${node} serves on without a lease although it has reached a majority for ${Math.round(reachesMs)} ms`,
+      what: `${node} serves without a lease although a majority was reachable for ${Math.round(majorityReachableMs)} ms`,
     }));
 
 /**
- * A call without any end (status 0) was lost on its way: an agent's own longest wait ends before.
+ * A call without a reply (status 0) was lost in the network: an agent's own longest timeout is
+ * shorter, so that the agent would have replied.
  */
 const lateResponses = (history: readonly Entry[]): readonly Violation[] =>
   entriesOf(history, 'called')
@@ -71,7 +76,7 @@
     .map(({ at, sentAt, node, action }) => ({
       rule: rules.lateAnswer,
       at,
-      what: `${node}, cut off, kept ${action} waiting for ${Math.round(at - sentAt)} ms`,
+      what: `${node} was isolated and kept ${action} waiting for ${Math.round(at - sentAt)} ms`,
     }));
 
 const confirmedByMinority = (history: readonly Entry[]): readonly Violation[] =>
@@ -80,7 +85,7 @@
     .map(({ at, node, action }) => ({
       rule: rules.minority,
       at,
-      what: `${node}, cut off, confirmed ${action}`,
+      what: `${node} was isolated and confirmed ${action}`,
     }));
 
 const lateReturns = (history: readonly Entry[]): readonly Violation[] =>
@@ -89,11 +94,11 @@
     .map(({ at, node, afterMs }) => ({
       rule: rules.lateReturn,
       at,
-      what: `${node} had a lease only ${Math.round(afterMs)} ms after its cut`,
+      what: `${node} got a lease only ${Math.round(afterMs)} ms after its partition healed`,
     }));
 
-/** All that was wrong around cuts, a few of each rule. */
+/** Returns the violations of the partition rules, at most three of each rule. */
 export const findPartitionViolations = (history: readonly Entry[]): readonly Violation[] =>
-  [servedOnInTouch, lateResponses, confirmedByMinority, lateReturns].flatMap((check) =>
+  [servedOnWhileConnected, lateResponses, confirmedByMinority, lateReturns].flatMap((check) =>
     check(history).slice(0, 3),
   );
--- a/packages/simulator/src/purity.test.ts
+++ b/packages/simulator/src/purity.test.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 
 const packages = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
-/** Where time, chance and I/O may come from: the shells, and what is for tests alone. */
+/** Packages that may use clocks, random numbers and I/O: hosts around reducers, and test tools. */
 const shells = new Set([
   'origin-stand-in',
   'client-stand-in',
@@ -16,26 +16,27 @@
   'rpc',
   'settings',
 ]);
+/** Files with the same permission in other packages. */
 const shellFiles = new Set([
   'main.ts',
   'run.ts',
-  'conns.ts',
+  'origin-connections.ts',
   'proxy-host.ts',
   'client-request-reader.ts',
   'outgoing-request.ts',
-  'own-responses.ts',
+  'local-responses.ts',
   'api-server.ts',
   'warm.ts',
-  'caller-answer.ts',
-  'caller-server.ts',
+  'client-response-writer.ts',
+  'inbound-server.ts',
   'exchange.ts',
-  'read-answer.ts',
+  'response-reader.ts',
   'scripted-origin.ts',
   'proxy-harness.ts',
   'membership-search.ts',
 ]);
 
-test('no reducer looks at a clock, draws by chance or does I/O: clocks may jump, seeds replay', (t) => {
+test('no reducer reads a clock, draws random numbers or does I/O, so that runs can be replayed from a seed', (t) => {
   let fileCount = 0;
   for (const name of readdirSync(packages)) {
     if (shells.has(name)) continue;
--- a/packages/simulator/src/replacement-figures.ts
+++ b/packages/simulator/src/replacement-figures.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
-/** Figures of how fast a lost member is replaced. */
+/** Prints how fast a lost member is replaced. */
 import { parseArgs } from 'node:util';
 import { timingSummaryOf, replaceMember, Site, disturbances, wipeMember } from './second-loss.js';
 
-/** Times from the start of a blank machine to a full member, over many seeds. */
+/** Times run from the start of a blank machine until it is a voting member, over many seeds. */
 const { values } = parseArgs({
   options: {
     seeds: { type: 'string', default: '100' },
@@ -15,17 +15,17 @@
 const catchUpMs = Number(values['catch-up']);
 const allTimes: (number | null)[] = [];
 
-/** Every fourth site has five members of which two may be lost. */
+/** Every fourth site has five members, two of which may be lost; the others have three and one. */
 const siteFor = (seed: number, trouble: (typeof disturbances)[number]): Site => {
   const members = seed % 4 === 3 ? 5 : 3;
   const losses = (members - 1) / 2;
-  const told = catchUpMs > 0 ? { catchUpMs } : {};
-  return new Site({ seed, members, successors: 1, losses, ...told, ...trouble });
+  const catchUp = catchUpMs > 0 ? { catchUpMs } : {};
+  return new Site({ seed, members, successors: 1, losses, ...catchUp, ...trouble });
 };
 
 const show = (title: string, times: readonly (number | null)[]): void => {
-  const { count, failed, medianMs: median, p99Ms: p99, maxMs: most } = timingSummaryOf(times);
-  const line = `median ${median} ms, 99th ${p99} ms, most ${most} ms, of ${count}`;
+  const { count, failed, medianMs, p99Ms, maxMs } = timingSummaryOf(times);
+  const line = `median ${medianMs} ms, 99th ${p99Ms} ms, most ${maxMs} ms, of ${count}`;
   process.stdout.write(`${title}: ${line}, not within 20 s ${failed}\n`);
 };
 
--- a/packages/simulator/src/rules-5.test.ts
+++ b/packages/simulator/src/rules-5.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import { faultCasesOfFile, assertFaultBreaksRule } from './injected-fault-runs.js';
 
-for (const each of faultCasesOfFile(4)) {
+for (const faultCase of faultCasesOfFile(4)) {
   test.serial(
-    `rule ${each.rule}: broken when ${each.description}, kept otherwise (${each.scenario})`,
-    (t) => assertFaultBreaksRule(t, each, [11, 12]),
+    `rule ${faultCase.rule} is broken when ${faultCase.description}, and holds otherwise (${faultCase.scenario})`,
+    (t) => assertFaultBreaksRule(t, faultCase, [11, 12]),
   );
 }
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -1,4 +1,4 @@
-/** Plays one scenario with one seed, and judges it. */
+/** Runs one scenario with one seed, and checks its history against the rules. */
 import { readFileSync } from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -14,7 +14,12 @@
 
 const examples = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../../../examples');
 
-/** An example's deployment and policy. @example exampleOf('brandlhuber').policy.routes.length // 4 */
+/**
+ * Reads the deployment and policy of an example.
+ *
+ * @example
+ * loadExample('brandlhuber').policy.routes.length // 4
+ */
 export const loadExample = (
   name: string,
 ): { readonly deployment: Deployment; readonly policy: Policy } => ({
@@ -26,6 +31,7 @@
   ),
 });
 
+/** The scenario and seed of a run, and what replaces their defaults. */
 export type RunOptions = {
   readonly scenario: string;
   readonly seed: number;
@@ -36,6 +42,7 @@
   readonly capacityBps?: number;
 };
 
+/** The result of a run. */
 export type Report = {
   readonly scenario: string;
   readonly seed: number;
@@ -47,10 +54,10 @@
   readonly replay: string;
 };
 
-/** One request of a kind that a deployment's callers send. */
+/** A request that a client sends. */
 type Sample = { readonly method: string; readonly target: string };
 
-/** What callers ask for, by deployment: the largest share first. */
+/** Returns a random request, with the mix of requests that the clients of an example send. */
 export const randomRequest = (example: string, clock: ScenarioFleet['clock']): Sample => {
   const draw = clock.random();
   const popularIndex = (count: number): number => Math.floor(count * clock.random() ** 2.5);
@@ -70,8 +77,8 @@
 };
 
 /**
- * Starts callers: each goes to a ready node of its own zone, or to any ready one where its zone has
- * none.
+ * Starts clients at random intervals. Each sends its request to a ready node of its zone, or to any
+ * ready node if its zone has none.
  */
 export const startClients = (
   fleet: RequestedFleet,
@@ -79,7 +86,7 @@
   policy: Policy,
   rate: () => number,
   until: number,
-  skew: () => string | null = () => null,
+  crowdedZone: () => string | null = () => null,
 ): void => {
   const { clock } = fleet;
   const host = policy.routes[0]?.host ?? '';
@@ -94,7 +101,7 @@
   const startNextClient = (): void => {
     if (clock.now() > until) return;
     clock.schedule((-Math.log(1 - clock.random()) * 1_000) / rate(), startNextClient);
-    const zone = skew() ?? clock.pick(zones) ?? '';
+    const zone = crowdedZone() ?? clock.pick(zones) ?? '';
     const sample = randomRequest(example, fleet.clock);
     job += 1;
     const unsafe = sample.method === 'POST';
@@ -107,12 +114,12 @@
         return;
       }
       fleet.submit(node, { ...sample, host, job: name, key }, (status) => {
-        // What got no good answer is asked again, an order with the same key.
+        // Clients retry after no response, 502, 503 or 504; an unsafe request keeps its key.
         const shouldRetry = status === 0 || status === 502 || status === 503 || status === 504;
         if (shouldRetry && retriesLeft > 0)
           clock.schedule(1_000 + 200 * clock.random(), () => attempt(retriesLeft - 1));
       });
-      // A caller uses its key once more for another order.
+      // Some clients reuse the key for another unsafe request.
       if (key !== null && retriesLeft === 2 && clock.random() < 0.05) {
         const other = choose(zone);
         if (other !== undefined)
@@ -120,7 +127,7 @@
             fleet.submit(other, { ...sample, host, job: `${name}-other`, key }, () => undefined),
           );
       }
-      // An impatient caller sends the same key twice at once.
+      // Impatient clients send the same request twice at the same time.
       if (key !== null && retriesLeft === 2 && clock.random() < 0.1) {
         const other = choose(zone);
         if (other !== undefined)
@@ -133,7 +140,7 @@
 };
 
 /**
- * Runs one scenario from one seed and judges its history.
+ * Runs one scenario with one seed and checks its history.
  *
  * @example
  * run({ scenario: 'kills', seed: 7 }).violations // []
@@ -142,7 +149,7 @@
   const scenario = scenarios[options.scenario];
   if (scenario === undefined)
     throw new Error(
-      `no scenario is named ${options.scenario}; there are ${Object.keys(scenarios).join(', ')}`,
+      `unknown scenario ${options.scenario}; known scenarios: ${Object.keys(scenarios).join(', ')}`,
     );
   const example = options.example ?? scenario.example ?? 'brandlhuber';
   const { deployment: exampleDeployment, policy } = loadExample(example);
@@ -171,26 +178,29 @@
   });
   fleet.watchReady();
   fleet.clock.schedule(500, () => fleet.put(initialPolicy));
-  const end = scenario.seconds * 1_000;
-  const factor = { rate: options.rate ?? scenario.rate ?? 120, crowdedZone: null as string | null };
+  const endMs = scenario.seconds * 1_000;
+  const traffic = {
+    rate: options.rate ?? scenario.rate ?? 120,
+    crowdedZone: null as string | null,
+  };
   fleet.clock.schedule(6_000, () =>
     startClients(
       fleet,
       example,
       initialPolicy,
-      () => factor.rate,
-      end - 2_000,
-      () => factor.crowdedZone,
+      () => traffic.rate,
+      endMs - 2_000,
+      () => traffic.crowdedZone,
     ),
   );
   scenario.play({
     fleet,
     policy: initialPolicy,
-    traffic: factor,
-    endMs: end,
+    traffic,
+    endMs,
     sample: () => randomRequest(example, fleet.clock),
   });
-  fleet.clock.runUntil(end + 14_000);
+  fleet.clock.runUntil(endMs + 14_000);
   const violations =
     scenario.servesOn === true
       ? [
--- a/packages/simulator/src/scenarios.test.ts
+++ b/packages/simulator/src/scenarios.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import { run } from './run.js';
 
-// What the rule tests do not run: each scenario once, and a share of callers that must be served
-// through it.
+// The scenarios that the rule tests do not run, each with the minimum share of requests that must be
+// served.
 for (const [scenario, minShare] of [
   ['calm', 0.995],
   ['lossy', 0.95],
@@ -25,8 +25,8 @@
   ['members-replaced', 0.85],
   ['members-grow', 0.95],
 ] as const) {
-  test.serial(`${scenario}: every rule kept, and callers served`, async (t) => {
-    // Lets the runner tell what is done so far before the next long run.
+  test.serial(`${scenario}: all rules hold, and clients are served`, async (t) => {
+    // Lets the test runner report progress before the next long run.
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
@@ -36,7 +36,7 @@
   });
 }
 
-test('nodes that restart with new seeds while the old ones are gone find the fleet', (t) => {
+test('seeds-changed: nodes that restart with new seeds find the fleet while the old seeds are down', (t) => {
   const { fleet } = run({ scenario: 'seeds-changed', seed: 21 });
   const servingNodes = fleet.history.flatMap((entry) =>
     entry.kind === 'got' && entry.at > 32_000 && entry.at < 36_000 && entry.status === 200
@@ -46,7 +46,7 @@
   for (const name of ['front-5', 'front-6', 'front-7']) t.true(servingNodes.includes(name), name);
 });
 
-test('four of five disks lost while a key is claimed twice: every member is told of the claim before it votes', (t) => {
+test('disks-wiped: no rule is broken when four of five disks are lost while a key is claimed twice, as every member learns of the claim before it votes', (t) => {
   t.deepEqual(run({ scenario: 'disks-wiped', seed: 3_000, example: 'association' }).violations, []);
 });
 
@@ -59,7 +59,7 @@
   t.notDeepEqual(first.fleet.counts, run({ scenario: 'freezes', seed: 6 }).fleet.counts);
 });
 
-test('an origin that drained once and came back as a new incarnation gets work again', (t) => {
+test('drain-then-kill: an origin that drained receives requests again as a new incarnation', (t) => {
   const { fleet } = run({ scenario: 'drain-then-kill', seed: 21 });
   const drained = fleet.history.flatMap((entry) => (entry.kind === 'drained' ? [entry] : []));
   t.true(drained.length > 3);
--- a/packages/simulator/src/scenarios.ts
+++ b/packages/simulator/src/scenarios.ts
@@ -1,4 +1,4 @@
-/** All scenarios, by name. */
+/** The scenarios of the simulator. */
 import { longPartitionScenarios } from './long-partitions.js';
 import { cacheScenarios } from './scenarios/cache-scenarios.js';
 import { calmScenarios } from './scenarios/calm-scenarios.js';
@@ -12,7 +12,7 @@
 import { quotaScenarios } from './scenarios/quota-scenarios.js';
 import { zoneScenarios } from './scenarios/zone-scenarios.js';
 
-/** All scenarios, by name. Each brings about what a rule is about. */
+/** All scenarios, by name. Each causes the situations that some of the rules are about. */
 export const scenarios: Readonly<Record<string, Scenario>> = {
   ...longPartitionScenarios,
   ...calmScenarios,
--- a/packages/simulator/src/scenarios/cache-scenarios.ts
+++ b/packages/simulator/src/scenarios/cache-scenarios.ts
@@ -1,4 +1,4 @@
-/** Objects are kept, age and are purged. */
+/** Scenarios about caching: responses are stored, age and are purged. */
 
 import { repeatBetween, type Scenario } from './environment.js';
 import { randomFaults } from './random-faults.js';
@@ -7,7 +7,7 @@
 export const cacheScenarios = {
   copies: {
     summary:
-      'answers that are old when they come, large ones, relayed ones; purged one by one, in long lists and in a storm over the size of a call',
+      'responses that are already old on arrival, large or forwarded; objects are purged one by one, in long lists, and by more purges at a time than one call can carry',
     seconds: 45,
     rate: 200,
     play: (environment) => {
@@ -45,7 +45,7 @@
     },
   },
   purges: {
-    summary: 'purges one by one and in storms, with slow origins, kills and cuts',
+    summary: 'single purges and bursts of purges, with slow origins, freezes and partitions',
     seconds: 45,
     play: (environment) => {
       repeatBetween(environment, 8_000, 38_000, 500, () => randomFaults.purge?.(environment));
--- a/packages/simulator/src/scenarios/calm-scenarios.ts
+++ b/packages/simulator/src/scenarios/calm-scenarios.ts
@@ -1,4 +1,4 @@
-/** Nothing fails. */
+/** Scenarios in which nothing fails. */
 
 import type { Scenario } from './environment.js';
 
@@ -6,7 +6,7 @@
 export const calmScenarios = {
   calm: { summary: 'nothing fails', seconds: 30, play: () => undefined },
   'crowded-zone': {
-    summary: 'most callers come to one zone, more than its proxies can serve',
+    summary: 'most clients turn to one zone and exceed the capacity of its proxies',
     seconds: 90,
     rate: 300,
     play: (environment) => {
--- a/packages/simulator/src/scenarios/disk-scenarios.ts
+++ b/packages/simulator/src/scenarios/disk-scenarios.ts
@@ -1,4 +1,4 @@
-/** Disks and power are lost. */
+/** Scenarios in which disks and power are lost. */
 
 import {
   diskMachinesOf,
@@ -15,7 +15,7 @@
 /** Scenarios, by name. */
 export const diskScenarios = {
   wipes: {
-    summary: 'disks are lost right after policies were acknowledged',
+    summary: 'disks are wiped right after policies were sent',
     seconds: 45,
     play: (environment) => {
       repeatBetween(environment, 9_000, 38_000, 2_200, () => {
@@ -29,7 +29,7 @@
   },
   'wiped-and-down': {
     summary:
-      'a policy reaches a bare majority; two of its disks are wiped at once while the third is down',
+      'a policy reaches only a bare majority; two of its disks are wiped immediately while the third machine is down',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
@@ -38,7 +38,7 @@
         const [first, second, third, ...others] = order;
         if (first === undefined || second === undefined || third === undefined) return;
         others.forEach((name) => fleet.isolate(name));
-        fleet.fault(`${others.join(' and ')} cut off`);
+        fleet.fault(`${others.join(' and ')} isolated`);
         fleet.put(
           policyVariant(environment.policy, Math.floor(1e6 * fleet.clock.random())),
           () => {
@@ -55,7 +55,7 @@
   },
   'core-replaced': {
     summary:
-      'a core machine is cut off, replaced under its name while it still runs, then cut to one side with it',
+      'a core machine is isolated and replaced under its name while it still runs; a second partition then separates the two',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
@@ -71,7 +71,7 @@
       };
       fleet.clock.schedule(12_000, () => {
         splitFrom(['core-2', 'front-1']);
-        fleet.fault('core-2 and front-1 cut off');
+        fleet.fault('core-2 and front-1 isolated');
       });
       fleet.clock.schedule(13_000, () => {
         fleet.startDuplicate('core-2');
@@ -80,9 +80,9 @@
       fleet.clock.schedule(21_000, () => {
         fleet.heal();
         splitFrom(['core-2', 'front-1', 'core-1', 'core-3']);
-        fleet.fault('cut again: the old core-2 on one side, the new one on the other');
+        fleet.fault('partitioned again: the old core-2 on one side, the new one on the other');
       });
-      // At once after the cut, before gossip tells front-1 of the successor's address.
+      // Immediately after the cut, before front-1 learns the address of the successor by gossip.
       repeatBetween(environment, 21_010, 22_000, 250, () => {
         put('front-1');
         put('front-2');
@@ -94,13 +94,13 @@
       fleet.clock.schedule(30_000, () => {
         fleet.heal();
         fleet.kill('core-2');
-        fleet.fault('healed, the old core-2 gone');
+        fleet.fault('healed, the old core-2 killed');
       });
       repeatBetween(environment, 9_000, 40_000, 300, () => randomFaults.read?.(environment));
     },
   },
   'kill-after-ack': {
-    summary: 'all disks lose power just after a policy was acknowledged',
+    summary: 'all machines with disks lose power just after a policy was acknowledged',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
@@ -115,7 +115,7 @@
   },
   'disks-wiped': {
     summary:
-      'a majority of disks, then all, are wiped at once just after acknowledgements, while the other machines live on',
+      'a majority of disks, then all, are wiped at the same time just after acknowledgements, while the other machines keep running',
     seconds: 60,
     play: (environment) => {
       const { fleet } = environment;
@@ -126,8 +126,8 @@
           .slice(0, count)
           .forEach((name) => restart(fleet, name, fleet.clock.between(300, 1_500), true));
       };
-      // Given to all nodes before: what reached no node that lives on is beyond a majority of
-      // disks.
+      // The changes are sent 5 s before the wipe, so that they reach all nodes. A change that no
+      // surviving node knows cannot be recovered once a majority of disks is lost.
       [
         [14_000, 3],
         [28_000, 5],
@@ -149,7 +149,7 @@
   },
   'all-wiped': {
     summary:
-      'every machine stops and every disk is wiped; the operator sends a policy again, and nothing older comes back',
+      'every machine stops and every disk is wiped; the operator sends a policy again, and no older state comes back',
     seconds: 55,
     play: (environment) => {
       const { fleet, policy } = environment;
@@ -187,7 +187,7 @@
   },
   'loss-after-ack': {
     summary:
-      'every machine loses power just after a policy, a purge, a zone order or a drain notice was acknowledged; all return',
+      'every machine loses power and returns, just after a policy, a purge, a zone order or a drain notice was acknowledged',
     seconds: 75,
     play: (environment) => {
       const { fleet } = environment;
@@ -216,7 +216,8 @@
     },
   },
   'full-loss': {
-    summary: 'every machine loses power at once; some disks are wiped; then all return',
+    summary:
+      'all machines lose power at the same time; some disks are wiped; then all machines return',
     seconds: 55,
     play: (environment) => {
       const { fleet } = environment;
@@ -236,7 +237,7 @@
     },
   },
   'zone-power': {
-    summary: 'a zone loses power, with its machines and origins, and comes back',
+    summary: 'a zone loses power, with its machines and origins, and returns',
     seconds: 45,
     play: (environment) => {
       const { fleet } = environment;
--- a/packages/simulator/src/scenarios/environment.ts
+++ b/packages/simulator/src/scenarios/environment.ts
@@ -1,20 +1,21 @@
-/** What a scenario is, and what it can do to the fleet, its origins and its clients. */
+/** The types of scenarios and of the fleet, origins and clients that they act on, with helpers. */
 
 import type { Policy } from '@reedyard/schemas';
 import type { Deployment, Origin } from '@reedyard/topology';
 import type { Entry } from '../history.js';
 
+/** How an origin misbehaves. Apart from `slowMs` and `aged`, each field is a share of its responses. */
 export type OriginMode = {
   slowMs: number;
   lose: number;
   garbage: number;
   short: number;
   foreign: number;
-  /** s that its answers are already old. */ aged: number;
-  /** Share of answers too large to be read whole. */ large: number;
+  /** Age of its responses when they are sent, in seconds. */ aged: number;
+  /** Share of responses that are too large to be buffered completely. */ large: number;
 };
 
-/** A stand-in origin as scenarios see and change it. */
+/** A simulated origin, as far as scenarios read and change it. */
 export type ScenarioOrigin = {
   readonly spec: Origin;
   incarnation: number;
@@ -23,12 +24,12 @@
   alive: boolean;
   cold: boolean;
   draining: boolean;
-  /** Lives, but describes itself no more. */ silent: boolean;
+  /** Whether the origin runs, but no longer sends its description. */ silent: boolean;
   capacity: number;
   mode: OriginMode;
 };
 
-/** What a scenario plays on: the simulator's fleet, or one of real processes. */
+/** The fleet that a scenario acts on: the simulated one, or one of real processes. */
 export type ScenarioFleet = {
   readonly clock: {
     now(): number;
@@ -39,7 +40,7 @@
   };
   readonly deployment: Deployment;
   readonly origins: readonly ScenarioOrigin[];
-  /** What settings name as seeds to those that start from now on: machine/agent. */
+  /** The seeds in the settings of processes that start from now on, as machine/agent. */
   seeds: readonly string[];
   machineNames(): readonly string[];
   isRunning(name: string): boolean;
@@ -67,10 +68,10 @@
   fault(label: string): void;
 };
 
-/** A fleet that callers ask. */
+/** A fleet that clients send requests to. */
 export type RequestedFleet = ScenarioFleet & {
   readonly history: Entry[];
-  /** What the platform knows: nodes that said they were ready when it last asked. */
+  /** Whether each node was ready at the last readiness check. */
   readonly ready: ReadonlyMap<string, boolean>;
   submit(
     node: string,
@@ -86,15 +87,17 @@
   ): void;
 };
 
+/** The fleet and settings of a running scenario. */
 export type ScenarioEnvironment = {
   readonly fleet: ScenarioFleet;
   readonly policy: Policy;
   readonly traffic: { rate: number; crowdedZone: string | null };
   readonly endMs: number;
-  /** A request as callers of this deployment send it. */
+  /** Returns a random request of the kind that clients of this deployment send. */
   readonly sample: () => { readonly method: string; readonly target: string };
 };
 
+/** A scenario: its deployment, network and load, and the events that it causes. */
 export type Scenario = {
   readonly summary: string;
   readonly seconds: number;
@@ -102,19 +105,20 @@
   readonly rate?: number;
   readonly loss?: number;
   readonly drift?: number;
-  /** ms that a message may wait more, where processes are busy. */ readonly busyMs?: number;
-  /** Of each proxy, where it is not the deployment's. */ readonly capacityBps?: number;
+  /** The maximum extra delay of a message, in milliseconds, as caused by busy processes. */ readonly busyMs?: number;
+  /** Capacity of each proxy, if it differs from the deployment's. */ readonly capacityBps?: number;
   /**
-   * Members found themselves from three seeds, and the loss of so many disks must be borne. Of real
-   * processes this is not played: there the settings name the founders.
+   * The first members are founded from three seeds, and the loss of `losses` disks must be tolerated.
+   * This does not apply to fleets of real processes, whose settings name the founders.
    */
   readonly voting?: { readonly losses: number };
   readonly policy?: (policy: Policy) => Policy;
-  /** Nodes serve on while they are cut off; they are then judged only while they are in touch. */
+  /** Whether nodes keep serving while they are isolated; only connected nodes are judged then. */
   readonly servesOn?: boolean;
   readonly play: (environment: ScenarioEnvironment) => void;
 };
 
+/** Returns the names of all machines, or of those of one kind. */
 export const machineNamesOf = (
   fleet: ScenarioFleet,
   kind?: 'front' | 'core' | 'store',
@@ -123,16 +127,18 @@
     .filter((machine) => kind === undefined || machine.kind === kind)
     .map((machine) => machine.name);
 
+/** Returns the names of the machines that run a replica on a disk. */
 export const diskMachinesOf = (fleet: ScenarioFleet): readonly string[] => [
   ...machineNamesOf(fleet, 'core'),
   ...machineNamesOf(fleet, 'store'),
 ];
 
+/** Returns the names of the zones that have machines. */
 export const zoneNamesOf = (fleet: ScenarioFleet): readonly string[] => [
   ...new Set(fleet.deployment.machines.map((machine) => machine.zone)),
 ];
 
-/** Does something again and again between two moments. */
+/** Repeats an action between two times, at random intervals of 0.6 to 1.4 times `intervalMs`. */
 export const repeatBetween = (
   { fleet }: ScenarioEnvironment,
   fromMs: number,
@@ -148,6 +154,7 @@
   fleet.clock.schedule(fromMs, next);
 };
 
+/** Kills a machine, wipes its disk if required, and starts it again after `afterMs`. */
 export const restart = (
   fleet: ScenarioFleet,
   name: string,
--- a/packages/simulator/src/scenarios/machine-scenarios.ts
+++ b/packages/simulator/src/scenarios/machine-scenarios.ts
@@ -1,4 +1,4 @@
-/** Machines restart, are replaced and join. */
+/** Scenarios in which machines restart, are replaced and join. */
 
 import {
   diskMachinesOf,
@@ -13,7 +13,7 @@
 /** Scenarios, by name. */
 export const machineScenarios = {
   rolling: {
-    summary: 'every machine is warned, killed 3 s later and started again, in turn',
+    summary: 'in turn, every machine is asked to stop, killed 3 s later and started again',
     seconds: 70,
     play: (environment) => {
       const { fleet } = environment;
@@ -28,7 +28,7 @@
     },
   },
   'seeds-changed': {
-    summary: 'two old seeds go; others restart with new seeds, and find the fleet',
+    summary: 'two old seeds go down; other nodes restart with new seeds and find the fleet',
     seconds: 50,
     play: (environment) => {
       const { fleet } = environment;
@@ -36,7 +36,7 @@
         fleet.seeds = ['front-1/agent', 'front-2/agent', 'core-3/agent'];
         fleet.kill('store-1');
         fleet.kill('store-2');
-        fleet.fault('two old seeds gone, new ones in the settings');
+        fleet.fault('two old seeds killed, new ones in the settings');
       });
       ['front-5', 'core-2', 'front-6', 'front-7'].forEach((name, index) =>
         fleet.clock.schedule(14_000 + 4_000 * index, () => {
@@ -54,7 +54,7 @@
   },
   'members-replaced': {
     summary:
-      'three seeds found the members; machines with a member go, their places pass to others, they return; disks are wiped, and all machines lose power once',
+      'three seeds found the membership; machines of members go down, are replaced by others and return; disks are wiped, and all machines lose power once',
     seconds: 75,
     voting: { losses: 1 },
     play: (environment) => {
@@ -88,7 +88,7 @@
   },
   'members-grow': {
     summary:
-      'three seeds found the members, and two more places are added; then two disks at once are wiped, again and again',
+      'three seeds found the membership, which grows by two slots; then two disks are wiped at the same time, repeatedly',
     seconds: 45,
     voting: { losses: 2 },
     play: (environment) => {
--- a/packages/simulator/src/scenarios/mixed-scenarios.ts
+++ b/packages/simulator/src/scenarios/mixed-scenarios.ts
@@ -1,4 +1,4 @@
-/** Many kinds of faults at once. */
+/** Scenarios that combine many kinds of faults. */
 
 import { repeatBetween, type Scenario, zoneNamesOf } from './environment.js';
 import { injectOriginFaults } from './origin-faults.js';
@@ -9,7 +9,7 @@
 export const mixedScenarios = {
   closing: {
     summary:
-      'a day that ends with a fault: a zone loses power, others freeze, origins drain, just before the end',
+      'just before the end of the load a zone loses power, a machine freezes and an origin drains',
     seconds: 40,
     play: (environment) => {
       const { fleet, endMs: end } = environment;
--- a/packages/simulator/src/scenarios/network-scenarios.ts
+++ b/packages/simulator/src/scenarios/network-scenarios.ts
@@ -1,4 +1,4 @@
-/** The network and the clocks misbehave: losses, partitions, delays, freezes. */
+/** Scenarios with faults of the network and of clocks: losses, partitions, delays, freezes. */
 
 import {
   diskMachinesOf,
@@ -13,7 +13,7 @@
 /** Scenarios, by name. */
 export const networkScenarios = {
   lossy: {
-    summary: 'three of a hundred messages are lost, from the first start on',
+    summary: '3 % of the messages are lost, from the first start on',
     seconds: 45,
     loss: 0.03,
     play: (environment) => {
@@ -24,7 +24,7 @@
   },
   cuts: {
     summary:
-      'machines cut off one after another, one way or both, while policies change and are read',
+      'machines are isolated one after another, in one or both directions, while policies change and are read',
     seconds: 45,
     play: (environment) => {
       repeatBetween(environment, 8_000, 36_000, 4_000, () => randomFaults.cut?.(environment));
@@ -34,12 +34,12 @@
     },
   },
   'core-split': {
-    summary: 'the disks split into two sides, then heal',
+    summary: 'a partition splits the machines with disks into two sides, then heals',
     seconds: 40,
     play: (environment) => {
       const { fleet } = environment;
       fleet.clock.schedule(12_000, () => {
-        fleet.fault('the core split');
+        fleet.fault('core partitioned');
         const firstSide = new Set(diskMachinesOf(fleet).filter((_, index) => index % 2 === 0));
         for (const from of fleet.machineNames())
           for (const to of fleet.machineNames())
@@ -58,7 +58,7 @@
     },
   },
   freezes: {
-    summary: 'machines freeze and thaw while policies change, zones empty and objects are purged',
+    summary: 'machines freeze and thaw while policies change and objects are purged',
     seconds: 45,
     play: (environment) => {
       repeatBetween(environment, 8_000, 38_000, 2_000, () => randomFaults.freeze?.(environment));
@@ -69,7 +69,7 @@
   },
   'slow-peers': {
     summary:
-      'routes allow two attempts; origins are slow at times, and peers slow, cut off or killed between taking a request and answering it',
+      'routes allow two attempts; origins are slow at times, and peers freeze or are killed between receiving a request and responding',
     seconds: 40,
     rate: 200,
     policy: (policy) => ({
@@ -100,7 +100,7 @@
   },
   drifting: {
     summary:
-      'clocks that run up to 5 % fast or slow, while nodes freeze and are cut, policies change, objects are purged, origins drain and demand passes ceilings',
+      'clocks run up to 5 % too fast or too slow, while nodes freeze and are isolated, policies change, objects are purged, origins drain and demand exceeds rate limits',
     seconds: 50,
     rate: 200,
     drift: 0.05,
@@ -128,7 +128,7 @@
   },
   busy: {
     summary:
-      'busy machines: every message waits up to 80 ms more, while policies change and are read and nodes restart in turn',
+      'machines are busy: every message is delayed by up to 80 ms, while policies change and are read and nodes restart in turn',
     seconds: 45,
     busyMs: 80,
     play: (environment) => {
--- a/packages/simulator/src/scenarios/origin-faults.ts
+++ b/packages/simulator/src/scenarios/origin-faults.ts
@@ -1,7 +1,8 @@
-/** Faults of origins that several scenarios bring about. */
+/** Faults of origins that several scenarios inject. */
 
 import type { ScenarioFleet, ScenarioOrigin } from './environment.js';
 
+/** Makes all origins lose, corrupt, truncate or mix up a share of their responses. */
 export const injectOriginFaults = (fleet: ScenarioFleet): void => {
   for (const origin of fleet.origins)
     Object.assign(origin.mode, {
@@ -14,7 +15,7 @@
     });
 };
 
-/** An origin comes back as a new incarnation, cold, and warms with the work it gets. */
+/** Stops an origin, and starts it after `downMs` as a new incarnation in slow start for 8 s. */
 export const replaceOrigin = (
   fleet: ScenarioFleet,
   origin: ScenarioOrigin,
@@ -35,6 +36,7 @@
   });
 };
 
+/** Drains an origin, and optionally replaces it 5 s later by a new incarnation. */
 export const drain = (fleet: ScenarioFleet, origin: ScenarioOrigin, thenDown: boolean): void => {
   origin.draining = true;
   fleet.describe(origin);
--- a/packages/simulator/src/scenarios/origin-scenarios.ts
+++ b/packages/simulator/src/scenarios/origin-scenarios.ts
@@ -1,4 +1,4 @@
-/** Origins misbehave, drain, leave and come back. */
+/** Scenarios in which origins misbehave, drain, stop and return. */
 
 import { repeatBetween, machineNamesOf, restart, type Scenario } from './environment.js';
 import { injectOriginFaults } from './origin-faults.js';
@@ -8,7 +8,7 @@
 export const originScenarios = {
   'lost-answers': {
     summary:
-      'origins run and lose the answer, send garbage, short bodies and foreign answers; nodes are killed; callers repeat',
+      'origins execute requests but lose the response, or send garbage, truncated bodies or responses to other requests; nodes are killed; clients retry',
     seconds: 35,
     play: (environment) => {
       environment.fleet.clock.schedule(7_000, () => injectOriginFaults(environment.fleet));
@@ -16,7 +16,7 @@
     },
   },
   repeats: {
-    summary: 'every origin fails most of what it gets',
+    summary: 'every origin fails most of its requests',
     seconds: 40,
     rate: 300,
     play: (environment) => {
@@ -28,7 +28,7 @@
   },
   'repeats-relayed': {
     summary:
-      'every origin fails most of what it gets, while one zone is crowded and hands most of it to peers',
+      'every origin fails most of its requests, while one zone is overloaded and forwards most requests to peers',
     seconds: 60,
     rate: 400,
     capacityBps: 3_000_000,
@@ -43,7 +43,7 @@
     },
   },
   'reused-address': {
-    summary: 'origins lose their address to another service',
+    summary: 'origins of two services exchange their addresses',
     seconds: 40,
     play: (environment) => {
       const { fleet } = environment;
@@ -68,7 +68,7 @@
   },
   drains: {
     summary:
-      'origins drain, leave and come back cold, one by one; nodes freeze and are cut meanwhile',
+      'origins drain, stop and return in slow start, one by one; nodes freeze and are isolated meanwhile',
     seconds: 45,
     play: (environment) => {
       repeatBetween(environment, 8_000, 36_000, 2_000, () => randomFaults.drain?.(environment));
@@ -78,7 +78,7 @@
   },
   'drain-then-kill': {
     summary:
-      'an origin gives its notice once, to a node that is killed or cut off right after acknowledging it, and falls silent; a new incarnation takes its address',
+      'an origin sends its drain notice once, to a node that is killed or isolated right after the acknowledgement; a new incarnation takes its address',
     seconds: 50,
     rate: 200,
     play: (environment) => {
@@ -95,7 +95,7 @@
         fleet.describe(
           origin,
           () => {
-            fleet.fault(`${origin.instance} drains; ${node} goes`);
+            fleet.fault(`${origin.instance} drains; ${node} goes down`);
             if (fleet.clock.random() < 0.5) restart(fleet, node, 3_000);
             else {
               fleet.isolate(node);
--- a/packages/simulator/src/scenarios/policy-changes.ts
+++ b/packages/simulator/src/scenarios/policy-changes.ts
@@ -1,11 +1,9 @@
-/** Changes of the policy that scenarios send: variants of the example's, and mutations of it. */
+/** Policies that scenarios send: variants and mutations of the policy of the example. */
 
 import { type Policy, Routes } from '@reedyard/schemas';
 import type { ScenarioEnvironment, ScenarioFleet } from './environment.js';
 
-/**
- * A policy that differs from the first and from every other by one service's ceiling and one route.
- */
+/** Returns the policy with one more route, whose name and path contain a number. */
 export const policyVariant = (policy: Policy, number: number): Policy => ({
   services: policy.services,
   routes: [
@@ -18,8 +16,10 @@
   ],
 });
 
+/** A route of a policy. */
 export type PolicyRoute = Policy['routes'][number];
 
+/** Replaces one random route among those that are eligible. */
 export const changeRandomRoute = (
   policy: Policy,
   clock: ScenarioFleet['clock'],
@@ -33,6 +33,7 @@
   };
 };
 
+/** Replaces the settings of one random service. */
 export const changeRandomService = (
   policy: Policy,
   clock: ScenarioFleet['clock'],
@@ -51,8 +52,8 @@
 };
 
 /**
- * What a next policy may take away, move or bring back; each put begins again from the first
- * policy.
+ * The mutations of a policy, by name. Each new policy is mutated from the policy of the example, so that
+ * earlier mutations are undone.
  */
 const mutations: Readonly<Record<string, (policy: Policy, fleet: ScenarioFleet) => Policy>> = {
   'route removed': (policy, { clock }) =>
@@ -148,7 +149,7 @@
     ),
 };
 
-/** A policy with one to three changes. */
+/** Returns the policy of the example with one to three random mutations. */
 export const mutatedPolicy = ({ fleet, policy }: ScenarioEnvironment): Policy => {
   let next = policy;
   const count = 1 + Math.floor(3 * fleet.clock.random());
@@ -162,6 +163,7 @@
   return next;
 };
 
+/** Sends a random variant of the policy. */
 export const putPolicyVariant = (environment: ScenarioEnvironment): void => {
   environment.fleet.put(
     policyVariant(environment.policy, Math.floor(1e6 * environment.fleet.clock.random())),
--- a/packages/simulator/src/scenarios/policy-scenarios.ts
+++ b/packages/simulator/src/scenarios/policy-scenarios.ts
@@ -1,4 +1,4 @@
-/** Operators change policies while traffic runs. */
+/** Scenarios in which operators change policies under load. */
 
 import { repeatBetween, type Scenario } from './environment.js';
 import { putPolicyVariant } from './policy-changes.js';
@@ -7,7 +7,7 @@
 /** Scenarios, by name. */
 export const policyScenarios = {
   operators: {
-    summary: 'two operators send policies at once, on different nodes, and read',
+    summary: 'two operators send policies concurrently, to any nodes, and read them',
     seconds: 40,
     play: (environment) => {
       repeatBetween(environment, 8_000, 34_000, 1_200, () => {
@@ -22,20 +22,21 @@
   },
   policies: {
     summary:
-      'policies that take routes, services, instances, methods and copies away, while origins are slow and nodes are killed, frozen and cut',
+      'policies remove routes, services, instances, methods and caching, while origins are slow and nodes are killed, frozen and isolated',
     seconds: 52,
     rate: 200,
     play: playPolicyChanges,
   },
   'policies-homes': {
-    summary: 'the same over two regions, with homes added, narrowed and moved',
+    summary: 'as policies, but over two regions, with home regions added, narrowed and moved',
     seconds: 52,
     rate: 200,
     example: 'association',
     play: playPolicyChanges,
   },
   homes: {
-    summary: 'two regions; homed reports, cuts between the regions, kills and freezes',
+    summary:
+      'two regions, with objects that have home regions; machines are killed, frozen and isolated',
     seconds: 45,
     example: 'association',
     play: (environment) => {
--- a/packages/simulator/src/scenarios/quota-scenarios.ts
+++ b/packages/simulator/src/scenarios/quota-scenarios.ts
@@ -1,4 +1,4 @@
-/** Rate limits, capacities and slow start. */
+/** Scenarios about rate limits, capacities and slow start. */
 
 import { repeatBetween, restart, type Scenario, zoneNamesOf } from './environment.js';
 import { drain, replaceOrigin } from './origin-faults.js';
@@ -8,7 +8,7 @@
 export const quotaScenarios = {
   ceilings: {
     summary:
-      'demand far above a low ceiling that moves between zones, while the quota leader and others are killed, frozen and cut',
+      'demand far above a low rate limit moves between zones, while the quota leader and other nodes are killed, frozen and isolated',
     seconds: 60,
     rate: 300,
     policy: (policy) => ({
@@ -42,7 +42,8 @@
     },
   },
   saturated: {
-    summary: 'demand far above a low ceiling, nothing fails; halfway all callers move to one zone',
+    summary:
+      'demand is far above a low rate limit, and nothing fails; halfway all clients turn to one zone',
     seconds: 50,
     rate: 300,
     policy: (policy) => ({
@@ -61,7 +62,7 @@
     },
   },
   cold: {
-    summary: 'origins crash and come back cold under load',
+    summary: 'origins crash and return in slow start under load',
     seconds: 50,
     rate: 250,
     policy: (policy) => ({
@@ -80,7 +81,7 @@
   },
   lowered: {
     summary:
-      'ceilings and cold rates lowered and raised while demand stays and the quota leader is killed',
+      'rate limits and slow-start rates change under constant demand while the quota leader is killed',
     seconds: 50,
     rate: 400,
     play: (environment) => {
@@ -109,7 +110,7 @@
   },
   capacities: {
     summary:
-      'no ceilings: instances go one by one until one carries all, say they carry less, and come back cold; demand stays',
+      'no rate limits, constant demand: instances stop one by one until one has the entire load; it announces less capacity, and the others return in slow start',
     seconds: 60,
     rate: 400,
     policy: (policy) => ({
@@ -127,17 +128,17 @@
           fleet.clock.schedule(firstAt + 1_500 * index, () => {
             if (fleet.clock.random() < 0.5) drain(fleet, origin, false);
             else origin.alive = false;
-            fleet.fault(`${service}: ${origin.instance} goes`);
+            fleet.fault(`${service}: ${origin.instance} stops`);
           }),
         );
-        // The last one says that it carries less, and less again.
+        // The remaining instance announces a lower capacity, twice.
         for (const at of [24_000, 30_000])
           fleet.clock.schedule(at, () => {
             const [lastInstance] = instances;
             if (lastInstance !== undefined) {
               lastInstance.capacity *= 0.3;
               fleet.describe(lastInstance);
-              fleet.fault(`${lastInstance.instance} carries ${lastInstance.capacity}`);
+              fleet.fault(`${lastInstance.instance} announces capacity ${lastInstance.capacity}`);
             }
           });
         instances
--- a/packages/simulator/src/scenarios/random-faults.ts
+++ b/packages/simulator/src/scenarios/random-faults.ts
@@ -1,4 +1,4 @@
-/** Faults that happen at random while a scenario runs. */
+/** Faults that scenarios inject at random machines, zones and origins. */
 
 import {
   diskMachinesOf,
@@ -12,7 +12,7 @@
 import { mutatedPolicy } from './policy-changes.js';
 
 /**
- * Policies that take things away, now and then the first one again, while origins are slow and
+ * Sends mutated policies, and the original policy a quarter of the time, while origins are slow and
  * machines fail.
  */
 export const playPolicyChanges = (environment: ScenarioEnvironment): void => {
@@ -28,6 +28,7 @@
   repeatBetween(environment, 12_000, 44_000, 9_000, () => randomFaults.cut?.(environment));
 };
 
+/** The faults, by name. */
 export const randomFaults: Readonly<Record<string, (environment: ScenarioEnvironment) => void>> = {
   kill: ({ fleet }) => {
     const name = fleet.clock.pick(machineNamesOf(fleet));
@@ -49,7 +50,7 @@
     const name = fleet.clock.pick(machineNamesOf(fleet));
     if (name === undefined) return;
     fleet.isolate(name, fleet.clock.pick(['both', 'in', 'out'] as const));
-    fleet.fault(`${name} cut off`);
+    fleet.fault(`${name} isolated`);
     fleet.clock.schedule(fleet.clock.between(1_000, 8_000), () => fleet.heal());
   },
   wipe: ({ fleet }) => {
--- a/packages/simulator/src/scenarios/zone-scenarios.ts
+++ b/packages/simulator/src/scenarios/zone-scenarios.ts
@@ -1,4 +1,4 @@
-/** Zones and regions are evacuated and restored. */
+/** Scenarios in which zones and regions are evacuated and restored. */
 
 import { repeatBetween, type Scenario } from './environment.js';
 import { randomFaults } from './random-faults.js';
@@ -6,7 +6,7 @@
 /** Scenarios, by name. */
 export const zoneScenarios = {
   zones: {
-    summary: 'zones are emptied and taken back while nodes freeze and are cut',
+    summary: 'zones are evacuated and restored while nodes freeze and are isolated',
     seconds: 50,
     play: (environment) => {
       repeatBetween(environment, 8_000, 36_000, 12_000, () => randomFaults.zone?.(environment));
@@ -16,7 +16,7 @@
   },
   'region-emptied': {
     summary:
-      'all zones of a region are emptied one after another and taken back, with homed reports; nodes freeze and are cut',
+      'all zones of a region are evacuated one after another and restored, with objects that have home regions; nodes freeze and are isolated',
     seconds: 50,
     example: 'association',
     play: (environment) => {
@@ -33,7 +33,7 @@
               .map((machine) => machine.zone),
           ),
         ];
-        fleet.fault(`${region} emptied`);
+        fleet.fault(`${region} evacuated`);
         regionZones.forEach((zone, index) => {
           fleet.clock.schedule(300 * index, () => fleet.zone(zone, 'empty'));
           fleet.clock.schedule(10_000 + 300 * index, () => fleet.zone(zone, 'take-back'));
--- a/packages/simulator/src/second-loss.test.ts
+++ b/packages/simulator/src/second-loss.test.ts
@@ -10,15 +10,16 @@
   type SiteOptions,
 } from './second-loss.js';
 
-// Losses that follow one another: each member that is lost, wiped or told to leave must have a
-// successor that votes before the next loss has to be borne. Half of the time that a site gives its
-// successors is the aim.
+// Losses that follow one another: for each member that is lost, wiped or stopped, a successor must vote
+// before the next loss has to be tolerated. The target is half of the time that a site gives its
+// successors to catch up.
 
 const seedCount = 20;
-/** ms. What the small sites and the grown ones give a successor to catch up. */
+/** Times that small and grown sites give a successor to catch up, in milliseconds. */
 const catchUpTimesMs = [4_000, 6_000] as const;
-/** ms. An order must be acknowledged within this. */
+/** The time within which a command must be acknowledged, in milliseconds. */
 const acknowledgementLimitMs = 4_000;
+/** The time after which a replacement counts as failed, in milliseconds. */
 const replacementLimitMs = 20_000;
 
 const siteFor = (seed: number, overrides: Partial<SiteOptions> = {}): Site => {
@@ -38,26 +39,26 @@
 
 const seeds = Array.from({ length: seedCount }, (_, index) => index + 1);
 const logSummary = (t: ExecutionContext, title: string, figures: TimingSummary): void => {
-  const { count, failed, medianMs: median, p99Ms: p99, maxMs: most } = figures;
-  const times = `median ${median} ms, 99th ${p99} ms, most ${most} ms`;
-  t.log(`${title}: ${times}, of ${count}, not in time ${failed}`);
+  const { count, failed, medianMs, p99Ms, maxMs } = figures;
+  const times = `median ${medianMs} ms, 99th ${p99Ms} ms, max ${maxMs} ms`;
+  t.log(`${title}: ${times}, of ${count}, not within the limit ${failed}`);
 };
-/** Lets the runner tell what is done so far before the next long run. */
+/** Lets the test runner report progress before the next long run. */
 const yieldToRunner = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-for (const [what, lose] of [
+for (const [loss, lose] of [
   ['replaced', replaceMember],
   ['wiped', wipeMember],
 ] as const) {
   test.serial(
-    `${what}: from the start of the blank machine to a full member within half of the time to catch up`,
+    `a blank machine becomes a full member within half of the catch-up time when a member is ${loss}`,
     async (t) => {
       for (const catchUpMs of catchUpTimesMs) {
         for (const trouble of disturbances) {
           await yieldToRunner();
           const times = seeds.map((seed) => lose(siteFor(seed, { ...trouble, catchUpMs })));
           const figures = timingSummaryOf(times);
-          logSummary(t, `${what}, catch up ${catchUpMs} ms, ${JSON.stringify(trouble)}`, figures);
+          logSummary(t, `${loss}, catch up ${catchUpMs} ms, ${JSON.stringify(trouble)}`, figures);
           t.true(figures.p99Ms <= catchUpMs / 2, JSON.stringify({ trouble, catchUpMs, figures }));
         }
       }
@@ -65,7 +66,7 @@
   );
 }
 
-test.serial('not told how long successors may take, nobody is replaced in less than 8 s', (t) => {
+test.serial('without a configured catch-up time, no member is replaced in less than 8 s', (t) => {
   const times = seeds.slice(0, 8).map((seed) => {
     const { catchUpMs: _none, ...options } = siteFor(seed).options;
     return replaceMember(new Site(options));
@@ -77,8 +78,9 @@
 });
 
 /**
- * Four times: a member goes for good, and when its successor has had its time, the next one loses
- * power.
+ * Four times in a row, kills a member for good, starts its successor, and kills another member for a
+ * while after the catch-up time. Returns the times until a command is acknowledged after each second
+ * loss.
  */
 const timesAfterSecondLosses = (site: Site): readonly (number | null)[] => {
   const { fleet, options } = site;
@@ -86,7 +88,7 @@
     const successor = coreName(options.members + round);
     const lost = site.anyVotingMachine();
     if (fleet.clock.random() < 0.5) fleet.stopReplica(lost);
-    // The operator's list of seeds is some seconds old: the lost one may stand in it.
+    // The operator's list of seeds is some seconds old and may still contain the lost member.
     fleet.seeds = site
       .votingMachines()
       .slice(0, 3)
@@ -107,7 +109,7 @@
 };
 
 test.serial(
-  'a second loss right after each replacement: orders are acknowledged, and nothing is lost',
+  'commands are acknowledged and nothing is lost after a second loss right after each replacement',
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
@@ -117,13 +119,13 @@
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    logSummary(t, 'order after the second loss', figures);
+    logSummary(t, 'command after the second loss', figures);
     t.is(figures.failed, 0, JSON.stringify(times));
   },
 );
 
 test.serial(
-  'without the short suspicion orders get no acknowledgement after a second loss',
+  'without a configured catch-up time, some commands are not acknowledged after a second loss',
   (t) => {
     const { catchUpMs: _none, ...options } = siteFor(1, { successors: 4 }).options;
     t.true(timesAfterSecondLosses(new Site(options)).some((each) => each === null));
@@ -131,7 +133,7 @@
 );
 
 test.serial(
-  'disks wiped one after the other, each when the one before has had its time: orders are acknowledged, and nothing is lost',
+  'commands are acknowledged and nothing is lost when disks are wiped one after the other, each after the catch-up time of the previous one',
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
@@ -149,13 +151,13 @@
       t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    logSummary(t, 'order after each wiped disk', figures);
+    logSummary(t, 'command after each wiped disk', figures);
     t.is(figures.failed, 0, JSON.stringify(times));
   },
 );
 
 test.serial(
-  'all machines lose power, one of them its disk as well, right after an acknowledgement: it votes again within half of the time to catch up, and nothing is lost',
+  'nothing is lost when all machines lose power right after an acknowledgement and one of them its disk, and that one votes again within half of the catch-up time',
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
@@ -174,7 +176,7 @@
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    logSummary(t, 'wiped while all lost power, from their start', figures);
+    logSummary(t, 'wiped while all machines lost power, from their start', figures);
     t.true(figures.p99Ms <= 2_000, JSON.stringify(figures));
   },
 );
@@ -190,8 +192,8 @@
 ];
 
 /**
- * A member is told to stop while its successor waits; something crashes at any step of the
- * handover.
+ * Stops a member gracefully while its successor runs, and crashes a participant at a random step of the
+ * handover. Returns the time until a command is acknowledged.
  */
 const stopMember = (
   site: Site,
@@ -226,7 +228,7 @@
 
 for (const crash of crashes) {
   test.serial(
-    `told to stop with its successor there, crash of: ${crash}; orders are acknowledged, and nothing is lost`,
+    `commands are acknowledged and nothing is lost when a member with a running successor stops, crash of: ${crash}`,
     async (t) => {
       const times: (number | null)[] = [];
       for (const seed of seeds) {
@@ -236,20 +238,20 @@
         times.push(took);
         site.runFor(6_000);
         const running = site.fleet.machines.get(leaver)?.replica !== null;
-        if (crash === 'nobody') t.false(running, `seed ${seed}: the leaver has ended`);
+        if (crash === 'nobody') t.false(running, `seed ${seed}: the leaver still runs`);
         t.true(site.keepsAcknowledged(), `seed ${seed}`);
         const others = site.votingMachines().filter((each) => each !== leaver);
         if (crash === 'nobody') t.is(others.length, site.options.members, `seed ${seed}`);
       }
       const figures = timingSummaryOf(times);
-      logSummary(t, `order while one leaves, crash of ${crash}`, figures);
+      logSummary(t, `command while a member stops, crash of ${crash}`, figures);
       t.is(figures.failed, 0, JSON.stringify(times));
     },
   );
 }
 
 test.serial(
-  'a replaced replica that forgets at once: a run is found where the second loss leaves no majority',
+  'some second loss leaves no majority if a replaced replica forgets its data immediately',
   async (t) => {
     const failed: number[] = [];
     for (const seed of seeds) {
@@ -267,26 +269,23 @@
   },
 );
 
-test.serial(
-  'without a spare a restart, with a warning or without, changes no member',
-  async (t) => {
-    for (const seed of seeds) {
-      await yieldToRunner();
-      const site = siteFor(seed);
-      const { epoch } = site.newestMembership();
-      for (const machine of site.votingMachines()) {
-        if (seed % 2 === 0) site.fleet.stopReplica(machine);
-        site.runFor(100);
-        site.fleet.kill(machine);
-        site.runFor(site.fleet.clock.between(200, 2_500));
-        site.fleet.start(machine);
-        site.runFor(3_000);
-      }
-      t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
-      t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
+test.serial('without a spare, a restart changes no member, whether graceful or not', async (t) => {
+  for (const seed of seeds) {
+    await yieldToRunner();
+    const site = siteFor(seed);
+    const { epoch } = site.newestMembership();
+    for (const machine of site.votingMachines()) {
+      if (seed % 2 === 0) site.fleet.stopReplica(machine);
+      site.runFor(100);
+      site.fleet.kill(machine);
+      site.runFor(site.fleet.clock.between(200, 2_500));
+      site.fleet.start(machine);
+      site.runFor(3_000);
     }
-  },
-);
+    t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
+    t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
+  }
+});
 
 type Trouble = 'cut' | 'cut one way' | 'freeze' | 'roll' | 'power';
 const suspicionTroubles: readonly Trouble[] = ['cut', 'cut one way', 'freeze', 'roll', 'power'];
@@ -322,7 +321,7 @@
 
 for (const trouble of suspicionTroubles) {
   test.serial(
-    `a spare is live, and members are suspected wrongly (${trouble}): nothing is lost, and all vote again`,
+    `nothing is lost and all members vote again when members are wrongly suspected while a spare runs (${trouble})`,
     async (t) => {
       let changes = 0;
       const gaps: number[] = [];
@@ -344,16 +343,16 @@
         changes += site.newestMembership().epoch - before;
         const { epoch } = site.newestMembership();
         site.runFor(5_000);
-        t.is(site.newestMembership().epoch, epoch, `seed ${seed}: it does not go on changing`);
+        t.is(site.newestMembership().epoch, epoch, `seed ${seed}: the membership keeps changing`);
       }
       logSummary(t, `longest time without a majority (${trouble})`, timingSummaryOf(gaps));
-      t.log(`${trouble}: ${changes} changes of members in ${seeds.length} runs`);
+      t.log(`${trouble}: ${changes} membership changes in ${seeds.length} runs`);
     },
   );
 }
 
 test.serial(
-  'two machines under one name: the one with the data stays a member; once it is gone, the other takes over; it returns and waits',
+  'of two machines under one name, the one with the data stays a member; the other replaces it once it is lost, and it stays a spare when it returns',
   async (t) => {
     const times: (number | null)[] = [];
     for (const seed of seeds) {
@@ -362,20 +361,20 @@
       const original = site.anyVotingMachine();
       t.not(site.timeToAcknowledge(acknowledgementLimitMs), null);
       const { epoch } = site.newestMembership();
-      const twin = site.fleet.startDuplicate(original);
+      const duplicate = site.fleet.startDuplicate(original);
       site.runFor(6_000);
       t.is(site.newestMembership().epoch, epoch, `seed ${seed}`);
-      t.true(site.isVotingMember(original) && !site.isVotingMember(twin), `seed ${seed}`);
+      t.true(site.isVotingMember(original) && !site.isVotingMember(duplicate), `seed ${seed}`);
       site.fleet.kill(original);
-      times.push(site.timeToMember(twin, replacementLimitMs));
+      times.push(site.timeToMember(duplicate, replacementLimitMs));
       t.not(site.timeToAcknowledge(acknowledgementLimitMs), null, `seed ${seed}`);
       site.fleet.start(original);
       site.runFor(6_000);
-      t.true(!site.isVotingMember(original) && site.isVotingMember(twin), `seed ${seed}`);
+      t.true(!site.isVotingMember(original) && site.isVotingMember(duplicate), `seed ${seed}`);
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
-    logSummary(t, 'twin, from the loss of the other', figures);
+    logSummary(t, 'duplicate, from the loss of the original', figures);
     t.true(figures.p99Ms <= 4_000, JSON.stringify(figures));
   },
 );
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -1,29 +1,29 @@
-/** Second losses right after a replacement: what is lost, and for how long. */
+/** Trials of a second loss right after a member was replaced. */
 import type { Machine } from '@reedyard/topology';
 import type { Policy } from '@reedyard/schemas';
 import { SimulatedFleet, type Tuning } from './simulated-fleet.js';
 
 /**
- * Trials of membership changes: a fleet of a few front machines and of machines with a replica, in
- * which members are lost, replaced, told to leave and lost again. Everything here is seeded and in
- * virtual time.
+ * The trials run on a simulated fleet of a few fronts and of machines with a replica, in which members
+ * are lost, replaced, stopped and lost again. Everything is seeded and in virtual time.
  */
 
 const emptyPolicy: Policy = { services: {}, routes: [] };
 const frontCount = 3;
-/** ms. How often the presence of a majority is sampled. */
+/** How often the presence of a majority is sampled, in milliseconds. */
 const samplePeriodMs = 10;
 /**
- * ms. Until a site is founded, has grown to its members, and its agents take part in every
- * decision.
+ * How long it takes until a site is founded, has grown to its full membership, and its agents take
+ * part in every decision, in milliseconds.
  */
 const foundingMs = 9_000;
-/** ms. How long an operator waits for an answer before the order goes to another node. */
+/** How long an operator waits for a reply before the command goes to another node, in milliseconds. */
 const clientTimeoutMs = 1_000;
 
+/** The size of a site, and the faults of its network, clocks and processes. */
 export type SiteOptions = {
   readonly seed: number;
-  /** Machines with a replica: the members, and those that are started later as their successors. */
+  /** Number of members; `successors` more machines with a replica can be started later. */
   readonly members: number;
   readonly successors: number;
   readonly losses: number;
@@ -34,6 +34,7 @@
   readonly plant?: Tuning['plant'];
 };
 
+/** Returns the name of a machine with a replica; the members are numbered first. */
 export const coreName = (index: number): string => `core-${index}`;
 
 const machinesOf = ({ members, successors }: SiteOptions): readonly Machine[] => [
@@ -51,10 +52,10 @@
   })),
 ];
 
-/** A fleet whose members are founded and whose successors are not started yet. */
+/** A fleet whose membership is founded and whose successors are not started yet. */
 export class Site {
   readonly fleet: SimulatedFleet;
-  /** ms. The longest time without a voting majority since `resetGap`. */
+  /** The longest time without a voting majority since `resetGap`, in milliseconds. */
   longestGapMs = 0;
   #gapStartedAt: number | null = null;
 
@@ -84,8 +85,8 @@
   }
 
   /**
-   * The disk with which a machine's replica votes, or null while it does not run, is no member, or
-   * still reads.
+   * Returns the id of the disk with which a machine's replica votes, or null while the replica does not
+   * run, is no member, or still catches up.
    */
   votingDisk(machine: string): string | null {
     const replica = this.fleet.machines.get(machine)?.replica ?? null;
@@ -96,12 +97,12 @@
       : null;
   }
 
-  /** Whether a machine's replica is a full member: named, has read the others, and votes. */
+  /** Whether a machine's replica is a full member: in the membership, caught up, and voting. */
   isVotingMember(machine: string): boolean {
     return this.votingDisk(machine) !== null;
   }
 
-  /** The newest epoch that any replica was told is committed, and the disks that it names. */
+  /** Returns the newest membership that any replica knows is committed: its epoch and disk ids. */
   newestMembership(): { readonly epoch: number; readonly disks: readonly string[] } {
     let newest: { readonly epoch: number; readonly disks: readonly string[] } = {
       epoch: 0,
@@ -118,7 +119,7 @@
     return newest;
   }
 
-  /** Machines whose replica is a member of the newest epoch and votes. */
+  /** Returns the machines whose replica is a voting member of the newest epoch. */
   votingMachines(): readonly string[] {
     const { disks } = this.newestMembership();
     return [...this.fleet.machines.keys()].filter((machine) => {
@@ -127,7 +128,7 @@
     });
   }
 
-  /** Whether enough members of the newest epoch run and vote. */
+  /** Whether a majority of the members of the newest epoch run and vote. */
   hasMajority(): boolean {
     return this.votingMachines().length > this.newestMembership().disks.length / 2;
   }
@@ -148,7 +149,8 @@
   }
 
   /**
-   * Runs until a machine's replica is a full member; ms that it took, or null if it took too long.
+   * Runs until a machine's replica is a full member. Returns the elapsed time in milliseconds, or null
+   * if it exceeds the limit.
    */
   timeToMember(machine: string, limitMs: number): number | null {
     const startedAt = this.fleet.clock.now();
@@ -159,21 +161,21 @@
     return this.fleet.clock.now() - startedAt;
   }
 
-  /** Runs until a later epoch is committed, or for the time given. */
+  /** Runs until a later epoch is committed, or the time limit has passed. */
   runUntilEpochAfter(epoch: number, limitMs: number): void {
     const end = this.fleet.clock.now() + limitMs;
     while (this.newestMembership().epoch <= epoch && this.fleet.clock.now() < end) this.runFor(1);
   }
 
-  /** Orders that were acknowledged so far. */
+  /** Number of commands that were acknowledged so far. */
   acknowledged = 0;
 
   /**
-   * Sends an order to some live node, and again as an operator does; ms until its acknowledgement,
-   * or null if that took too long.
+   * Sends a command to a running node, and retries it as an operator does. Returns the time until its
+   * acknowledgement in milliseconds, or null if it exceeds the limit.
    */
   timeToAcknowledge(limitMs: number): number | null {
-    const begun = this.fleet.clock.now();
+    const startedAt = this.fleet.clock.now();
     let isAcknowledged = false;
     this.#commandCount += 1;
     const changeId = `order-${this.#commandCount}`;
@@ -183,18 +185,19 @@
       this.fleet.operate(action, ({ status }) => {
         if (status === 200) isAcknowledged = true;
       });
-      // A call without an answer is given up after a second, and another node is asked.
+      // A call without a reply is given up after a second, and another node is tried.
       this.fleet.clock.schedule(clientTimeoutMs, send);
     };
     send();
-    while (!isAcknowledged && this.fleet.clock.now() - begun < limitMs) this.runFor(samplePeriodMs);
+    while (!isAcknowledged && this.fleet.clock.now() - startedAt < limitMs)
+      this.runFor(samplePeriodMs);
     if (!isAcknowledged) return null;
     this.acknowledged += 1;
-    return this.fleet.clock.now() - begun;
+    return this.fleet.clock.now() - startedAt;
   }
   #commandCount = 0;
 
-  /** Whether some node reads back a state with all that was acknowledged. */
+  /** Whether a node reads a policy revision that includes all acknowledged commands. */
   keepsAcknowledged(): boolean {
     let revision = -1;
     for (let attempts = 0; attempts < 5 && revision < 0; attempts += 1) {
@@ -206,12 +209,13 @@
     return revision >= this.acknowledged;
   }
 
-  /** A machine with a replica that votes now. */
+  /** Returns a random machine whose replica is a voting member. */
   anyVotingMachine(): string {
     return this.fleet.clock.pick(this.votingMachines()) ?? '';
   }
 }
 
+/** Statistics of a list of times. */
 export type TimingSummary = {
   readonly count: number;
   readonly failed: number;
@@ -220,7 +224,7 @@
   readonly maxMs: number;
 };
 
-/** Median, 99th percentile and largest of times; a null counts as failed and as endless. */
+/** Summarizes times. A null counts as failed and as an infinite time. */
 export const timingSummaryOf = (times: readonly (number | null)[]): TimingSummary => {
   const sorted = times.map((each) => each ?? Infinity).sort((a, b) => a - b);
   const percentile = (share: number): number => sorted[Math.ceil(share * sorted.length) - 1] ?? 0;
@@ -233,7 +237,7 @@
   };
 };
 
-/** What may go wrong with messages and clocks meanwhile. */
+/** The faults of messages and clocks under which the trials run. */
 export const disturbances: readonly Pick<SiteOptions, 'loss' | 'busyMs' | 'drift'>[] = [
   {},
   { loss: 0.03 },
@@ -242,10 +246,13 @@
   { loss: 0.02, busyMs: 60 },
 ];
 
-/** ms. A replacement that takes longer has failed. */
+/** How long a replacement may take before it counts as failed, in milliseconds. */
 const replacementLimitMs = 20_000;
 
-/** A member goes for good, its successor starts a little before or after. */
+/**
+ * Kills a member for good and starts its successor, up to 300 ms before or 1.5 s after that. Returns the
+ * time until the successor is a full member, in milliseconds, or null if it failed.
+ */
 export const replaceMember = (site: Site): number | null => {
   const { fleet, options } = site;
   const lost = site.anyVotingMachine();
@@ -259,7 +266,10 @@
   return site.timeToMember(successor, replacementLimitMs);
 };
 
-/** A member's disk is lost, and its machine starts again at its address. */
+/**
+ * Wipes the disk of a member and starts its machine again at the same address. Returns the time until
+ * it is a full member, in milliseconds, or null if it failed.
+ */
 export const wipeMember = (site: Site): number | null => {
   const { fleet } = site;
   const lost = site.anyVotingMachine();
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -1,21 +1,21 @@
-/** Which machines reach which: partitions, one way or both. */
+/** The simulated network: which machine reaches which, with partitions in one or both directions. */
 import type { Entry } from './history.js';
 
 /**
- * What cuts and other events leave of a machine's paths to the replicas: the truth that nodes can
- * only infer.
+ * The network knows which paths from a machine to the replicas exist after cuts and other events; the
+ * nodes themselves can only infer it.
  */
 
 type RecordEntry = (entry: Entry) => void;
 
-/** Paths between machines, each in one direction; those named are cut. */
+/** Paths between machines, per direction; a path works unless it was cut. */
 export class SimulatedNetwork {
   readonly #cuts = new Set<string>();
-  /** When something last changed about a machine's processes and links. */
+  /** When the processes or links of each machine last changed. */
   readonly #changedAt = new Map<string, number>();
-  /** Machines that reach no majority of replicas, and since when. */
+  /** Machines without a path to a majority of replicas, and since when. */
   readonly #isolatedSince = new Map<string, number>();
-  /** Nodes that wait for a lease after a cut, and since when. */
+  /** Nodes that wait for a lease after a cut, and when the cut ended. */
   readonly #awaitingLeaseSince = new Map<string, number>();
 
   constructor(
@@ -34,7 +34,7 @@
     return this.#cuts.has(`${from}>${to}`);
   }
 
-  /** Ends all cuts, and notes who was cut off. */
+  /** Ends all cuts, and records which nodes were isolated. */
   heal(): void {
     const now = this.now();
     this.#cuts.clear();
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Notes that a machine's links changed, or that its processes were killed, started, frozen or
+   * Records that a machine's links changed, or that its processes were killed, started, frozen or
    * thawed.
    */
   changed(name: string): void {
@@ -56,7 +56,7 @@
     this.#isolatedSince.set(name, this.now());
   }
 
-  /** Whether nothing changed about a machine since a moment. */
+  /** Whether a machine's links and processes have not changed since the given time. */
   isSteadySince(name: string, since: number): boolean {
     return (this.#changedAt.get(name) ?? 0) < since;
   }
@@ -68,14 +68,17 @@
     return this.replicas.filter(isReached).length > this.replicas.length / 2;
   }
 
-  /** ms for which a machine has had such paths, while nothing changed about it and any replica. */
+  /**
+   * Returns how long a machine has had paths to a majority of the replicas while neither its links and
+   * processes nor those of a replica changed, in milliseconds.
+   */
   majorityReachableForMs(name: string): number {
     if (!this.reachesMajority(name)) return 0;
     const changes = [name, ...this.replicas].map((each) => this.#changedAt.get(each) ?? 0);
     return this.now() - Math.max(...changes);
   }
 
-  /** Notes the first lease after a cut, unless something else happened to the node meanwhile. */
+  /** Records the first lease after a cut, unless the node changed in another way since the cut. */
   leaseAcquired(name: string): void {
     const healedAt = this.#awaitingLeaseSince.get(name);
     if (healedAt === undefined) return;
--- a/packages/simulator/src/spread.ts
+++ b/packages/simulator/src/spread.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** How fast a change reaches all nodes, over many seeds. */
+/** Measures how fast a change reaches all nodes. */
 import { parseArgs } from 'node:util';
 import { SimulatedFleet } from './simulated-fleet.js';
 import { loadExample } from './run.js';
 
 /**
- * How long after its acknowledgement a policy is in force, or a purge applied, at the last proxy:
- * virtual ms.
+ * Prints how long after its acknowledgement a policy is in force, or a purge is applied, at the last
+ * proxy, in milliseconds of virtual time.
  */
 const { values } = parseArgs({
   options: {
@@ -32,7 +32,10 @@
       : [{ revision: box.proxy.state.policy?.revision ?? 0, purges: box.proxy.state.purgeSeq }],
   );
 
-/** Does something that is acknowledged, and watches until all proxies show it. */
+/**
+ * Starts a change, and returns the time from its acknowledgement until all proxies have applied it, in
+ * milliseconds; null if that takes longer than 10 s.
+ */
 const spread = (
   startChange: (done: () => void) => void,
   isApplied: () => boolean,
--- a/packages/simulator/src/virtual-clock.ts
+++ b/packages/simulator/src/virtual-clock.ts
@@ -1,4 +1,6 @@
-/** Virtual time and seeded chance: the same seed gives the same run, event for event. */
+/**
+ * Virtual time and a seeded random generator: the same seed gives the same run, event for event.
+ */
 export class VirtualClock {
   #now = 0;
   #nextOrder = 0;
@@ -13,7 +15,7 @@
     return this.#now;
   }
 
-  /** @example new Clockwork(1).random() // always the same number in [0, 1) */
+  /** @example new VirtualClock(1).random() // always the same number in [0, 1) */
   random(): number {
     this.#seed = (this.#seed + 0x6d2b79f5) | 0;
     let mixed = Math.imul(this.#seed ^ (this.#seed >>> 15), 1 | this.#seed);
@@ -53,7 +55,7 @@
     );
   }
 
-  /** Runs until a moment of virtual time. */
+  /** Runs all scheduled actions up to a point in virtual time, in order. */
   runUntil(end: number): void {
     const heap = this.#heap;
     for (let top = heap[0]; top !== undefined && top.at <= end; top = heap[0]) {
