--- a/packages/simulator/src/injected-fault-runs.ts
+++ b/packages/simulator/src/injected-fault-runs.ts
@@ -248,7 +248,7 @@
   const isBroken = Array.from({ length: seedCount }, (_, index) => firstSeed + index).some((seed) =>
     run({ scenario, seed, plant }).violations.some((violation) => violation.rule === rule),
   );
-  t.true(isBroken, `rule ${rule} is not broken in ${scenario} with the fault ${plant}`);
+  t.true(isBroken, `with the fault ${plant}, rule ${rule} is not broken in ${scenario}`);
   for (const seed of seeds) {
     await yieldToRunner();
     const report = cleanRunOf(scenario, seed);
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -224,7 +224,10 @@
   readonly maxMs: number;
 };
 
-/** Summarizes times. A null counts as failed and as an infinite time. */
+/**
+ * Computes the median, 99th percentile and maximum of times. A null counts as failed and as an infinite
+ * time.
+ */
 export const timingSummaryOf = (times: readonly (number | null)[]): TimingSummary => {
   const sorted = times.map((each) => each ?? Infinity).sort((a, b) => a - b);
   const percentile = (share: number): number => sorted[Math.ceil(share * sorted.length) - 1] ?? 0;
