--- a/packages/replica/src/replica-host.test.ts
+++ b/packages/replica/src/replica-host.test.ts
@@ -257,7 +257,7 @@
     // What any answer shows is what a process would find that starts on this disk after a loss of
     // power.
     const shown = ballotShown(pull);
-    for (const left of disk.powerLosses()) {
+    for (const left of disk.statesAfterPowerLoss()) {
       const value = await acceptedOnDisk(left);
       const known = value === undefined ? 0 : roundOf(value);
       t.true(known >= (Array.isArray(shown) ? Number(shown[0]) : 0), `${first} ${round}`);
@@ -355,7 +355,7 @@
       answers.push(
         answered.then(async (reply) => {
           const shown = reply.kind === 'vote' ? [step + 1] : ballotShown(reply);
-          for (const left of disk.powerLosses()) {
+          for (const left of disk.statesAfterPowerLoss()) {
             const value = await acceptedOnDisk(left);
             const known = value === undefined ? 0 : roundOf(value);
             t.true(known >= (Array.isArray(shown) ? Number(shown[0]) : 0), `${order} ${step}`);
--- a/packages/write-ahead-log/src/disk-faults.test.ts
+++ b/packages/write-ahead-log/src/disk-faults.test.ts
@@ -103,7 +103,7 @@
         operations = seen();
         // The process ends while the power stays on, and the power fails.
         check(t, await reopen(disk.copy()), history, what);
-        for (const left of disk.powerLosses()) check(t, await reopen(left), history, what);
+        for (const left of disk.statesAfterPowerLoss()) check(t, await reopen(left), history, what);
         // The disk is well again.
         disk.hook = () => null;
         if (!log.available()) await log.recover();
--- a/packages/write-ahead-log/src/frames.ts
+++ b/packages/write-ahead-log/src/frames.ts
@@ -21,19 +21,19 @@
   readonly record: unknown;
   readonly batch: number;
   /** Whether the batch is complete with this frame. */
-  readonly lastOfBatch: boolean;
+  readonly isLastInBatch: boolean;
   readonly start: number;
   readonly end: number;
 };
 
 /** What a file holds. */
-export type Scan = {
+export type ScanResult = {
   /** Whole frames from the start of the file, without a gap. */
   readonly frames: readonly Frame[];
   /** Length up to which the file is good. */
-  readonly goodBytes: number;
+  readonly validBytes: number;
   /** The highest batch of which a head was found behind the first gap; null if there is none. */
-  readonly batchBehindGap: number | null;
+  readonly highestBatchAfterGap: number | null;
 };
 
 type Head = {
@@ -89,7 +89,7 @@
   const payload = bytes.subarray(start + headSize, end);
   if (payload.length < head.length || crc32(payload) !== head.payloadChecksum) return null;
   const record: unknown = parse(payload.toString('utf8'));
-  return { record, batch: head.batch, lastOfBatch: head.lastOfBatch, start, end };
+  return { record, batch: head.batch, isLastInBatch: head.lastOfBatch, start, end };
 };
 
 const highestBatchFrom = (bytes: Buffer, from: number, fileId: number): number | null => {
@@ -108,7 +108,7 @@
  * @example
  * scanFrames(Buffer.alloc(40), 2) // { frames: [], goodBytes: 0, batchBehindGap: null }
  */
-export const scanFrames = (bytes: Buffer, fileId: number): Scan => {
+export const scanFrames = (bytes: Buffer, fileId: number): ScanResult => {
   const frames: Frame[] = [];
   let goodBytes = 0;
   while (goodBytes < bytes.length) {
@@ -117,5 +117,9 @@
     frames.push(frame);
     goodBytes = frame.end;
   }
-  return { frames, goodBytes, batchBehindGap: highestBatchFrom(bytes, goodBytes, fileId) };
+  return {
+    frames,
+    validBytes: goodBytes,
+    highestBatchAfterGap: highestBatchFrom(bytes, goodBytes, fileId),
+  };
 };
--- a/packages/write-ahead-log/src/log.ts
+++ b/packages/write-ahead-log/src/log.ts
@@ -106,8 +106,8 @@
     this.records = recovered.records;
     this.#previous = recovered.previous;
     this.#carried = recovered.carried;
-    this.#highestNumber = recovered.highestNumber;
-    this.#segments = recovered.segments;
+    this.#highestNumber = recovered.highestFileNumber;
+    this.#segments = recovered.segmentCount;
     this.#otherBytes = recovered.otherBytes;
     this.#snapshotBytes = recovered.snapshotBytes;
     this.#incompleteSnapshots = recovered.incompleteSnapshots;
--- a/packages/write-ahead-log/src/model-disk.ts
+++ b/packages/write-ahead-log/src/model-disk.ts
@@ -122,7 +122,7 @@
   }
 
   /** Every state that a loss of power can leave now. */
-  *powerLosses(): Iterable<ModelDisk> {
+  *statesAfterPowerLoss(): Iterable<ModelDisk> {
     const seen = new Set<string>();
     const unsynced = [...this.#contents].filter(([, file]) => file.writes.length > 0);
     const writes = unsynced.reduce((sum, [, file]) => sum + file.writes.length, 0);
--- a/packages/write-ahead-log/src/power-loss.test.ts
+++ b/packages/write-ahead-log/src/power-loss.test.ts
@@ -78,7 +78,7 @@
   await play(recorder, 7);
   let states = 0;
   for (const { disk, history } of recorder.moments) {
-    for (const left of disk.powerLosses()) {
+    for (const left of disk.statesAfterPowerLoss()) {
       checkRecords(t, await reopen(left), history);
       states += 1;
     }
@@ -91,7 +91,7 @@
   await play(recorder, 1);
   let states = 0;
   for (const { disk, history } of recorder.moments) {
-    for (const left of disk.powerLosses()) {
+    for (const left of disk.statesAfterPowerLoss()) {
       const records = (await reopen(left.copy())) as number[];
       const second = new Recorder(left, {
         issued: [...records],
@@ -102,7 +102,7 @@
       await second.append(log, 100);
       await second.compact(log);
       for (const moment of second.moments) {
-        for (const again of moment.disk.powerLosses()) {
+        for (const again of moment.disk.statesAfterPowerLoss()) {
           checkRecords(t, await reopen(again), moment.history);
           states += 1;
         }
@@ -123,13 +123,13 @@
     t.true(log.available());
     const shown = log.records as number[];
     checkRecords(t, shown, history);
-    for (const left of opened.disk.powerLosses()) {
+    for (const left of opened.disk.statesAfterPowerLoss()) {
       t.deepEqual(await reopen(left), shown);
       states += 1;
     }
     // The power fails while the next one opens it: nothing was shown yet.
     for (const moment of opened.moments) {
-      for (const left of moment.disk.powerLosses()) {
+      for (const left of moment.disk.statesAfterPowerLoss()) {
         checkRecords(t, await reopen(left), history);
         states += 1;
       }
--- a/packages/write-ahead-log/src/recovery.ts
+++ b/packages/write-ahead-log/src/recovery.ts
@@ -7,7 +7,7 @@
  * missing in part: everything else is known to have been synced, and a gap in it is damage.
  */
 import { WriteAheadLogError } from './errors.js';
-import { scanFrames, type Frame, type Scan } from './frames.js';
+import { scanFrames, type Frame, type ScanResult } from './frames.js';
 import type { LogFileSystem } from './file-system.js';
 import {
   fileIdOf,
@@ -31,12 +31,12 @@
   /** Records at the end whose sync is not certain: the next segment's header must hold them. */
   readonly carried: readonly unknown[];
   /** The highest number that any file has. */
-  readonly highestNumber: number;
+  readonly highestFileNumber: number;
   readonly snapshotBytes: number;
   /** Bytes of the other files that were read. */
   readonly otherBytes: number;
   /** Segments in the chain. */
-  readonly segments: number;
+  readonly segmentCount: number;
   /** Snapshots that were never completed: they may go at once. */
   readonly incompleteSnapshots: readonly string[];
   /** Segments outside the chain: they may go once the next segment is synced. */
@@ -48,7 +48,7 @@
   readonly header: SegmentHeader;
   readonly headerEnd: number;
   readonly frames: readonly Frame[];
-  readonly scan: Scan;
+  readonly scan: ScanResult;
 };
 
 type Snapshot = { readonly records: readonly unknown[]; readonly bytes: number };
@@ -56,7 +56,7 @@
 /** The files of one folder, read one by one. */
 type Source = {
   readonly folder: string;
-  readonly scan: (kind: FileKind, number: number) => Promise<Scan>;
+  readonly scan: (kind: FileKind, number: number) => Promise<ScanResult>;
 };
 
 const damaged = (source: Source, name: string, what: string): WriteAheadLogError =>
@@ -66,15 +66,15 @@
   );
 
 /** The batch that the first gap of a segment lies in. */
-const batchOfGap = (scan: Scan): number => {
+const batchOfGap = (scan: ScanResult): number => {
   const last = scan.frames.at(-1);
   if (last === undefined) return headerBatch;
-  return last.lastOfBatch ? last.batch + 1 : last.batch;
+  return last.isLastInBatch ? last.batch + 1 : last.batch;
 };
 
-const refuseGapInSyncedPart = (source: Source, name: string, scan: Scan): void => {
-  if (scan.batchBehindGap === null || scan.batchBehindGap <= batchOfGap(scan)) return;
-  throw damaged(source, name, `a gap at byte ${scan.goodBytes} with newer records behind it`);
+const refuseGapInSyncedPart = (source: Source, name: string, scan: ScanResult): void => {
+  if (scan.highestBatchAfterGap === null || scan.highestBatchAfterGap <= batchOfGap(scan)) return;
+  throw damaged(source, name, `a gap at byte ${scan.validBytes} with newer records behind it`);
 };
 
 /**
@@ -96,9 +96,9 @@
 
 /** A snapshot; null if it was never completed. */
 const readSnapshot = async (source: Source, number: number): Promise<Snapshot | null> => {
-  const { frames, goodBytes } = await source.scan('snapshot', number);
+  const { frames, validBytes: goodBytes } = await source.scan('snapshot', number);
   const last = frames.at(-1);
-  if (last === undefined || !last.lastOfBatch) return null;
+  if (last === undefined || !last.isLastInBatch) return null;
   const records = frames.slice(0, -1).map((frame) => frame.record);
   if ((last.record as SnapshotEnd).records !== records.length) return null;
   return { records, bytes: goodBytes };
@@ -240,7 +240,7 @@
 export const recoverLog = async (files: LogFileSystem, folder: string): Promise<RecoveredLog> => {
   const present = logFilesOf(await files.list());
   const sizes = new Map<string, number>();
-  const scan = async (kind: FileKind, number: number): Promise<Scan> => {
+  const scan = async (kind: FileKind, number: number): Promise<ScanResult> => {
     const name = fileName(kind, number);
     const bytes = await files.read(name);
     sizes.set(name, bytes.length);
@@ -254,8 +254,8 @@
     const unreferenced = present.map(({ name }) => name);
     return {
       ...nothing,
-      highestNumber,
-      segments: 0,
+      highestFileNumber: highestNumber,
+      segmentCount: 0,
       incompleteSnapshots: [],
       unreferencedSegments: unreferenced,
     };
@@ -267,10 +267,10 @@
   return {
     records: chain.records,
     ...next,
-    highestNumber,
+    highestFileNumber: highestNumber,
     snapshotBytes: chain.snapshotBytes,
     otherBytes: allBytes - chain.snapshotBytes,
-    segments: chain.segmentNumbers.length,
+    segmentCount: chain.segmentNumbers.length,
     incompleteSnapshots: incomplete,
     unreferencedSegments: unreferencedSegments(present, chain, next.previous),
   };
--- a/packages/write-ahead-log/src/write-ahead-log.test.ts
+++ b/packages/write-ahead-log/src/write-ahead-log.test.ts
@@ -106,7 +106,7 @@
     scan.frames.map((each) => each.record),
     ['a'],
   );
-  t.deepEqual([scan.goodBytes, scan.batchBehindGap], [frame.length, null]);
+  t.deepEqual([scan.validBytes, scan.highestBatchAfterGap], [frame.length, null]);
 });
 
 test('compaction keeps the state and bounds the files; a snapshot without its end counts for nothing', async (t) => {
