--- a/packages/testbed/src/fleet.test.ts
+++ b/packages/testbed/src/fleet.test.ts
@@ -4,50 +4,54 @@
 import { mkdtempSync } from 'node:fs';
 import { sendRequest } from '@reedyard/client-stand-in';
 import { api, Fleet } from './index.js';
-import { small, smallHost as host, smallPolicy as policy } from './small.js';
+import { smallDeployment, smallHost as host, smallPolicy as policy } from './small-deployment.js';
 
 test('a fleet of real processes: one policy, callers served, copies purged, a key run once, a kill survived', async (t) => {
-  const fleet = await Fleet.lay(small, mkdtempSync(path.join(os.tmpdir(), 'reedyard-')));
-  t.teardown(() => fleet.end());
+  const fleet = await Fleet.create(
+    smallDeployment,
+    mkdtempSync(path.join(os.tmpdir(), 'reedyard-')),
+  );
+  t.teardown(() => fleet.stopAll());
   fleet.startAll();
   await fleet.startOrigins();
-  await fleet.until(
+  await fleet.waitUntil(
     'a majority of disks',
     async () =>
       (
-        await api(fleet.apiOf('front-2'), 'PUT', '/v1/policy', policy, {
+        await api(fleet.apiAddressOf('front-2'), 'PUT', '/v1/policy', policy, {
           'reedyard-change-id': 'first',
         })
       ).status === 200,
   );
-  await fleet.untilReady();
+  await fleet.waitUntilReady();
 
   // A repeat under the same change id is harmless; a stale If-Match and a faulty policy change
   // nothing.
   t.is(
     (
-      await api(fleet.apiOf('core-1'), 'PUT', '/v1/policy', policy, {
+      await api(fleet.apiAddressOf('core-1'), 'PUT', '/v1/policy', policy, {
         'reedyard-change-id': 'first',
       })
     ).status,
     200,
   );
   t.is(
-    (await api(fleet.apiOf('core-1'), 'PUT', '/v1/policy', policy, { 'if-match': '7' })).status,
+    (await api(fleet.apiAddressOf('core-1'), 'PUT', '/v1/policy', policy, { 'if-match': '7' }))
+      .status,
     412,
   );
-  const refused = await api(fleet.apiOf('front-1'), 'PUT', '/v1/policy', {
+  const refused = await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', {
     ...policy,
     routes: [{ ...policy.routes[0], service: 'nobody', extra: 1 }],
   });
   t.is(refused.status, 422);
   t.regex(JSON.stringify(refused.body), /\/routes\/0/);
-  const read = await api(fleet.apiOf('core-3'), 'GET', '/v1/policy');
+  const read = await api(fleet.apiAddressOf('core-3'), 'GET', '/v1/policy');
   t.is((read.body as { revision: number }).revision, 1);
 
   const get = (node: string, target: string): ReturnType<typeof sendRequest> =>
-    sendRequest({ at: fleet.callersOf(node), method: 'GET', host, target, service: 'store' });
-  await fleet.until(
+    sendRequest({ at: fleet.clientAddressOf(node), method: 'GET', host, target, service: 'store' });
+  await fleet.waitUntil(
     'a first answer',
     async () => (await get('front-1', '/sheets/1')).status === 200,
   );
@@ -61,20 +65,20 @@
   fleet.originStandIns.get('content-1')?.startNewGeneration();
   t.is(
     (
-      await api(fleet.apiOf('core-2'), 'POST', '/v1/purges', {
+      await api(fleet.apiAddressOf('core-2'), 'POST', '/v1/purges', {
         objects: [`http://${host}/sheets/1`],
       })
     ).status,
     200,
   );
-  await fleet.until('the purge in force', async () =>
+  await fleet.waitUntil('the purge in force', async () =>
     (await get('front-1', '/sheets/1')).body.includes('generation=1'),
   );
 
   // One key, three askers on two nodes: one run.
   const post = (node: string, key: string): ReturnType<typeof sendRequest> =>
     sendRequest({
-      at: fleet.callersOf(node),
+      at: fleet.clientAddressOf(node),
       method: 'POST',
       host,
       target: '/handovers',
@@ -82,7 +86,7 @@
       key,
       job: key,
     });
-  await fleet.until(
+  await fleet.waitUntil(
     'an application share',
     async () => (await post('front-1', `warm-${Math.random()}`)).status === 200,
   );
@@ -102,7 +106,7 @@
   t.is(
     (
       await sendRequest({
-        at: fleet.callersOf('front-1'),
+        at: fleet.clientAddressOf('front-1'),
         method: 'POST',
         host,
         target: '/handovers',
@@ -116,7 +120,7 @@
   t.is(
     (
       await sendRequest({
-        at: fleet.callersOf('front-1'),
+        at: fleet.clientAddressOf('front-1'),
         method: 'POST',
         host,
         target: '/handovers',
@@ -141,21 +145,21 @@
       })),
     ],
   };
-  await fleet.until(
+  await fleet.waitUntil(
     'thousands of routes taken',
     async () =>
       (
-        await api(fleet.apiOf('front-1'), 'PUT', '/v1/policy', many, {
+        await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', many, {
           'reedyard-change-id': 'many',
         })
       ).status === 200,
   );
-  await fleet.until(
+  await fleet.waitUntil(
     'thousands of routes in force',
     async () =>
       (
         await sendRequest({
-          at: fleet.callersOf('front-2'),
+          at: fleet.clientAddressOf('front-2'),
           method: 'GET',
           host: 'h49.example',
           target: '/many/3999/x',
@@ -164,20 +168,21 @@
       ).status === 200,
   );
   t.is(
-    (await api(fleet.apiOf('front-1'), 'PUT', '/v1/policy', 'x'.repeat(9 * 1024 * 1024))).status,
+    (await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', 'x'.repeat(9 * 1024 * 1024)))
+      .status,
     413,
   );
-  t.is((await api(fleet.apiOf('front-1'), 'PUT', '/v1/policy', '{"services":')).status, 400);
+  t.is((await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', '{"services":')).status, 400);
 
   // One replica killed: still acknowledged. Two: refused with a time to come back, and callers are
   // told not ready.
   await fleet.kill('core-1');
-  await fleet.until(
+  await fleet.waitUntil(
     'a policy without one replica',
     async () =>
       (
         await api(
-          fleet.apiOf('front-1'),
+          fleet.apiAddressOf('front-1'),
           'PUT',
           '/v1/policy',
           { ...policy, routes: policy.routes.slice(0, 1) },
@@ -185,25 +190,25 @@
         )
       ).status === 200,
   );
-  await fleet.until(
+  await fleet.waitUntil(
     'the newer policy in force',
     async () => (await post('front-2', 'x')).status === 404,
   );
   await fleet.kill('core-2');
-  await fleet.until(
+  await fleet.waitUntil(
     'not ready without a majority',
     async () => (await get('front-1', '/sheets/1')).status === 503,
   );
-  const lost = await api(fleet.apiOf('front-1'), 'PUT', '/v1/policy', policy);
+  const lost = await api(fleet.apiAddressOf('front-1'), 'PUT', '/v1/policy', policy);
   t.is(lost.status, 503);
   t.truthy(lost.headers['retry-after']);
 
   // Back with their disks: the newer policy, not the first.
   fleet.start('core-1');
   fleet.start('core-2');
-  await fleet.untilReady();
+  await fleet.waitUntilReady();
   t.true(
-    ((await api(fleet.apiOf('core-1'), 'GET', '/v1/policy')).body as { revision: number })
+    ((await api(fleet.apiAddressOf('core-1'), 'GET', '/v1/policy')).body as { revision: number })
       .revision >= 2,
   );
 });
--- a/packages/testbed/src/hollow-child.ts
+++ b/packages/testbed/src/hollow-child.ts
@@ -1,6 +1,6 @@
 /** A process of the hollow fleet. */
 import { errorMessage } from '@reedyard/logging';
-import { HollowHost, type HostCalls } from './hollow-host.js';
+import { HollowHost, type HostOperations } from './hollow-host.js';
 
 /**
  * A process of a hollow fleet: does what the bench that started it asks, and ends when that one
@@ -11,7 +11,7 @@
   'message',
   (message: {
     readonly id: number;
-    readonly method: keyof HostCalls;
+    readonly method: keyof HostOperations;
     readonly words: readonly unknown[];
   }) => {
     // Called with its host right below.
--- a/packages/testbed/src/hollow-constants.ts
+++ b/packages/testbed/src/hollow-constants.ts
@@ -16,7 +16,7 @@
 export const hollowCallTimeoutMs = 600_000;
 
 /** requests a second that one origin carries. */
-export const hollowOriginCapacity = 500;
+export const hollowOriginCapacityPerSecond = 500;
 
 /** bps that a proxy's callers ask of one object. */
 export const hollowObjectDemandBps = 200_000;
@@ -34,7 +34,7 @@
  * ms. What is waited at most for replicas to found, for the quota leadership to be taken, or for
  * a change to reach all.
  */
-export const hollowWaitMs = 20_000;
+export const hollowMaxWaitMs = 20_000;
 
 /** ms. Nodes begin spread over this long, so that their beats don't fall together. */
 export const hollowStartSpreadMs = 500;
@@ -46,7 +46,7 @@
 export const hollowStepMs = 10;
 
 /** requests a second that a proxy wants of all services: 1.1 million over 1,100 nodes. */
-export const hollowProxyDemand = 1_000;
+export const hollowProxyDemandPerSecond = 1_000;
 
 /** ms. Nodes run this long before anything is counted: two pings, four divisions, one lease. */
 export const hollowWarmUpMs = 4_000;
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -52,7 +52,7 @@
   hollowCallTimeoutMs,
   hollowDescribeIntervalMs,
   hollowObjectDemandBps,
-  hollowProxyDemand,
+  hollowProxyDemandPerSecond,
 } from './hollow-constants.js';
 
 /** A hollow fleet that can't be run. */
@@ -62,10 +62,12 @@
  * What a hollow node is counted as. The one that holds the quota leadership and the seeds are
  * agents with more to do.
  */
-export type Role = 'replica' | 'holder' | 'seed' | 'agent' | 'proxy';
+export type HollowRole = 'replica' | 'holder' | 'seed' | 'agent' | 'proxy';
 
 /** Where each address is served: by which process, as which role. */
-export type Directory = Readonly<Record<string, { readonly port: number; readonly role: Role }>>;
+export type AddressDirectory = Readonly<
+  Record<string, { readonly port: number; readonly role: HollowRole }>
+>;
 
 export type ReplicaSpec = {
   readonly name: string;
@@ -74,7 +76,7 @@
 };
 export type AgentSpec = {
   readonly self: NodeIdentity;
-  readonly role: Role;
+  readonly role: HollowRole;
   readonly seeds: readonly string[];
   readonly founders: Readonly<Record<string, string>>;
   readonly seed: number;
@@ -97,18 +99,22 @@
 };
 
 /** What is to be done at a node's API in a step. */
-export type Order = { readonly node: string; readonly tag: string; readonly action: ApiAction };
+export type NodeAction = {
+  readonly node: string;
+  readonly tag: string;
+  readonly action: ApiAction;
+};
 /** Something whose arrival at every node is looked for. */
-export type Watch = {
+export type ArrivalWatch = {
   readonly tag: string;
   readonly what: 'config' | 'purge' | 'drain' | 'member';
   readonly key: string;
 };
 
 /** Messages and their bytes, heads and all; `from` asks, `to` answers. */
-export type Flow = {
-  readonly from: Role;
-  readonly to: Role;
+export type CallTraffic = {
+  readonly from: HollowRole;
+  readonly to: HollowRole;
   readonly kind: string;
   readonly calls: number;
   readonly askedBytes: number;
@@ -116,10 +122,10 @@
 };
 
 export type HostReport = {
-  readonly flows: readonly Flow[];
+  readonly flows: readonly CallTraffic[];
   /** ms of a core inside the reducers, by role and event, and how many events there were. */
   readonly reduced: readonly {
-    readonly role: Role;
+    readonly role: HollowRole;
     readonly event: string;
     readonly ms: number;
     readonly events: number;
@@ -143,16 +149,16 @@
 };
 
 /** A host as its fleet sees it, in this process or another. */
-export type HostCalls = {
+export type HostOperations = {
   listen: () => Promise<number>;
-  directory: (known: Directory) => Promise<void>;
+  directory: (known: AddressDirectory) => Promise<void>;
   replicas: (specs: readonly ReplicaSpec[]) => Promise<void>;
   agents: (specs: readonly AgentSpec[]) => Promise<void>;
   proxies: (specs: readonly ProxySpec[]) => Promise<void>;
   origins: (specs: readonly OriginSpec[]) => Promise<void>;
-  watch: (watches: readonly Watch[]) => Promise<void>;
+  watch: (watches: readonly ArrivalWatch[]) => Promise<void>;
   /** One step of the common clock; resolves once nothing asked here is under way. */
-  step: (now: number, orders: readonly Order[]) => Promise<number>;
+  step: (now: number, orders: readonly NodeAction[]) => Promise<number>;
   /** Resolves once nothing asked here is under way, with how many calls were ever asked. */
   settled: () => Promise<number>;
   report: (whole: boolean) => Promise<HostReport>;
@@ -160,7 +166,7 @@
 };
 
 /** A number in [0, 1) for a seed and a place. @example drawn(1, 7) */
-export const drawn = (seed: number, place: number): number => {
+export const randomFraction = (seed: number, place: number): number => {
   let mixed = Math.imul((seed ^ 0x9e3779b9) + Math.imul(place + 1, 0x85ebca6b), 0xc2b2ae35);
   mixed ^= mixed >>> 15;
   mixed = Math.imul(mixed, 0x27d4eb2f);
@@ -169,7 +175,7 @@
 };
 
 /** What kind of call a body is. Registers that are fetched are told apart by their keys. */
-const kindOf = (body: unknown): string => {
+const callKindOf = (body: unknown): string => {
   const inner = ((body as { readonly call?: unknown }).call ?? body) as {
     readonly kind?: string;
     readonly key?: string;
@@ -224,14 +230,14 @@
  * log on disk, under a clock that the fleet advances step by step. A step takes what it takes, so
  * neither the machine's speed nor its load is in what is counted.
  */
-export class HollowHost implements HostCalls {
+export class HollowHost implements HostOperations {
   readonly #name: string;
   readonly #folder = mkdtempSync(path.join(os.tmpdir(), 'reedyard-hollow-'));
   readonly #agents = new Map<string, AgentNode>();
   readonly #replicas = new Map<string, ReplicaNode>();
   readonly #proxies = new Map<string, ProxyNode>();
   #origins: { readonly spec: OriginSpec; at: number }[] = [];
-  #directory: Directory = {};
+  #directory: AddressDirectory = {};
   #listening: RpcServer | null = null;
   #now = 0;
   #open = 0;
@@ -248,7 +254,7 @@
   > = {};
   readonly #arrivals: Record<string, number[]> = {};
   readonly #logs: Record<string, number> = {};
-  #watches: { readonly watch: Watch; readonly left: Set<string> }[] = [];
+  #watches: { readonly watch: ArrivalWatch; readonly left: Set<string> }[] = [];
 
   constructor() {
     hosts += 1;
@@ -286,7 +292,7 @@
     this.#flows.set(key, flow);
   }
 
-  #timed<T>(role: Role, event: string, act: () => T): T {
+  #timed<T>(role: HollowRole, event: string, act: () => T): T {
     // Processor time, not time passed: other processes of a busy machine take none of it.
     const from = process.cpuUsage();
     const result = act();
@@ -326,7 +332,7 @@
   }
 
   #call(
-    role: Role,
+    role: HollowRole,
     to: string,
     where: string,
     body: unknown,
@@ -339,7 +345,7 @@
         ? Promise.reject(new HollowError('unknown', `nobody is at ${to}`))
         : call(
             `127.0.0.1:${place.port}`,
-            `/${to}${where}?${this.#name};${role};${kindOf(body)}`,
+            `/${to}${where}?${this.#name};${role};${callKindOf(body)}`,
             body,
             hollowCallTimeoutMs,
           );
@@ -347,7 +353,7 @@
       this.#lost += 1;
       if (this.#faults.length < 10)
         this.#faults.push(
-          `${(this.#now / 1_000).toFixed(2)} s ${role} ${kindOf(body)}: ${errorMessage(thrown)}`,
+          `${(this.#now / 1_000).toFixed(2)} s ${role} ${callKindOf(body)}: ${errorMessage(thrown)}`,
         );
       lost();
     });
@@ -364,7 +370,7 @@
     return this.#listening.port;
   }
 
-  async directory(known: Directory): Promise<void> {
+  async directory(known: AddressDirectory): Promise<void> {
     this.#directory = known;
   }
 
@@ -465,7 +471,7 @@
   #reduceReplica(node: ReplicaNode, event: ReplicaEvent): void {
     const label =
       event.kind === 'request-received'
-        ? `asked.${kindOf(encodeReplicaRequest(event.request))}`
+        ? `asked.${callKindOf(encodeReplicaRequest(event.request))}`
         : event.kind;
     const step = this.#timed('replica', label, () => reduceReplica(node.state, event));
     node.state = step.state;
@@ -610,7 +616,7 @@
     ];
   }
 
-  async watch(watches: readonly Watch[]): Promise<void> {
+  async watch(watches: readonly ArrivalWatch[]): Promise<void> {
     this.#watches = watches.map((watch) => {
       this.#arrivals[watch.tag] ??= [];
       return {
@@ -634,13 +640,13 @@
     const { spec } = node;
     const draw = (): number => {
       node.draws += 1;
-      return drawn(spec.seed, node.draws);
+      return randomFraction(spec.seed, node.draws);
     };
     if (this.#now - node.wantsAt >= demandIntervalMs) {
       node.wantsAt = this.#now;
       // As uneven as what callers that come by chance ask for in the time that a proxy counts,
       // smoothed as it does.
-      const rate = hollowProxyDemand / spec.services;
+      const rate = hollowProxyDemandPerSecond / spec.services;
       const uneven = Math.min(0.9, 1 / Math.sqrt((rate * demandIntervalMs) / 1_000));
       node.wants = Object.fromEntries(
         Array.from({ length: spec.services }, (_, index) => [
@@ -750,7 +756,7 @@
     }
   }
 
-  async step(now: number, orders: readonly Order[]): Promise<number> {
+  async step(now: number, orders: readonly NodeAction[]): Promise<number> {
     this.#now = now;
     this.#begin();
     for (const node of this.#replicas.values()) {
@@ -822,8 +828,8 @@
       flows: [...this.#flows].map(([key, { calls, asked, answered }]) => {
         const [from, to, kind] = key.split(' ');
         return {
-          from: from as Role,
-          to: to as Role,
+          from: from as HollowRole,
+          to: to as HollowRole,
           kind: kind ?? '',
           calls,
           askedBytes: asked,
@@ -832,7 +838,7 @@
       }),
       reduced: [...this.#reduced].map(([key, sum]) => {
         const [role, event] = key.split(' ');
-        return { role: role as Role, event: event ?? '', ...sum };
+        return { role: role as HollowRole, event: event ?? '', ...sum };
       }),
       cpuMs: (usage.user + usage.system) / 1_000,
       heap: whole && collect !== undefined ? memory.heapUsed + memory.external : 0,
--- a/packages/testbed/src/hollow.test.ts
+++ b/packages/testbed/src/hollow.test.ts
@@ -8,7 +8,7 @@
   pollIntervalAtRestMs,
 } from '@reedyard/agent';
 import { feedIntervalMs } from '@reedyard/proxy';
-import { hollow, type HollowOptions, type HollowResult } from './hollow.js';
+import { runHollowFleet, type HollowOptions, type HollowResult } from './hollow.js';
 
 const small: HollowOptions = {
   nodes: 8,
@@ -41,8 +41,8 @@
   Math.log(many / few) / Math.log(ratio);
 
 test('a hollow fleet in one process: what a node sends grows no faster with the fleet than the capacity page says', async (t) => {
-  const few = await hollow(small);
-  const many = await hollow({ ...small, nodes: 16, proxies: 13 });
+  const few = await runHollowFleet(small);
+  const many = await runHollowFleet({ ...small, nodes: 16, proxies: 13 });
   const ratio = 16 / 8;
   for (const result of [few, many]) {
     t.is(result.lost, 0);
--- a/packages/testbed/src/hollow.ts
+++ b/packages/testbed/src/hollow.ts
@@ -12,27 +12,27 @@
   heapBytesPerNode,
   hollowDescribeIntervalMs,
   hollowMemoryShare,
-  hollowOriginCapacity,
+  hollowOriginCapacityPerSecond,
   hollowOriginsPerService,
   hollowStartSpreadMs,
   hollowStepMs,
-  hollowWaitMs,
+  hollowMaxWaitMs,
   hollowWarmUpMs,
 } from './hollow-constants.js';
 import {
   type AgentSpec,
-  type Directory,
-  drawn,
-  type Flow,
+  type AddressDirectory,
+  randomFraction,
+  type CallTraffic,
   HollowError,
   HollowHost,
-  type HostCalls,
+  type HostOperations,
   type HostReport,
-  type Order,
+  type NodeAction,
   type OriginSpec,
   type ProxySpec,
-  type Role,
-  type Watch,
+  type HollowRole,
+  type ArrivalWatch,
 } from './hollow-host.js';
 
 /** What a hollow fleet is made of. */
@@ -105,7 +105,7 @@
   readonly floorHeap: number;
   readonly rss: number;
 };
-export type Spread = {
+export type DelayDistribution = {
   readonly nodes: number;
   readonly median: number;
   readonly p99: number;
@@ -114,10 +114,10 @@
 };
 export type HollowResult = {
   readonly options: HollowOptions;
-  readonly roles: Readonly<Partial<Record<Role, RoleFigures>>>;
+  readonly roles: Readonly<Partial<Record<HollowRole, RoleFigures>>>;
   readonly processes: readonly ProcessFigures[];
   /** ms of the fleet's clock from sending it to each node. */
-  readonly times: Readonly<Record<Watch['what'], Spread>>;
+  readonly times: Readonly<Record<ArrivalWatch['what'], DelayDistribution>>;
   /**
    * Calls and bytes by kind that one probe of each sort brought, over all nodes: what was sent
    * while the probes ran, less as much of the steady traffic.
@@ -132,10 +132,14 @@
   readonly logs: Readonly<Record<string, number>>;
 };
 
-type Part = { readonly name: string; readonly host: HostCalls; readonly end: () => Promise<void> };
+type FleetProcess = {
+  readonly name: string;
+  readonly host: HostOperations;
+  readonly end: () => Promise<void>;
+};
 
 /** A host in a process of its own. */
-const forked = (name: string, heapMb: number): Part => {
+const forkHost = (name: string, heapMb: number): FleetProcess => {
   const child = fork(fileURLToPath(new URL('./hollow-child.js', import.meta.url)), {
     execArgv: ['--expose-gc', `--max-old-space-size=${heapMb}`],
     serialization: 'advanced',
@@ -185,7 +189,7 @@
   const host = new Proxy(
     {},
     { get: (_, method) => (method === 'then' ? undefined : ask(String(method))) },
-  ) as HostCalls;
+  ) as HostOperations;
   return {
     name,
     host,
@@ -196,7 +200,7 @@
   };
 };
 
-const here = (name: string): Part => {
+const here = (name: string): FleetProcess => {
   const host = new HollowHost();
   return { name, host, end: () => host.close() };
 };
@@ -220,7 +224,7 @@
   })),
 });
 
-const spreadOf = (times: readonly number[], expected: number): Spread => {
+const distributionOf = (times: readonly number[], expected: number): DelayDistribution => {
   const sorted = [...times].sort((a, b) => a - b);
   const at = (share: number): number =>
     sorted[Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)] ?? NaN;
@@ -240,28 +244,28 @@
  * const result = await hollow({ nodes: 16, replicas: 3, zones: 4, regions: 2, origins: 7, services: 1, routes: 10, purges: 1, proxies: 13, objects: 0, warm: 4, seconds: 4, seed: 1, processes: 0, probes: 1 });
  * result.roles.agent?.callsOut // calls that one agent makes in a second
  */
-export const hollow = async (
+export const runHollowFleet = async (
   options: HollowOptions,
   tell: (text: string) => void = () => undefined,
 ): Promise<HollowResult> => {
   const { nodes, replicas } = options;
-  const parts: Part[] =
+  const parts: FleetProcess[] =
     options.processes === 0
       ? ['replicas', 'holder', 'agents-1', 'proxies'].map(here)
       : [
-          forked('replicas', 2_048),
-          forked('holder', 3_072),
+          forkHost('replicas', 2_048),
+          forkHost('holder', 3_072),
           ...Array.from({ length: options.processes }, (_, index) =>
-            forked(`agents-${index + 1}`, Math.floor(12_288 / options.processes)),
+            forkHost(`agents-${index + 1}`, Math.floor(12_288 / options.processes)),
           ),
-          forked('proxies', 2_048),
+          forkHost('proxies', 2_048),
         ];
   const [replicaPart, holderPart, proxyPart, ...agentParts] = [
     parts[0],
     parts[1],
     parts.at(-1),
     ...parts.slice(2, -1),
-  ] as [Part, Part, Part, ...Part[]];
+  ] as [FleetProcess, FleetProcess, FleetProcess, ...FleetProcess[]];
   try {
     const ports = new Map(
       await Promise.all(parts.map(async (part) => [part, await part.host.listen()] as const)),
@@ -290,15 +294,15 @@
       machines.slice(0, replicas).map((self) => [self.id, self.replica?.address ?? '']),
     );
     const seeds = machines.slice(0, Math.min(3, replicas)).map((self) => self.address);
-    const partOf = (index: number): Part =>
+    const partOf = (index: number): FleetProcess =>
       machines[index] === holder ? holderPart : agentParts[index % agentParts.length];
-    const roleOf = (index: number): Role =>
+    const roleOf = (index: number): HollowRole =>
       machines[index] === holder
         ? 'holder'
         : seeds.includes(machines[index]?.address ?? '')
           ? 'seed'
           : 'agent';
-    const directory: Directory = Object.fromEntries([
+    const directory: AddressDirectory = Object.fromEntries([
       ...machines.map(
         (self, index) =>
           [self.address, { port: ports.get(partOf(index)) ?? 0, role: roleOf(index) }] as const,
@@ -311,7 +315,7 @@
     await Promise.all(parts.map(({ host }) => host.directory(directory)));
 
     let now = 0;
-    const step = async (orders: readonly Order[] = []): Promise<void> => {
+    const step = async (orders: readonly NodeAction[] = []): Promise<void> => {
       now += hollowStepMs;
       let before = await Promise.all(parts.map(({ host }) => host.step(now, orders)));
       // Nothing is under way any more once all say so twice and none asked anything in between.
@@ -328,12 +332,12 @@
         .map((report) => report.answers[tag])
         .find((answer) => answer !== undefined);
     const until = async (what: string, holds: () => Promise<boolean>): Promise<void> => {
-      const end = now + hollowWaitMs;
+      const end = now + hollowMaxWaitMs;
       while (!(await holds())) {
         if (now > end)
           throw new HollowError(
             'limit',
-            `${what}: not within ${hollowWaitMs} ms of the fleet's clock`,
+            `${what}: not within ${hollowMaxWaitMs} ms of the fleet's clock`,
           );
         for (let each = 0; each < 10; each += 1) await step();
       }
@@ -365,7 +369,7 @@
       role: roleOf(index),
       seeds,
       founders,
-      seed: Math.floor(drawn(options.seed, index) * 2 ** 31),
+      seed: Math.floor(randomFraction(options.seed, index) * 2 ** 31),
       startAt,
       known,
     });
@@ -418,7 +422,7 @@
             {
               self,
               index,
-              startAt: now + hollowStartSpreadMs * drawn(options.seed, 1_000_000 + index),
+              startAt: now + hollowStartSpreadMs * randomFraction(options.seed, 1_000_000 + index),
             },
           ],
     );
@@ -443,7 +447,8 @@
             const at = index % nodes;
             return {
               node: machines[at]?.address ?? '',
-              startAt: now + hollowDescribeIntervalMs * drawn(options.seed, 2_000_000 + index),
+              startAt:
+                now + hollowDescribeIntervalMs * randomFraction(options.seed, 2_000_000 + index),
               description: {
                 service: `service-${index % options.services}`,
                 instance: `origin-${index}`,
@@ -451,7 +456,7 @@
                 address: `10.200.${Math.floor(index / 250)}.${(index % 250) + 1}:9000`,
                 region: machines[at]?.region ?? '',
                 zone: machines[at]?.zone ?? '',
-                capacity: hollowOriginCapacity,
+                capacity: hollowOriginCapacityPerSecond,
                 state: 'warm',
                 draining: false,
               },
@@ -463,8 +468,8 @@
       ),
     );
     const someNode = (place: number): string =>
-      members[Math.floor(drawn(options.seed, place) * nodes)]?.address ?? '';
-    const purge = (node: string, tag: string): Order => ({
+      members[Math.floor(randomFraction(options.seed, place) * nodes)]?.address ?? '';
+    const purge = (node: string, tag: string): NodeAction => ({
       node,
       tag,
       action: { kind: 'purge', purge: { objects: [], tags: [tag] }, changeId: tag },
@@ -497,13 +502,23 @@
     const seconds = (now - from) / 1_000;
     const after = await reports(true);
 
-    const sent: Record<Watch['what'], number[]> = { config: [], purge: [], drain: [], member: [] };
-    const expected: Record<Watch['what'], number> = { config: 0, purge: 0, drain: 0, member: 0 };
+    const sent: Record<ArrivalWatch['what'], number[]> = {
+      config: [],
+      purge: [],
+      drain: [],
+      member: [],
+    };
+    const expected: Record<ArrivalWatch['what'], number> = {
+      config: 0,
+      purge: 0,
+      drain: 0,
+      member: 0,
+    };
     const probesFrom = now;
     for (let probe = 0; probe < options.probes; probe += 1) {
       const draining = options.origins - 1 - probe;
       const revision = 2 + probe;
-      const watches: readonly Watch[] = [
+      const watches: readonly ArrivalWatch[] = [
         { tag: `config-${probe}`, what: 'config', key: String(revision) },
         { tag: `purge-${probe}`, what: 'purge', key: `probe-${probe}` },
         ...(draining < 0
@@ -527,7 +542,7 @@
             address: `10.200.${Math.floor(draining / 250)}.${(draining % 250) + 1}:9000`,
             region: machines[draining % nodes]?.region ?? '',
             zone: machines[draining % nodes]?.zone ?? '',
-            capacity: hollowOriginCapacity,
+            capacity: hollowOriginCapacityPerSecond,
             state: 'warm',
             draining: true,
           },
@@ -550,9 +565,9 @@
       // Those that were there before this newcomer.
       const there = nodes + probe;
       const all = { config: there, purge: there, drain: draining < 0 ? 0 : there, member: there };
-      const arrivedOf = async (what: Watch['what']): Promise<readonly number[]> =>
+      const arrivedOf = async (what: ArrivalWatch['what']): Promise<readonly number[]> =>
         (await reports(false)).flatMap((report) => report.arrivals[`${what}-${probe}`] ?? []);
-      const end = now + hollowWaitMs;
+      const end = now + hollowMaxWaitMs;
       const whats = ['config', 'purge', 'drain', 'member'] as const;
       for (;;) {
         for (let each = 0; each < 10; each += 1) await step();
@@ -570,7 +585,7 @@
     const last = await reports(false);
     const probeSeconds = (now - probesFrom) / 1_000;
 
-    const countOf = (role: Role): number =>
+    const countOf = (role: HollowRole): number =>
       machines
         .slice(0, nodes)
         .filter((self, index) =>
@@ -580,8 +595,8 @@
               ? self.proxy !== null
               : roleOf(index) === role,
         ).length;
-    const sumFlows = (list: readonly HostReport[]): ReadonlyMap<string, Flow> => {
-      const sums = new Map<string, Flow>();
+    const sumFlows = (list: readonly HostReport[]): ReadonlyMap<string, CallTraffic> => {
+      const sums = new Map<string, CallTraffic>();
       for (const flow of list.flatMap((report) => report.flows)) {
         const key = `${flow.from} ${flow.to} ${flow.kind}`;
         const old = sums.get(key);
@@ -599,7 +614,10 @@
       }
       return sums;
     };
-    const less = (late: readonly HostReport[], early: readonly HostReport[]): readonly Flow[] => {
+    const less = (
+      late: readonly HostReport[],
+      early: readonly HostReport[],
+    ): readonly CallTraffic[] => {
       const old = sumFlows(early);
       return [...sumFlows(late)].map(([key, flow]) => {
         const was = old.get(key);
@@ -616,7 +634,7 @@
     const steady = less(after, before);
     const reducedOf = (
       list: readonly HostReport[],
-      role: Role,
+      role: HollowRole,
     ): ReadonlyMap<string, { readonly ms: number; readonly events: number }> => {
       const sums = new Map<string, { ms: number; events: number }>();
       for (const each of list.flatMap((report) => report.reduced))
@@ -626,7 +644,7 @@
         }
       return sums;
     };
-    const figuresOf = (role: Role): RoleFigures => {
+    const figuresOf = (role: HollowRole): RoleFigures => {
       const count = Math.max(1, countOf(role));
       const each = (total: number): number => total / count / seconds;
       const kinds = [
@@ -641,7 +659,7 @@
             steady.filter((flow) => flow.kind === kind && flow.to === role),
           ];
           const sum = (
-            list: readonly Flow[],
+            list: readonly CallTraffic[],
             field: 'calls' | 'askedBytes' | 'answeredBytes',
           ): number => list.reduce((total, flow) => total + flow[field], 0);
           return [
@@ -678,7 +696,7 @@
         byEvent,
       };
     };
-    const nodesIn = (part: Part): number =>
+    const nodesIn = (part: FleetProcess): number =>
       part === replicaPart
         ? replicas
         : part === holderPart
@@ -713,10 +731,10 @@
         rss: after[index]?.rss ?? 0,
       })),
       times: {
-        config: spreadOf(sent.config, expected.config),
-        purge: spreadOf(sent.purge, expected.purge),
-        drain: spreadOf(sent.drain, expected.drain),
-        member: spreadOf(sent.member, expected.member),
+        config: distributionOf(sent.config, expected.config),
+        purge: distributionOf(sent.purge, expected.purge),
+        drain: distributionOf(sent.drain, expected.drain),
+        member: distributionOf(sent.member, expected.member),
       },
       probeBytes: Object.fromEntries(
         Object.entries(probeBytes).map(([kind, bytes]) => [
@@ -761,7 +779,7 @@
   --processes J  processes that the agents are spread over; three more hold the replicas, the quota leader, the proxies
 `;
 
-const wordsOf = (
+const parseFlags = (
   argv: readonly string[],
 ): { readonly options: HollowOptions; readonly json: string | undefined } | null => {
   const text = { type: 'string' } as const;
@@ -871,7 +889,7 @@
   Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3);
 
 /** What is printed of a run. */
-export const linesOf = (result: HollowResult): readonly string[] => [
+export const summaryLinesOf = (result: HollowResult): readonly string[] => [
   `hollow ${Object.entries(result.options)
     .map(([name, value]) => `${name}=${value}`)
     .join(' ')} lost=${result.lost}`,
@@ -907,10 +925,10 @@
 ];
 
 /** The command. Exit codes: 0 done, 1 the run failed, 2 the words. */
-export const runHollow = async (argv: readonly string[]): Promise<number> => {
-  const words = ((): ReturnType<typeof wordsOf> | string => {
+export const runHollowCommand = async (argv: readonly string[]): Promise<number> => {
+  const words = ((): ReturnType<typeof parseFlags> | string => {
     try {
-      return wordsOf(argv);
+      return parseFlags(argv);
     } catch (thrown) {
       return errorMessage(thrown);
     }
@@ -924,8 +942,8 @@
     return 0;
   }
   try {
-    const result = await hollow(words.options, (text) => process.stderr.write(`${text}\n`));
-    for (const line of linesOf(result)) process.stdout.write(`${line}\n`);
+    const result = await runHollowFleet(words.options, (text) => process.stderr.write(`${text}\n`));
+    for (const line of summaryLinesOf(result)) process.stdout.write(`${line}\n`);
     if (words.json !== undefined)
       writeFileSync(
         words.json,
--- a/packages/testbed/src/main.ts
+++ b/packages/testbed/src/main.ts
@@ -6,10 +6,10 @@
 import { parseArgs } from 'node:util';
 import { startLoad, summarizeResults, type RequestKind } from '@reedyard/client-stand-in';
 import { errorMessage } from '@reedyard/logging';
-import { runHollow } from './hollow.js';
+import { runHollowCommand } from './hollow.js';
 import { api, Fleet, type Deployment, type Program } from './index.js';
-import { runSlopes } from './slopes.js';
-import { runTrial } from './trials.js';
+import { runSlopesCommand } from './slopes.js';
+import { runTrialCommand } from './trial-command.js';
 
 const help = `testbed FOLDER [--rate N] [--folder RUN] [--no-policy] [--for SECONDS]
 testbed trial FOLDER --scenario NAME [--seed N] [--seconds N] [--rate N] [--folder RUN]
@@ -35,8 +35,8 @@
   rename INSTANCE {"service":"…","instance":"…","incarnation":2}
   report     nodes     quit
 `;
-if (process.argv[2] === 'hollow') process.exit(await runHollow(process.argv.slice(3)));
-if (process.argv[2] === 'slopes') process.exit(runSlopes(process.argv[3]));
+if (process.argv[2] === 'hollow') process.exit(await runHollowCommand(process.argv.slice(3)));
+if (process.argv[2] === 'slopes') process.exit(runSlopesCommand(process.argv[3]));
 const { values, positionals } = parseArgs({
   allowPositionals: true,
   options: {
@@ -50,7 +50,7 @@
     help: { type: 'boolean', default: false },
   },
 });
-if (positionals[0] === 'trial') process.exit(await runTrial(positionals[1], values));
+if (positionals[0] === 'trial') process.exit(await runTrialCommand(positionals[1], values));
 const example = positionals[0];
 if (values.help || example === undefined) {
   process.stdout.write(help);
@@ -77,7 +77,7 @@
 
 const laid = await (async (): Promise<Fleet | string> => {
   try {
-    return await Fleet.lay(read<Deployment>('deployment.json'), values.folder, { relays: true });
+    return await Fleet.create(read<Deployment>('deployment.json'), values.folder, { relays: true });
   } catch (thrown) {
     return errorMessage(thrown);
   }
@@ -91,7 +91,7 @@
 const end = async (code: number): Promise<void> => {
   if (over) return;
   over = true;
-  await fleet.end();
+  await fleet.stopAll();
   process.exit(code);
 };
 process.on('SIGINT', () => void end(0));
@@ -105,17 +105,18 @@
   );
   const front = fleet.names('front')[0] ?? '';
   if (!values['no-policy']) {
-    await fleet.until(
+    await fleet.waitUntil(
       'the policy',
       async () =>
-        (await api(fleet.apiOf(front), 'PUT', '/v1/policy', read('policy.json'))).status === 200,
+        (await api(fleet.apiAddressOf(front), 'PUT', '/v1/policy', read('policy.json'))).status ===
+        200,
     );
-    await fleet.untilReady();
+    await fleet.waitUntilReady();
     say('the policy is in force and every front is ready');
   }
   for (const name of fleet.names())
     say(
-      `  ${name.padEnd(10)} api ${fleet.apiOf(name)}${fleet.names('front').includes(name) ? `  callers ${fleet.callersOf(name)}` : ''}`,
+      `  ${name.padEnd(10)} api ${fleet.apiAddressOf(name)}${fleet.names('front').includes(name) ? `  callers ${fleet.clientAddressOf(name)}` : ''}`,
     );
 } catch (thrown) {
   process.stderr.write(`${errorMessage(thrown)}\n`);
@@ -125,7 +126,7 @@
 const ready = new Map<string, boolean>();
 const watch = setInterval(() => {
   for (const name of fleet.names('front')) {
-    api(fleet.callersOf(name), 'GET', '/.well-known/reedyard/ready').then(
+    api(fleet.clientAddressOf(name), 'GET', '/.well-known/reedyard/ready').then(
       (answer) => ready.set(name, answer.status === 200),
       () => ready.set(name, false),
     );
@@ -154,7 +155,7 @@
         chooseAddress: () => {
           const up = fleet.names('front').filter((name) => ready.get(name) === true);
           const one = up[Math.floor(Math.random() * up.length)];
-          return one === undefined ? undefined : fleet.callersOf(one);
+          return one === undefined ? undefined : fleet.clientAddressOf(one);
         },
       });
 const report = async (): Promise<void> => {
@@ -168,7 +169,7 @@
     );
   }
   for (const name of fleet.names('front')) {
-    const status = await api(fleet.apiOf(name), 'GET', '/v1/status').then(
+    const status = await api(fleet.apiAddressOf(name), 'GET', '/v1/status').then(
       (answer) =>
         answer.body as {
           policyRevision: number;
@@ -209,7 +210,9 @@
   nodes: () =>
     say(
       [...fleet.names()]
-        .map((name) => `${name} ${fleet.apiOf(name)} ready ${String(ready.get(name) ?? '-')}`)
+        .map(
+          (name) => `${name} ${fleet.apiAddressOf(name)} ready ${String(ready.get(name) ?? '-')}`,
+        )
         .join('\n'),
     ),
   quit: () => end(0),
--- a/packages/testbed/src/slopes.ts
+++ b/packages/testbed/src/slopes.ts
@@ -6,7 +6,7 @@
 import type { HollowResult } from './hollow.js';
 
 /** A run of a hollow fleet as it is kept in a file. */
-export type Run = HollowResult & { readonly command: string };
+export type StoredRun = HollowResult & { readonly command: string };
 /** How one figure moves with one thing that was moved alone. */
 export type Slope = {
   readonly figure: string;
@@ -25,7 +25,7 @@
  * @example
  * slopeOf('bytes', [[1, 3], [2, 5], [3, 7]]) // base 1, each 2, fit 1
  */
-export const slopeOf = (figure: string, points: Slope['points']): Slope => {
+export const fitSlope = (figure: string, points: Slope['points']): Slope => {
   const mean = (list: readonly number[]): number =>
     list.reduce((sum, each) => sum + each, 0) / list.length;
   const [mx, my] = [mean(points.map(([x]) => x)), mean(points.map(([, y]) => y))];
@@ -168,7 +168,7 @@
  * Reads the runs of a folder, fits every figure, writes slopes.json and a plot for each role. Exit
  * codes: 0 done, 2 the words.
  */
-export const runSlopes = (folder: string | undefined): number => {
+export const runSlopesCommand = (folder: string | undefined): number => {
   try {
     if (folder === undefined)
       throw new HollowError('usage', 'found no folder; wanted: testbed slopes FOLDER');
@@ -180,7 +180,7 @@
       );
     const runs = names.map((name) => ({
       thing: name.split('-', 1)[0] ?? '',
-      run: JSON.parse(readFileSync(path.join(folder, name), 'utf8')) as Run,
+      run: JSON.parse(readFileSync(path.join(folder, name), 'utf8')) as StoredRun,
     }));
     const series = Object.fromEntries(
       things.flatMap((thing) => {
@@ -195,7 +195,7 @@
           [
             thing,
             figures.map((figure) =>
-              slopeOf(
+              fitSlope(
                 figure,
                 all.map(([x, each]) => [x, each[figure] ?? 0] as const),
               ),
--- a/packages/testbed/src/small.ts
+++ b/packages/testbed/src/small-deployment.ts
@@ -4,7 +4,7 @@
 /**
  * The smallest fleet with everything in it: two fronts, three disks, one origin of each service.
  */
-export const small: Deployment = {
+export const smallDeployment: Deployment = {
   name: 'small',
   machines: [
     { name: 'front-1', zone: 'west', region: 'home', kind: 'front', capacityBps: 8_000_000 },
--- a/packages/testbed/src/sockets.test.ts
+++ b/packages/testbed/src/sockets.test.ts
@@ -5,7 +5,7 @@
 import { mkdtempSync } from 'node:fs';
 import { sendRequest, type RequestResult } from '@reedyard/client-stand-in';
 import { api, Fleet } from './index.js';
-import { small } from './small.js';
+import { smallDeployment } from './small-deployment.js';
 
 const host = 'depot.example';
 const policy = {
@@ -47,17 +47,22 @@
   });
 
 test('over real sockets: origins that lie, lose, cut short or change who they are; callers that misbehave; a freeze and a cut', async (t) => {
-  const fleet = await Fleet.lay(small, mkdtempSync(path.join(os.tmpdir(), 'reedyard-')), {
-    relays: true,
-  });
-  t.teardown(() => fleet.end());
+  const fleet = await Fleet.create(
+    smallDeployment,
+    mkdtempSync(path.join(os.tmpdir(), 'reedyard-')),
+    {
+      relays: true,
+    },
+  );
+  t.teardown(() => fleet.stopAll());
   fleet.startAll();
   await fleet.startOrigins();
-  await fleet.until(
+  await fleet.waitUntil(
     'the policy',
-    async () => (await api(fleet.apiOf('core-1'), 'PUT', '/v1/policy', policy)).status === 200,
+    async () =>
+      (await api(fleet.apiAddressOf('core-1'), 'PUT', '/v1/policy', policy)).status === 200,
   );
-  await fleet.untilReady();
+  await fleet.waitUntilReady();
   const [store, app] = [fleet.originStandIns.get('content-1'), fleet.originStandIns.get('app-1')];
   if (store === undefined || app === undefined) {
     t.fail('no origins');
@@ -74,7 +79,7 @@
     node = 'front-1',
   ): Promise<RequestResult> =>
     sendRequest({
-      at: fleet.callersOf(node),
+      at: fleet.clientAddressOf(node),
       method: more.method ?? 'GET',
       host,
       target,
@@ -83,14 +88,14 @@
     });
   const post = (job: string): Promise<RequestResult> =>
     sendRequest({
-      at: fleet.callersOf('front-1'),
+      at: fleet.clientAddressOf('front-1'),
       method: 'POST',
       host,
       target: '/handovers',
       service: 'application',
       job,
     });
-  await fleet.until(
+  await fleet.waitUntil(
     'both services',
     async () =>
       (await get('/live/0')).status === 200 && (await post(`warm-${next()}`)).status === 200,
@@ -104,7 +109,7 @@
       lose: false,
       slowMs: 0,
     });
-    return fleet.until('sound again', async () => (await target()).status === 200);
+    return fleet.waitUntil('sound again', async () => (await target()).status === 200);
   };
 
   // No success out of a short, garbled or corrupted answer; each is told at once, with a time to
@@ -142,7 +147,7 @@
   t.is(app.ran().length, before);
   t.is(app.requestCount(), got);
   app.rename({ service: 'application', instance: 'app-1', incarnation: 3 });
-  await fleet.until(
+  await fleet.waitUntil(
     'the new incarnation',
     async () => (await post(`again-${next()}`)).status === 200,
   );
@@ -177,7 +182,7 @@
   t.is(large.body.length, 5_000_000);
 
   // Callers that misbehave.
-  const at = fleet.callersOf('front-1');
+  const at = fleet.clientAddressOf('front-1');
   t.regex(await raw(at, 'nonsense\r\n\r\n'), /^HTTP\/1\.1 400/);
   t.regex(
     await raw(at, `GET /a/../sheets/1 HTTP/1.1\r\nhost: ${host}\r\nconnection: close\r\n\r\n`),
@@ -246,12 +251,17 @@
   fleet.freeze('front-1');
   store.startNewGeneration();
   t.is(
-    (await api(fleet.apiOf('core-1'), 'POST', '/v1/purges', { objects: [`${host}/sheets/frozen`] }))
-      .status,
+    (
+      await api(fleet.apiAddressOf('core-1'), 'POST', '/v1/purges', {
+        objects: [`${host}/sheets/frozen`],
+      })
+    ).status,
     200,
   );
   const leaseOver = performance.now() + 2_200;
-  await fleet.until('the lease to run out', () => Promise.resolve(performance.now() > leaseOver));
+  await fleet.waitUntil('the lease to run out', () =>
+    Promise.resolve(performance.now() > leaseOver),
+  );
   const asked = get('/sheets/frozen');
   fleet.thaw('front-1');
   const thawed = await asked;
@@ -259,20 +269,20 @@
     thawed.status === 503 || thawed.body.includes('generation=1'),
     `${thawed.status} ${thawed.body.slice(0, 40)}`,
   );
-  await fleet.until('served anew', async () =>
+  await fleet.waitUntil('served anew', async () =>
     (await get('/sheets/frozen')).body.includes('generation=1'),
   );
 
   // Cut off, a node says so; healed, it serves.
   fleet.cut('front-2');
-  await fleet.until(
+  await fleet.waitUntil(
     'the cut noticed',
     async () => (await get('/sheets/7?size=3000', {}, 'front-2')).status === 503,
     5_000,
   );
   fleet.heal();
-  await fleet.untilReady(['front-2']);
-  await fleet.until(
+  await fleet.waitUntilReady(['front-2']);
+  await fleet.waitUntil(
     'serving after the cut',
     async () => (await get('/sheets/7?size=3000', {}, 'front-2')).status === 200,
   );
@@ -281,7 +291,9 @@
   store.setMode({ slowMs: 600 });
   const sofar = store.requestCount();
   const underWay = get(`/live/${next()}`);
-  await fleet.until('an attempt under way', () => Promise.resolve(store.requestCount() > sofar));
+  await fleet.waitUntil('an attempt under way', () =>
+    Promise.resolve(store.requestCount() > sofar),
+  );
   const stopped = fleet.stop('front-1', 'proxy');
   t.is((await underWay).status, 200);
   await stopped;
--- a/packages/testbed/src/testbed.ts
+++ b/packages/testbed/src/testbed.ts
@@ -20,9 +20,9 @@
 export type Program = 'agent' | 'proxy' | 'replica';
 
 /** ms one way between two regions. */
-const betweenRegions = 6;
+const interRegionDelayMs = 6;
 const packages = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
-const freePort = (): Promise<number> =>
+const findFreePort = (): Promise<number> =>
   new Promise((resolve, reject) => {
     const server = net.createServer();
     server.once('error', reject);
@@ -32,11 +32,11 @@
     });
   });
 
-const ownerFile = 'bench.pid';
+const ownerFileName = 'bench.pid';
 /** The running bench that a folder belongs to, if any. */
-const ownerOf = (folder: string): number | null => {
+const otherOwnerOf = (folder: string): number | null => {
   try {
-    const owner = Number(readFileSync(path.join(folder, ownerFile), 'utf8'));
+    const owner = Number(readFileSync(path.join(folder, ownerFileName), 'utf8'));
     process.kill(owner, 0);
     return owner === process.pid ? null : owner;
   } catch {
@@ -45,7 +45,7 @@
 };
 
 /** An answer of the API. */
-export type ApiAnswer = {
+export type ApiResponse = {
   readonly status: number;
   readonly body: never;
   readonly headers: http.IncomingHttpHeaders;
@@ -63,7 +63,7 @@
   target: string,
   document?: unknown,
   headers: Readonly<Record<string, string>> = {},
-): Promise<ApiAnswer> =>
+): Promise<ApiResponse> =>
   new Promise((resolve, reject) => {
     const text =
       document === undefined
@@ -101,11 +101,11 @@
     request.end(text);
   });
 
-type Member = {
+type FleetNode = {
   readonly machine: Machine;
   readonly host: string;
   /** Where its programs listen: another address than the host's where relays stand before them. */
-  readonly behind: string;
+  readonly programHost: string;
   readonly relays: Relay[];
   readonly settingsFile: string;
   readonly folder: string;
@@ -118,8 +118,8 @@
   #server: net.Server | null = null;
   constructor(
     readonly host: string,
-    readonly behind: string,
-    readonly isCut: (from: string) => boolean,
+    readonly targetHost: string,
+    readonly isBlocked: (from: string) => boolean,
     readonly delayOf: (from: string) => number,
   ) {}
 
@@ -128,11 +128,11 @@
       const from = outer.remoteAddress ?? '';
       outer.on('error', () => undefined);
       // Over a cut nothing comes back, not even a refusal.
-      if (this.isCut(from)) {
+      if (this.isBlocked(from)) {
         outer.pause();
         return;
       }
-      const inner = net.connect({ host: this.behind, port });
+      const inner = net.connect({ host: this.targetHost, port });
       const pair = { from, ends: [outer, inner] };
       this.#pairs.add(pair);
       for (const end of pair.ends) {
@@ -173,16 +173,16 @@
   }
 
   /** What is under way over a new cut stops without a word. */
-  applyCuts(): void {
+  pauseBlockedConnections(): void {
     for (const { from, ends } of this.#pairs)
-      if (this.isCut(from))
+      if (this.isBlocked(from))
         for (const end of ends) {
           end.unpipe();
           end.pause();
         }
   }
   /** Conns that a cut has silenced are gone for good once it heals. */
-  drop(): void {
+  dropPausedConnections(): void {
     for (const { ends } of this.#pairs) for (const end of ends) if (end.isPaused()) end.destroy();
   }
   close(): void {
@@ -193,7 +193,7 @@
 
 /** A whole fleet on this machine; each of its machines has a loopback address of its own. */
 export class Fleet {
-  readonly #members = new Map<string, Member>();
+  readonly #members = new Map<string, FleetNode>();
   readonly originStandIns = new Map<string, OriginStandIn>();
   /** Pairs of addresses between which nothing passes, one way each. */
   readonly #cuts = new Set<string>();
@@ -206,7 +206,7 @@
   ) {}
 
   /** Lays out settings; starts nothing. @example const fleet = await Fleet.lay(deployment, '.run/small') */
-  static async lay(
+  static async create(
     deployment: Deployment,
     folder: string,
     options: {
@@ -218,7 +218,7 @@
     // A network of its own, so that several benches may run at once.
     const network = `127.${10 + (process.pid % 200)}.${1 + Math.floor(Math.random() * 250)}`;
     const fleet = new Fleet(deployment, path.resolve(folder), network, options.preload ?? []);
-    const owner = ownerOf(fleet.folder);
+    const owner = otherOwnerOf(fleet.folder);
     if (owner !== null)
       throw new TestbedError(
         'in use',
@@ -226,9 +226,9 @@
       );
     rmSync(fleet.folder, { recursive: true, force: true });
     mkdirSync(fleet.folder, { recursive: true });
-    writeFileSync(path.join(fleet.folder, ownerFile), String(process.pid));
+    writeFileSync(path.join(fleet.folder, ownerFileName), String(process.pid));
     for (const machine of deployment.machines)
-      await fleet.add(machine, options.relays === true, options.trace === true);
+      await fleet.addNode(machine, options.relays === true, options.trace === true);
     return fleet;
   }
 
@@ -240,7 +240,7 @@
    * Lays out one machine at the next address: one of the deployment, or another that goes by the
    * name of one.
    */
-  async add(
+  async addNode(
     machine: Machine,
     relayed: boolean,
     trace: boolean,
@@ -248,7 +248,7 @@
   ): Promise<void> {
     const index = this.#members.size;
     const host = this.#hostOf(index);
-    const behind = relayed ? `${this.network}.${index + 101}` : host;
+    const listeningHost = relayed ? `${this.network}.${index + 101}` : host;
     const { machines } = this.deployment;
     const disks = machines.filter((each) => each.kind !== 'front');
     const founders = Object.fromEntries(
@@ -259,13 +259,13 @@
     const settings = {
       name: machine.name,
       host,
-      ...(relayed ? { listen: behind } : {}),
+      ...(relayed ? { listen: listeningHost } : {}),
       zone: machine.zone,
       region: machine.region,
       seeds: disks.slice(0, 3).map((each) => `${this.#hostOf(machines.indexOf(each))}:7001`),
       founders,
       dataFolder: path.join(home, 'data'),
-      agent: { port: 7001, apiPort: 7080, feedPort: await freePort() },
+      agent: { port: 7001, apiPort: 7080, feedPort: await findFreePort() },
       ...(machine.kind === 'front'
         ? {
             proxy: {
@@ -289,9 +289,9 @@
       for (const port of machine.kind === 'front' ? [7001, 8081] : [7001, 7101]) {
         const relay = new Relay(
           host,
-          behind,
+          listeningHost,
           (from) => this.#cuts.has(`${from}>${host}`),
-          (from) => (regionOf(from) === machine.region ? 0 : betweenRegions),
+          (from) => (regionOf(from) === machine.region ? 0 : interRegionDelayMs),
         );
         await relay.open(port);
         relays.push(relay);
@@ -300,7 +300,7 @@
     this.#members.set(place, {
       machine,
       host,
-      behind,
+      programHost: listeningHost,
       relays,
       settingsFile,
       folder: home,
@@ -318,30 +318,30 @@
       );
   }
   /** Files of a kind that a machine's programs wrote. */
-  logOf(name: string, program: Program): string {
+  logFileOf(name: string, program: Program): string {
     return path.join(this.#member(name).folder, `${program}.log`);
   }
   runs(name: string, program: Program): boolean {
     return this.#member(name).processes.has(program);
   }
-  places(): readonly string[] {
+  nodeNames(): readonly string[] {
     return [...this.#members.keys()];
   }
 
-  #member(name: string): Member {
+  #member(name: string): FleetNode {
     const member = this.#members.get(name);
     if (member === undefined) throw new TestbedError('unknown', `no machine is named ${name}`);
     return member;
   }
 
-  programs(name: string): readonly Program[] {
+  programsOf(name: string): readonly Program[] {
     return this.#member(name).machine.kind === 'front' ? ['agent', 'proxy'] : ['replica', 'agent'];
   }
-  apiOf(name: string): string {
-    return `${this.#member(name).behind}:7080`;
+  apiAddressOf(name: string): string {
+    return `${this.#member(name).programHost}:7080`;
   }
-  callersOf(name: string): string {
-    return `${this.#member(name).behind}:8080`;
+  clientAddressOf(name: string): string {
+    return `${this.#member(name).programHost}:8080`;
   }
   names(kind?: Machine['kind']): readonly string[] {
     return this.deployment.machines
@@ -352,7 +352,7 @@
   /** Starts a machine's programs, or one of them. */
   start(name: string, only?: Program): void {
     const member = this.#member(name);
-    for (const program of this.programs(name)) {
+    for (const program of this.programsOf(name)) {
       if ((only !== undefined && only !== program) || member.processes.has(program)) continue;
       const out = openSync(path.join(member.folder, `${program}.log`), 'a');
       const child = spawn(
@@ -387,7 +387,7 @@
   }
 
   /** Any signal, such as one that a preloaded module waits for. */
-  signal(name: string, signal: NodeJS.Signals): void {
+  sendSignal(name: string, signal: NodeJS.Signals): void {
     void this.#signal(name, signal);
   }
   kill(name: string, only?: Program): Promise<void> {
@@ -413,16 +413,17 @@
       if (way !== 'out') this.#cuts.add(`${other.host}>${host}`);
     }
     for (const member of this.#members.values())
-      member.relays.forEach((relay) => relay.applyCuts());
+      member.relays.forEach((relay) => relay.pauseBlockedConnections());
   }
   /** Cuts one machine's way to another. */
-  cutWay(from: string, to: string): void {
+  blockDirection(from: string, to: string): void {
     this.#cuts.add(`${this.#member(from).host}>${this.#member(to).host}`);
-    this.#member(to).relays.forEach((relay) => relay.applyCuts());
+    this.#member(to).relays.forEach((relay) => relay.pauseBlockedConnections());
   }
   heal(): void {
     this.#cuts.clear();
-    for (const member of this.#members.values()) member.relays.forEach((relay) => relay.drop());
+    for (const member of this.#members.values())
+      member.relays.forEach((relay) => relay.dropPausedConnections());
   }
   /** Takes a dead machine's disk away. */
   wipe(name: string): void {
@@ -434,7 +435,7 @@
   }
 
   async startOrigins(heard?: OriginStandInOptions['onRequest']): Promise<void> {
-    const apis = this.names().map((name) => this.apiOf(name));
+    const apis = this.names().map((name) => this.apiAddressOf(name));
     for (const [index, origin] of this.deployment.origins.entries()) {
       this.originStandIns.set(
         origin.instance,
@@ -453,7 +454,7 @@
   }
 
   /** Waits for something to become true, asking every 50 ms; throws once the limit has passed. */
-  async until(what: string, holds: () => Promise<boolean>, limitMs = 30_000): Promise<void> {
+  async waitUntil(what: string, holds: () => Promise<boolean>, limitMs = 30_000): Promise<void> {
     const end = performance.now() + limitMs;
     for (;;) {
       if (await holds().catch(() => false)) return;
@@ -468,26 +469,28 @@
     }
   }
 
-  async untilReady(
+  async waitUntilReady(
     names: readonly string[] = this.names('front'),
     limitMs = 30_000,
   ): Promise<void> {
-    await this.until(
+    await this.waitUntil(
       'all ready',
       async () =>
         (
           await Promise.all(
-            names.map((name) => api(this.callersOf(name), 'GET', '/.well-known/reedyard/ready')),
+            names.map((name) =>
+              api(this.clientAddressOf(name), 'GET', '/.well-known/reedyard/ready'),
+            ),
           )
         ).every((answer) => answer.status === 200),
       limitMs,
     );
   }
 
-  async end(): Promise<void> {
-    for (const name of this.places()) this.thaw(name);
+  async stopAll(): Promise<void> {
+    for (const name of this.nodeNames()) this.thaw(name);
     await Promise.all([
-      ...this.places().map((name) => this.kill(name)),
+      ...this.nodeNames().map((name) => this.kill(name)),
       ...[...this.originStandIns.values()].map((blank) => blank.stop()),
     ]);
     for (const member of this.#members.values()) member.relays.forEach((relay) => relay.close());
--- a/packages/testbed/src/trials.ts
+++ b/packages/testbed/src/trial-command.ts
@@ -5,9 +5,9 @@
 import { errorMessage } from '@reedyard/logging';
 import { Schemas } from '@reedyard/schemas';
 import { TestbedError, type Deployment } from './index.js';
-import { trial } from './trial.js';
+import { playTrial } from './trial.js';
 
-type Words = {
+type TrialFlags = {
   readonly scenario?: string | undefined;
   readonly seed?: string | undefined;
   readonly seconds?: string | undefined;
@@ -26,7 +26,10 @@
  * The command: checks its words, plays the trial, tells what was seen. Exit codes: 0 all rules
  * kept, 1 one broke, 2 the words.
  */
-export const runTrial = async (example: string | undefined, words: Words): Promise<number> => {
+export const runTrialCommand = async (
+  example: string | undefined,
+  words: TrialFlags,
+): Promise<number> => {
   const say = (text: string): void => {
     process.stdout.write(`${text}\n`);
   };
@@ -49,7 +52,7 @@
       numberOf('rate', words.rate),
     ];
     const name = path.basename(path.resolve(example));
-    const report = await trial({
+    const report = await playTrial({
       example: name,
       deployment: JSON.parse(readFileSync(file('deployment.json'), 'utf8')) as Deployment,
       policy: Schemas.policy(JSON.parse(readFileSync(file('policy.json'), 'utf8'))),
--- a/packages/testbed/src/trial.test.ts
+++ b/packages/testbed/src/trial.test.ts
@@ -3,13 +3,13 @@
 import path from 'node:path';
 import { mkdtempSync } from 'node:fs';
 import { loadExample } from '@reedyard/simulator';
-import { small } from './small.js';
-import { pairsOf, trial } from './trial.js';
+import { smallDeployment } from './small-deployment.js';
+import { logFieldsOf, playTrial } from './trial.js';
 
 test('a trial of real processes through every kind of fault: the rules that no machine is too slow for are kept', async (t) => {
-  const report = await trial({
+  const report = await playTrial({
     example: 'brandlhuber',
-    deployment: small,
+    deployment: smallDeployment,
     policy: loadExample('brandlhuber').policy,
     scenario: 'everything',
     seed: 4,
@@ -26,7 +26,7 @@
 
 test('a line of a log is read back as its pairs', (t) => {
   t.deepEqual(
-    pairsOf(
+    logFieldsOf(
       'time=2026-01-01T00:00:00.000Z event=trace.stored keys="a.example/x b.example/y?z=\\"1\\""',
     ),
     {
--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -20,7 +20,7 @@
 import { api, Fleet, TestbedError } from './index.js';
 
 /** One line of a log as its pairs. @example pairsOf('time=… event="a b" n=1').event // 'a b' */
-export const pairsOf = (line: string): Readonly<Record<string, string>> =>
+export const logFieldsOf = (line: string): Readonly<Record<string, string>> =>
   Object.fromEntries(
     [...line.matchAll(/([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)/g)].map(([, key = '', value = '']) => [
       key,
@@ -29,7 +29,7 @@
   );
 
 /** A report's body, read back from what a stand-in origin sends. */
-const bodyOf = (
+const responseBodyOf = (
   method: string,
   target: string,
   text: string,
@@ -119,12 +119,12 @@
   at(wallMs: number): number {
     return wallMs - this.#startedAt;
   }
-  end(): void {
+  stopTimers(): void {
     this.#beats.forEach((beat) => clearInterval(beat));
   }
 
   /** What an origin heard, as it heard it. */
-  readonly heard = (
+  readonly recordAttempt = (
     request: http.IncomingMessage,
     by: {
       readonly service: string;
@@ -234,7 +234,7 @@
   /** Asks as the platform does who is ready, and who has the quotaLeadership. */
   #watch(): void {
     for (const name of this.fleet.names('front')) {
-      const box = this.fleet.callersOf(name);
+      const box = this.fleet.clientAddressOf(name);
       const request = http.request(
         `http://${box}/.well-known/reedyard/ready`,
         { timeout: 400 },
@@ -249,7 +249,7 @@
     }
     const asked = this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     if (asked !== undefined)
-      api(this.fleet.apiOf(asked), 'GET', '/v1/shares').then(
+      api(this.fleet.apiAddressOf(asked), 'GET', '/v1/shares').then(
         (answer) => {
           if (answer.status === 200)
             this.#holder = (answer.body as { holder: string | null }).holder ?? undefined;
@@ -259,7 +259,7 @@
   }
 
   machineNames(): readonly string[] {
-    return this.fleet.places();
+    return this.fleet.nodeNames();
   }
   isRunning(name: string): boolean {
     return this.fleet.runs(name, 'agent');
@@ -286,7 +286,7 @@
     this.fleet.thaw(name);
   }
   cut(from: string, to: string): void {
-    this.fleet.cutWay(from, to);
+    this.fleet.blockDirection(from, to);
   }
   isolate(name: string, way: 'both' | 'out' | 'in' = 'both'): void {
     this.fleet.cut(name, way);
@@ -298,7 +298,7 @@
     const place = `${name}~2`;
     const machine = this.deployment.machines.find((each) => each.name === name);
     if (machine !== undefined)
-      void this.fleet.add(machine, true, true, place).then(() => this.fleet.start(place));
+      void this.fleet.addNode(machine, true, true, place).then(() => this.fleet.start(place));
     return place;
   }
   fault(what: string): void {
@@ -327,7 +327,7 @@
       again();
       return;
     }
-    api(this.fleet.apiOf(chosenNode), method, target, document, {
+    api(this.fleet.apiAddressOf(chosenNode), method, target, document, {
       'reedyard-change-id': changeId,
     }).then((answer) => {
       if (answer.status === 200) done(answer.body);
@@ -414,7 +414,7 @@
       node ?? this.clock.pick(this.machineNames().filter((name) => this.isRunning(name)));
     const blank = this.fleet.originStandIns.get(origin.spec.instance);
     if (chosenNode === undefined || blank === undefined || !origin.alive) return;
-    blank.announceTo(this.fleet.apiOf(chosenNode)).then(
+    blank.announceTo(this.fleet.apiAddressOf(chosenNode)).then(
       (taken) => {
         if (
           !taken ||
@@ -462,7 +462,7 @@
       key,
     });
     void sendRequest({
-      at: this.fleet.callersOf(node),
+      at: this.fleet.clientAddressOf(node),
       method,
       host,
       target,
@@ -494,7 +494,7 @@
         retryAfter: seen.retryAfter,
         why: problem,
         stamp: seen.stamp,
-        body: good ? bodyOf(method, target, seen.body, this.#startedAt) : null,
+        body: good ? responseBodyOf(method, target, seen.body, this.#startedAt) : null,
         hasCompleteBody: seen.fault === null,
         method,
         host,
@@ -506,12 +506,12 @@
   }
 
   /** What the proxies' logs tell of their moves. */
-  readLogs(): void {
+  readProxyLogs(): void {
     const machines = new Map(this.deployment.machines.map((machine) => [machine.name, machine]));
     for (const place of this.fleet.names('front')) {
-      for (const line of readFileSync(this.fleet.logOf(place, 'proxy'), 'utf8').split('\n')) {
+      for (const line of readFileSync(this.fleet.logFileOf(place, 'proxy'), 'utf8').split('\n')) {
         if (!line.includes('event=trace.')) continue;
-        const pairs = pairsOf(line);
+        const pairs = logFieldsOf(line);
         const at = this.at(Date.parse(pairs['time'] ?? ''));
         const { zone = '', region = '' } = machines.get(place) ?? {};
         if (pairs['event'] === 'trace.attempt' || pairs['event'] === 'trace.copy')
@@ -580,7 +580,7 @@
  * @example
  * const report = await trial({ example: 'brandlhuber', deployment, policy, scenario: 'calm', seed: 1, folder: '.run' });
  */
-export const trial = async (options: TrialOptions): Promise<TrialReport> => {
+export const playTrial = async (options: TrialOptions): Promise<TrialReport> => {
   const scenario = scenarios[options.scenario];
   if (scenario === undefined)
     throw new TestbedError(
@@ -588,11 +588,14 @@
       `no scenario is named ${options.scenario}; there are ${Object.keys(scenarios).join(', ')}`,
     );
   const used = scenario.policy?.(options.policy) ?? options.policy;
-  const laid = await Fleet.lay(options.deployment, options.folder, { relays: true, trace: true });
+  const laid = await Fleet.create(options.deployment, options.folder, {
+    relays: true,
+    trace: true,
+  });
   const fleet = new TrialFleet(laid, options.seed);
   try {
     laid.startAll();
-    await laid.startOrigins(fleet.heard);
+    await laid.startOrigins(fleet.recordAttempt);
     // Some scenarios wipe disks while the fleet is founded: their time runs from the start, as callers' does.
     fleet.put(used);
     const end = 1_000 * (options.seconds ?? scenario.seconds);
@@ -621,10 +624,10 @@
       fleet.clock.schedule(end + 13_000, resolve);
     });
   } finally {
-    fleet.end();
-    await laid.end();
+    fleet.stopTimers();
+    await laid.stopAll();
   }
-  fleet.readLogs();
+  fleet.readProxyLogs();
   return {
     ...availability(fleet.history, 8_000),
     wrongs: findViolations(fleet.history, options.rules),
