--- a/packages/simulator/src/command-trial.ts
+++ b/packages/simulator/src/command-trial.ts
@@ -203,17 +203,18 @@
    */
   checkPolicies(): void {
     const accepted = this.policies.filter(isInForce);
-    for (const each of accepted) {
-      const rival = accepted.find(
-        (other) => other.version === each.version && other.content !== each.content,
+    for (const acceptedPolicy of accepted) {
+      const otherPolicy = accepted.find(
+        (other) =>
+          other.version === acceptedPolicy.version && other.content !== acceptedPolicy.content,
       );
-      if (rival !== undefined)
-        this.violations.push(`version ${each.version} was confirmed with two contents`);
+      if (otherPolicy !== undefined)
+        this.violations.push(`version ${acceptedPolicy.version} was confirmed with two contents`);
     }
-    for (const each of this.policies) {
-      const isOnlyContent = this.sentContents.get(each.version)?.size === 1;
-      if (each.outcome.kind === 'refused' && isOnlyContent)
-        this.violations.push(`version ${each.version} was refused`);
+    for (const sentPolicy of this.policies) {
+      const isOnlyContent = this.sentContents.get(sentPolicy.version)?.size === 1;
+      if (sentPolicy.outcome.kind === 'refused' && isOnlyContent)
+        this.violations.push(`version ${sentPolicy.version} was refused`);
     }
   }
 
@@ -224,8 +225,9 @@
     const [version, content] = [policy?.version ?? 0, policy?.notes?.content];
     if (version < newest)
       this.violations.push(`version ${version} was read back, ${newest} was acknowledged`);
-    for (const each of acknowledged) {
-      if (each.version !== version || each.content === content) continue;
+    for (const acknowledgedPolicy of acknowledged) {
+      if (acknowledgedPolicy.version !== version || acknowledgedPolicy.content === content)
+        continue;
       this.violations.push(`version ${version} is not what was acknowledged`);
     }
     for (const zone of zones) this.#checkZone(zone);
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -53,7 +53,7 @@
 
 const sumOf = (fleet: SimulatedFleet, counter: string): number =>
   [...fleet.machines.values()].reduce(
-    (sum, box) => sum + (box.proxy?.state.counters[counter] ?? 0),
+    (sum, simulatedMachine) => sum + (simulatedMachine.proxy?.state.counters[counter] ?? 0),
     0,
   );
 
@@ -75,7 +75,7 @@
   const requestCount = sumOf(fleet, 'requests');
   const waits = fleet.waits.filter((wait) => wait.at > 10_000).map((wait) => wait.ms);
   const announcements = [...fleet.machines.values()].reduce(
-    (sum, box) => sum + (box.agent?.state.vectorAnnouncementCount ?? 0),
+    (sum, simulatedMachine) => sum + (simulatedMachine.agent?.state.vectorAnnouncementCount ?? 0),
     0,
   );
   const shareOf = (counter: string): string =>
--- a/packages/simulator/src/long-partitions.ts
+++ b/packages/simulator/src/long-partitions.ts
@@ -34,15 +34,15 @@
   from: number,
   to: number,
   everyMs: number,
-  act: () => void,
+  action: () => void,
 ): void => {
   const { clock } = environment.fleet;
-  const next = (): void => {
+  const runOnce = (): void => {
     if (clock.now() > to) return;
-    act();
-    clock.schedule(everyMs * clock.between(0.6, 1.4), next);
+    action();
+    clock.schedule(everyMs * clock.between(0.6, 1.4), runOnce);
   };
-  clock.schedule(from, next);
+  clock.schedule(from, runOnce);
 };
 
 /** Returns the policy of the environment with one more route, named by a number. */
@@ -75,7 +75,7 @@
   });
 };
 
-const drainOne = ({ fleet }: ScenarioEnvironment): void => {
+const drainRandomOrigin = ({ fleet }: ScenarioEnvironment): void => {
   const origin = fleet.clock.pick(fleet.origins.filter((each) => each.alive && !each.draining));
   if (origin === undefined) return;
   origin.draining = true;
@@ -108,7 +108,7 @@
       fleet.fault('healed');
       side = [];
     });
-    repeat(environment, 11_000, 30_000, 4_000, () => drainOne(environment));
+    repeat(environment, 11_000, 30_000, 4_000, () => drainRandomOrigin(environment));
     runOperators(environment, () => side, 40_000);
   };
 
@@ -185,7 +185,7 @@
 const wipedReplicas = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
-  const wipe = (count: number): void => {
+  const wipeDisks = (count: number): void => {
     const chosen = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, count);
     for (const name of chosen) {
       fleet.kill(name);
@@ -194,8 +194,8 @@
     }
     fleet.fault(`${count} disks wiped`);
   };
-  clock.schedule(12_000, () => wipe(3));
-  clock.schedule(26_000, () => wipe(4));
+  clock.schedule(12_000, () => wipeDisks(3));
+  clock.schedule(26_000, () => wipeDisks(4));
   repeat(environment, 9_000, 36_000, 700, () => fleet.read());
 };
 
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -92,7 +92,7 @@
   const host = policy.routes[0]?.host ?? '';
   const fronts = fleet.deployment.machines.filter((machine) => machine.kind === 'front');
   const zones = [...new Set(fronts.map((machine) => machine.zone))];
-  let job = 0;
+  let lastJobNumber = 0;
   const choose = (zone: string): string | undefined => {
     const ready = fronts.filter((machine) => fleet.ready.get(machine.name) === true);
     const inZone = ready.filter((machine) => machine.zone === zone);
@@ -103,17 +103,17 @@
     clock.schedule((-Math.log(1 - clock.random()) * 1_000) / rate(), startNextClient);
     const zone = crowdedZone() ?? clock.pick(zones) ?? '';
     const sample = randomRequest(example, fleet.clock);
-    job += 1;
+    lastJobNumber += 1;
     const unsafe = sample.method === 'POST';
-    const name = `job-${job}`;
-    const key = unsafe ? name : null;
+    const jobId = `job-${lastJobNumber}`;
+    const key = unsafe ? jobId : null;
     const attempt = (retriesLeft: number): void => {
       const node = choose(zone);
       if (node === undefined) {
         fleet.history.push({ kind: 'unplaced', at: clock.now() });
         return;
       }
-      fleet.submit(node, { ...sample, host, job: name, key }, (status) => {
+      fleet.submit(node, { ...sample, host, job: jobId, key }, (status) => {
         // Clients retry after no response, 502, 503 or 504; an unsafe request keeps its key.
         const shouldRetry = status === 0 || status === 502 || status === 503 || status === 504;
         if (shouldRetry && retriesLeft > 0)
@@ -124,14 +124,14 @@
         const other = choose(zone);
         if (other !== undefined)
           clock.schedule(800 * clock.random(), () =>
-            fleet.submit(other, { ...sample, host, job: `${name}-other`, key }, () => undefined),
+            fleet.submit(other, { ...sample, host, job: `${jobId}-other`, key }, () => undefined),
           );
       }
       // Impatient clients send the same request twice at the same time.
       if (key !== null && retriesLeft === 2 && clock.random() < 0.1) {
         const other = choose(zone);
         if (other !== undefined)
-          fleet.submit(other, { ...sample, host, job: name, key }, () => undefined);
+          fleet.submit(other, { ...sample, host, job: jobId, key }, () => undefined);
       }
     };
     attempt(2);
--- a/packages/simulator/src/scenarios/cache-scenarios.ts
+++ b/packages/simulator/src/scenarios/cache-scenarios.ts
@@ -36,9 +36,9 @@
       );
       fleet.clock.schedule(20_000, () => {
         fleet.fault('a storm of 5000 purges');
-        for (let each = 0; each < 5_000; each += 1)
+        for (let count = 0; count < 5_000; count += 1)
           fleet.clock.schedule(fleet.clock.between(0, 1_500), () =>
-            fleet.purge([`${host}/storm/${each}`, `${host}${environment.sample().target}`], []),
+            fleet.purge([`${host}/storm/${count}`, `${host}${environment.sample().target}`], []),
           );
       });
       repeatBetween(environment, 12_000, 36_000, 6_000, () => randomFaults.freeze?.(environment));
--- a/packages/simulator/src/scenarios/environment.ts
+++ b/packages/simulator/src/scenarios/environment.ts
@@ -144,14 +144,14 @@
   fromMs: number,
   toMs: number,
   intervalMs: number,
-  act: () => void,
+  action: () => void,
 ): void => {
-  const next = (): void => {
+  const runOnce = (): void => {
     if (fleet.clock.now() > toMs) return;
-    act();
-    fleet.clock.schedule(intervalMs * fleet.clock.between(0.6, 1.4), next);
+    action();
+    fleet.clock.schedule(intervalMs * fleet.clock.between(0.6, 1.4), runOnce);
   };
-  fleet.clock.schedule(fromMs, next);
+  fleet.clock.schedule(fromMs, runOnce);
 };
 
 /** Kills a machine, wipes its disk if required, and starts it again after `afterMs`. */
--- a/packages/simulator/src/scenarios/policy-changes.ts
+++ b/packages/simulator/src/scenarios/policy-changes.ts
@@ -154,7 +154,7 @@
   let next = policy;
   const count = 1 + Math.floor(3 * fleet.clock.random());
   const mutationNames: string[] = [];
-  for (let each = 0; each < count; each += 1) {
+  for (let index = 0; index < count; index += 1) {
     const name = fleet.clock.pick(Object.keys(mutations)) ?? '';
     next = mutations[name]?.(next, fleet) ?? next;
     mutationNames.push(name);
--- a/packages/simulator/src/second-loss.test.ts
+++ b/packages/simulator/src/second-loss.test.ts
@@ -86,14 +86,14 @@
   const { fleet, options } = site;
   return [1, 2, 3, 4].map((round) => {
     const successor = coreName(options.members + round);
-    const lost = site.anyVotingMachine();
-    if (fleet.clock.random() < 0.5) fleet.stopReplica(lost);
+    const lostMember = site.anyVotingMachine();
+    if (fleet.clock.random() < 0.5) fleet.stopReplica(lostMember);
     // The operator's list of seeds is some seconds old and may still contain the lost member.
     fleet.seeds = site
       .votingMachines()
       .slice(0, 3)
       .map((machine) => `${machine}/agent`);
-    fleet.clock.schedule(fleet.clock.between(0, 300), () => fleet.kill(lost));
+    fleet.clock.schedule(fleet.clock.between(0, 300), () => fleet.kill(lostMember));
     site.runFor(fleet.clock.between(0, 1_500));
     fleet.start(successor);
     site.runFor(options.catchUpMs ?? 4_000);
@@ -140,11 +140,11 @@
       await yieldToRunner();
       const site = siteFor(seed);
       for (let round = 0; round < 5; round += 1) {
-        const lost = site.anyVotingMachine();
-        site.fleet.kill(lost);
-        site.fleet.wipe(lost);
+        const wipedMember = site.anyVotingMachine();
+        site.fleet.kill(wipedMember);
+        site.fleet.wipe(wipedMember);
         times.push(site.timeToAcknowledge(acknowledgementLimitMs));
-        site.fleet.start(lost);
+        site.fleet.start(wipedMember);
         site.runFor(site.options.catchUpMs ?? 0);
       }
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
@@ -167,12 +167,12 @@
       const machines = [...site.fleet.machines.keys()].filter(
         (each) => site.fleet.machines.get(each)?.isPowered === true,
       );
-      const lost = site.anyVotingMachine();
+      const wipedMachine = site.anyVotingMachine();
       machines.forEach((each) => site.fleet.kill(each));
-      site.fleet.wipe(lost);
+      site.fleet.wipe(wipedMachine);
       site.runFor(1_500);
       machines.forEach((each) => site.fleet.start(each));
-      times.push(site.timeToMember(lost, replacementLimitMs));
+      times.push(site.timeToMember(wipedMachine, replacementLimitMs));
       t.true(site.keepsAcknowledged(), `seed ${seed}`);
     }
     const figures = timingSummaryOf(times);
@@ -198,7 +198,7 @@
 const stopMember = (
   site: Site,
   crash: Crash,
-): { readonly took: number | null; readonly leaver: string } => {
+): { readonly tookMs: number | null; readonly leaver: string } => {
   const { fleet, options } = site;
   const successor = coreName(options.members + 1);
   fleet.start(successor);
@@ -222,8 +222,8 @@
     fleet.wipe(successor);
   }
   if (crash === 'leaver, and back') fleet.clock.schedule(800, () => fleet.start(leaver));
-  const took = site.timeToAcknowledge(acknowledgementLimitMs);
-  return { took, leaver };
+  const tookMs = site.timeToAcknowledge(acknowledgementLimitMs);
+  return { tookMs, leaver };
 };
 
 for (const crash of crashes) {
@@ -234,8 +234,8 @@
       for (const seed of seeds) {
         await yieldToRunner();
         const site = siteFor(seed);
-        const { took, leaver } = stopMember(site, crash);
-        times.push(took);
+        const { tookMs, leaver } = stopMember(site, crash);
+        times.push(tookMs);
         site.runFor(6_000);
         const running = site.fleet.machines.get(leaver)?.replica !== null;
         if (crash === 'nobody') t.false(running, `seed ${seed}: the leaver still runs`);
@@ -262,7 +262,7 @@
         busyMs: 100,
         plant: 'forget-when-replaced',
       });
-      if (stopMember(site, 'second member').took === null) failed.push(seed);
+      if (stopMember(site, 'second member').tookMs === null) failed.push(seed);
     }
     t.log(`no acknowledgement in ${failed.length} of ${seeds.length}`);
     t.true(failed.length > 0);
@@ -331,16 +331,16 @@
         site.fleet.start(coreName(site.options.members + 1));
         site.runFor(3_000);
         t.not(site.timeToAcknowledge(acknowledgementLimitMs), null, `seed ${seed}`);
-        const before = site.newestMembership().epoch;
+        const epochBefore = site.newestMembership().epoch;
         site.resetGap();
         causeTrouble(site, trouble);
         gaps.push(site.longestGapMs);
-        const took = site.timeToAcknowledge(acknowledgementLimitMs);
-        t.not(took, null, `seed ${seed}`);
+        const tookMs = site.timeToAcknowledge(acknowledgementLimitMs);
+        t.not(tookMs, null, `seed ${seed}`);
         site.runFor(4_000);
         t.is(site.votingMachines().length, site.options.members, `seed ${seed}`);
         t.true(site.keepsAcknowledged(), `seed ${seed}`);
-        changes += site.newestMembership().epoch - before;
+        changes += site.newestMembership().epoch - epochBefore;
         const { epoch } = site.newestMembership();
         site.runFor(5_000);
         t.is(site.newestMembership().epoch, epoch, `seed ${seed}: the membership keeps changing`);
--- a/packages/simulator/src/second-loss.ts
+++ b/packages/simulator/src/second-loss.ts
@@ -80,6 +80,7 @@
     this.#sample();
   }
 
+  /** Advances the virtual time. */
   runFor(ms: number): void {
     this.fleet.clock.runUntil(this.fleet.clock.now() + ms);
   }
@@ -143,6 +144,7 @@
     this.fleet.clock.schedule(samplePeriodMs, () => this.#sample());
   }
 
+  /** Starts a new measurement of `longestGapMs`. */
   resetGap(): void {
     this.longestGapMs = 0;
     this.#gapStartedAt = null;
@@ -163,8 +165,8 @@
 
   /** Runs until a later epoch is committed, or the time limit has passed. */
   runUntilEpochAfter(epoch: number, limitMs: number): void {
-    const end = this.fleet.clock.now() + limitMs;
-    while (this.newestMembership().epoch <= epoch && this.fleet.clock.now() < end) this.runFor(1);
+    const endAt = this.fleet.clock.now() + limitMs;
+    while (this.newestMembership().epoch <= epoch && this.fleet.clock.now() < endAt) this.runFor(1);
   }
 
   /** Number of commands that were acknowledged so far. */
@@ -258,13 +260,13 @@
  */
 export const replaceMember = (site: Site): number | null => {
   const { fleet, options } = site;
-  const lost = site.anyVotingMachine();
+  const lostMember = site.anyVotingMachine();
   const successor = coreName(options.members + 1);
   const delayMs = fleet.clock.between(-300, 1_500);
   if (delayMs > 0) {
-    fleet.kill(lost);
+    fleet.kill(lostMember);
     site.runFor(delayMs);
-  } else fleet.clock.schedule(-delayMs, () => fleet.kill(lost));
+  } else fleet.clock.schedule(-delayMs, () => fleet.kill(lostMember));
   fleet.start(successor);
   return site.timeToMember(successor, replacementLimitMs);
 };
@@ -275,10 +277,10 @@
  */
 export const wipeMember = (site: Site): number | null => {
   const { fleet } = site;
-  const lost = site.anyVotingMachine();
-  fleet.kill(lost);
-  fleet.wipe(lost);
+  const wipedMember = site.anyVotingMachine();
+  fleet.kill(wipedMember);
+  fleet.wipe(wipedMember);
   site.runFor(fleet.clock.between(200, 2_000));
-  fleet.start(lost);
-  return site.timeToMember(lost, replacementLimitMs);
+  fleet.start(wipedMember);
+  return site.timeToMember(wipedMember, replacementLimitMs);
 };
--- a/packages/simulator/src/simulated-network.ts
+++ b/packages/simulator/src/simulated-network.ts
@@ -10,7 +10,7 @@
 
 /** Paths between machines, per direction; a path works unless it was cut. */
 export class SimulatedNetwork {
-  readonly #cuts = new Set<string>();
+  readonly #cutPaths = new Set<string>();
   /** When the processes or links of each machine last changed. */
   readonly #changedAt = new Map<string, number>();
   /** Machines without a path to a majority of replicas, and since when. */
@@ -24,20 +24,22 @@
     readonly record: RecordEntry,
   ) {}
 
+  /** Cuts the path from one machine to another, in this direction only. */
   cut(from: string, to: string): void {
-    this.#cuts.add(`${from}>${to}`);
+    this.#cutPaths.add(`${from}>${to}`);
     this.changed(from);
     this.changed(to);
   }
 
+  /** Whether the path from one machine to another is cut. */
   isCut(from: string, to: string): boolean {
-    return this.#cuts.has(`${from}>${to}`);
+    return this.#cutPaths.has(`${from}>${to}`);
   }
 
   /** Ends all cuts, and records which nodes were isolated. */
   heal(): void {
     const now = this.now();
-    this.#cuts.clear();
+    this.#cutPaths.clear();
     for (const name of this.#changedAt.keys()) this.changed(name);
     for (const [node, from] of this.#isolatedSince) {
       this.record({ kind: 'cut-off', at: now, node, from });
--- a/packages/simulator/src/spread.ts
+++ b/packages/simulator/src/spread.ts
@@ -26,10 +26,15 @@
 fleet.clock.schedule(500, () => fleet.put(policy));
 fleet.clock.runUntil(8_000);
 const proxies = (): readonly { revision: number; purges: number }[] =>
-  [...fleet.machines.values()].flatMap((box) =>
-    box.proxy === null
+  [...fleet.machines.values()].flatMap((simulatedMachine) =>
+    simulatedMachine.proxy === null
       ? []
-      : [{ revision: box.proxy.state.policy?.revision ?? 0, purges: box.proxy.state.purgeSeq }],
+      : [
+          {
+            revision: simulatedMachine.proxy.state.policy?.revision ?? 0,
+            purges: simulatedMachine.proxy.state.purgeSeq,
+          },
+        ],
   );
 
 /**
@@ -49,10 +54,10 @@
     fleet.clock.runUntil(fleet.clock.now() + 5);
   return acknowledgedAt === 0 || !isApplied() ? null : fleet.clock.now() - acknowledgedAt;
 };
-const printLine = (name: string, list: readonly (number | null)[]): void => {
-  const sorted = list.flatMap((each) => (each === null ? [] : [each])).sort((a, b) => a - b);
+const printLine = (name: string, spreadTimes: readonly (number | null)[]): void => {
+  const sorted = spreadTimes.flatMap((each) => (each === null ? [] : [each])).sort((a, b) => a - b);
   process.stdout.write(
-    `${values.example} loss=${values.loss} ${name}: median ${sorted[Math.floor(sorted.length / 2)]?.toFixed(0)} ms, most ${sorted.at(-1)?.toFixed(0)} ms, of ${sorted.length}; not within 10 s: ${list.length - sorted.length}\n`,
+    `${values.example} loss=${values.loss} ${name}: median ${sorted[Math.floor(sorted.length / 2)]?.toFixed(0)} ms, most ${sorted.at(-1)?.toFixed(0)} ms, of ${sorted.length}; not within 10 s: ${spreadTimes.length - sorted.length}\n`,
   );
 };
 const times = Array.from({ length: Number(values.times) }, (_, index) => index);
--- a/packages/simulator/src/virtual-clock.ts
+++ b/packages/simulator/src/virtual-clock.ts
@@ -5,17 +5,23 @@
   #now = 0;
   #nextOrder = 0;
   #seed: number;
-  readonly #heap: { at: number; order: number; act: () => void }[] = [];
+  readonly #queue: { at: number; order: number; act: () => void }[] = [];
 
   constructor(seed: number) {
     this.#seed = seed | 0;
   }
 
+  /** The current virtual time, in milliseconds. */
   now(): number {
     return this.#now;
   }
 
-  /** @example new VirtualClock(1).random() // always the same number in [0, 1) */
+  /**
+   * Returns a pseudo-random number in [0, 1).
+   *
+   * @example
+   * new VirtualClock(1).random() // always the same number
+   */
   random(): number {
     this.#seed = (this.#seed + 0x6d2b79f5) | 0;
     let mixed = Math.imul(this.#seed ^ (this.#seed >>> 15), 1 | this.#seed);
@@ -23,17 +29,20 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 4_294_967_296;
   }
 
+  /** Returns a random number between two bounds. */
   between(low: number, high: number): number {
     return low + (high - low) * this.random();
   }
+  /** Returns a random element, or undefined if the list is empty. */
   pick<T>(list: readonly T[]): T | undefined {
     return list[Math.floor(this.random() * list.length)];
   }
 
+  /** Runs an action after a delay in milliseconds; at equal times, in the order of scheduling. */
   schedule(ms: number, action: () => void): void {
     const entry = { at: this.#now + Math.max(0, ms), order: this.#nextOrder, act: action };
     this.#nextOrder += 1;
-    const heap = this.#heap;
+    const heap = this.#queue;
     heap.push(entry);
     let index = heap.length - 1;
     while (index > 0) {
@@ -57,7 +66,7 @@
 
   /** Runs all scheduled actions up to a point in virtual time, in order. */
   runUntil(end: number): void {
-    const heap = this.#heap;
+    const heap = this.#queue;
     for (let top = heap[0]; top !== undefined && top.at <= end; top = heap[0]) {
       this.#now = top.at;
       const lastEntry = heap.pop();
