--- a/packages/simulator/src/checks.ts
+++ b/packages/simulator/src/checks.ts
@@ -1,4 +1,4 @@
-/** Judges a history by the rules. */
+/** Checks a recorded history against the rules, and computes the availability that clients saw. */
 import { entriesOf } from './checks/history-queries.js';
 import { checkNoDoubleExecution } from './checks/rule-01-no-double-execution.js';
 import { checkTruthfulRejection } from './checks/rule-02-truthful-rejection.js';
@@ -17,8 +17,8 @@
 import type { RuleCheck } from './checks/rule-check.js';
 import type { Entry, Violation } from './history.js';
 
-/** The check of each rule, by its number. */
-export const checks: Readonly<Record<number, RuleCheck>> = {
+/** The check of each rule, keyed by the number of the rule. */
+export const ruleChecks: Readonly<Record<number, RuleCheck>> = {
   1: checkNoDoubleExecution,
   2: checkTruthfulRejection,
   3: checkValidResponses,
@@ -35,35 +35,40 @@
   14: checkAttemptBudget,
 };
 
-/** What is left to judge once all state was lost for good: nothing from before may come back. */
+/**
+ * Returns the entries that are judged after a permanent loss of all state. State from before the loss
+ * need not survive, but must not come back either.
+ */
 const historySinceLoss = (history: readonly Entry[]): readonly Entry[] => {
-  const lost = history.findLastIndex(
+  const lossIndex = history.findLastIndex(
     (entry) => entry.kind === 'fault' && entry.label === 'all state lost',
   );
-  const lostAt = history[lost]?.at ?? 0;
-  // What was on its way to an origin at that moment belongs to before.
-  return lost < 0
+  const lostAt = history[lossIndex]?.at ?? 0;
+  // Attempts that were in flight to an origin at the moment of the loss belong to the time before.
+  return lossIndex < 0
     ? history
     : history.filter(
         (entry, index) =>
-          (index >= lost && !(entry.kind === 'attempt' && entry.at < lostAt + 100)) ||
+          (index >= lossIndex && !(entry.kind === 'attempt' && entry.at < lostAt + 100)) ||
           entry.kind === 'carries',
       );
 };
 
-/** All that was wrong in a run, a few of each rule. */
-export const judge = (
+/** Returns the violations of a run, at most three of each rule. */
+export const findViolations = (
   history: readonly Entry[],
-  rules: readonly number[] = Object.keys(checks).map(Number),
+  rules: readonly number[] = Object.keys(ruleChecks).map(Number),
 ): readonly Violation[] =>
   rules.flatMap((rule) =>
-    (checks[rule]?.([1, 2, 3].includes(rule) ? history : historySinceLoss(history)) ?? []).slice(
-      0,
-      3,
-    ),
+    (
+      ruleChecks[rule]?.([1, 2, 3].includes(rule) ? history : historySinceLoss(history)) ?? []
+    ).slice(0, 3),
   );
 
-/** Of what callers asked in a span, the share that was served, and what became of the rest. */
+/**
+ * Counts the requests that clients sent between two times, the share of them that was served, and the
+ * outcomes of the others.
+ */
 export const availability = (
   history: readonly Entry[],
   from = 0,
@@ -73,27 +78,27 @@
   readonly share: number;
   readonly rest: Readonly<Record<string, number>>;
 } => {
-  const asked = new Set(
+  const submissions = new Set(
     entriesOf(history, 'asked')
       .filter((entry) => entry.at >= from && entry.at < to)
       .map((entry) => entry.submission),
   );
-  const got = entriesOf(history, 'got').filter((entry) => asked.has(entry.submission));
+  const results = entriesOf(history, 'got').filter((entry) => submissions.has(entry.submission));
   const rest: Record<string, number> = {};
-  let good = 0;
-  for (const entry of got) {
-    // A key used before is answered as it should be: 409 for the same request, 422 for another.
+  let servedCount = 0;
+  for (const entry of results) {
+    // For a key that was used before, 409 (same request) and 422 (another request) are correct.
     if ((entry.status >= 200 && entry.status < 300) || entry.status === 409 || entry.status === 422)
-      good += 1;
+      servedCount += 1;
     else {
-      const what = `${entry.status} ${entry.outcome}${entry.why === '' ? '' : `: ${entry.why}`}`;
-      rest[what] = (rest[what] ?? 0) + 1;
+      const outcomeName = `${entry.status} ${entry.outcome}${entry.why === '' ? '' : `: ${entry.why}`}`;
+      rest[outcomeName] = (rest[outcomeName] ?? 0) + 1;
     }
   }
   const unplaced = entriesOf(history, 'unplaced').filter(
     (entry) => entry.at >= from && entry.at < to,
   ).length;
   if (unplaced > 0) rest['no ready node'] = unplaced;
-  const all = asked.size + unplaced;
-  return { asked: all, share: all === 0 ? 1 : good / all, rest };
+  const requestCount = submissions.size + unplaced;
+  return { asked: requestCount, share: requestCount === 0 ? 1 : servedCount / requestCount, rest };
 };
--- a/packages/simulator/src/checks/rates.ts
+++ b/packages/simulator/src/checks/rates.ts
@@ -1,28 +1,28 @@
-/** Whether a rate was passed in any window, against a limit that changes with time. */
+/** Checks a rate in sliding windows against a limit that changes over time. */
 
 import type { Policy } from '@reedyard/schemas';
 import type { Entry } from '../history.js';
 import { policiesDuring } from './history-queries.js';
 
 /**
- * Requests that the highest of some rates, each in force for a span, lets through between two
- * moments.
+ * Returns how many requests are allowed between two times, where each rate limit applies for a span
+ * and the highest limit of each moment counts.
  */
 export const maxRequestCount = (
-  list: readonly { readonly from: number; readonly until: number; readonly rate: number }[],
+  limits: readonly { readonly from: number; readonly until: number; readonly rate: number }[],
   from: number,
   to: number,
 ): number => {
-  const cuts = [...new Set([from, to, ...list.flatMap((each) => [each.from, each.until])])]
-    .filter((at) => at >= from && at <= to)
+  const boundaries = [...new Set([from, to, ...limits.flatMap((each) => [each.from, each.until])])]
+    .filter((time) => time >= from && time <= to)
     .sort((a, b) => a - b);
-  return cuts.slice(1).reduce((sum, end, index) => {
-    const begin = cuts[index] ?? from;
+  return boundaries.slice(1).reduce((sum, end, index) => {
+    const begin = boundaries[index] ?? from;
     return (
       sum +
       (Math.max(
         0,
-        ...list.filter((each) => each.from < end && each.until > begin).map((each) => each.rate),
+        ...limits.filter((each) => each.from < end && each.until > begin).map((each) => each.rate),
       ) *
         (end - begin)) /
         1_000
@@ -30,10 +30,10 @@
   }, 0);
 };
 
-/** The most that policies in force between two moments let through, in requests. */
+/** Returns how many requests the policies in force between two times allow at most. */
 export const allowedRequestCount = (
   history: readonly Entry[],
-  of: (policy: Policy) => number,
+  rateOf: (policy: Policy) => number,
   from: number,
   to: number,
 ): number =>
@@ -41,23 +41,23 @@
     policiesDuring(history, from, to).map((span) => ({
       from: span.from,
       until: span.until,
-      rate: of(span.document),
+      rate: rateOf(span.document),
     })),
     from,
     to,
   );
 
-/** Windows of 5 s that hold more than `share` of what is allowed in them. */
+/** Returns the windows of 5 s that contain more than `share` times the allowed number of requests. */
 export const overloadedWindows = (
   times: readonly number[],
   allowed: (from: number, to: number) => number,
   share: number,
 ): readonly { readonly at: number; readonly most: number; readonly limit: number }[] => {
-  let from = 0;
-  return times.flatMap((at, index) => {
-    while ((times[from] ?? 0) <= at - 5_000) from += 1;
-    const most = index - from + 1;
-    const limit = share * allowed(at - 5_000, at);
-    return most > limit ? [{ at, most, limit }] : [];
+  let windowStart = 0;
+  return times.flatMap((windowEnd, index) => {
+    while ((times[windowStart] ?? 0) <= windowEnd - 5_000) windowStart += 1;
+    const count = index - windowStart + 1;
+    const limit = share * allowed(windowEnd - 5_000, windowEnd);
+    return count > limit ? [{ at: windowEnd, most: count, limit }] : [];
   });
 };
--- a/packages/simulator/src/checks/rule-14-attempt-budget.ts
+++ b/packages/simulator/src/checks/rule-14-attempt-budget.ts
@@ -1,10 +1,10 @@
-/** Rule 14. One request runs at more origins than its route allows, summed over all nodes. */
+/** Rule 14: one request runs at no more origins than its route allows, summed over all nodes. */
 
 import type { Violation } from '../history.js';
 import { entriesOf, groupBy, maxOriginsAllowed } from './history-queries.js';
 import type { RuleCheck } from './rule-check.js';
 
-/** What broke rule 14 in a history. */
+/** Returns the violations of rule 14 in a history. */
 export const checkAttemptBudget: RuleCheck = (history) =>
   [
     ...groupBy(
@@ -15,13 +15,13 @@
     const origins = new Set(
       attempts.map((attempt) => `${attempt.service}/${attempt.instance}/${attempt.incarnation}`),
     );
-    const most = maxOriginsAllowed(history, attempts);
-    return origins.size > most
+    const maxOrigins = maxOriginsAllowed(history, attempts);
+    return origins.size > maxOrigins
       ? [
           {
             rule: 14,
             at: attempts.at(-1)?.at ?? 0,
-            what: `request ${submission} ran at ${origins.size} origins; ${most} are allowed`,
+            what: `request ${submission} ran at ${origins.size} origins; ${maxOrigins} are allowed`,
           },
         ]
       : [];
--- a/packages/simulator/src/long-partitions.ts
+++ b/packages/simulator/src/long-partitions.ts
@@ -1,27 +1,32 @@
-/** Scenarios of partitions that outlast every lease. */
+/** Scenarios with network partitions that last longer than every lease. */
 import type { Scenario, ScenarioEnvironment, ScenarioFleet } from './scenarios/environment.js';
 
 /**
- * Scenarios in which machines are cut off from a majority for 20 s and more, and served on by it.
+ * In these scenarios machines are isolated from a majority of replicas for 20 s and more, and keep
+ * serving meanwhile.
  */
 
-type Way = 'both' | 'out' | 'in';
+type CutDirection = 'both' | 'out' | 'in';
 
 const machines = (fleet: ScenarioFleet, isReplica: boolean): readonly string[] =>
   fleet.deployment.machines
     .filter((machine) => (machine.kind !== 'front') === isReplica)
     .map((machine) => machine.name);
 
-/** Cuts some machines from all others; origins, callers and operators still reach both sides. */
-const sever = (fleet: ScenarioFleet, side: readonly string[], way: Way): void => {
-  const others = fleet.machineNames().filter((name) => !side.includes(name));
-  for (const inside of side) {
+/** Isolates some machines from all others; origins, clients and operators still reach both sides. */
+const isolateSide = (
+  fleet: ScenarioFleet,
+  isolated: readonly string[],
+  direction: CutDirection,
+): void => {
+  const others = fleet.machineNames().filter((name) => !isolated.includes(name));
+  for (const inside of isolated) {
     for (const outside of others) {
-      if (way !== 'in') fleet.cut(inside, outside);
-      if (way !== 'out') fleet.cut(outside, inside);
+      if (direction !== 'in') fleet.cut(inside, outside);
+      if (direction !== 'out') fleet.cut(outside, inside);
     }
   }
-  fleet.fault(`${side.join(', ')} cut off, ${way}`);
+  fleet.fault(`${isolated.join(', ')} isolated, ${direction}`);
 };
 
 const repeat = (
@@ -29,19 +34,19 @@
   from: number,
   to: number,
   everyMs: number,
-  act: () => void,
+  action: () => void,
 ): void => {
   const { clock } = environment.fleet;
-  const next = (): void => {
+  const runOnce = (): void => {
     if (clock.now() > to) return;
-    act();
-    clock.schedule(everyMs * clock.between(0.6, 1.4), next);
+    action();
+    clock.schedule(everyMs * clock.between(0.6, 1.4), runOnce);
   };
-  clock.schedule(from, next);
+  clock.schedule(from, runOnce);
 };
 
-/** A policy that differs from the first by one more route, by a number. */
-const withRoute = (
+/** Returns the policy of the environment with one more route, named by a number. */
+const withExtraRoute = (
   { policy }: ScenarioEnvironment,
   number: number,
 ): ScenarioEnvironment['policy'] => {
@@ -51,8 +56,8 @@
   return { ...policy, routes: [...policy.routes, extra] };
 };
 
-/** Orders and reads that go to any node, and as often to one that is cut off. */
-const operateOn = (
+/** Sends commands and reads, half of them to an isolated node and half to any node. */
+const runOperators = (
   environment: ScenarioEnvironment,
   side: () => readonly string[],
   until: number,
@@ -62,7 +67,7 @@
   const target = (): string | undefined => (clock.random() < 0.5 ? clock.pick(side()) : undefined);
   const number = (): number => Math.floor(1e6 * clock.random());
   repeat(environment, 9_000, until, 1_500, () =>
-    fleet.put(withRoute(environment, number()), undefined, target()),
+    fleet.put(withExtraRoute(environment, number()), undefined, target()),
   );
   repeat(environment, 9_000, until, 400, () => fleet.read(target()));
   repeat(environment, 9_000, until, 1_100, () => {
@@ -70,7 +75,7 @@
   });
 };
 
-const drainOne = ({ fleet }: ScenarioEnvironment): void => {
+const drainRandomOrigin = ({ fleet }: ScenarioEnvironment): void => {
   const origin = fleet.clock.pick(fleet.origins.filter((each) => each.alive && !each.draining));
   if (origin === undefined) return;
   origin.draining = true;
@@ -87,31 +92,31 @@
   fleet.clock.schedule(downMs, () => fleet.start(name));
 };
 
-/** One core machine and one front, cut off by themselves for 22 s. */
-const oneOfEach =
-  (way: Way) =>
+/** Isolates one core machine and one front, each on its own, for 22 s. */
+const oneReplicaAndOneFront =
+  (direction: CutDirection) =>
   (environment: ScenarioEnvironment): void => {
     const { fleet } = environment;
     const { clock } = fleet;
     let side: readonly string[] = [];
     clock.schedule(10_000, () => {
       side = [clock.pick(machines(fleet, true)) ?? '', clock.pick(machines(fleet, false)) ?? ''];
-      for (const each of side) sever(fleet, [each], way);
+      for (const each of side) isolateSide(fleet, [each], direction);
     });
     clock.schedule(32_000, () => {
       fleet.heal();
       fleet.fault('healed');
       side = [];
     });
-    repeat(environment, 11_000, 30_000, 4_000, () => drainOne(environment));
-    operateOn(environment, () => side, 40_000);
+    repeat(environment, 11_000, 30_000, 4_000, () => drainRandomOrigin(environment));
+    runOperators(environment, () => side, 40_000);
   };
 
 /**
- * Both halves: two of five replicas and half of the fronts on one side; seeds are exchanged,
- * machines restart.
+ * Splits the fleet into two sides, with two of five replicas and half of the fronts on one of them.
+ * The seeds change and machines restart meanwhile.
  */
-const halves = (environment: ScenarioEnvironment): void => {
+const twoSides = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
@@ -119,7 +124,7 @@
     const fronts = machines(fleet, false).filter((_name, index) => index % 2 === 0);
     const replicas = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, 2);
     side = [...replicas, ...fronts];
-    sever(fleet, side, 'both');
+    isolateSide(fleet, side, 'both');
   });
   clock.schedule(14_000, () => {
     const [first, second, third] = [...fleet.machineNames()].sort(() => clock.random() - 0.5);
@@ -142,11 +147,14 @@
     fleet.fault('healed');
     side = [];
   });
-  operateOn(environment, () => side, 42_000);
+  runOperators(environment, () => side, 42_000);
 };
 
-/** A cut-off core machine restarts inside the cut, a front as well, and a freeze ends in it. */
-const restarts = (environment: ScenarioEnvironment): void => {
+/**
+ * Isolates a core machine and three fronts. The core machine and a front restart during the partition;
+ * a front that froze before thaws in it, and another front freezes and thaws in it.
+ */
+const restartsInsidePartition = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
   let side: readonly string[] = [];
@@ -157,7 +165,7 @@
     const [, restarted, frozenBefore, frozenInside] = side;
     fleet.freeze(frozenBefore ?? '');
     clock.schedule(1_000, () => {
-      for (const each of side) sever(fleet, [each], 'both');
+      for (const each of side) isolateSide(fleet, [each], 'both');
     });
     clock.schedule(clock.between(3_000, 8_000), () => fleet.thaw(frozenBefore ?? ''));
     clock.schedule(clock.between(5_000, 9_000), () => fleet.freeze(frozenInside ?? ''));
@@ -170,14 +178,14 @@
     fleet.fault('healed');
     side = [];
   });
-  operateOn(environment, () => side, 40_000);
+  runOperators(environment, () => side, 40_000);
 };
 
-/** Replicas that answer and do not count: disks are wiped in turn, and every message waits. */
-const refusals = (environment: ScenarioEnvironment): void => {
+/** Wipes most disks twice: replicas without their data reply but do not vote for a while. */
+const wipedReplicas = (environment: ScenarioEnvironment): void => {
   const { fleet } = environment;
   const { clock } = fleet;
-  const wipe = (count: number): void => {
+  const wipeDisks = (count: number): void => {
     const chosen = [...machines(fleet, true)].sort(() => clock.random() - 0.5).slice(0, count);
     for (const name of chosen) {
       fleet.kill(name);
@@ -186,57 +194,59 @@
     }
     fleet.fault(`${count} disks wiped`);
   };
-  clock.schedule(12_000, () => wipe(3));
-  clock.schedule(26_000, () => wipe(4));
+  clock.schedule(12_000, () => wipeDisks(3));
+  clock.schedule(26_000, () => wipeDisks(4));
   repeat(environment, 9_000, 36_000, 700, () => fleet.read());
 };
 
+/** Scenarios, by name. */
 export const longPartitionScenarios: Readonly<Record<string, Scenario>> = {
   'cut-20s': {
-    summary: 'one core machine and one front cut off by themselves for 22 s, both ways',
+    summary:
+      'one core machine and one front are isolated, each on its own, for 22 s in both directions',
     seconds: 44,
     servesOn: true,
-    play: oneOfEach('both'),
+    play: oneReplicaAndOneFront('both'),
   },
   'cut-20s-out': {
-    summary: 'the same, but only what they send is lost',
+    summary: 'as cut-20s, but only the messages that they send are lost',
     seconds: 44,
     servesOn: true,
-    play: oneOfEach('out'),
+    play: oneReplicaAndOneFront('out'),
   },
   'cut-20s-in': {
-    summary: 'the same, but only what they are sent is lost',
+    summary: 'as cut-20s, but only the messages to them are lost',
     seconds: 44,
     servesOn: true,
-    play: oneOfEach('in'),
+    play: oneReplicaAndOneFront('in'),
   },
   'cut-halves': {
     summary:
-      'two sides for 24 s, one with a majority; seeds are exchanged and machines restart meanwhile',
+      'the fleet splits into two sides for 24 s, one with a majority; the seeds change and machines restart meanwhile',
     seconds: 46,
     servesOn: true,
-    play: halves,
+    play: twoSides,
   },
   'cut-restarts': {
-    summary: 'machines cut off for 22 s restart, freeze and thaw inside the cut',
+    summary: 'machines are isolated for 22 s, and restart, freeze and thaw during the partition',
     seconds: 44,
     servesOn: true,
-    play: restarts,
+    play: restartsInsidePartition,
   },
   'cut-20s-busy': {
     summary:
-      'one core machine and one front cut off for 22 s; every message waits up to 80 ms more, and one in twenty is lost',
+      'one core machine and one front are isolated for 22 s; every message is delayed by up to 80 ms, and one in twenty is lost',
     seconds: 44,
     servesOn: true,
     busyMs: 80,
     loss: 0.05,
-    play: oneOfEach('both'),
+    play: oneReplicaAndOneFront('both'),
   },
   'refusing-replicas': {
-    summary: 'most disks are wiped: replicas answer, and do not count for a while',
+    summary: 'most disks are wiped: replicas reply but do not vote for a while',
     seconds: 40,
     servesOn: true,
     busyMs: 40,
-    play: refusals,
+    play: wipedReplicas,
   },
 };
--- a/packages/simulator/src/purity.test.ts
+++ b/packages/simulator/src/purity.test.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 
 const packages = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../..');
-/** Where time, chance and I/O may come from: the shells, and what is for tests alone. */
+/** Packages that may use clocks, random numbers and I/O: hosts around reducers, and test tools. */
 const shells = new Set([
   'origin-stand-in',
   'client-stand-in',
@@ -16,6 +16,7 @@
   'rpc',
   'settings',
 ]);
+/** Files with the same permission in other packages. */
 const shellFiles = new Set([
   'main.ts',
   'run.ts',
@@ -35,8 +36,8 @@
   'membership-search.ts',
 ]);
 
-test('no reducer looks at a clock, draws by chance or does I/O: clocks may jump, seeds replay', (t) => {
-  let read = 0;
+test('no reducer reads a clock, draws random numbers or does I/O, so that runs can be replayed from a seed', (t) => {
+  let fileCount = 0;
   for (const name of readdirSync(packages)) {
     if (shells.has(name)) continue;
     const folder = path.join(packages, name, 'src');
@@ -57,8 +58,8 @@
         if (text.includes(word) && !(name === 'schemas' && word === "from 'node:"))
           t.fail(`${name}/${file}: ${word}`);
       }
-      read += 1;
+      fileCount += 1;
     }
   }
-  t.true(read > 20);
+  t.true(fileCount > 20);
 });
--- a/packages/simulator/src/scenarios/cache-scenarios.ts
+++ b/packages/simulator/src/scenarios/cache-scenarios.ts
@@ -1,13 +1,13 @@
-/** Objects are kept, age and are purged. */
+/** Scenarios about caching: responses are stored, age and are purged. */
 
 import { repeatBetween, type Scenario } from './environment.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const cacheScenarios = {
   copies: {
     summary:
-      'answers that are old when they come, large ones, relayed ones; purged one by one, in long lists and in a storm over the size of a call',
+      'responses that are already old on arrival, large or forwarded; objects are purged one by one, in long lists, and by more purges at a time than one call can carry',
     seconds: 45,
     rate: 200,
     play: (environment) => {
@@ -20,8 +20,8 @@
       fleet.clock.schedule(9_000, () => {
         environment.traffic.crowdedZone = 'west';
       });
-      repeatBetween(environment, 9_000, 38_000, 700, () => faults.slow?.(environment));
-      repeatBetween(environment, 10_000, 38_000, 300, () => faults.purge?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 700, () => randomFaults.slow?.(environment));
+      repeatBetween(environment, 10_000, 38_000, 300, () => randomFaults.purge?.(environment));
       repeatBetween(environment, 12_000, 38_000, 6_000, () =>
         fleet.purge(
           Array.from(
@@ -36,25 +36,25 @@
       );
       fleet.clock.schedule(20_000, () => {
         fleet.fault('a storm of 5000 purges');
-        for (let each = 0; each < 5_000; each += 1)
+        for (let count = 0; count < 5_000; count += 1)
           fleet.clock.schedule(fleet.clock.between(0, 1_500), () =>
-            fleet.purge([`${host}/storm/${each}`, `${host}${environment.sample().target}`], []),
+            fleet.purge([`${host}/storm/${count}`, `${host}${environment.sample().target}`], []),
           );
       });
-      repeatBetween(environment, 12_000, 36_000, 6_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 12_000, 36_000, 6_000, () => randomFaults.freeze?.(environment));
     },
   },
   purges: {
-    summary: 'purges one by one and in storms, with slow origins, kills and cuts',
+    summary: 'single purges and bursts of purges, with slow origins, freezes and partitions',
     seconds: 45,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 38_000, 500, () => faults.purge?.(environment));
+      repeatBetween(environment, 8_000, 38_000, 500, () => randomFaults.purge?.(environment));
       repeatBetween(environment, 14_000, 34_000, 9_000, () => {
-        for (let each = 0; each < 60; each += 1) faults.purge?.(environment);
+        for (let each = 0; each < 60; each += 1) randomFaults.purge?.(environment);
       });
-      repeatBetween(environment, 9_000, 36_000, 3_000, () => faults.slow?.(environment));
-      repeatBetween(environment, 9_000, 36_000, 5_000, () => faults.cut?.(environment));
-      repeatBetween(environment, 9_000, 36_000, 6_000, () => faults.freeze?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 3_000, () => randomFaults.slow?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 5_000, () => randomFaults.cut?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 6_000, () => randomFaults.freeze?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/origin-scenarios.ts
+++ b/packages/simulator/src/scenarios/origin-scenarios.ts
@@ -1,22 +1,22 @@
-/** Origins misbehave, drain, leave and come back. */
+/** Scenarios in which origins misbehave, drain, stop and return. */
 
-import { repeatBetween, names, restart, type Scenario } from './environment.js';
+import { repeatBetween, machineNamesOf, restart, type Scenario } from './environment.js';
 import { injectOriginFaults } from './origin-faults.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const originScenarios = {
   'lost-answers': {
     summary:
-      'origins run and lose the answer, send garbage, short bodies and foreign answers; nodes are killed; callers repeat',
+      'origins execute requests but lose the response, or send garbage, truncated bodies or responses to other requests; nodes are killed; clients retry',
     seconds: 35,
     play: (environment) => {
       environment.fleet.clock.schedule(7_000, () => injectOriginFaults(environment.fleet));
-      repeatBetween(environment, 9_000, 26_000, 2_500, () => faults.kill?.(environment));
+      repeatBetween(environment, 9_000, 26_000, 2_500, () => randomFaults.kill?.(environment));
     },
   },
   repeats: {
-    summary: 'every origin fails most of what it gets',
+    summary: 'every origin fails most of its requests',
     seconds: 40,
     rate: 300,
     play: (environment) => {
@@ -28,7 +28,7 @@
   },
   'repeats-relayed': {
     summary:
-      'every origin fails most of what it gets, while one zone is crowded and hands most of it to peers',
+      'every origin fails most of its requests, while one zone is overloaded and forwards most requests to peers',
     seconds: 60,
     rate: 400,
     capacityBps: 3_000_000,
@@ -43,36 +43,42 @@
     },
   },
   'reused-address': {
-    summary: 'origins lose their address to another service',
+    summary: 'origins of two services exchange their addresses',
     seconds: 40,
     play: (environment) => {
       const { fleet } = environment;
       repeatBetween(environment, 8_000, 34_000, 2_500, () => {
-        const a = fleet.clock.pick(fleet.origins.filter((each) => each.service === 'store'));
-        const b = fleet.clock.pick(fleet.origins.filter((each) => each.service === 'application'));
-        if (a === undefined || b === undefined) return;
-        const [first, second] = [
-          { service: a.service, instance: a.instance },
-          { service: b.service, instance: b.instance },
+        const storeOrigin = fleet.clock.pick(
+          fleet.origins.filter((each) => each.service === 'store'),
+        );
+        const applicationOrigin = fleet.clock.pick(
+          fleet.origins.filter((each) => each.service === 'application'),
+        );
+        if (storeOrigin === undefined || applicationOrigin === undefined) return;
+        const [storeIdentity, applicationIdentity] = [
+          { service: storeOrigin.service, instance: storeOrigin.instance },
+          { service: applicationOrigin.service, instance: applicationOrigin.instance },
         ];
-        Object.assign(a, second, { incarnation: a.incarnation + b.incarnation + 1 });
-        Object.assign(b, first, { incarnation: a.incarnation });
+        Object.assign(storeOrigin, applicationIdentity, {
+          incarnation: storeOrigin.incarnation + applicationOrigin.incarnation + 1,
+        });
+        Object.assign(applicationOrigin, storeIdentity, { incarnation: storeOrigin.incarnation });
       });
     },
   },
   drains: {
     summary:
-      'origins drain, leave and come back cold, one by one; nodes freeze and are cut meanwhile',
+      'origins drain, stop and return in slow start, one by one; nodes freeze and are isolated meanwhile',
     seconds: 45,
     play: (environment) => {
-      repeatBetween(environment, 8_000, 36_000, 2_000, () => faults.drain?.(environment));
-      repeatBetween(environment, 9_000, 36_000, 5_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 36_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 2_000, () => randomFaults.drain?.(environment));
+      repeatBetween(environment, 9_000, 36_000, 5_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 36_000, 7_000, () => randomFaults.cut?.(environment));
     },
   },
   'drain-then-kill': {
     summary:
-      'an origin gives its notice once, to a node that is killed or cut off right after acknowledging it, and falls silent; a new incarnation takes its address',
+      'an origin sends its drain notice once, to a node that is killed or isolated right after the acknowledgement; a new incarnation takes its address',
     seconds: 50,
     rate: 200,
     play: (environment) => {
@@ -81,13 +87,15 @@
         const origin = fleet.clock.pick(
           fleet.origins.filter((each) => each.alive && !each.draining),
         );
-        const node = fleet.clock.pick(names(fleet).filter((name) => fleet.isRunning(name)));
+        const node = fleet.clock.pick(
+          machineNamesOf(fleet).filter((name) => fleet.isRunning(name)),
+        );
         if (origin === undefined || node === undefined) return;
         Object.assign(origin, { draining: true, silent: true });
         fleet.describe(
           origin,
           () => {
-            fleet.fault(`${origin.instance} drains; ${node} goes`);
+            fleet.fault(`${origin.instance} drains; ${node} goes down`);
             if (fleet.clock.random() < 0.5) restart(fleet, node, 3_000);
             else {
               fleet.isolate(node);
--- a/packages/simulator/src/scenarios/policy-scenarios.ts
+++ b/packages/simulator/src/scenarios/policy-scenarios.ts
@@ -1,13 +1,13 @@
-/** Operators change policies while traffic runs. */
+/** Scenarios in which operators change policies under load. */
 
 import { repeatBetween, type Scenario } from './environment.js';
 import { putPolicyVariant } from './policy-changes.js';
-import { playPolicyChanges, faults } from './random-faults.js';
+import { playPolicyChanges, randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const policyScenarios = {
   operators: {
-    summary: 'two operators send policies at once, on different nodes, and read',
+    summary: 'two operators send policies concurrently, to any nodes, and read them',
     seconds: 40,
     play: (environment) => {
       repeatBetween(environment, 8_000, 34_000, 1_200, () => {
@@ -16,32 +16,33 @@
           putPolicyVariant(environment),
         );
       });
-      repeatBetween(environment, 8_000, 36_000, 300, () => faults.read?.(environment));
-      repeatBetween(environment, 9_000, 32_000, 4_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 8_000, 36_000, 300, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, 32_000, 4_000, () => randomFaults.kill?.(environment));
     },
   },
   policies: {
     summary:
-      'policies that take routes, services, instances, methods and copies away, while origins are slow and nodes are killed, frozen and cut',
+      'policies remove routes, services, instances, methods and caching, while origins are slow and nodes are killed, frozen and isolated',
     seconds: 52,
     rate: 200,
     play: playPolicyChanges,
   },
   'policies-homes': {
-    summary: 'the same over two regions, with homes added, narrowed and moved',
+    summary: 'as policies, but over two regions, with home regions added, narrowed and moved',
     seconds: 52,
     rate: 200,
     example: 'association',
     play: playPolicyChanges,
   },
   homes: {
-    summary: 'two regions; homed reports, cuts between the regions, kills and freezes',
+    summary:
+      'two regions, with objects that have home regions; machines are killed, frozen and isolated',
     seconds: 45,
     example: 'association',
     play: (environment) => {
-      repeatBetween(environment, 9_000, 38_000, 4_000, () => faults.kill?.(environment));
-      repeatBetween(environment, 9_000, 38_000, 5_000, () => faults.freeze?.(environment));
-      repeatBetween(environment, 11_000, 38_000, 7_000, () => faults.cut?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 4_000, () => randomFaults.kill?.(environment));
+      repeatBetween(environment, 9_000, 38_000, 5_000, () => randomFaults.freeze?.(environment));
+      repeatBetween(environment, 11_000, 38_000, 7_000, () => randomFaults.cut?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
--- a/packages/simulator/src/scenarios/quota-scenarios.ts
+++ b/packages/simulator/src/scenarios/quota-scenarios.ts
@@ -1,14 +1,14 @@
-/** Rate limits, capacities and slow start. */
+/** Scenarios about rate limits, capacities and slow start. */
 
-import { repeatBetween, restart, type Scenario, zones } from './environment.js';
+import { repeatBetween, restart, type Scenario, zoneNamesOf } from './environment.js';
 import { drain, replaceOrigin } from './origin-faults.js';
-import { faults } from './random-faults.js';
+import { randomFaults } from './random-faults.js';
 
 /** Scenarios, by name. */
 export const quotaScenarios = {
   ceilings: {
     summary:
-      'demand far above a low ceiling that moves between zones, while the quota leader and others are killed, frozen and cut',
+      'demand far above a low rate limit moves between zones, while the quota leader and other nodes are killed, frozen and isolated',
     seconds: 60,
     rate: 300,
     policy: (policy) => ({
@@ -23,7 +23,7 @@
     play: (environment) => {
       const { fleet } = environment;
       repeatBetween(environment, 12_000, 52_000, 8_000, () => {
-        environment.traffic.crowdedZone = fleet.clock.pick([...zones(fleet), null]) ?? null;
+        environment.traffic.crowdedZone = fleet.clock.pick([...zoneNamesOf(fleet), null]) ?? null;
       });
       repeatBetween(environment, 14_000, 52_000, 7_000, () => {
         const holder = fleet.holder();
@@ -38,11 +38,12 @@
           fleet.clock.schedule(6_000, () => fleet.heal());
         }
       });
-      repeatBetween(environment, 12_000, 52_000, 6_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 12_000, 52_000, 6_000, () => randomFaults.kill?.(environment));
     },
   },
   saturated: {
-    summary: 'demand far above a low ceiling, nothing fails; halfway all callers move to one zone',
+    summary:
+      'demand is far above a low rate limit, and nothing fails; halfway all clients turn to one zone',
     seconds: 50,
     rate: 300,
     policy: (policy) => ({
@@ -61,7 +62,7 @@
     },
   },
   cold: {
-    summary: 'origins crash and come back cold under load',
+    summary: 'origins crash and return in slow start under load',
     seconds: 50,
     rate: 250,
     policy: (policy) => ({
@@ -74,13 +75,13 @@
       ),
     }),
     play: (environment) => {
-      repeatBetween(environment, 9_000, 42_000, 2_000, () => faults.crash?.(environment));
-      repeatBetween(environment, 9_000, 42_000, 8_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 2_000, () => randomFaults.crash?.(environment));
+      repeatBetween(environment, 9_000, 42_000, 8_000, () => randomFaults.kill?.(environment));
     },
   },
   lowered: {
     summary:
-      'ceilings and cold rates lowered and raised while demand stays and the quota leader is killed',
+      'rate limits and slow-start rates change under constant demand while the quota leader is killed',
     seconds: 50,
     rate: 400,
     play: (environment) => {
@@ -104,12 +105,12 @@
         put();
         if (holder !== undefined && fleet.clock.random() < 0.5) restart(fleet, holder, 2_500);
       });
-      repeatBetween(environment, 12_000, 42_000, 5_000, () => faults.crash?.(environment));
+      repeatBetween(environment, 12_000, 42_000, 5_000, () => randomFaults.crash?.(environment));
     },
   },
   capacities: {
     summary:
-      'no ceilings: instances go one by one until one carries all, say they carry less, and come back cold; demand stays',
+      'no rate limits, constant demand: instances stop one by one until one has the entire load; it announces less capacity, and the others return in slow start',
     seconds: 60,
     rate: 400,
     policy: (policy) => ({
@@ -121,32 +122,32 @@
     play: (environment) => {
       const { fleet } = environment;
       for (const service of new Set(fleet.origins.map((origin) => origin.service))) {
-        const all = fleet.origins.filter((origin) => origin.service === service);
-        const first = fleet.clock.between(9_000, 11_000);
-        all.slice(1).forEach((origin, index) =>
-          fleet.clock.schedule(first + 1_500 * index, () => {
+        const instances = fleet.origins.filter((origin) => origin.service === service);
+        const firstAt = fleet.clock.between(9_000, 11_000);
+        instances.slice(1).forEach((origin, index) =>
+          fleet.clock.schedule(firstAt + 1_500 * index, () => {
             if (fleet.clock.random() < 0.5) drain(fleet, origin, false);
             else origin.alive = false;
-            fleet.fault(`${service}: ${origin.instance} goes`);
+            fleet.fault(`${service}: ${origin.instance} stops`);
           }),
         );
-        // The last one says that it carries less, and less again.
+        // The remaining instance announces a lower capacity, twice.
         for (const at of [24_000, 30_000])
           fleet.clock.schedule(at, () => {
-            const [last] = all;
-            if (last !== undefined) {
-              last.capacity *= 0.3;
-              fleet.describe(last);
-              fleet.fault(`${last.instance} carries ${last.capacity}`);
+            const [lastInstance] = instances;
+            if (lastInstance !== undefined) {
+              lastInstance.capacity *= 0.3;
+              fleet.describe(lastInstance);
+              fleet.fault(`${lastInstance.instance} announces capacity ${lastInstance.capacity}`);
             }
           });
-        all
+        instances
           .slice(1)
           .forEach((origin, index) =>
             fleet.clock.schedule(36_000 + 2_000 * index, () => replaceOrigin(fleet, origin, 100)),
           );
       }
-      repeatBetween(environment, 12_000, 50_000, 6_000, () => faults.kill?.(environment));
+      repeatBetween(environment, 12_000, 50_000, 6_000, () => randomFaults.kill?.(environment));
     },
   },
 } satisfies Readonly<Record<string, Scenario>>;
