--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -8,7 +8,7 @@
 export * from './wire-format.js';
 export type { ProxySettings } from './proxy-host.js';
 export { runProxy } from './run.js';
-export { Feeds, type FeedSnapshot as ProxyFeedSnapshot } from './feed-snapshot.js';
+export { Feeds, type FeedSnapshot } from './feed-snapshot.js';
 export { connectTimeoutMs } from './connection-timing.js';
 export { feedIntervalMs } from './feed-timing.js';
 export { demandIntervalMs, measurementIntervalMs } from './reporting.js';
--- a/packages/simulator/src/history.ts
+++ b/packages/simulator/src/history.ts
@@ -33,7 +33,7 @@
       readonly retryAfter: boolean;
       readonly why: string;
       readonly stamp: string;
-      readonly body: SimBody | null;
+      readonly body: SimulatedBody | null;
       readonly hasCompleteBody: boolean;
       readonly method: string;
       readonly host: string;
@@ -192,7 +192,7 @@
   | { readonly kind: 'fault'; readonly at: number; readonly label: string };
 
 /** The body of a simulated response. */
-export type SimBody = {
+export type SimulatedBody = {
   readonly service: string;
   readonly target: string;
   readonly job: string;
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -5,7 +5,7 @@
 export { availability, ruleChecks, findViolations } from './checks.js';
 export { VirtualClock } from './virtual-clock.js';
 export { SimulatedFleet } from './simulated-fleet.js';
-export type { Entry, SimBody as SimulatedBody, Violation } from './history.js';
+export type { Entry, SimulatedBody, Violation } from './history.js';
 export { injectedFaultNames, type InjectedFault } from './injected-faults.js';
 export {
   loadExample,
@@ -16,4 +16,4 @@
   type RunOptions,
 } from './run.js';
 export { scenarios } from './scenarios.js';
-export type { RequestedFleet as FleetUnderLoad, ScenarioOrigin } from './scenarios/environment.js';
+export type { FleetUnderLoad, ScenarioOrigin } from './scenarios/environment.js';
--- a/packages/simulator/src/run.ts
+++ b/packages/simulator/src/run.ts
@@ -10,7 +10,7 @@
 import type { Violation } from './history.js';
 import type { InjectedFault, Selection } from './injected-faults.js';
 import { scenarios } from './scenarios.js';
-import type { RequestedFleet, ScenarioFleet } from './scenarios/environment.js';
+import type { FleetUnderLoad, ScenarioFleet } from './scenarios/environment.js';
 
 const examples = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../../../examples');
 
@@ -81,7 +81,7 @@
  * ready node if its zone has none.
  */
 export const startClients = (
-  fleet: RequestedFleet,
+  fleet: FleetUnderLoad,
   example: string,
   policy: Policy,
   rate: () => number,
--- a/packages/simulator/src/scenarios/environment.ts
+++ b/packages/simulator/src/scenarios/environment.ts
@@ -69,7 +69,7 @@
 };
 
 /** A fleet that clients send requests to. */
-export type RequestedFleet = ScenarioFleet & {
+export type FleetUnderLoad = ScenarioFleet & {
   readonly history: Entry[];
   /** Whether each node was ready at the last readiness check. */
   readonly ready: ReadonlyMap<string, boolean>;
--- a/packages/simulator/src/simulated-fleet.ts
+++ b/packages/simulator/src/simulated-fleet.ts
@@ -23,7 +23,7 @@
   connectTimeoutMs,
   feedIntervalMs,
   Feeds,
-  type ProxyFeedSnapshot,
+  type FeedSnapshot,
   ProxyCore,
   type ProxyEffect,
   type ProxyEvent,
@@ -46,7 +46,7 @@
 import type { OriginDescription, Policy } from '@reedyard/schemas';
 import type { Deployment, Machine } from '@reedyard/topology';
 import { VirtualClock } from './virtual-clock.js';
-import type { Entry, SimBody } from './history.js';
+import type { Entry, SimulatedBody } from './history.js';
 import {
   isClaimGrantedByFault,
   feedWithFault,
@@ -58,7 +58,7 @@
   type Selection,
 } from './injected-faults.js';
 import { SimulatedNetwork } from './simulated-network.js';
-import type { RequestedFleet, ScenarioOrigin } from './scenarios/environment.js';
+import type { FleetUnderLoad, ScenarioOrigin } from './scenarios/environment.js';
 
 type Program = 'agent' | 'proxy' | 'replica';
 type Reducers = {
@@ -134,7 +134,7 @@
     result: {
       status: number;
       headers: Record<string, unknown>;
-      body: SimBody | null;
+      body: SimulatedBody | null;
       isComplete: boolean;
       retryAfter: boolean;
       reason: string;
@@ -167,7 +167,7 @@
 /**
  * Feeds the reducers of all processes with events and carries out their effects in virtual time.
  */
-export class SimulatedFleet implements RequestedFleet {
+export class SimulatedFleet implements FleetUnderLoad {
   readonly clock: VirtualClock;
   readonly history: Entry[] = [];
   readonly machines = new Map<string, SimulatedMachine>();
@@ -1190,7 +1190,7 @@
   }
 
   /** Last feed of each proxy process, merged from its agent's replies. */
-  readonly #feedSnapshots = new WeakMap<Process<'proxy'>, ProxyFeedSnapshot>();
+  readonly #feedSnapshots = new WeakMap<Process<'proxy'>, FeedSnapshot>();
   readonly #peerRows = new Map<string, Feed['peers'][number]>();
   #recordPeerRows(feed: Feed): void {
     for (const row of feed.peers) this.#peerRows.set(row.id, row);
@@ -1229,7 +1229,7 @@
 
   /** Injected fault: caches a response although it was received through a peer. */
   #cacheForwardedResponse(process: Process<'proxy'>, response: AttemptResponse): void {
-    const body = response.body as SimBody | null;
+    const body = response.body as SimulatedBody | null;
     if (body === null || body.maxAgeMs === Infinity) return;
     const now = this.#processTime(process);
     const host = [...process.state.routes.keys()][0] ?? '';
@@ -1275,9 +1275,9 @@
   ): Parameters<WaitingClient['respond']>[0] {
     const body =
       response.body.kind === 'copy'
-        ? (response.body.copy.body as SimBody)
+        ? (response.body.copy.body as SimulatedBody)
         : response.body.kind === 'attempt'
-          ? (response.body.answer.body as SimBody)
+          ? (response.body.answer.body as SimulatedBody)
           : null;
     const headers = {
       ...response.headers,
@@ -1301,7 +1301,7 @@
     if (this.clock.now() - (this.#copiesRecordedAt.get(name) ?? -Infinity) < 400) return;
     this.#copiesRecordedAt.set(name, this.clock.now());
     for (const copy of process.state.cache.copies.values()) {
-      const { target } = copy.body as SimBody;
+      const { target } = copy.body as SimulatedBody;
       this.history.push({
         kind: 'stored',
         at: this.clock.now(),
@@ -1417,7 +1417,7 @@
             }
             const tags = [...request.target.matchAll(/tag-(\w+)/g)].map((match) => match[1] ?? '');
             const maxAgeMs = 1_000 * (origin.spec.maxAge ?? 60);
-            const body: SimBody = {
+            const body: SimulatedBody = {
               service: origin.service,
               target: request.target,
               job: submissionInfo.job,
--- a/packages/testbed/src/hollow-host.ts
+++ b/packages/testbed/src/hollow-host.ts
@@ -27,7 +27,7 @@
   demandIntervalMs,
   feedIntervalMs,
   Feeds,
-  type ProxyFeedSnapshot,
+  type FeedSnapshot,
   measurementIntervalMs,
 } from '@reedyard/proxy';
 import {
@@ -240,7 +240,7 @@
   nextFeedAt: number;
   isFetchingFeed: boolean;
   measuredAt: number;
-  feedSnapshot: ProxyFeedSnapshot | null;
+  feedSnapshot: FeedSnapshot | null;
   policy: unknown;
   demand: Readonly<Record<string, number>>;
   demandAt: number;
