--- a/packages/agent/src/control/polling.ts
+++ b/packages/agent/src/control/polling.ts
@@ -209,8 +209,8 @@
 };
 
 const recordAllocation = (transition: Transition, { term, beat }: QuotaAllocation): void => {
-  const { lastSeenAllocation: allocationSeen, now } = transition.state;
-  if (term === allocationSeen.term && beat === allocationSeen.beat) return;
+  const { lastSeenAllocation, now } = transition.state;
+  if (term === lastSeenAllocation.term && beat === lastSeenAllocation.beat) return;
   update(transition, { lastSeenAllocation: { term, beat, at: now } });
 };
 
--- a/packages/agent/src/membership/membership.ts
+++ b/packages/agent/src/membership/membership.ts
@@ -123,8 +123,8 @@
  * waiting for a slot.
  */
 export const pollOwnReplica = (transition: Transition): void => {
-  const { bootstrap, self, localReplica: ownReplica } = transition.state;
-  if (bootstrap !== null && self.replica !== null && ownReplica === null)
+  const { bootstrap, self, localReplica } = transition.state;
+  if (bootstrap !== null && self.replica !== null && localReplica === null)
     requestMembership(transition, self.replica.address);
 };
 
--- a/packages/agent/src/quota/quota-leadership.ts
+++ b/packages/agent/src/quota/quota-leadership.ts
@@ -113,8 +113,8 @@
  * Whether the term must be renewed. Renewals are due half a check interval early, since the last
  * allocation was chosen a little after the check that proposed it.
  */
-const isRenewalDue = ({ now, lastSeenAllocation: allocationSeen }: AgentState): boolean =>
-  now - allocationSeen.at >= allocationRenewalIntervalMs - allocationIntervalMs / 2;
+const isRenewalDue = ({ now, lastSeenAllocation }: AgentState): boolean =>
+  now - lastSeenAllocation.at >= allocationRenewalIntervalMs - allocationIntervalMs / 2;
 
 /**
  * Publishes the leader's next allocation, which moves quotas to where the demand is, if the shares or
@@ -165,9 +165,9 @@
 };
 
 const isVacant = (
-  { now, lastSeenAllocation: allocationSeen }: AgentState,
+  { now, lastSeenAllocation }: AgentState,
   current: QuotaAllocation | null,
-): boolean => current === null || now - allocationSeen.at > quotaLeaderTimeoutMs;
+): boolean => current === null || now - lastSeenAllocation.at > quotaLeaderTimeoutMs;
 
 const proposeSelf = (transition: Transition, current: QuotaAllocation | null): void => {
   const { term = 0, slices = {}, seated = [] } = current ?? {};
--- a/packages/agent/src/testing/membership-cluster.ts
+++ b/packages/agent/src/testing/membership-cluster.ts
@@ -255,17 +255,13 @@
 
   #recordVotingStart(
     before: ReplicaState,
-    {
-      hasBegunVoting: isVoting,
-      votingEpoch,
-      diskId: disk,
-      committedMembership: membership,
-    }: ReplicaState,
+    { hasBegunVoting, votingEpoch, diskId: disk, committedMembership: membership }: ReplicaState,
   ): void {
     if (membership !== null && membership !== before.committedMembership) {
       this.history = recordMembership(this.history, disk, membership.value);
     }
-    const startsVoting = isVoting && (!before.hasBegunVoting || votingEpoch !== before.votingEpoch);
+    const startsVoting =
+      hasBegunVoting && (!before.hasBegunVoting || votingEpoch !== before.votingEpoch);
     if (!startsVoting || membership === null) return;
     this.history = recordVotingStart(this.history, disk, membership.value);
   }
--- a/packages/proxy/src/attempt-results.ts
+++ b/packages/proxy/src/attempt-results.ts
@@ -227,12 +227,12 @@
   }
   if (isFromOrigin) {
     count(transition, 'fetched');
-    const { trafficPeriod: period } = transition.state;
+    const { trafficPeriod } = transition.state;
     update(transition, {
       trafficPeriod: {
-        ...period,
-        attemptMs: period.attemptMs + attemptMs,
-        fetched: period.fetched + 1,
+        ...trafficPeriod,
+        attemptMs: trafficPeriod.attemptMs + attemptMs,
+        fetched: trafficPeriod.fetched + 1,
       },
     });
   } else count(transition, 'forwarded');
--- a/packages/proxy/src/reporting.ts
+++ b/packages/proxy/src/reporting.ts
@@ -21,11 +21,11 @@
  */
 const finishMeasurement = (transition: Transition): TrafficMeasurement | null => {
   const { state } = transition;
-  const { trafficPeriod: period } = state;
-  const elapsedMs = state.now - period.since;
+  const { trafficPeriod } = state;
+  const elapsedMs = state.now - trafficPeriod.since;
   if (elapsedMs < measurementIntervalMs) return null;
   const perSecond = 1_000 / elapsedMs;
-  const bitsByKey = Object.entries(period.bits).sort(([, a], [, b]) => b - a);
+  const bitsByKey = Object.entries(trafficPeriod.bits).sort(([, a], [, b]) => b - a);
   const demand: Record<string, number> = {};
   bitsByKey.forEach(([key, bits], index) => {
     const entry = index < maxIndividualObjects ? key : (key.split(' ', 1)[0] ?? key);
@@ -61,10 +61,13 @@
   return {
     demand,
     copies,
-    servedBps: period.servedBits * perSecond,
+    servedBps: trafficPeriod.servedBits * perSecond,
     meanReplyBits:
-      period.replies > 0 ? Math.max(demandBits, period.servedBits) / period.replies : 0,
-    fetchSeconds: period.fetched > 0 ? period.attemptMs / period.fetched / 1_000 : 0,
+      trafficPeriod.replies > 0
+        ? Math.max(demandBits, trafficPeriod.servedBits) / trafficPeriod.replies
+        : 0,
+    fetchSeconds:
+      trafficPeriod.fetched > 0 ? trafficPeriod.attemptMs / trafficPeriod.fetched / 1_000 : 0,
   };
 };
 
--- a/packages/proxy/src/request-completion.ts
+++ b/packages/proxy/src/request-completion.ts
@@ -91,7 +91,7 @@
   isServedLocally: boolean,
 ): void => {
   const bits = 8 * (sizeBytes + 300);
-  const { trafficPeriod: period } = transition.state;
+  const { trafficPeriod } = transition.state;
   const isOwnClient = request.clientRequest.via === null;
   const key = objectKey(
     request.route.name,
@@ -99,10 +99,12 @@
   );
   update(transition, {
     trafficPeriod: {
-      ...period,
-      servedBits: period.servedBits + (isServedLocally ? bits : 0),
-      replies: period.replies + 1,
-      bits: isOwnClient ? { ...period.bits, [key]: (period.bits[key] ?? 0) + bits } : period.bits,
+      ...trafficPeriod,
+      servedBits: trafficPeriod.servedBits + (isServedLocally ? bits : 0),
+      replies: trafficPeriod.replies + 1,
+      bits: isOwnClient
+        ? { ...trafficPeriod.bits, [key]: (trafficPeriod.bits[key] ?? 0) + bits }
+        : trafficPeriod.bits,
     },
   });
 };
--- a/packages/simulator/src/scenarios/mixed-scenarios.ts
+++ b/packages/simulator/src/scenarios/mixed-scenarios.ts
@@ -12,9 +12,9 @@
       'just before the end of the load a zone loses power, a machine freezes and an origin drains',
     seconds: 40,
     play: (environment) => {
-      const { fleet, endMs: end } = environment;
-      repeatBetween(environment, 9_000, end, 2_000, () => randomFaults.purge?.(environment));
-      fleet.clock.schedule(end - 4_000, () => {
+      const { fleet, endMs } = environment;
+      repeatBetween(environment, 9_000, endMs, 2_000, () => randomFaults.purge?.(environment));
+      fleet.clock.schedule(endMs - 4_000, () => {
         const zone = fleet.clock.pick(zoneNamesOf(fleet)) ?? '';
         putPolicyVariant(environment);
         for (const machine of fleet.deployment.machines.filter((each) => each.zone === zone))
@@ -24,7 +24,7 @@
         randomFaults.drain?.(environment);
         randomFaults.purge?.(environment);
       });
-      repeatBetween(environment, 9_000, end + 8_000, 900, () => randomFaults.read?.(environment));
+      repeatBetween(environment, 9_000, endMs + 8_000, 900, () => randomFaults.read?.(environment));
     },
   },
   everything: {
