--- a/packages/testbed/src/trial.ts
+++ b/packages/testbed/src/trial.ts
@@ -556,14 +556,14 @@
         if (fields['event'] === 'trace.stored')
           for (const key of (fields['keys'] ?? '').split(' '))
             if (key !== '') {
-              const pathStart = key.indexOf('/');
+              const slashIndex = key.indexOf('/');
               this.history.push({
                 kind: 'stored',
                 at: atMs,
                 node: name,
                 region,
-                host: key.slice(0, pathStart),
-                target: key.slice(pathStart),
+                host: key.slice(0, slashIndex),
+                target: key.slice(slashIndex),
               });
             }
       }
